--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from holdgw.policy import Action, AttemptEnded, Effect, Event, Outcome, RequestClass, Router
+from holdgw.policy import Action, AttemptEnded, Event, Idempotency, Outcome, RequestClass, RoutingPolicy
 from holdgw.router import clients, program, upstream
 from holdgw.router.config import Config, load_config
 from tests.helpers import MS, S, settings
@@ -183,14 +183,14 @@
 def test_the_module_is_told_what_only_the_sockets_know(monkeypatch: pytest.MonkeyPatch) -> None:
     # Found in issue 5: the wait for a connection, and its slow first answer, were taken for the server's.
     told: list[AttemptEnded] = []
-    handle = Router.handle
+    handle = RoutingPolicy.handle
 
-    def spy(router: Router, event: Event, now: int) -> list[Action]:
+    def spy(router: RoutingPolicy, event: Event, now: int) -> list[Action]:
         if isinstance(event, AttemptEnded):
             told.append(event)
         return handle(router, event, now)
 
-    monkeypatch.setattr(Router, "handle", spy)
+    monkeypatch.setattr(RoutingPolicy, "handle", spy)
     monkeypatch.setattr(upstream, "PER_SERVER", 1)
 
     async def test() -> None:
@@ -213,11 +213,14 @@
         await asyncio.sleep(0.05)
         go.set()
         assert await first == await second == SERVED
-        assert [(event.fresh, event.begun) for event in told] == [(True, True), (False, True)]
-        assert told[1].waited > 40 * MS
+        assert [(event.first_on_connection, event.response_started) for event in told] == [
+            (True, True),
+            (False, True),
+        ]
+        assert told[1].queued_ns > 40 * MS
         third = asyncio.create_task(node.ask(read("r3", wait=250), 7))
         assert await third == b"-BUSY\r\n"
-        assert [(event.outcome, event.begun) for event in told[2:]] == [(Outcome.TIMEOUT, True)]
+        assert [(event.outcome, event.response_started) for event in told[2:]] == [(Outcome.TIMEOUT, True)]
         node.stop()
         cache.stop()
 
@@ -267,21 +270,25 @@
     run(test)
 
 
-@pytest.mark.parametrize("effect", list(Effect))
+@pytest.mark.parametrize("effect", list(Idempotency))
 @pytest.mark.parametrize("write", [False, True])
-def test_the_command_says_if_it_writes_and_the_class_what_a_repeat_does(effect: Effect, write: bool) -> None:
+def test_the_command_says_if_it_writes_and_the_class_what_a_repeat_does(
+    effect: Idempotency, write: bool
+) -> None:
     """Found on a site whose main class is a keyed read: all its requests were answered with an error."""
 
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        cls = RequestClass("main", aim=S, deadline=S, effect=effect, dedup_window=S)
+        cls = RequestClass(
+            "main", latency_objective_ns=S, deadline_ns=S, idempotency=effect, dedup_window_ns=S
+        )
         cache, origin, node = Cache(answer), Origin(PAGE), Node(config=settings(classes=(cls,)))
         await cache.start()
         await origin.start()
         await node.start(entry("s1", cache.port), entry("o", origin.port, "origin"))
-        told = b"c=main,t=a,d=900" + (b",k=1" if effect is Effect.KEYED else b"")
+        told = b"c=main,t=a,d=900" + (b",k=1" if effect is Idempotency.IDEMPOTENCY_KEY else b"")
         words = [b"KV.SET", b"k", b"id1", told, b"v"] if write else [b"KV.GET", b"k", b"id1", told]
         assert await node.ask(command(*words), len(SERVED)) == SERVED
         assert (origin.seen, len(cache.seen)) == ((1, 0) if write else (0, 1))
@@ -442,7 +449,9 @@
         config = replace(
             config_of(tmp_path / "config.json", agent.port),
             listen=("127.0.0.1", 0),
-            settings=settings(classes=(RequestClass("read", aim=9 * S, deadline=20 * S),)),
+            settings=settings(
+                classes=(RequestClass("read", latency_objective_ns=9 * S, deadline_ns=20 * S),)
+            ),
         )
         listening: asyncio.Future[tuple[str, int]] = asyncio.get_running_loop().create_future()
         router = asyncio.create_task(program.serve(config, listening))
@@ -550,7 +559,7 @@
     run(test)
 
 
-LONG = settings(classes=(RequestClass("read", aim=10 * S, deadline=60 * S),))
+LONG = settings(classes=(RequestClass("read", latency_objective_ns=10 * S, deadline_ns=60 * S),))
 
 
 class Late:
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from holdgw.policy import LoadSnapshotChanged, Router, levels
+from holdgw.policy import LoadSnapshotChanged, RoutingPolicy, levels
 from holdgw.policy.logic import MAX_OBSERVED_SLOTS, MIN_SNAPSHOT_REQUESTS, SLOTS
 from holdgw.rehearsal.scenario import read_scenario
 from holdgw.simulation.search import play_seed
@@ -16,7 +16,7 @@
 from tests.test_large_fleet import REPORTS, serve
 
 SERVERS = fleet(20)
-KNOWN = {**REPORTS, "peers": True}
+KNOWN = {**REPORTS, "gossip_allowed": True}
 ENOUGH = 2 * MIN_SNAPSHOT_REQUESTS
 SPREAD_SEEDS = (3, 4, 5)  # one seed's ratio varies by 0.04 with draws that have nothing to do with it
 
@@ -25,7 +25,7 @@
     return crc32(key.encode()) % SLOTS
 
 
-def owners(router: Router, key: str, now: int) -> set[str]:
+def owners(router: RoutingPolicy, key: str, now: int) -> set[str]:
     """The servers that a key's requests go to, one router asking forty times."""
     return {serve(router, f"{key}-{now}-{i}", key, now + i * 30 * MS, {}) for i in range(40)}
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -17,7 +17,7 @@
 
 from holdgw.operation.link import MESSAGE_MOST, Client, Knowledge, Link, parts
 from holdgw.operation.takeover import Hand, Hello, Message, Takeover, decode
-from holdgw.policy import Learnt, LearntServer, LearntTenant, Outcome
+from holdgw.policy import EndpointHandover, HandoverState, Outcome, TenantHandover
 from holdgw.router.program import Program
 from tests.helpers import MS, S, ended, fleet, only_send, request, sends, settings, started
 from tests.peers import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
@@ -277,7 +277,7 @@
     async def test() -> None:
         loop = asyncio.get_running_loop()
         heard: dict[str, list[str]] = {name: [] for name in "abc"}
-        known: dict[str, list[Learnt]] = {name: [] for name in "abc"}
+        known: dict[str, list[HandoverState]] = {name: [] for name in "abc"}
         changed = asyncio.Event()
 
         def takeover(name: str) -> Takeover:
@@ -288,7 +288,7 @@
             return Takeover(
                 loop,
                 lambda: {f"out-{name}": 1},
-                lambda: Learnt(usage={name: 1.0}),
+                lambda: HandoverState(tenant_usage={name: 1.0}),
                 hand,
                 lambda learnt: known[name].append(learnt),
                 lambda told, fd: os.close(fd),
@@ -300,7 +300,7 @@
             await process.begin(tmp_path)
         assert heard["b"] == ["out-a"]
         assert heard["c"] == ["out-b"]
-        assert [part.usage for part in known["c"] if part.usage] == [{"b": 1.0}]
+        assert [part.tenant_usage for part in known["c"] if part.tenant_usage] == [{"b": 1.0}]
         assert not known["a"]
         third.tell(Hand("s", True, 5))
         while "s" not in heard["a"]:
@@ -326,7 +326,7 @@
         process = Takeover(
             asyncio.get_running_loop(),
             dict,
-            Learnt,
+            HandoverState,
             lambda word: None,
             lambda learnt: None,
             lambda told, fd: None,
@@ -362,28 +362,28 @@
     dead = next(iter(elder._caches.nodes.values()))
     for _ in range(4):
         dead.judge(Outcome.CONNECT_FAILED, False, 4 * S)
-    assert elder.avoided() == [dead.entry.id]
+    assert elder.ejected() == [dead.entry.id]
     successor = started(settings(), fleet(3), now=4 * S)
     fresh = successor._guards["a"].limit
-    for part in parts(elder.learnt(4 * S)):
-        successor.learn(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=Learnt), 4 * S)
-    assert successor.avoided() == elder.avoided()
+    for part in parts(elder.handover_state(4 * S)):
+        successor.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=HandoverState), 4 * S)
+    assert successor.ejected() == elder.ejected()
     assert successor._guards["a"].limit == elder._guards["a"].limit < fresh / 2
     assert successor._guards["a"].accepted(4 * S) == elder._guards["a"].accepted(4 * S) > 0
     assert successor._guards["a"].declined == elder._guards["a"].declined
-    assert successor.learnt(4 * S) == elder.learnt(4 * S)
+    assert successor.handover_state(4 * S) == elder.handover_state(4 * S)
 
 
 def test_what_an_elder_tells_late_is_learnt_too(tmp_path: Path) -> None:
     # Found on reading: parts that came once there was a list of servers were kept, and never used.
     async def test() -> None:
         program = Program(config(tmp_path, 9))
-        early, late = (Learnt(usage={name: 2.0}) for name in ("early", "late"))
+        early, late = (HandoverState(tenant_usage={name: 2.0}) for name in ("early", "late"))
         program._learn(early)
-        assert not program.host.learnt().usage
+        assert not program.host.learnt().tenant_usage
         program._make_do()
         program._learn(late)
-        assert program.host.learnt().usage == {"early": 2.0, "late": 2.0}
+        assert program.host.learnt().tenant_usage == {"early": 2.0, "late": 2.0}
         assert not program._learnt
         program.host.close()
         program.clients.close()
@@ -394,22 +394,22 @@
 
 def test_what_is_learnt_of_unknown_servers_and_tenants_is_passed_over() -> None:
     router = started(settings(), fleet(1))
-    before = router.learnt(0)
-    gone = LearntServer(0.1, True, 0.1, 1.0, 1.0, 1.0)
-    router.learn(Learnt(servers={"gone": gone}, tenants={"none": LearntTenant(1.0, ())}), 0)
-    assert router.learnt(0) == before
+    before = router.handover_state(0)
+    gone = EndpointHandover(0.1, True, 0.1, 1.0, 1.0, 1.0)
+    router.restore(HandoverState(endpoints={"gone": gone}, tenants={"none": TenantHandover(1.0, ())}), 0)
+    assert router.handover_state(0) == before
 
 
 def test_what_a_large_router_has_learnt_comes_in_messages_of_bounded_size() -> None:
-    server = LearntServer(0.123456789, True, 0.987654321, 0.111111111, 1e9, 7.7777777)
+    server = EndpointHandover(0.123456789, True, 0.987654321, 0.111111111, 1e9, 7.7777777)
     calls = tuple((1 << 60, True) for _ in range(50_000))
-    learnt = Learnt(
-        servers={f"server-with-a-long-id-{i:06}": server for i in range(5000)},
-        tenants={f"tenant-{i}": LearntTenant(1.0, calls) for i in range(3)},
-        heat=dict.fromkeys(range(8192), 1.0),
-        usage={f"tenant-{i}": 1.0 for i in range(3)},
+    learnt = HandoverState(
+        endpoints={f"server-with-a-long-id-{i:06}": server for i in range(5000)},
+        tenants={f"tenant-{i}": TenantHandover(1.0, calls) for i in range(3)},
+        slot_popularity=dict.fromkeys(range(8192), 1.0),
+        tenant_usage={f"tenant-{i}": 1.0 for i in range(3)},
     )
     cut = list(parts(learnt))
     assert max(len(msgspec.msgpack.encode(Knowledge(part))) for part in cut) < MESSAGE_MOST
-    assert sum(len(part.servers) for part in cut) == 5000
-    assert sum(len(part.heat) for part in cut) == 8192
+    assert sum(len(part.endpoints) for part in cut) == 5000
+    assert sum(len(part.slot_popularity) for part in cut) == 8192
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -6,18 +6,18 @@
 
 from holdgw.policy import (
     Action,
-    ListKind,
+    Endpoint,
+    EndpointsChanged,
+    LimitSharesChanged,
     Outcome,
-    Router,
-    Send,
-    Server,
-    ServersChanged,
-    SharesChanged,
+    RoutingPolicy,
+    SendAttempt,
+    UpdateKind,
 )
 from holdgw.policy.interface import Settings
 from tests.helpers import MS, ORIGIN, S, ended, fleet, request, sends, settings, started
 
-COLD = Server("10.0.1.1:80", kind="std", started=20 * S)
+COLD = Endpoint("10.0.1.1:80", kind="std", started_ns=20 * S)
 
 
 class Workers:
@@ -25,7 +25,7 @@
 
     def __init__(self, count: int, config: dict[str, object], led: bool = True) -> None:
         def told(place: int) -> Settings:
-            return settings(**config, **({"workers": count, "worker": place} if led else {}))
+            return settings(**config, **({"workers": count, "worker_index": place} if led else {}))
 
         self.modules = [started(told(i), fleet(8), seed=7 + i) for i in range(count)]
         self.asked = 0
@@ -40,24 +40,26 @@
         )
 
     def _carry_out(
-        self, module: Router, place: int, actions: list[Action], now: int, outcome: Outcome
+        self, module: RoutingPolicy, place: int, actions: list[Action], now: int, outcome: Outcome
     ) -> None:
         for send in sends(actions):
-            self.sent.append((place, send.server))
-            how = Outcome.OK if send.server == ORIGIN.id else outcome
+            self.sent.append((place, send.endpoint_id))
+            how = Outcome.OK if send.endpoint_id == ORIGIN.id else outcome
             self._carry_out(module, place, module.handle(ended(send, how), now), now, outcome)
 
-    def tell(self, news: ServersChanged) -> None:
+    def tell(self, news: EndpointsChanged) -> None:
         for module in self.modules:
             module.handle(news, 20 * S)
 
 
 def burst_at_a_newcomer(count: int, led: bool = True) -> tuple[int, set[int]]:
     """What a server that has just joined is sent in a burst right after, and by which workers."""
-    workers = Workers(count, {"cold_share": 0.25, "cold_time": 20 * S, "fall_multiple": 2.0}, led)
+    workers = Workers(
+        count, {"warm_up_initial_weight": 0.25, "warm_up_ns": 20 * S, "warm_up_overload_factor": 2.0}, led
+    )
     for i in range(20_000):  # a second for each thousand
         workers.ask(f"k{i % 900}", i * MS, Outcome.OK)
-    workers.tell(ServersChanged(ListKind.DELTA, (COLD,)))
+    workers.tell(EndpointsChanged(UpdateKind.DELTA, (COLD,)))
     workers.sent.clear()
     for i in range(4000):
         workers.ask(f"k{i % 900}", 20 * S + i * MS // 16, Outcome.OK)
@@ -82,7 +84,7 @@
         workers = Workers(4, {}, led)
         if led:
             for module, share in zip(workers.modules, shares, strict=True):
-                module.handle(SharesChanged({"a": share, "unknown": 0.5}), 0)
+                module.handle(LimitSharesChanged({"a": share, "unknown": 0.5}), 0)
         count = 0
         for i in range(20_000):
             now = i * MS
@@ -98,30 +100,32 @@
 
 
 def test_a_share_keeps_the_proportion_of_what_was_cut() -> None:
-    module = started(settings(workers=2, worker=1), fleet(2))
+    module = started(settings(workers=2, worker_index=1), fleet(2))
     guard = module._guards["a"]
     assert guard.cap == guard.limit == 30.0
     guard.limit = 15.0
-    module.handle(SharesChanged({"a": 0.9}), 0)
+    module.handle(LimitSharesChanged({"a": 0.9}), 0)
     assert (guard.cap, guard.limit) == (54.0, 27.0)
-    module.handle(SharesChanged({"a": 0.0}), 0)  # none is no share: a worker's least is told by a tiny one
+    module.handle(
+        LimitSharesChanged({"a": 0.0}), 0
+    )  # none is no share: a worker's least is told by a tiny one
     assert guard.cap == 54.0
 
 
 def test_a_workers_number_must_be_one_of_the_workers() -> None:
-    with pytest.raises(ValueError, match="worker"):
-        settings(workers=2, worker=2)
+    with pytest.raises(ValueError, match="worker_index"):
+        settings(workers=2, worker_index=2)
 
 
 def test_one_worker_alone_decides_as_a_router_does() -> None:
     plain = started(settings(), fleet(5))
-    alone = started(settings(workers=1, worker=0), fleet(5))
+    alone = started(settings(workers=1, worker_index=0), fleet(5))
     for i in range(200):
         told = request(f"r{i}", i * MS, key=f"k{i % 17}")
         first, second = plain.handle(told, i * MS), alone.handle(told, i * MS)
         assert first == second
         (send,) = first
-        assert isinstance(send, Send)
+        assert isinstance(send, SendAttempt)
         for module in (plain, alone):
             module.handle(ended(send, Outcome.OK), i * MS)
 
