--- a/bench/aggregation_figures.py
+++ b/bench/aggregation_figures.py
@@ -9,11 +9,11 @@
 
 from collections.abc import Callable
 
+from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers import merged_view, sequenced_report
 from holdgw.peers.load_report import ServerSample, hash_server
 from holdgw.peers.load_view import LoadSnapshot
 from holdgw.simulation.aggregated_tier import NS_PER_S, AggregatedTier
-from holdgw.standins.relay_model import PeerWeather, RelayModel
 
 MS = 1_000_000
 ROUTERS, SERVERS, SITES = 40, 24, 5
--- a/bench/capacity_control.py
+++ b/bench/capacity_control.py
@@ -33,7 +33,7 @@
 BOTH_WAYS = 2.0  # what a router says, others hear: as much in the mean
 SWIM = "SWIM with local health: `peers/membership.py`"
 VIEW = "load reports to 4 others each 0.3 s: `peers/gossip.py`, `peers/load_view.py`"
-WATCH = "watches of 3 s where the service has room, 20 s at most: `router/watch_wait.py`"
+WATCH = "watches of 3 s where the service has room, 20 s at most: `router/watch_timeout.py`"
 FILE = "a file and SIGHUP: `router/config.py`, `router/program.py`; nothing brings the file"
 UPDATES = "nothing; measured as if spread as member updates: `peers/update_queue.py`"
 NOTHING = "nothing"
--- a/bench/capacity_path.py
+++ b/bench/capacity_path.py
@@ -17,22 +17,24 @@
     at_most,
 )
 from holdgw.policy.logic import SLOTS
-from holdgw.router.clients import REFUSERS
+from holdgw.router.client_connection import MAX_REJECTING_CONNECTIONS
 from holdgw.router.config import DEFAULT_MEMORY_MB, DEFAULT_SOCKETS
+from holdgw.router.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT
 from holdgw.router.program import CLIENT_SHARE, OWN_DESCRIPTORS
-from holdgw.router.upstream import PER_SERVER
 
 ONE_CORE = at_most(1.0, "one process is one core; `--cores` has no peers")
 US_TO_CORES = REQUESTS_PER_S / 1e6
 ANSWER_MS = 50.0  # assumed: what an answer takes at a server and on the way, with its value
 OPEN = REQUESTS_PER_S * ANSWER_MS / 1e3
-FOR_SERVERS = (DEFAULT_SOCKETS - OWN_DESCRIPTORS - REFUSERS) * (1 - CLIENT_SHARE)
+FOR_SERVERS = (DEFAULT_SOCKETS - OWN_DESCRIPTORS - MAX_REJECTING_CONNECTIONS) * (1 - CLIENT_SHARE)
 MEAN_MB = MEAN_BYTES / 1e6
 EVEN = at_most(1.1, "ours: a tenth over the mean")
 
 CORE_BENDS = "longer lines and TLS; a machine busy with other work; many small reads of slow senders"
-STREAMS = "streams of 64 KiB reads: `router/caches.py`, `router/clients.py`; cores: `cores/`"
-POOL = "pool, 16 a server at most: `router/upstream.py`"
+STREAMS = (
+    "streams of 64 KiB reads: `router/cache_connection.py`, `router/client_connection.py`; cores: `cores/`"
+)
+POOL = "pool, 16 a server at most: `router/connection_pool.py`"
 
 
 def cost(number: str, what: str, series: str, megabytes: float) -> Row:
@@ -74,7 +76,7 @@
         "MB",
         Read("requests", "memory by long values open", OPEN),
         "clients that read slowly keep values open for longer",
-        "buffers of 64 KiB a value, an eighth of memory untaken: `router/clients.py`",
+        "buffers of 64 KiB a value, an eighth of memory untaken: `router/client_connection.py`",
         at_most(DEFAULT_MEMORY_MB, "limits.memory_mb, default"),
         decides=True,
     ),
@@ -84,7 +86,7 @@
         Kind.MEMORY,
         "connections to 96 servers, 16 each (most)",
         "MB",
-        Read("connections", "memory of connections", SERVERS * PER_SERVER, 1e-3),
+        Read("connections", "memory of connections", SERVERS * MAX_CONNECTIONS_PER_ENDPOINT, 1e-3),
         "the kernel's buffers are not in it",
         POOL,
         at_most(DEFAULT_MEMORY_MB, "limits.memory_mb, default"),
@@ -366,7 +368,7 @@
         "a second",
         Given(REQUESTS_PER_S * ROUTERS / SERVERS, "934 x 760 / 96"),
         "the busiest has P12 more, and its hot keys",
-        "slots: `policy/logic.py`; levels by load: `policy/levels.py`",
+        "slots: `policy/logic.py`; levels by load: `policy/slot_rebalancing.py`",
     ),
     Row(
         "S2",
@@ -404,7 +406,7 @@
         Kind.DESCRIPTORS,
         "the most that routers may open",
         "connections",
-        Given(ROUTERS * PER_SERVER, "760 x 16"),
+        Given(ROUTERS * MAX_CONNECTIONS_PER_ENDPOINT, "760 x 16"),
         "long values and late answers are not counted in the 16",
         POOL + "; places are not dealt out over routers",
     ),
@@ -444,7 +446,7 @@
         Kind.MEMORY,
         "the most that routers may open (S5), at a router's price of a connection",
         "MB",
-        Read("connections", "memory of connections", ROUTERS * PER_SERVER, 1e-3),
+        Read("connections", "memory of connections", ROUTERS * MAX_CONNECTIONS_PER_ENDPOINT, 1e-3),
         "the server's own program has its own price: not ours to measure",
         "none: the server's own limits",
     ),
--- a/bench/cores.py
+++ b/bench/cores.py
@@ -29,7 +29,7 @@
     show,
     start_router,
 )
-from holdgw.rehearsal.deployment import build
+from holdgw.harness.deployment import build
 
 LIMITS = {"memory_mb": 1024, "sockets": 8192}
 COLOURS = {"router": "#1b6ca8", "relay": "#8a8a8a"}
--- a/bench/each_trouble.py
+++ b/bench/each_trouble.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from holdgw.rehearsal.scenario import Storm, load_scenario
+from holdgw.harness.scenario import Storm, load_scenario
 from holdgw.simulation.search import search
 
 SCENARIO = Path(__file__).resolve().parent / "scenarios" / "laboratory-storm.toml"
--- a/bench/emulator_rate.py
+++ b/bench/emulator_rate.py
@@ -14,11 +14,11 @@
 import uvloop
 from msgspec.structs import replace
 
-from holdgw.rehearsal.day import draw
-from holdgw.rehearsal.deployment import build, run_command
-from holdgw.rehearsal.report import make_report
-from holdgw.rehearsal.scenario import load_scenario
-from holdgw.rehearsal.stage import play
+from holdgw.harness.day import draw
+from holdgw.harness.deployment import build, run_command
+from holdgw.harness.report import make_report
+from holdgw.harness.scenario import load_scenario
+from holdgw.harness.stage import play
 
 ROOT = Path(__file__).resolve().parent.parent
 NODE_RATE = 11.0  # requests a second for each node
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -13,11 +13,11 @@
 from typing import Any, NamedTuple
 
 from bench import aggregation_figures
+from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers.datagram import MemberState
 from holdgw.peers.load_view import NS_PER_S
 from holdgw.simulation.fleet import Fleet, One
 from holdgw.simulation.tier import Tier
-from holdgw.standins.relay_model import PeerWeather, RelayModel
 
 S = NS_PER_S
 ROUTERS, SERVERS, RATE, SERVICE_S = 60, 20, 300.0, 0.04
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -22,7 +22,7 @@
 
 from holdgw.peers.load_report import MAX_SLOTS, LoadReport
 from holdgw.peers.load_view import NS_PER_S
-from holdgw.policy import levels
+from holdgw.policy import slot_rebalancing
 from holdgw.simulation.fleet import Fleet, One
 
 S = NS_PER_S
@@ -116,18 +116,18 @@
 SWITCHED = ("quiet", "news 1 s old", "news 5 s old", "news 10 s old")
 
 
-def switch(_self: levels.SlotRebalancer, _slot: int, ranking: Sequence[Any]) -> int:
+def switch(_self: slot_rebalancing.SlotRebalancer, _slot: int, ranking: Sequence[Any]) -> int:
     """Where a slot would be were it the one that says the shortest wait who has it."""
-    return min(range(min(len(ranking), levels.RANKED)), key=lambda i: ranking[i].wait or math.inf)
+    return min(range(min(len(ranking), slot_rebalancing.RANKED)), key=lambda i: ranking[i].wait or math.inf)
 
 
 def once(case: str, way: str, seed: int) -> dict[str, float]:
     """Play a case."""
     options, trouble, when, since = CASES[case]
     if way == "picture":
-        levels.PACE = 0.0
+        slot_rebalancing.PACE = 0.0
     if way == "switch":
-        levels.SlotRebalancer.taker = switch  # type: ignore[method-assign, assignment]
+        slot_rebalancing.SlotRebalancer.taker = switch  # type: ignore[method-assign, assignment]
     played = Fleet(
         **{
             "routers": ROUTERS,
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -25,11 +25,11 @@
 from bench.scale_child import Handler, serve
 from bench.scale_clock import NS_PER_S, PACE_S, Lag, SlowClock, pace
 from bench.scale_plan import LIGHT_PER_S, place
+from holdgw.harness.routers import resident_bytes
 from holdgw.peers.aggregated_exchange import Role
 from holdgw.peers.datagram import MemberState
 from holdgw.peers.gossip import Address, PeerConfig, PeerNode
 from holdgw.peers.load_view import LoadSnapshot, Observations, SampledWait, TimedWait
-from holdgw.rehearsal.routers import resident_bytes
 
 REQUESTS_PER_S = 934
 SLOTS = 8192
--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -18,11 +18,11 @@
 
 import uvloop
 
-from holdgw.operation.listing import Listing
+from holdgw.operation.endpoint_update import EndpointUpdate
 from holdgw.policy import Endpoint, EndpointsChanged, Idempotency, RequestClass, Settings, Tenant, UpdateKind
-from holdgw.router.clients import ClientServer
-from holdgw.router.host import RouterHost
-from holdgw.router.upstream import Pool
+from holdgw.router.client_connection import ClientListener
+from holdgw.router.connection_pool import ConnectionPool
+from holdgw.router.dispatcher import Dispatcher
 from holdgw.wire.resp import command
 
 NS_PER_MS = 1_000_000
@@ -99,9 +99,9 @@
 async def rounds(count: int, nodes_count: int, keys: int, profile: cProfile.Profile | None) -> list[float]:
     """Microseconds of CPU a request, of each round."""
     loop = asyncio.get_running_loop()
-    pool = Pool(loop, nodes_count + 400, 0.12, 10.0)
-    host = RouterHost(loop, SETTINGS, 7, pool, 20_000)
-    clients = ClientServer(loop, host, 400)
+    pool = ConnectionPool(loop, nodes_count + 400, 0.12, 10.0)
+    host = Dispatcher(loop, SETTINGS, 7, pool, 20_000)
+    clients = ClientListener(loop, host, 400)
 
     async def connected(factory: Any, *_address: Any, **_more: Any) -> tuple[Any, Any]:
         protocol = factory()
@@ -119,8 +119,8 @@
     nodes = [Endpoint(f"node{i:03d}", "std") for i in range(nodes_count)]
     servers = (*nodes, Endpoint(ORIGIN, "origin"))
     addresses = {server.id: ("127.0.0.1", 1) for server in servers}
-    host.servers_changed(Listing(1, EndpointsChanged(UpdateKind.FULL, servers), addresses))
-    from holdgw.router.clients import ClientConnection
+    host.apply_endpoint_update(EndpointUpdate(1, EndpointsChanged(UpdateKind.FULL, servers), addresses))
+    from holdgw.router.client_connection import ClientConnection
 
     client = ClientConnection(clients)
     transport = FakeTransport(client, False)
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -11,9 +11,9 @@
 from math import inf
 from time import perf_counter
 
+from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers.datagram import MemberState
 from holdgw.simulation.tier import Tier
-from holdgw.standins.relay_model import PeerWeather, RelayModel
 
 DEATHS = 5
 CALM_S = 10.0
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -51,7 +51,7 @@
 MUTANTS: dict[str, Mutant] = {
     "stall-forgotten": Mutant(
         "what is read after the process stood still is given its whole time",
-        "holdgw.router.stall",
+        "holdgw.router.event_loop_lag",
         "        if now - self._last > self._most:\n            return now - self._last\n"
         "        if self._last - self._before > self._most:\n            return now - self._before\n",
         "",
@@ -59,25 +59,25 @@
     ),
     "stall-not-handed-on": Mutant(
         "a worker that stood still hands connections on as if all on them had been read",
-        "holdgw.router.clients",
-        "Client(held, self.asked, waited, self.server.host.unread_since())",
-        "Client(held, self.asked, waited)",
+        "holdgw.router.client_connection",
+        "ClientHandover(held, self.asked, waited, self.server.host.unread_since())",
+        "ClientHandover(held, self.asked, waited)",
         scenario="bench/scenarios/cores-storm.toml",
     ),
     "doubled-answer": Mutant(
         "an answer is given twice after a late reset",
-        "holdgw.router.host",
+        "holdgw.router.dispatcher",
         "        now = self._host.now()\n        event = AttemptEnded(",
-        "        if outcome is Outcome.RESET and request.closed and reply._connection.transport:\n"
+        "        if outcome is Outcome.RESET and request.answered and reply._connection.transport:\n"
         '            reply._connection.transport.write(b"-ERR failed\\r\\n")\n'
         "        now = self._host.now()\n        event = AttemptEnded(",
         (
             (
-                "holdgw.router.upstream",
+                "holdgw.router.connection_pool",
                 "        exchange, self.exchange = self.exchange, None\n        self.turned_away",
                 "        exchange = self.exchange\n        self.turned_away",
             ),
-            ("holdgw.router.upstream", "        if not self.over:\n", "        if True:\n"),
+            ("holdgw.router.connection_pool", "        if not self.over:\n", "        if True:\n"),
         ),
     ),
     "late-repeat": Mutant(
@@ -85,11 +85,11 @@
         "holdgw.policy.logic",
         "if self.cls.idempotency is Idempotency.NOT_IDEMPOTENT or self.write_within(now) <= 0:",
         "if self.cls.idempotency is Idempotency.NOT_IDEMPOTENT:",
-        (("holdgw.router.host", "if self._write_by and now >= self._write_by:", "if False:"),),
+        (("holdgw.router.dispatcher", "if self._write_by and now >= self._write_by:", "if False:"),),
     ),
     "slow-repeat": Mutant(
         "a repeat waits for its connection beyond its window",
-        "holdgw.router.host",
+        "holdgw.router.dispatcher",
         "        if action.write_within_ns:\n            attempt.write_by(now + action.write_within_ns)\n",
         "",
         scenario="bench/scenarios/short-window.toml",
@@ -108,19 +108,19 @@
     ),
     "drain-waits": Mutant(
         "a drain is heard, but exchanges that wait for a connection are kept",
-        "holdgw.router.upstream",
+        "holdgw.router.connection_pool",
         "        waiting, server.waiting = server.waiting, deque()\n"
         "        for exchange in waiting:\n"
         "            exchange.end(Outcome.CONNECT_FAILED)\n",
         "",
         (
             (
-                "holdgw.router.upstream",
+                "holdgw.router.connection_pool",
                 "        for connection in server.connections:\n            connection.retired = True\n",
                 "",
             ),
             (
-                "holdgw.router.upstream",
+                "holdgw.router.connection_pool",
                 "connection.retired = not server.open or server.address != address",
                 "connection.retired = server.address != address",
             ),
@@ -154,31 +154,31 @@
     ),
     "half-closed-reused": Mutant(
         "the pool keeps a connection whose other side has closed",
-        "holdgw.router.upstream",
+        "holdgw.router.connection_pool",
         "    def pause_writing(self) -> None:\n",
         "    def eof_received(self) -> bool:\n        return True\n\n    def pause_writing(self) -> None:\n",
     ),
     "given-up-kept": Mutant(
         "a connection whose exchange was given up is kept open for ever",
-        "holdgw.router.upstream",
-        "or not pool.lingers(connection):\n                connection.close()\n",
-        "or not pool.lingers(connection):\n                connection.retired = True\n",
+        "holdgw.router.connection_pool",
+        "or not pool.awaits_late_answer(connection):\n                connection.close()\n",
+        "or not pool.awaits_late_answer(connection):\n                connection.retired = True\n",
     ),
     "late-answer-believed": Mutant(
         "a connection whose exchange was given up goes back to the pool",
-        "holdgw.router.upstream",
-        "or not pool.lingers(connection):\n                connection.close()\n",
-        "or not pool.lingers(connection):\n                pool.released(connection)\n",
+        "holdgw.router.connection_pool",
+        "or not pool.awaits_late_answer(connection):\n                connection.close()\n",
+        "or not pool.awaits_late_answer(connection):\n                pool.connection_released(connection)\n",
     ),
     "owed-believed": Mutant(
         "a connection that is owed a late answer goes back to the pool before that has come",
-        "holdgw.router.upstream",
+        "holdgw.router.connection_pool",
         "        server.owed[connection] = self._loop.time()\n        self._dial_for(server)\n",
-        "        self.released(connection)\n",
+        "        self.connection_released(connection)\n",
     ),
     "descriptor-miscounted": Mutant(
         "a descriptor that is free again is not counted so",
-        "holdgw.router.upstream",
+        "holdgw.router.connection_pool",
         "        self._held -= 1\n        if connection in server.idle:",
         "        if connection in server.idle:",
     ),
@@ -190,14 +190,14 @@
     ),
     "request-kept": Mutant(
         "a request that its client left is never forgotten",
-        "holdgw.router.host",
-        "        request.closed = True\n        self.settle(request)\n"
-        "        self.tell(RequestCancelled(request.id))",
-        "        request.closed = True\n        self.tell(RequestCancelled(request.id))",
+        "holdgw.router.dispatcher",
+        "        request.answered = True\n        self.release_if_done(request)\n"
+        "        self.dispatch(RequestCancelled(request.id))",
+        "        request.answered = True\n        self.dispatch(RequestCancelled(request.id))",
     ),
     "deadline-unwatched": Mutant(
         "an attempt has no end of its own",
-        "holdgw.router.host",
+        "holdgw.router.dispatcher",
         "        attempt.wait_until(due)\n",
         "",
     ),
@@ -209,14 +209,14 @@
     ),
     "recent-unbounded": Mutant(
         "ids of requests that are over are kept without a bound",
-        "holdgw.router.host",
-        "            if len(self._recent) > RECENT:\n",
-        "            if len(self._recent) > RECENT**3:\n",
+        "holdgw.router.dispatcher",
+        "            if len(self._recent) > MAX_RECENT_IDS:\n",
+        "            if len(self._recent) > MAX_RECENT_IDS**3:\n",
         scenario="storm",
     ),
     "timer-left": Mutant(
         "the sweep goes on when the router has ended",
-        "holdgw.router.host",
+        "holdgw.router.dispatcher",
         "        self._sweep_timer.cancel()\n        if self._sweep_soon",
         "        if self._sweep_soon",
     ),
@@ -236,21 +236,21 @@
     ),
     "hand-forgotten": Mutant(
         "a server out by hand is used again as soon as discovery says that it is up",
-        "holdgw.operation.roster",
+        "holdgw.operation.endpoint_overrides",
         "        seen = tuple(map(self._seen, listing.change.endpoints))\n",
         "        seen = listing.change.endpoints\n",
         scenario="bench/scenarios/by-hand.toml",
     ),
     "module-timers-left": Mutant(
         "what the module waits for goes on when the router has ended",
-        "holdgw.router.host",
-        "        self.wheel.close()\n",
+        "holdgw.router.dispatcher",
+        "        self.timer_wheel.close()\n",
         "",
         scenario="bench/scenarios/restart-amid-misses.toml",
     ),
     "closing-for-ever": Mutant(
         "a connection being closed to a client that takes nothing is waited for without end",
-        "holdgw.router.clients",
+        "holdgw.router.client_connection",
         "if self.blocked or self.transport.is_closing() or (self._linger is not None and unsent):\n",
         "if self.blocked:\n",
         scenario="bench/scenarios/deaf-clients.toml",
@@ -313,7 +313,7 @@
     ),
     "switch": Mutant(
         "a slot goes to the ranked server that says the shortest wait, all at once",
-        "holdgw.policy.levels",
+        "holdgw.policy.slot_rebalancing",
         "        if not self._lacks or not ranking or slot in self._unmoved:\n            return 0\n",
         "        if ranking:\n"
         "            return min(range(min(len(ranking), RANKED)), key=lambda i: ranking[i].wait or 1e18)\n",
@@ -379,13 +379,13 @@
     ),
     "gone-attempt-kept": Mutant(
         "an attempt that waits in a queue outlives its client",
-        "holdgw.router.host",
-        "        if request.last is not None:\n            request.last.call_off()\n",
+        "holdgw.router.dispatcher",
+        "        if request.last_attempt is not None:\n            request.last_attempt.cancel()\n",
         "",
         (
             (
-                "holdgw.router.host",
-                "        if request.closed:\n            return Outcome.CANCELLED\n",
+                "holdgw.router.dispatcher",
+                "        if request.answered:\n            return Outcome.CANCELLED\n",
                 "",
             ),
         ),
@@ -393,14 +393,14 @@
     ),
     "drain-at-decision": Mutant(
         "a drain is looked at when a request is decided on, and no more when it is written",
-        "holdgw.router.upstream",
+        "holdgw.router.connection_pool",
         "        waiting, server.waiting = server.waiting, deque()\n"
         "        for exchange in waiting:\n"
         "            exchange.end(Outcome.CONNECT_FAILED)\n",
         "",
         (
             (
-                "holdgw.router.upstream",
+                "holdgw.router.connection_pool",
                 "connection.retired = not server.open or server.address != address",
                 "connection.retired = server.address != address",
             ),
@@ -409,7 +409,7 @@
     ),
     "close-unread": Mutant(
         "a connection is closed without reading what is left",
-        "holdgw.router.clients",
+        "holdgw.router.client_connection",
         "        self.transport.write_eof()\n",
         "        self.transport.close()\n",
         test="tests/test_endings.py::"
@@ -424,7 +424,7 @@
     ),
     "reset-is-an-end": Mutant(
         "a reset ends a body without a length",
-        "holdgw.router.origin",
+        "holdgw.router.origin_connection",
         "        if exc is None and self.exchange is not None and self._reader.ended():\n",
         "        if self.exchange is not None and self._reader.ended():\n",
         test="tests/test_endings.py::"
@@ -439,7 +439,7 @@
     ),
     "fin-before-answers": Mutant(
         "a client's connection is closed though commands are unanswered",
-        "holdgw.router.clients",
+        "holdgw.router.client_connection",
         "        if not self.replies and (even_midway or not (self._reader.midway or self._newly_made)):",
         "        if even_midway or not self._reader.midway:",
     ),
@@ -510,7 +510,7 @@
             code = pytest.main(["-q", "-x", "-p", "no:cacheprovider", str(ROOT / mutant.test)])
         return (1, f"{mutant.test} fails") if code == pytest.ExitCode.TESTS_FAILED else (0, "")
     scenario = mutant.scenario
-    from holdgw.rehearsal.scenario import load_scenario
+    from holdgw.harness.scenario import load_scenario
     from holdgw.simulation.search import search
 
     for outcome in search(load_scenario(scenario), seeds, 1):
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -24,10 +24,10 @@
 
 def figures(scenario: str, seed: int, seconds: float) -> dict[str, float]:
     """Play one seed; its figures."""
-    from holdgw.rehearsal.counting import outcomes
-    from holdgw.rehearsal.day import STORE
-    from holdgw.rehearsal.report import make_report
-    from holdgw.rehearsal.scenario import load_scenario
+    from holdgw.harness.counting import outcomes
+    from holdgw.harness.day import STORE
+    from holdgw.harness.report import make_report
+    from holdgw.harness.scenario import load_scenario
     from holdgw.simulation.search import play_seed
 
     loaded = load_scenario(scenario)
--- a/bench/router_core.py
+++ b/bench/router_core.py
@@ -32,12 +32,12 @@
 from rich.console import Console
 from rich.table import Table
 
-from holdgw.rehearsal.deployment import NODE_KIND, build, configuration, run_command
-from holdgw.rehearsal.routers import child_of_stage, cpu_seconds, free_address, resident_bytes
-from holdgw.rehearsal.scenario import load_scenario
-from holdgw.standins.discovery import DiscoveryServer
-from holdgw.standins.records import Record
-from holdgw.standins.registry_model import Entry, RegistryModel, State
+from holdgw.emulators.discovery import DiscoveryServer
+from holdgw.emulators.records import Record
+from holdgw.emulators.registry_model import Entry, RegistryModel, State
+from holdgw.harness.deployment import NODE_KIND, build, configuration, run_command
+from holdgw.harness.routers import child_of_stage, cpu_seconds, free_address, resident_bytes
+from holdgw.harness.scenario import load_scenario
 from holdgw.wire.address import Address
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -33,7 +33,7 @@
 from bench.scale_plan import Machine, Needs
 from bench.scale_report import drawn, plain
 from bench.scale_rig import Cast, Played, Program, Rig
-from holdgw.rehearsal.deployment import build, run_command
+from holdgw.harness.deployment import build, run_command
 from holdgw.router.process import python_with
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/bench/scale_child.py
+++ b/bench/scale_child.py
@@ -16,7 +16,7 @@
 import msgspec
 import uvloop
 
-from holdgw.rehearsal.routers import cpu_seconds, die_with_parent
+from holdgw.harness.routers import cpu_seconds, die_with_parent
 
 LINE_BYTES = 64 << 20  # of one answer, at most
 ANSWER_S = 120.0
--- a/bench/scale_real.py
+++ b/bench/scale_real.py
@@ -12,11 +12,11 @@
 from typing import NamedTuple
 
 from bench.scale_plan import LIGHT_PER_S, SERVERS
-from holdgw.rehearsal.day import Day, draw
-from holdgw.rehearsal.deployment import Peers
-from holdgw.rehearsal.routers import resident_bytes
-from holdgw.rehearsal.scenario import read_scenario
-from holdgw.rehearsal.stage import Stage
+from holdgw.harness.day import Day, draw
+from holdgw.harness.deployment import Peers
+from holdgw.harness.routers import resident_bytes
+from holdgw.harness.scenario import read_scenario
+from holdgw.harness.stage import Stage
 from holdgw.wire.address import Address
 
 SETTINGS = """
--- a/bench/scale_relay.py
+++ b/bench/scale_relay.py
@@ -13,8 +13,8 @@
 from bench import scale_plan
 from bench.scale_child import Handler, serve
 from bench.scale_clock import Lag, SlowClock
-from holdgw.standins.relay import ALL, Relay
-from holdgw.standins.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay import ALL, Relay
+from holdgw.emulators.relay_model import PeerWeather, RelayModel
 
 
 class CountedLines(RelayModel):
--- a/bench/slopes_connections.py
+++ b/bench/slopes_connections.py
@@ -17,9 +17,9 @@
 from bench.router_core import CONTEXT, Children, bind_to
 from bench.slopes import REPEATS, Readings, measurement
 from bench.slopes_run import connections_to, rig, serve_sized
-from holdgw.rehearsal.routers import resident_bytes
-from holdgw.router.caches import CacheConnection
-from holdgw.router.upstream import Pool, Server
+from holdgw.harness.routers import resident_bytes
+from holdgw.router.cache_connection import CacheConnection
+from holdgw.router.connection_pool import ConnectionPool, EndpointPool
 from holdgw.wire.address import Address
 
 RATE = 934.0
@@ -58,8 +58,8 @@
 
     async def opened() -> None:
         loop = asyncio.get_running_loop()
-        pool = Pool(loop, count, 1.0, 60.0)
-        server = Server(pool, "held", address, CacheConnection)
+        pool = ConnectionPool(loop, count, 1.0, 60.0)
+        server = EndpointPool(pool, "held", address, CacheConnection)
         before, listed = resident_bytes(os.getpid()), len(os.listdir("/proc/self/fd"))
         connections = [CacheConnection(server) for _ in range(count)]
         for i in range(0, count, 100):
--- a/bench/slopes_lists.py
+++ b/bench/slopes_lists.py
@@ -18,14 +18,14 @@
 
 from bench.capacity_model import Measurement, Scale
 from bench.slopes import REPEATS, ROUTERS, Readings, cpu_of, measurement
+from holdgw.emulators.discovery import DiscoveryServer
+from holdgw.emulators.records import Called, Record
+from holdgw.emulators.registry_model import Entry, RegistryModel, State
+from holdgw.harness.deployment import Peers, configuration
+from holdgw.harness.scenario import load_scenario
 from holdgw.policy import RequestClass, RoutingPolicy, Settings
-from holdgw.rehearsal.deployment import Peers, configuration
-from holdgw.rehearsal.scenario import load_scenario
 from holdgw.router.config import load_config
 from holdgw.router.discovery import Clock, Discovery, read_listing
-from holdgw.standins.discovery import DiscoveryServer
-from holdgw.standins.records import Called, Record
-from holdgw.standins.registry_model import Entry, RegistryModel, State
 
 SERVERS = (12, 24, 48, 96, 192)
 TIMES = 200
@@ -127,7 +127,7 @@
 
     for i, name in enumerate(names):
         client = Discovery(addresses[name], True, Clock(), take(name), again(i))
-        client.know(model.views[name].version)
+        client.resume_from(model.views[name].version)
         for _ in range(ANSWERED):
             client._watch.wait.timed_out(0.0)
         client.subscribe()
--- a/bench/slopes_run.py
+++ b/bench/slopes_run.py
@@ -23,7 +23,7 @@
 import uvloop
 
 from bench.router_core import CONTEXT, KEYS, REPORT, Children, bind_to, serve_discovery, start_router
-from holdgw.rehearsal.routers import cpu_seconds, resident_bytes
+from holdgw.harness.routers import cpu_seconds, resident_bytes
 from holdgw.wire.address import Address
 
 SERVER_PROCESSES, CLIENT_PROCESSES = 2, 2
--- a/bench/slopes_tier.py
+++ b/bench/slopes_tier.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Collection
 from typing import Any
 
+from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers.membership import Membership
 from holdgw.simulation.tier import Tier
-from holdgw.standins.relay_model import PeerWeather, RelayModel
 
 SITES, ZONES, REGIONS = 43, 25, 8
 SAME_SITE_S, SAME_ZONE_S, SAME_REGION_S, ACROSS_S = 0.0001, 0.0005, 0.002, 0.04
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -25,11 +25,11 @@
 import orjson
 import uvloop
 
-from holdgw.rehearsal.day import STORE, Day, draw, workload
-from holdgw.rehearsal.deployment import build, run_command
-from holdgw.rehearsal.report import make_report
-from holdgw.rehearsal.scenario import node_names, read_scenario
-from holdgw.rehearsal.stage import Played, play
+from holdgw.harness.day import STORE, Day, draw, workload
+from holdgw.harness.deployment import build, run_command
+from holdgw.harness.report import make_report
+from holdgw.harness.scenario import node_names, read_scenario
+from holdgw.harness.stage import Played, play
 
 ROOT = Path(__file__).resolve().parent.parent
 WINDOW_S = 5.0
--- a/bench/start.py
+++ b/bench/start.py
@@ -22,10 +22,10 @@
 import orjson
 
 from bench.spread import KEPT, played_day, trouble
-from holdgw.rehearsal.day import STORE
-from holdgw.rehearsal.deployment import build
-from holdgw.rehearsal.report import make_report
-from holdgw.rehearsal.stage import Played
+from holdgw.harness.day import STORE
+from holdgw.harness.deployment import build
+from holdgw.harness.report import make_report
+from holdgw.harness.stage import Played
 
 ROOT = Path(__file__).resolve().parent.parent
 KILL, LENGTH, STEP = 10.0, 40.0, 0.1
--- a/holdgw/cli/__init__.py
+++ b/holdgw/cli/__init__.py
@@ -14,8 +14,8 @@
 from holdgw.cli.rehearse import rehearse, scenarios
 from holdgw.cli.run import run
 from holdgw.cli.simulate import simulate
-from holdgw.rehearsal.deployment import DeployError
-from holdgw.rehearsal.scenario import ScenarioError
+from holdgw.harness.deployment import DeployError
+from holdgw.harness.scenario import ScenarioError
 
 app = typer.Typer(
     name="holdgw",
--- a/holdgw/cli/fleet_log.py
+++ b/holdgw/cli/fleet_log.py
@@ -10,8 +10,8 @@
 from rich.table import Table
 
 from holdgw.cli.common import UsageError
-from holdgw.operation.fleetlog import FleetLog, Second
-from holdgw.operation.tally import MARK
+from holdgw.operation.fleet_log import FleetLog, Second
+from holdgw.operation.interval_counters import LOG_LINE_PREFIX
 
 
 def fleet_log(
@@ -29,7 +29,7 @@
         log.read(path.name, path.read_text(errors="replace"))
     if not log.seconds:
         raise UsageError(
-            f"{folder}: no line has a tally ({MARK.strip()!r}); set HOLDGW_TALLY for the routers"
+            f"{folder}: no line has a tally ({LOG_LINE_PREFIX.strip()!r}); set HOLDGW_TALLY for the routers"
         )
     console = Console(width=220, highlight=False)
     rows = [log.seconds[at] for at in sorted(log.seconds)]
--- a/holdgw/cli/rehearse.py
+++ b/holdgw/cli/rehearse.py
@@ -15,12 +15,12 @@
 from rich.table import Table
 
 from holdgw.cli.common import FAILED, INTERRUPTED, UsageError, folder_is_there
-from holdgw.rehearsal.day import Day, draw
-from holdgw.rehearsal.deployment import build, run_command
-from holdgw.rehearsal.page import render
-from holdgw.rehearsal.report import Report, make_report
-from holdgw.rehearsal.scenario import load_scenario, shipped
-from holdgw.rehearsal.stage import Played, Stage, StageError, play
+from holdgw.harness.day import Day, draw
+from holdgw.harness.deployment import build, run_command
+from holdgw.harness.page import render
+from holdgw.harness.report import Report, make_report
+from holdgw.harness.scenario import load_scenario, shipped
+from holdgw.harness.stage import Played, Stage, StageError, play
 
 FILE_WIDTH = 140  # columns of a report that goes to no terminal
 
--- a/holdgw/cli/simulate.py
+++ b/holdgw/cli/simulate.py
@@ -16,7 +16,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
 from holdgw.cli.common import BROKEN, FAILED, INTERRUPTED, UsageError, folder_is_there
-from holdgw.rehearsal.scenario import Scenario, load_scenario
+from holdgw.harness.scenario import Scenario, load_scenario
 from holdgw.simulation.play import Outcome
 from holdgw.simulation.search import last_events, play_seed, search
 from holdgw.simulation.shrink import as_toml, shrink
--- a/holdgw/cores/machine.py
+++ b/holdgw/cores/host_system.py
@@ -13,9 +13,9 @@
 from collections.abc import Callable, Mapping
 from typing import Any, Protocol
 
-from holdgw.cores.board import Board, attach, create
-from holdgw.operation.link import Link
-from holdgw.router.clients import ClientServer, copy_of
+from holdgw.cores.shared_table import SharedTable, attach, create
+from holdgw.operation.process_link import ProcessLink
+from holdgw.router.client_connection import ClientListener, copy_of
 from holdgw.router.config import Config
 from holdgw.router.process import python_with
 from holdgw.router.program import passed_socket
@@ -27,9 +27,9 @@
 AGAIN_S = 0.1  # after which accepting is tried again where it failed
 
 Decode = Callable[[bytes], Any]
-Take = Callable[[Link[Any], Any, int | None], None]
+Take = Callable[[ProcessLink[Any], Any, int | None], None]
 """Takes a message, and a descriptor that came with it."""
-Lost = Callable[[Link[Any]], None]
+Lost = Callable[[ProcessLink[Any]], None]
 
 log = logging.getLogger("holdgw")
 
@@ -48,7 +48,7 @@
         """Send it a signal; raises ProcessLookupError where it is gone."""
 
 
-class Ear(Protocol):
+class Acceptor(Protocol):
     """The clients' listening socket."""
 
     address: Address
@@ -60,13 +60,13 @@
         """Listen no more."""
 
 
-class Machine(Protocol):
+class HostSystem(Protocol):
     """What a supervisor needs."""
 
-    def board(self, workers: int) -> Board:
+    def board(self, workers: int) -> SharedTable:
         """Make the shared memory; its owner closes it."""
 
-    def listen(self, config: Config, take: Callable[[int], None]) -> Ear:
+    def listen(self, config: Config, take: Callable[[int], None]) -> Acceptor:
         """Listen for clients; each connection is given on by its descriptor. Raises OSError."""
 
     async def start(
@@ -76,7 +76,7 @@
         environ: Mapping[str, str],
         decode: Decode,
         take: Take,
-    ) -> tuple[Running, Link[Any]]:
+    ) -> tuple[Running, ProcessLink[Any]]:
         """Start a worker; raises OSError."""
 
     def dup(self, descriptor: int) -> int:
@@ -89,10 +89,10 @@
         """Let go of what no worker will need any more."""
 
 
-class WorkerMachine(Protocol):
+class WorkerHostSystem(Protocol):
     """What a worker needs."""
 
-    def board(self, workers: int, place: int) -> Board:
+    def board(self, workers: int, place: int) -> SharedTable:
         """The shared memory as this worker sees it."""
 
     def link(
@@ -100,10 +100,10 @@
         decode: Decode,
         take: Take,
         lost: Lost,
-    ) -> Link[Any]:
+    ) -> ProcessLink[Any]:
         """The link to the supervisor."""
 
-    async def adopt(self, clients: ClientServer, told: Any, descriptor: int, late: int) -> None:
+    async def adopt(self, clients: ClientListener, told: Any, descriptor: int, late: int) -> None:
         """Take a client's connection."""
 
     def copy(self, transport: Any) -> int:
@@ -160,7 +160,7 @@
         self._sock.close()
 
 
-class RealMachine:
+class LinuxHostSystem:
     """This machine, for a supervisor."""
 
     def __init__(self) -> None:
@@ -168,12 +168,12 @@
         self._descriptor = -1
         self._hash_seed = str(secrets.randbelow(4_000_000_000) + 1)
 
-    def board(self, workers: int) -> Board:
+    def board(self, workers: int) -> SharedTable:
         """Make the shared memory; its owner closes it."""
         self._descriptor = create(workers)
-        return Board(attach(self._descriptor, workers), workers)
+        return SharedTable(attach(self._descriptor, workers), workers)
 
-    def listen(self, config: Config, take: Callable[[int], None]) -> Ear:
+    def listen(self, config: Config, take: Callable[[int], None]) -> Acceptor:
         """Listen for clients."""
         sock = passed_socket(config.passed) or socket.create_server(config.listen, backlog=BACKLOG)
         return _Ear(self._loop, sock, take)
@@ -185,7 +185,7 @@
         environ: Mapping[str, str],
         decode: Decode,
         take: Take,
-    ) -> tuple[Running, Link[Any]]:
+    ) -> tuple[Running, ProcessLink[Any]]:
         """Start a worker."""
         here, there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         told = {
@@ -206,7 +206,7 @@
             raise
         finally:
             there.close()
-        return process, Link(self._loop, here, decode, take, lambda _: None)
+        return process, ProcessLink(self._loop, here, decode, take, lambda _: None)
 
     def dup(self, descriptor: int) -> int:
         """Another descriptor of the same connection."""
@@ -221,28 +221,28 @@
         os.close(self._descriptor)
 
 
-class RealWorkerMachine:
+class LinuxWorkerHostSystem:
     """This machine, for a worker that came with these descriptors."""
 
     def __init__(self, link: int, board: int) -> None:
         self._link, self._board = link, board
 
-    def board(self, workers: int, place: int) -> Board:
+    def board(self, workers: int, place: int) -> SharedTable:
         """The shared memory as this worker sees it."""
         memory = attach(self._board, workers)
         os.close(self._board)
-        return Board(memory, workers, place)
+        return SharedTable(memory, workers, place)
 
     def link(
         self,
         decode: Decode,
         take: Take,
         lost: Lost,
-    ) -> Link[Any]:
+    ) -> ProcessLink[Any]:
         """The link to the supervisor."""
-        return Link(asyncio.get_running_loop(), socket.socket(fileno=self._link), decode, take, lost)
+        return ProcessLink(asyncio.get_running_loop(), socket.socket(fileno=self._link), decode, take, lost)
 
-    async def adopt(self, clients: ClientServer, told: Any, descriptor: int, late: int) -> None:
+    async def adopt(self, clients: ClientListener, told: Any, descriptor: int, late: int) -> None:
         """Take a client's connection."""
         await clients.adopt(told, descriptor, late)
 
--- a/holdgw/cores/words.py
+++ b/holdgw/cores/messages.py
@@ -7,26 +7,26 @@
 import msgspec
 from msgspec.structs import replace
 
-from holdgw.operation.link import PART_MOST, Client, Knowledge, batched
-from holdgw.operation.listing import Listing
+from holdgw.operation.endpoint_update import EndpointUpdate
+from holdgw.operation.process_link import MAX_PART_ITEMS, ClientHandover, HandoverPart, batched
 from holdgw.policy import EndpointsChanged
 
 
-class Listed(msgspec.Struct, tag="listed", frozen=True):
+class EndpointUpdatePart(msgspec.Struct, tag="listed", frozen=True):
     """News of the list, or a part of it; it is taken once all parts are there."""
 
-    listing: Listing
+    listing: EndpointUpdate
     more: bool
 
 
-class Shares(msgspec.Struct, tag="shares", frozen=True):
+class LimitShares(msgspec.Struct, tag="shares", frozen=True):
     """The part of each tenant's limit that is the worker's from now on."""
 
     number: int
     shares: dict[str, float]
 
 
-class Fresh(msgspec.Struct, tag="fresh", frozen=True):
+class NewClient(msgspec.Struct, tag="fresh", frozen=True):
     """A new client's connection, whose descriptor comes along."""
 
     since: int
@@ -41,13 +41,13 @@
     """The worker has the list of servers and can serve."""
 
 
-class Took(msgspec.Struct, tag="took", frozen=True):
+class ClientsAccepted(msgspec.Struct, tag="took", frozen=True):
     """So many connections of those dealt are the worker's now; nothing was read of the last one yet."""
 
     dealt: int
 
 
-class Account(msgspec.Struct, tag="account", frozen=True):
+class WorkerReport(msgspec.Struct, tag="account", frozen=True):
     """How the worker stands."""
 
     connected: int
@@ -61,29 +61,29 @@
     avoided: list[str]
 
 
-ToWorker = Listed | Shares | HandOver | Knowledge | Fresh | Client
-ToSupervisor = Serving | Took | Account | Knowledge | Client
+ToWorker = EndpointUpdatePart | LimitShares | HandOver | HandoverPart | NewClient | ClientHandover
+ToSupervisor = Serving | ClientsAccepted | WorkerReport | HandoverPart | ClientHandover
 
 decode_to_worker = msgspec.msgpack.Decoder(ToWorker).decode
 decode_to_supervisor = msgspec.msgpack.Decoder(ToSupervisor).decode
 
 
-def listed(listing: Listing) -> Iterator[Listed]:
+def split_update(listing: EndpointUpdate) -> Iterator[EndpointUpdatePart]:
     """Cut news of the list into messages."""
-    batches = list(batched(listing.change.endpoints, PART_MOST)) or [[]]
+    batches = list(batched(listing.change.endpoints, MAX_PART_ITEMS)) or [[]]
     for i, batch in enumerate(batches):
         change = EndpointsChanged(listing.change.kind, tuple(batch))
         addresses = {one.id: listing.addresses[one.id] for one in batch if one.id in listing.addresses}
-        yield Listed(replace(listing, change=change, addresses=addresses), i + 1 < len(batches))
+        yield EndpointUpdatePart(replace(listing, change=change, addresses=addresses), i + 1 < len(batches))
 
 
-class Joiner:
+class UpdateAssembler:
     """Puts news of the list together again."""
 
     def __init__(self) -> None:
-        self._held: Listing | None = None
+        self._held: EndpointUpdate | None = None
 
-    def take(self, part: Listed) -> Listing | None:
+    def take(self, part: EndpointUpdatePart) -> EndpointUpdate | None:
         """Take a part; returns the news once it is whole."""
         listing = part.listing
         if self._held is not None:
--- a/holdgw/cores/board.py
+++ b/holdgw/cores/shared_table.py
@@ -14,7 +14,7 @@
 WORD = 8
 
 
-class Board:
+class SharedTable:
     """The shared memory as one process sees it."""
 
     def __init__(self, memory: mmap.mmap | bytearray, workers: int, worker: int = 0) -> None:
--- a/holdgw/cores/supervisor.py
+++ b/holdgw/cores/supervisor.py
@@ -18,14 +18,14 @@
 from functools import partial
 from typing import Any
 
-from holdgw.cores import words
-from holdgw.cores.crew import CannotFeedError, Crew, Member, check
-from holdgw.cores.machine import Ear, Machine, RealMachine, Running
-from holdgw.operation.door import Door
-from holdgw.operation.figures import Figures
-from holdgw.operation.link import Client, Knowledge, Link
-from holdgw.operation.listing import Listing
-from holdgw.operation.roster import Roster
+from holdgw.cores import messages
+from holdgw.cores.host_system import Acceptor, HostSystem, LinuxHostSystem, Running
+from holdgw.cores.worker_pool import InsufficientResourcesError, WorkerPool, WorkerProcess, check
+from holdgw.operation.admin_endpoint import AdminEndpoint
+from holdgw.operation.endpoint_overrides import EndpointOverrides
+from holdgw.operation.endpoint_update import EndpointUpdate
+from holdgw.operation.metrics import Metrics
+from holdgw.operation.process_link import ClientHandover, HandoverPart, ProcessLink
 from holdgw.policy import (
     Action,
     EndpointsChanged,
@@ -39,18 +39,18 @@
 from holdgw.policy.interface import NS_PER_S
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.discovery import Clock, Discovery, read_listing
+from holdgw.router.event_loop_lag import LagMonitor
 from holdgw.router.log import log_faults, make_logger
 from holdgw.router.platform import Platform
-from holdgw.router.process import run_to_the_end
-from holdgw.router.program import ACCEPT_S, KILL_SLACK_S, READY_S, read_again
-from holdgw.router.stall import Beats
-from holdgw.router.wheel import Wheel
+from holdgw.router.process import run_until_exit
+from holdgw.router.program import ACCEPT_S, KILL_SLACK_S, READY_S, reload_config
+from holdgw.router.timer_wheel import TimerWheel
 
 LOOK_S = 0.02  # whether this process stood still: what it accepts then has waited
 BEAT_S = 0.1  # shares, starts that are overdue, replacements
 WAITING_MOST = 4096  # connections that no worker can take yet; more wait in the kernel
 
-Connected = words.Fresh | Client
+Connected = messages.NewClient | ClientHandover
 
 log = logging.getLogger("holdgw")
 
@@ -59,12 +59,12 @@
 class Worker:
     """A worker's process as the supervisor holds it."""
 
-    member: Member
+    member: WorkerProcess
     process: Running
-    link: Link[words.ToSupervisor]
+    link: ProcessLink[messages.ToSupervisor]
     copies: deque[tuple[Connected, int]] = field(default_factory=deque)
     """What was dealt and is not said to be there yet, with a copy of each descriptor."""
-    account: words.Account | None = None
+    account: messages.WorkerReport | None = None
     heir: Worker | None = None
     """The one that its connections go to."""
 
@@ -73,33 +73,37 @@
     """One router on several cores; `run` is its whole life."""
 
     def __init__(
-        self, config: Config, workers: int, platform: Platform | None = None, machine: Machine | None = None
+        self,
+        config: Config,
+        workers: int,
+        platform: Platform | None = None,
+        machine: HostSystem | None = None,
     ) -> None:
         """Raises CannotFeedError."""
         check(workers, config.memory, config.sockets)
         self.config, self.platform = config, platform or Platform()
         self.loop = loop = asyncio.get_running_loop()
-        self.crew = Crew(workers, tuple(tenant.name for tenant in config.settings.tenants))
-        self.workers: dict[Member, Worker] = {}
-        self.roster = Roster(config.settings.origin_kind)
-        self.door = Door(loop, self)
+        self.crew = WorkerPool(workers, tuple(tenant.name for tenant in config.settings.tenants))
+        self.workers: dict[WorkerProcess, Worker] = {}
+        self.roster = EndpointOverrides(config.settings.origin_kind)
+        self.door = AdminEndpoint(loop, self)
         self._clock = Clock(self.platform.monotonic_ns, self.platform.unix_ns)
         # Where lists are asked for, the module decides when; this one is told of lists alone.
         self._lists = RoutingPolicy(config.settings, config.seed)
         self.discovery = Discovery(
             config.discovery, config.settings.subscription_required, self._clock, self._take, self._failed
         )
-        self.machine = machine or RealMachine()
+        self.machine = machine or LinuxHostSystem()
         self.board = self.machine.board(workers)
-        self._ear: Ear | None = None
+        self._ear: Acceptor | None = None
         self._waiting: deque[tuple[Connected, int]] = deque()
         self._known = False  # there is a list of servers
         classes = (cls.name for cls in config.settings.classes)
-        self._ended = Figures(classes, disabled_features(config.settings))  # by workers that are gone
+        self._ended = Metrics(classes, disabled_features(config.settings))  # by workers that are gone
         self._terminated = asyncio.Event()
         self._tasks: dict[asyncio.Task[None], None] = {}
-        self._wheel = Wheel(loop, self.platform.monotonic_ns)
-        self._beats = Beats(int(LOOK_S * NS_PER_S), self.platform.monotonic_ns())
+        self._wheel = TimerWheel(loop, self.platform.monotonic_ns)
+        self._beats = LagMonitor(int(LOOK_S * NS_PER_S), self.platform.monotonic_ns())
 
     async def run(self, listening: asyncio.Future[Any] | None = None) -> None:
         """Serve until SIGTERM, and then until every worker has drained."""
@@ -111,7 +115,7 @@
         loop.add_signal_handler(signal.SIGUSR2, self.replace)
         if config.known is not None:
             known = read_listing(config.known, self._clock, UpdateKind.CACHED)
-            self.discovery.know(known.generation)
+            self.discovery.resume_from(known.generation)
             self._take(known)
         if config.ops is not None:
             await self.door.listen(config.ops)
@@ -158,7 +162,7 @@
         await asyncio.sleep(0)
 
     def _later(self, delay: float, callback: Callable[[], None]) -> None:
-        self._wheel.at(self.platform.monotonic_ns() + int(delay * NS_PER_S), callback)
+        self._wheel.call_at(self.platform.monotonic_ns() + int(delay * NS_PER_S), callback)
 
     # Workers
 
@@ -171,7 +175,7 @@
                 place,
                 self.crew.workers,
                 self.platform.environ,
-                words.decode_to_supervisor,
+                messages.decode_to_supervisor,
                 partial(self._word, member),
             )
         except OSError as error:
@@ -182,7 +186,7 @@
             return
         one = self.workers[member] = Worker(member, process, link)
         if self._known:
-            for part in words.listed(self.roster.whole()):
+            for part in messages.split_update(self.roster.full_update()):
                 link.send(part)
         self._spawn(self._watch(one))
         if self.crew.ending:
@@ -246,25 +250,29 @@
 
     def _tell_shares(self) -> None:
         for member, shares in self.crew.share_out().items():
-            self.workers[member].link.send(words.Shares(member.told_number, shares))
+            self.workers[member].link.send(messages.LimitShares(member.told_number, shares))
 
     def _word(
-        self, member: Member, _: Link[words.ToSupervisor], word: words.ToSupervisor, descriptor: int | None
+        self,
+        member: WorkerProcess,
+        _: ProcessLink[messages.ToSupervisor],
+        word: messages.ToSupervisor,
+        descriptor: int | None,
     ) -> None:
         one = self.workers[member]
         match word:
-            case words.Serving():
+            case messages.Serving():
                 self._serves(one)
-            case words.Took():
+            case messages.ClientsAccepted():
                 self.crew.took(member, word.dealt, self.loop.time())
                 while len(one.copies) > member.dealt - word.dealt:
                     self.machine.drop(one.copies.popleft()[1])
-            case words.Account():
+            case messages.WorkerReport():
                 one.account = word
                 self.crew.account(member, word.connected, word.shares, word.demands)
-            case Knowledge() if one.heir is not None:
+            case HandoverPart() if one.heir is not None:
                 one.heir.link.send(word)
-            case Client() if descriptor is not None:
+            case ClientHandover() if descriptor is not None:
                 self._deal(word, descriptor)
                 descriptor = None
         if descriptor is not None:
@@ -276,7 +284,7 @@
         if before is not None:
             elder = self.workers[before]
             elder.heir = one
-            elder.link.send(words.HandOver())
+            elder.link.send(messages.HandOver())
         waiting, self._waiting = self._waiting, deque()
         for client, descriptor in waiting:
             self._deal(client, descriptor)
@@ -287,7 +295,7 @@
 
     def _fresh(self, descriptor: int) -> None:
         now = self.platform.monotonic_ns()
-        self._deal(words.Fresh(now - self._beats.may_have_waited(now)), descriptor)
+        self._deal(messages.NewClient(now - self._beats.possible_lag_ns(now)), descriptor)
         if len(self._waiting) >= WAITING_MOST and self._ear is not None:
             self._ear.hear(False)
 
@@ -305,15 +313,15 @@
 
     # The list of servers
 
-    def _take(self, listing: Listing) -> None:
+    def _take(self, listing: EndpointUpdate) -> None:
         self._tell_module(listing.change)
         self._known = True
-        self._tell_list(self.roster.take(listing))
+        self._tell_list(self.roster.apply(listing))
 
-    def _tell_list(self, listing: Listing | None) -> None:
+    def _tell_list(self, listing: EndpointUpdate | None) -> None:
         if listing is None:
             return
-        for part in words.listed(listing):
+        for part in messages.split_update(listing):
             for one in self.workers.values():
                 one.link.send(part)
         self.board.advance()
@@ -336,10 +344,10 @@
             self._later(action.delay_ns / NS_PER_S, partial(self._tell_module, TimerFired(action.token)))
 
     def _reload(self) -> None:
-        new = read_again(self.platform, self._ended)
+        new = reload_config(self.platform, self._ended)
         if new is None:
             return
-        self.discovery.move(new.discovery)
+        self.discovery.change_address(new.discovery)
         for one in self.workers.values():
             self._signal(one, signal.SIGHUP)
 
@@ -349,10 +357,10 @@
         """Whether some worker can serve clients now."""
         return self.crew.can_serve and not self.crew.ending
 
-    def figures(self) -> bytes:
+    def metrics_text(self) -> bytes:
         """The figures of all workers together, as of their last accounts."""
         accounts = [one.account for one in self.workers.values() if one.account is not None]
-        total = Figures((name for name, _ in self._ended.results), self._ended.off)
+        total = Metrics((name for name, _ in self._ended.results), self._ended.off)
         total.add(self._ended.counts(), self._ended.forwards)
         total.reloads_applied = self._ended.reloads_applied
         total.reloads_rejected = self._ended.reloads_rejected
@@ -360,16 +368,16 @@
             total.add(one.results, one.forwards)
         avoided = list(dict.fromkeys(name for one in accounts for name in one.avoided))
         outstanding = sum(one.outstanding for one in accounts)
-        text = total.text(outstanding, self.roster.discovered, self.roster.avoided(avoided))
+        text = total.text(outstanding, self.roster.discovered_count, self.roster.excluded_count(avoided))
         return text + b"# TYPE lb_workers gauge\nlb_workers %d\n" % self.crew.serving_count
 
-    def leave_out(self, server_id: str) -> None:
+    def enter_maintenance(self, server_id: str) -> None:
         """Take a cache server out by hand; raises UnknownServerError."""
-        self._tell_list(self.roster.leave_out(server_id, self.platform.monotonic_ns()))
+        self._tell_list(self.roster.enter_maintenance(server_id, self.platform.monotonic_ns()))
 
-    def use_again(self, server_id: str) -> None:
+    def exit_maintenance(self, server_id: str) -> None:
         """Use a cache server again; raises UnknownServerError."""
-        self._tell_list(self.roster.use_again(server_id, self.platform.monotonic_ns()))
+        self._tell_list(self.roster.exit_maintenance(server_id, self.platform.monotonic_ns()))
 
 
 def main(workers: int) -> int:
@@ -381,7 +389,7 @@
         check(workers, config.memory, config.sockets)
         if config.known is not None:
             read_listing(config.known, Clock())
-    except (ConfigError, CannotFeedError, ValueError) as error:
+    except (ConfigError, InsufficientResourcesError, ValueError) as error:
         print(f"holdgw: {error}", file=sys.stderr)
         return 2
     make_logger(config.name)
@@ -389,4 +397,4 @@
     async def work() -> None:
         await Supervisor(config, workers).run()
 
-    return run_to_the_end(work)
+    return run_until_exit(work)
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -14,28 +14,28 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from holdgw.cores.crew import EPSILON
-from holdgw.cores.machine import BOARD, LINK, PLACE, WORKERS, RealWorkerMachine, WorkerMachine
-from holdgw.cores.words import (
-    Account,
-    Fresh,
+from holdgw.cores.host_system import BOARD, LINK, PLACE, WORKERS, LinuxWorkerHostSystem, WorkerHostSystem
+from holdgw.cores.messages import (
+    ClientsAccepted,
+    EndpointUpdatePart,
     HandOver,
-    Joiner,
-    Listed,
+    LimitShares,
+    NewClient,
     Serving,
-    Shares,
-    Took,
     ToWorker,
+    UpdateAssembler,
+    WorkerReport,
     decode_to_worker,
 )
-from holdgw.operation.link import Client, Knowledge, Link, parts
+from holdgw.cores.worker_pool import EPSILON
+from holdgw.operation.process_link import ClientHandover, HandoverPart, ProcessLink, split_handover
 from holdgw.policy import LimitSharesChanged
 from holdgw.router.config import Config, ConfigError, load_config
+from holdgw.router.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT
 from holdgw.router.log import make_logger
 from holdgw.router.platform import Platform
-from holdgw.router.process import run_to_the_end
+from holdgw.router.process import run_until_exit
 from holdgw.router.program import Program
-from holdgw.router.upstream import PER_SERVER
 
 ACCOUNT_S = 0.05
 WORKERS_APART = 1009  # so that no two workers of any two routers draw the same
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class WorkerSlot:
     """Where a worker stands among those of its router, and the descriptors that it came with."""
 
     place: int
@@ -54,7 +54,7 @@
     board: int
 
     @classmethod
-    def read(cls, environ: Mapping[str, str]) -> Place:
+    def read(cls, environ: Mapping[str, str]) -> WorkerSlot:
         """Read what the supervisor told; raises ConfigError."""
         try:
             told = [int(environ[name]) for name in (PLACE, WORKERS, LINK, BOARD)]
@@ -63,7 +63,7 @@
         return cls(*told)
 
 
-def share_of(config: Config, place: Place) -> Config:
+def share_of(config: Config, place: WorkerSlot) -> Config:
     """A worker's part of its router's configuration; the supervisor counts as one more."""
     shares = place.workers + 1
     settings = replace(
@@ -87,23 +87,23 @@
     """A router's parts, led by a supervisor."""
 
     def __init__(
-        self, config: Config, place: Place, machine: WorkerMachine, platform: Platform | None = None
+        self, config: Config, place: WorkerSlot, machine: WorkerHostSystem, platform: Platform | None = None
     ) -> None:
         super().__init__(share_of(config, place), platform)
-        self.pool.per_server = max(PER_SERVER // place.workers, PER_SERVER_LEAST)
+        self.pool.per_server = max(MAX_CONNECTIONS_PER_ENDPOINT // place.workers, PER_SERVER_LEAST)
         self._machine = machine
         self._board = machine.board(place.workers, place.place)
         self.clients.copy = machine.copy
-        self._joiner = Joiner()
+        self._joiner = UpdateAssembler()
         self._dealt = self._shares = self._seen = 0
         self._serving_is_due = True  # the supervisor is to hear that there is a list
         self._handing = False  # connections go back to the supervisor
         self._account_timer: asyncio.TimerHandle | None = None
         # Danger: until it is told its share it would use one that others still have.
         tenants = (*(tenant.name for tenant in config.settings.tenants), "")
-        self.host.tell(LimitSharesChanged(dict.fromkeys(tenants, EPSILON)))
+        self.host.dispatch(LimitSharesChanged(dict.fromkeys(tenants, EPSILON)))
         self.host.shared = self
-        self.link: Link[ToWorker] = machine.link(decode_to_worker, self._word, self._link_lost)
+        self.link: ProcessLink[ToWorker] = machine.link(decode_to_worker, self._word, self._link_lost)
 
     # What the host asks
 
@@ -120,37 +120,37 @@
 
     # What the supervisor says
 
-    def _word(self, _: Link[ToWorker], word: ToWorker, descriptor: int | None) -> None:
+    def _word(self, _: ProcessLink[ToWorker], word: ToWorker, descriptor: int | None) -> None:
         match word:
-            case Fresh() | Client() if descriptor is not None:
+            case NewClient() | ClientHandover() if descriptor is not None:
                 # Danger: what is read of a connection before the supervisor knows that it is here would be
                 # lost with this process, and the supervisor's copy be dealt to another from its middle.
                 self._dealt += 1
-                self.link.send(Took(self._dealt))
-                self._adopt(word if isinstance(word, Client) else None, descriptor, word.since)
+                self.link.send(ClientsAccepted(self._dealt))
+                self._adopt(word if isinstance(word, ClientHandover) else None, descriptor, word.since)
                 descriptor = None
-            case Listed():
+            case EndpointUpdatePart():
                 listing = self._joiner.take(word)
                 if listing is not None:
                     self._take(listing)
                     if self._serving_is_due:
                         self._serving_is_due = False
                         self.link.send(Serving())
-            case Shares():
-                self.host.tell(LimitSharesChanged(word.shares))
+            case LimitShares():
+                self.host.dispatch(LimitSharesChanged(word.shares))
                 self._shares = word.number
                 self._tell_account()
-            case Knowledge():
+            case HandoverPart():
                 self._learn(word.learnt)
             case HandOver():
-                for part in parts(self.host.learnt()):
-                    self.link.send(Knowledge(part))
+                for part in split_handover(self.host.handover_state()):
+                    self.link.send(HandoverPart(part))
                 self._handing = True
                 self._terminated.set()
         if descriptor is not None:
             self._machine.drop(descriptor)
 
-    def _link_lost(self, _: Link[ToWorker]) -> None:
+    def _link_lost(self, _: ProcessLink[ToWorker]) -> None:
         # Danger: without a supervisor nobody would tell this worker of drains, or end it.
         if not self._terminated.is_set():
             log.error("worker: the supervisor is gone; draining")
@@ -159,14 +159,14 @@
     def _tell_account(self) -> None:
         host = self.host
         self.link.send(
-            Account(
+            WorkerReport(
                 self.clients.connected,
                 self._shares,
-                host.demands(),
-                host.figures.counts(),
-                host.figures.forwards,
+                host.origin_demand(),
+                host.metrics.counts(),
+                host.metrics.forwards,
                 host.outstanding,
-                host.avoided(),
+                host.ejected(),
             )
         )
 
@@ -176,19 +176,21 @@
 
     # A router's life, where it differs
 
-    def _take_client(self, told: Client | None, descriptor: int, late: int) -> Coroutine[Any, Any, None]:
+    def _take_client(
+        self, told: ClientHandover | None, descriptor: int, late: int
+    ) -> Coroutine[Any, Any, None]:
         return self._machine.adopt(self.clients, told, descriptor, late)
 
     def _reload(self) -> None:
         """Discovery is the supervisor's to move; there is nothing else that a reload takes over."""
-        self.host.figures.reloads_applied += 1
+        self.host.metrics.reloads_applied += 1
 
     async def _open(self, listening: asyncio.Future[Any] | None) -> None:
         self.link.read()
         self._account_often()
 
     @property
-    def _successor(self) -> Link[Any] | None:
+    def _successor(self) -> ProcessLink[Any] | None:
         return self.link if self._handing and self.link.open else None
 
     async def run(self, listening: asyncio.Future[Any] | None = None) -> None:
@@ -208,7 +210,7 @@
     """Run one worker; returns the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        place = Place.read(os.environ)
+        place = WorkerSlot.read(os.environ)
         config = load_config(os.environ)
         if os.environ.get("PYTHONHASHSEED", "random") in ("", "random", "0"):
             raise ConfigError("workers need one PYTHONHASHSEED")
@@ -218,9 +220,9 @@
     make_logger(f"{config.name}.{place.place}")
 
     async def work() -> None:
-        await Worker(config, place, RealWorkerMachine(place.link, place.board)).run()
+        await Worker(config, place, LinuxWorkerHostSystem(place.link, place.board)).run()
 
-    return run_to_the_end(work)
+    return run_until_exit(work)
 
 
 if __name__ == "__main__":
--- a/holdgw/cores/crew.py
+++ b/holdgw/cores/worker_pool.py
@@ -20,25 +20,27 @@
 EPSILON = 1e-9  # the share of one that may use nothing
 
 
-class CannotFeedError(Exception):
+class InsufficientResourcesError(Exception):
     """So many workers can't be fed; the text is one plain line."""
 
 
 def check(workers: int, memory: int, sockets: int) -> None:
     """Raise CannotFeedError where the router's limits don't do for so many workers and their supervisor."""
     if not 1 <= workers <= WORKERS_MOST:
-        raise CannotFeedError(f"--cores: expected 1 to {WORKERS_MOST}, got {workers}")
+        raise InsufficientResourcesError(f"--cores: expected 1 to {WORKERS_MOST}, got {workers}")
     if memory // (workers + 1) < MEMORY_LEAST:
         need = (workers + 1) * MEMORY_LEAST >> 20
-        raise CannotFeedError(
+        raise InsufficientResourcesError(
             f"{workers} workers need {need} MB of memory; limits.memory_mb is {memory >> 20}"
         )
     if sockets // (workers + 1) < SOCKETS_LEAST:
         need = (workers + 1) * SOCKETS_LEAST
-        raise CannotFeedError(f"{workers} workers need {need} descriptors; limits.sockets is {sockets}")
+        raise InsufficientResourcesError(
+            f"{workers} workers need {need} descriptors; limits.sockets is {sockets}"
+        )
 
 
-class State(Enum):
+class WorkerState(Enum):
     """Where a worker's process stands in its life."""
 
     STARTING = "starting"
@@ -48,12 +50,12 @@
 
 
 @dataclass(eq=False)
-class Member:
+class WorkerProcess:
     """One worker's process; `place` is what it takes over from the one before it there."""
 
     place: int
     began: float
-    state: State = State.STARTING
+    state: WorkerState = WorkerState.STARTING
     connected: int = 0
     dealt: int = 0
     """Connections dealt to it so far."""
@@ -82,12 +84,12 @@
         return share
 
 
-class Crew:
+class WorkerPool:
     """The workers of one router."""
 
     def __init__(self, workers: int, tenants: tuple[str, ...]) -> None:
         self.workers, self._tenants = workers, (*tenants, "")
-        self.members: list[Member] = []
+        self.members: list[WorkerProcess] = []
         self._failures = [0] * workers  # starts that failed in a row, by place
         self.ending = False
         self.replaced: set[int] | None = None
@@ -96,39 +98,40 @@
 
     # Lives
 
-    def started(self, place: int, now: float) -> Member:
+    def started(self, place: int, now: float) -> WorkerProcess:
         """A process was started at this place."""
         assert 0 <= place < self.workers
-        member = Member(place, now)
+        member = WorkerProcess(place, now)
         self.members.append(member)
         return member
 
-    def serving(self, member: Member) -> Member | None:
+    def serving(self, member: WorkerProcess) -> WorkerProcess | None:
         """A worker can serve; returns the one that it takes the place of, which is to hand over."""
-        if member.state is not State.STARTING:
+        if member.state is not WorkerState.STARTING:
             return None
-        member.state = State.SERVING
+        member.state = WorkerState.SERVING
         # Danger: one that was still starting when its replacement was asked for runs the old version, and
         # would be left at it.
         if self.replaced is not None and member.began >= self._asked:
             self.replaced.add(member.place)
         before = self._at(member.place, but=member)
         if before is not None:
-            before.state = State.LEAVING
+            before.state = WorkerState.LEAVING
         return before
 
-    def _at(self, place: int, but: Member | None = None) -> Member | None:
+    def _at(self, place: int, but: WorkerProcess | None = None) -> WorkerProcess | None:
         return next(
-            (m for m in self.members if m.place == place and m.state is State.SERVING and m is not but), None
+            (m for m in self.members if m.place == place and m.state is WorkerState.SERVING and m is not but),
+            None,
         )
 
-    def exited(self, member: Member, now: float) -> float | None:
+    def exited(self, member: WorkerProcess, now: float) -> float | None:
         """A process has ended; returns after how long another is to be started at its place, if any."""
-        was, member.state = member.state, State.GONE
+        was, member.state = member.state, WorkerState.GONE
         self.members.remove(member)
-        if was is State.LEAVING or self.ending:
+        if was is WorkerState.LEAVING or self.ending:
             return None
-        failed = was is State.STARTING or now - member.began < STEADY_S
+        failed = was is WorkerState.STARTING or now - member.began < STEADY_S
         self._failures[member.place] = self._failures[member.place] + 1 if failed else 0
         if self._at(member.place) is not None:
             return None  # a new version that did not come up: the old one goes on
@@ -136,9 +139,9 @@
             return 0.0
         return float(min(BACK_OFF_S * 2 ** (self._failures[member.place] - 1), BACK_OFF_MOST_S))
 
-    def overdue(self, now: float) -> list[Member]:
+    def overdue(self, now: float) -> list[WorkerProcess]:
         """Those that should be able to serve by now, and are to be killed."""
-        return [m for m in self.members if m.state is State.STARTING and now - m.began > START_S]
+        return [m for m in self.members if m.state is WorkerState.STARTING and now - m.began > START_S]
 
     def replace(self, now: float) -> bool:
         """Have every worker replaced by a new process; False where that is under way, or the end is."""
@@ -149,7 +152,9 @@
 
     def next_to_replace(self) -> int | None:
         """The next place whose worker is to be replaced, one at a time; None while one is on its way."""
-        if self.replaced is None or any(m.state in (State.STARTING, State.LEAVING) for m in self.members):
+        if self.replaced is None or any(
+            m.state in (WorkerState.STARTING, WorkerState.LEAVING) for m in self.members
+        ):
             return None
         return next((place for place in range(self.workers) if place not in self.replaced), None)
 
@@ -170,7 +175,7 @@
     @property
     def serving_count(self) -> int:
         """How many workers can."""
-        return sum(m.state is State.SERVING for m in self.members)
+        return sum(m.state is WorkerState.SERVING for m in self.members)
 
     @property
     def can_serve(self) -> bool:
@@ -179,13 +184,13 @@
 
     # Clients
 
-    def deal(self, now: float) -> Member | None:
+    def deal(self, now: float) -> WorkerProcess | None:
         """Who gets the next connection: the worker with the fewest, as far as is known; None: nobody can."""
-        serving = [m for m in self.members if m.state is State.SERVING]
+        serving = [m for m in self.members if m.state is WorkerState.SERVING]
         if not serving:
             return None
 
-        def stuck(member: Member) -> float:
+        def stuck(member: WorkerProcess) -> float:
             waits = now - member.waits_since if member.waits_since is not None else 0.0
             return waits if waits > STUCK_S else 0.0
 
@@ -200,12 +205,12 @@
         chosen.dealt += 1
         return chosen
 
-    def took(self, member: Member, dealt: int, now: float) -> None:
+    def took(self, member: WorkerProcess, dealt: int, now: float) -> None:
         """A worker has taken so many of the connections dealt to it."""
         member.taken = dealt
         member.waits_since = None if member.taken == member.dealt else now
 
-    def account(self, member: Member, connected: int, shares: int, demands: dict[str, float]) -> None:
+    def account(self, member: WorkerProcess, connected: int, shares: int, demands: dict[str, float]) -> None:
         """Take a worker's account; `shares`: the number of those that it goes by."""
         member.connected, member.demands = connected, demands
         member.counted = member.taken
@@ -214,10 +219,10 @@
 
     # Shares of the tenants' limits
 
-    def wanted(self) -> dict[Member, dict[str, float]]:
+    def wanted(self) -> dict[WorkerProcess, dict[str, float]]:
         """The shares by demand, with a floor for each worker that serves."""
-        serving = [m for m in self.members if m.state is State.SERVING]
-        found: dict[Member, dict[str, float]] = {m: {} for m in serving}
+        serving = [m for m in self.members if m.state is WorkerState.SERVING]
+        found: dict[WorkerProcess, dict[str, float]] = {m: {} for m in serving}
         for tenant in self._tenants:
             total = sum(m.demands.get(tenant, 0.0) for m in serving)
             for m in serving:
@@ -225,18 +230,18 @@
                 found[m][tenant] = FLOOR / len(serving) + (1 - FLOOR) * part
         return found
 
-    def share_out(self) -> dict[Member, dict[str, float]]:
+    def share_out(self) -> dict[WorkerProcess, dict[str, float]]:
         """What to tell whom, so that all shares together never pass the whole.
 
         What a worker is to lose counts as its own until it says that it goes by less; only what is free by
         then is given to others. One that is killed keeps what it had until its process is gone.
         """
-        news: dict[Member, dict[str, float]] = {}
+        news: dict[WorkerProcess, dict[str, float]] = {}
         wanted = self.wanted()
         for tenant in self._tenants:
             for m in self.members:
                 want = wanted[m][tenant] if m in wanted else 0.0
-                if m.state is not State.STARTING and m.told.get(tenant, 0.0) - want > MOVE_LEAST:
+                if m.state is not WorkerState.STARTING and m.told.get(tenant, 0.0) - want > MOVE_LEAST:
                     news.setdefault(m, {})[tenant] = m.tell(tenant, max(want, EPSILON))
             free = 1.0 - sum(m.may_use(tenant) for m in self.members)
             for m in sorted(wanted, key=lambda m: m.told.get(tenant, 0.0)):
--- a/holdgw/standins/discovery.py
+++ b/holdgw/emulators/discovery.py
@@ -13,10 +13,10 @@
 
 import orjson
 
-from holdgw.standins.gates import GatedConnection, Way
-from holdgw.standins.records import Called, Deaf, Had, Odd, Told, Witness
-from holdgw.standins.registry_model import Entry, RegistryModel, State
-from holdgw.standins.shell import Alarm, Clock, Host, Listeners, reset
+from holdgw.emulators.gates import GatedConnection, Way
+from holdgw.emulators.records import Called, Deaf, Had, Odd, Told, Witness
+from holdgw.emulators.registry_model import Entry, RegistryModel, State
+from holdgw.emulators.shell import Alarm, Clock, Host, Listeners, reset
 from holdgw.wire.address import Address, format_address
 from holdgw.wire.http import HttpError, HttpRequest, RequestReader, response
 
--- a/holdgw/standins/keeping.py
+++ b/holdgw/emulators/keeping.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from enum import Enum
 
-from holdgw.standins.chance import unit
+from holdgw.emulators.chance import unit
 
 MOST_REMEMBERED = 100_000  # keys whose loss is remembered
 
--- a/holdgw/standins/node_model.py
+++ b/holdgw/emulators/node_model.py
@@ -13,8 +13,8 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from holdgw.standins.keeping import Keeping, Missing
-from holdgw.standins.work import Work, WorkSpec
+from holdgw.emulators.keeping import Keeping, Missing
+from holdgw.emulators.work import Work, WorkSpec
 
 MISSES_KEPT = 8192  # requests that missed lately and whose object may yet come
 FETCH_LEASE_S = 1.0  # for so long a fetch that a miss began is taken to be out
--- a/holdgw/standins/shell.py
+++ b/holdgw/emulators/shell.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import cast
 
-from holdgw.standins.gates import LINGER_NONE, Gate, GatedListener, Way
+from holdgw.emulators.gates import LINGER_NONE, Gate, GatedListener, Way
 from holdgw.wire.address import Address
 
 SHORT_S = 0.0007  # delays under this are left out: a timer of the loop is no finer than a millisecond
--- a/holdgw/standins/store.py
+++ b/holdgw/emulators/store.py
@@ -7,13 +7,13 @@
 from typing import cast
 from urllib.parse import unquote_to_bytes
 
-from holdgw.standins.chance import lognormal, unit
-from holdgw.standins.faults import HTTP_NOISE, Fault, Shares
-from holdgw.standins.gates import Way
-from holdgw.standins.node import Workload, made_for
-from holdgw.standins.records import Attempt, Odd, Witness
-from holdgw.standins.shell import Alarm, Clock, Host, Listeners, after, reset
-from holdgw.standins.store_model import Answer, Filled, Order, StoreModel, StoreSpec
+from holdgw.emulators.chance import lognormal, unit
+from holdgw.emulators.faults import HTTP_NOISE, Fault, Shares
+from holdgw.emulators.gates import Way
+from holdgw.emulators.node import Workload, made_for
+from holdgw.emulators.records import Attempt, Odd, Witness
+from holdgw.emulators.shell import Alarm, Clock, Host, Listeners, after, reset
+from holdgw.emulators.store_model import Answer, Filled, Order, StoreModel, StoreSpec
 from holdgw.wire.address import Address
 from holdgw.wire.http import HttpError, HttpRequest, RequestReader, response
 from holdgw.wire.unread import came_at
--- a/holdgw/standins/store_model.py
+++ b/holdgw/emulators/store_model.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from holdgw.standins.work import Work, WorkSpec
+from holdgw.emulators.work import Work, WorkSpec
 
 REMEMBERED = 100_000  # keyed writes, the oldest go first
 
--- a/holdgw/rehearsal/channel.py
+++ b/holdgw/harness/channel.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from holdgw.rehearsal.scenario import Scenario
-from holdgw.standins.records import Record
+from holdgw.emulators.records import Record
+from holdgw.harness.scenario import Scenario
 
 MOST_BYTES = 64 << 20
 
--- a/holdgw/rehearsal/checker.py
+++ b/holdgw/harness/checker.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field, replace
 from typing import TypeVarTuple
 
-from holdgw.standins.records import (
+from holdgw.emulators.records import (
     LAG_BOUNDS_MS,
     Attempt,
     Called,
--- a/holdgw/rehearsal/clients.py
+++ b/holdgw/harness/clients.py
@@ -10,13 +10,13 @@
 
 import hiredis
 
-from holdgw.rehearsal import day as drawn
-from holdgw.rehearsal.channel import Tally
-from holdgw.rehearsal.checker import SLACK_S
-from holdgw.rehearsal.day import Ask, Day
-from holdgw.rehearsal.scenario import router_names
-from holdgw.standins.records import Extra, Try, Witness
-from holdgw.standins.shell import Clock
+from holdgw.emulators.records import Extra, Try, Witness
+from holdgw.emulators.shell import Clock
+from holdgw.harness import day as drawn
+from holdgw.harness.channel import Tally
+from holdgw.harness.checker import SLACK_S
+from holdgw.harness.day import Ask, Day
+from holdgw.harness.scenario import router_names
 from holdgw.wire.address import Address
 from holdgw.wire.resp import command
 
--- a/holdgw/rehearsal/counting.py
+++ b/holdgw/harness/counting.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from holdgw.rehearsal.checker import GOOD, History
-from holdgw.rehearsal.day import PRELUDE, STORE, Ask
-from holdgw.rehearsal.scenario import RequestClass
-from holdgw.standins.records import Try
+from holdgw.emulators.records import Try
+from holdgw.harness.checker import GOOD, History
+from holdgw.harness.day import PRELUDE, STORE, Ask
+from holdgw.harness.scenario import RequestClass
 
 K = TypeVar("K")
 
--- a/holdgw/rehearsal/day.py
+++ b/holdgw/harness/day.py
@@ -15,15 +15,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from holdgw.rehearsal import scenario as s
-from holdgw.rehearsal import troubles as t
-from holdgw.rehearsal.scenario import AGGREGATOR, Scenario, node_names, router_names, zone_of
-from holdgw.rehearsal.troubles import kind_of
-from holdgw.standins.chance import between, unit
-from holdgw.standins.node import Workload
-from holdgw.standins.node_model import NodeSpec
-from holdgw.standins.store_model import StoreSpec
-from holdgw.standins.work import WorkSpec
+from holdgw.emulators.chance import between, unit
+from holdgw.emulators.node import Workload
+from holdgw.emulators.node_model import NodeSpec
+from holdgw.emulators.store_model import StoreSpec
+from holdgw.emulators.work import WorkSpec
+from holdgw.harness import scenario as s
+from holdgw.harness import troubles as t
+from holdgw.harness.scenario import AGGREGATOR, Scenario, node_names, router_names, zone_of
+from holdgw.harness.troubles import kind_of
 
 STORE = "store"
 NETWORK = "network"
--- a/holdgw/rehearsal/deployment.py
+++ b/holdgw/harness/deployment.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import Any
 
-from holdgw.rehearsal.scenario import Scenario, member_names, zone_of
-from holdgw.standins.chance import unit
-from holdgw.standins.node import REPORT_FIELDS
+from holdgw.emulators.chance import unit
+from holdgw.emulators.node import REPORT_FIELDS
+from holdgw.harness.scenario import Scenario, member_names, zone_of
 from holdgw.wire.address import Address, format_address
 
 NODE_KIND, STORE_KIND = "std-1c", "origin"
--- a/holdgw/rehearsal/page.py
+++ b/holdgw/harness/page.py
@@ -7,10 +7,10 @@
 from html import escape
 from math import ceil, floor, log10
 
-from holdgw.rehearsal.counting import quantile
-from holdgw.rehearsal.day import STORE, Mark
-from holdgw.rehearsal.report import Report
-from holdgw.rehearsal.routers import Usage
+from holdgw.harness.counting import quantile
+from holdgw.harness.day import STORE, Mark
+from holdgw.harness.report import Report
+from holdgw.harness.routers import Usage
 
 WIDTH, HEIGHT = 960, 190
 LEFT, RIGHT, TOP, BOTTOM = 56, 12, 10, 22
--- a/holdgw/rehearsal/report.py
+++ b/holdgw/harness/report.py
@@ -9,8 +9,9 @@
 
 from msgspec.structs import replace
 
-from holdgw.rehearsal import counting
-from holdgw.rehearsal.checker import (
+from holdgw.emulators.records import Attempt
+from holdgw.harness import counting
+from holdgw.harness.checker import (
     STARVED,
     Broken,
     ClassRule,
@@ -20,12 +21,11 @@
     judge,
     judge_lag,
 )
-from holdgw.rehearsal.counting import Fate, Service, fates, quantile
-from holdgw.rehearsal.day import STORE, Day, zone_of_router, zone_of_server
-from holdgw.rehearsal.routers import Usage
-from holdgw.rehearsal.scenario import node_names, router_names
-from holdgw.rehearsal.stage import Played
-from holdgw.standins.records import Attempt
+from holdgw.harness.counting import Fate, Service, fates, quantile
+from holdgw.harness.day import STORE, Day, zone_of_router, zone_of_server
+from holdgw.harness.routers import Usage
+from holdgw.harness.scenario import node_names, router_names
+from holdgw.harness.stage import Played
 
 WINDOW_S = 5.0
 BUSIEST = 5
--- a/holdgw/rehearsal/routers.py
+++ b/holdgw/harness/routers.py
@@ -18,8 +18,8 @@
 import msgspec
 import orjson
 
-from holdgw.rehearsal.checker import Life
-from holdgw.standins.shell import Clock
+from holdgw.emulators.shell import Clock
+from holdgw.harness.checker import Life
 from holdgw.wire import http, resp
 from holdgw.wire.address import Address, format_address
 
--- a/holdgw/rehearsal/scenario.py
+++ b/holdgw/harness/scenario.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from holdgw.rehearsal.fields import (
+from holdgw.harness.fields import (
     AtLeast0,
     Count,
     Positive,
@@ -23,7 +23,7 @@
     Table,
     not_finite,
 )
-from holdgw.rehearsal.troubles import (
+from holdgw.harness.troubles import (
     KINDS,
     STORM_ONLY,
     Burst,
@@ -59,7 +59,7 @@
 
 
 class Node(Table, frozen=True, kw_only=True):
-    """A mirror node (standins/node_model.py); spans are drawn for each node."""
+    """A mirror node (emulators/node_model.py); spans are drawn for each node."""
 
     cores: Count = 1
     slots: tuple[Count, Count] = (2, 6)
@@ -404,7 +404,7 @@
 
 def shipped() -> list[str]:
     """Names of the scenarios that come with holdgw."""
-    folder = resources.files("holdgw.rehearsal") / "scenarios"
+    folder = resources.files("holdgw.harness") / "scenarios"
     return sorted(
         entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml")
     )
@@ -414,7 +414,7 @@
     """Read a file, or a scenario that comes with holdgw, by its name; raises ScenarioError."""
     path = Path(name)
     if not path.exists() and str(name) in shipped():
-        path = Path(str(resources.files("holdgw.rehearsal") / "scenarios" / f"{name}.toml"))
+        path = Path(str(resources.files("holdgw.harness") / "scenarios" / f"{name}.toml"))
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
--- a/holdgw/rehearsal/stage.py
+++ b/holdgw/harness/stage.py
@@ -22,7 +22,9 @@
 from pathlib import Path
 from typing import Any
 
-from holdgw.rehearsal.channel import (
+from holdgw.emulators.records import Fallen
+from holdgw.emulators.relay import ALL
+from holdgw.harness.channel import (
     Batch,
     Channel,
     Did,
@@ -36,10 +38,10 @@
     Tally,
     Voided,
 )
-from holdgw.rehearsal.checker import History
-from holdgw.rehearsal.day import PEERS, Day
-from holdgw.rehearsal.deployment import Peers, configuration
-from holdgw.rehearsal.routers import (
+from holdgw.harness.checker import History
+from holdgw.harness.day import PEERS, Day
+from holdgw.harness.deployment import Peers, configuration
+from holdgw.harness.routers import (
     PING_EVERY_S,
     READY_S,
     RouterProcess,
@@ -50,10 +52,8 @@
     free_address,
     share_cores,
 )
-from holdgw.rehearsal.scenario import Scenario, member_names, router_names
-from holdgw.rehearsal.timeline import ANSWER_S, StageError, TimeLine
-from holdgw.standins.records import Fallen
-from holdgw.standins.relay import ALL
+from holdgw.harness.scenario import Scenario, member_names, router_names
+from holdgw.harness.timeline import ANSWER_S, StageError, TimeLine
 
 CLOCK = time.monotonic
 AGGREGATE = f"exec {sys.executable} -m holdgw.router.aggregate"
@@ -99,7 +99,7 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
-                "holdgw.rehearsal.worker",
+                "holdgw.harness.worker",
                 str(its.fileno()),
                 pass_fds=(its.fileno(),),
                 env=environment,
--- a/holdgw/rehearsal/timeline.py
+++ b/holdgw/harness/timeline.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from holdgw.rehearsal.channel import Begin, Front, Message, Places
-from holdgw.rehearsal.checker import History, Life
-from holdgw.rehearsal.day import DOORS, NETWORK, PEERS, ROUTERS, STORE, Day, Step, lines_of_routers
-from holdgw.rehearsal.deployment import Peers, configuration
-from holdgw.rehearsal.routers import call_door
-from holdgw.standins.chance import between, unit
-from holdgw.standins.records import Handed
-from holdgw.standins.shell import Clock
+from holdgw.emulators.chance import between, unit
+from holdgw.emulators.records import Handed
+from holdgw.emulators.shell import Clock
+from holdgw.harness.channel import Begin, Front, Message, Places
+from holdgw.harness.checker import History, Life
+from holdgw.harness.day import DOORS, NETWORK, PEERS, ROUTERS, STORE, Day, Step, lines_of_routers
+from holdgw.harness.deployment import Peers, configuration
+from holdgw.harness.routers import call_door
 from holdgw.wire.address import Address
 
 ANSWER_S = 30.0  # for a worker to do what it is told
--- a/holdgw/rehearsal/troubles.py
+++ b/holdgw/harness/troubles.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta
 
-from holdgw.rehearsal.fields import AtLeast0, Count, Positive, Share, Table
+from holdgw.harness.fields import AtLeast0, Count, Positive, Share, Table
 
 
 class _Trouble(Table, frozen=True, kw_only=True, tag_field="kind"):
--- a/holdgw/rehearsal/worker.py
+++ b/holdgw/harness/worker.py
@@ -1,7 +1,7 @@
 """One process of the emulator: some mirror nodes, or the package store with discovery, or some clients.
 
 Started by the stage with a socket as its only way to the world outside loopback: `python -m
-holdgw.rehearsal.worker FD`. When the stage goes, it goes.
+holdgw.harness.worker FD`. When the stage goes, it goes.
 """
 
 from __future__ import annotations
@@ -19,8 +19,17 @@
 
 import uvloop
 
-from holdgw.rehearsal import day as drawn
-from holdgw.rehearsal.channel import (
+from holdgw.emulators.chance import between, unit
+from holdgw.emulators.discovery import DiscoveryServer
+from holdgw.emulators.node import NodeServer
+from holdgw.emulators.records import LAG_BOUNDS_MS, Lag, Record
+from holdgw.emulators.registry_model import Entry, RegistryModel, State
+from holdgw.emulators.relay import Relay
+from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.shell import Clock, Host
+from holdgw.emulators.store import StoreServer
+from holdgw.harness import day as drawn
+from holdgw.harness.channel import (
     Batch,
     Begin,
     Channel,
@@ -35,8 +44,8 @@
     Stored,
     Voided,
 )
-from holdgw.rehearsal.clients import Clients
-from holdgw.rehearsal.day import (
+from holdgw.harness.clients import Clients
+from holdgw.harness.day import (
     PEERS,
     STORE,
     lines,
@@ -47,17 +56,8 @@
     workload,
     zone_of_server,
 )
-from holdgw.rehearsal.deployment import NODE_KIND, STORE_KIND
-from holdgw.rehearsal.scenario import Scenario, node_names, router_names
-from holdgw.standins.chance import between, unit
-from holdgw.standins.discovery import DiscoveryServer
-from holdgw.standins.node import NodeServer
-from holdgw.standins.records import LAG_BOUNDS_MS, Lag, Record
-from holdgw.standins.registry_model import Entry, RegistryModel, State
-from holdgw.standins.relay import Relay
-from holdgw.standins.relay_model import PeerWeather, RelayModel
-from holdgw.standins.shell import Clock, Host
-from holdgw.standins.store import StoreServer
+from holdgw.harness.deployment import NODE_KIND, STORE_KIND
+from holdgw.harness.scenario import Scenario, node_names, router_names
 from holdgw.wire.address import Address
 
 BEAT_S = 0.005  # how often a worker looks at how late it is
--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -23,17 +23,17 @@
 DIGEST = "digest"
 MODULES = (
     "policy/interface.py",
-    "policy/levels.py",
+    "policy/slot_rebalancing.py",
     "policy/logic.py",
     "wire/resp.py",
-    "operation/figures.py",
-    "router/caches.py",
-    "router/clients.py",
-    "router/host.py",
-    "router/origin.py",
-    "router/stall.py",
-    "router/upstream.py",
-    "router/wheel.py",
+    "operation/metrics.py",
+    "router/cache_connection.py",
+    "router/client_connection.py",
+    "router/dispatcher.py",
+    "router/origin_connection.py",
+    "router/event_loop_lag.py",
+    "router/connection_pool.py",
+    "router/timer_wheel.py",
 )
 """Compiled as one group, in which calls and fields need no look-up; they import each other mostly.
 
--- a/holdgw/operation/door.py
+++ b/holdgw/operation/admin_endpoint.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from typing import Protocol, cast
 
-from holdgw.operation.figures import CONTENT_TYPE
-from holdgw.operation.roster import UnknownServerError
+from holdgw.operation.endpoint_overrides import UnknownEndpointError
+from holdgw.operation.metrics import CONTENT_TYPE
 from holdgw.wire import http
 from holdgw.wire.address import Address
 
-MOST = 12  # connections at a time: a scraper, some staff, and a few that finish nothing
+MAX_CONNECTIONS = 12  # connections at a time: a scraper, some staff, and a few that finish nothing
 MAX_BODY = 1 << 10  # an id
 MAX_CALL = 16 << 10  # bytes of a whole call
 CALL_S = 3.0  # in which a call must be whole; callers wait for 1 s
@@ -20,32 +20,32 @@
 log = logging.getLogger("holdgw")
 
 
-class Operable(Protocol):
+class AdminOperations(Protocol):
     """What the door opens on."""
 
     def can_serve(self) -> bool:
         """Whether this process can serve clients now."""
 
-    def figures(self) -> bytes:
+    def metrics_text(self) -> bytes:
         """The figures as text."""
 
-    def leave_out(self, server_id: str) -> None:
+    def enter_maintenance(self, server_id: str) -> None:
         """Take a cache server out by hand; raises UnknownServerError."""
 
-    def use_again(self, server_id: str) -> None:
+    def exit_maintenance(self, server_id: str) -> None:
         """Use it again; raises UnknownServerError."""
 
 
-def answer(router: Operable, call: http.HttpRequest) -> bytes:
+def answer(router: AdminOperations, call: http.HttpRequest) -> bytes:
     """Carry one call out; returns the whole HTTP answer."""
     path = call.target.partition(b"?")[0]
     gets: dict[bytes, Callable[[], bytes]] = {
         b"/status": lambda: _answer(*((200, b"ok\n") if router.can_serve() else (503, b"not yet\n"))),
-        b"/status/metrics": lambda: _answer(200, router.figures(), CONTENT_TYPE),
+        b"/status/metrics": lambda: _answer(200, router.metrics_text(), CONTENT_TYPE),
     }
     puts: dict[bytes, Callable[[str], None]] = {
-        b"/maintenance/enter": router.leave_out,
-        b"/maintenance/exit": router.use_again,
+        b"/maintenance/enter": router.enter_maintenance,
+        b"/maintenance/exit": router.exit_maintenance,
     }
     if path in gets:
         return gets[path]() if call.method == b"GET" else _answer(405, b"use GET\n", allow=b"GET")
@@ -61,7 +61,7 @@
         return _answer(400, b"the body must be a server's id\n")
     try:
         puts[path](server_id)
-    except UnknownServerError as error:
+    except UnknownEndpointError as error:
         return _answer(404, f"{error}\n".encode())
     log.info("%s %s", path.decode(), server_id)
     return _answer(200, b"ok\n")
@@ -77,7 +77,7 @@
 class _Caller(asyncio.Protocol):
     """One connection, and the one call on it."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, door: AdminEndpoint) -> None:
         self._door = door
         self._reader = http.RequestReader(MAX_BODY)
         self._came = 0
@@ -125,10 +125,10 @@
             self._transport.abort()
 
 
-class Door:
+class AdminEndpoint:
     """The listener and its callers; `router` is what they ask."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, router: Operable) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, router: AdminOperations) -> None:
         self.loop, self.router = loop, router
         self._callers: dict[_Caller, None] = {}  # the one that stands longest first
         self._listener: asyncio.Server | None = None
@@ -143,7 +143,7 @@
         """Take a caller in."""
         # Danger: callers that connect and finish no call would keep out the one who takes a server out by
         # hand, and hold descriptors that clients need. It could do harm past MOST honest calls at once.
-        if len(self._callers) >= MOST:
+        if len(self._callers) >= MAX_CONNECTIONS:
             oldest = next(iter(self._callers))
             del self._callers[oldest]
             oldest.abort()
--- a/holdgw/operation/roster.py
+++ b/holdgw/operation/endpoint_overrides.py
@@ -8,18 +8,18 @@
 
 from msgspec.structs import replace
 
-from holdgw.operation.listing import Listing
+from holdgw.operation.endpoint_update import EndpointUpdate
 from holdgw.policy import Endpoint, EndpointsChanged, EndpointState, UpdateKind
 from holdgw.wire.address import Address
 
-OUT_MOST = 4096  # ids out by hand: many times the servers there are
+MAX_OVERRIDES = 4096  # ids out by hand: many times the servers there are
 
 
-class UnknownServerError(Exception):
+class UnknownEndpointError(Exception):
     """The id is of no cache server in the list; the text is one plain line."""
 
 
-class Roster:
+class EndpointOverrides:
     """Discovery's list as last told, and which of its servers are out by hand. Times: monotonic ns."""
 
     def __init__(self, origin_kind: str | None) -> None:
@@ -29,7 +29,7 @@
         self._out: dict[str, int] = {}  # id -> since when
         self._back: dict[str, tuple[int, int]] = {}  # id -> how long it was out: from, until
 
-    def take(self, listing: Listing) -> Listing:
+    def apply(self, listing: EndpointUpdate) -> EndpointUpdate:
         """Take news of discovery; returns it as the router is to see it."""
         self._generation = listing.generation
         if listing.change.kind is not UpdateKind.DELTA:
@@ -47,13 +47,13 @@
         seen = tuple(map(self._seen, listing.change.endpoints))
         return replace(listing, change=EndpointsChanged(listing.change.kind, seen))
 
-    def whole(self) -> Listing:
+    def full_update(self) -> EndpointUpdate:
         """The whole list as the router is to see it."""
         servers = tuple(self._seen(server) for server, _ in self._listed.values())
         addresses = {name: address for name, (_, address) in self._listed.items()}
-        return Listing(self._generation, EndpointsChanged(UpdateKind.FULL, servers), addresses)
+        return EndpointUpdate(self._generation, EndpointsChanged(UpdateKind.FULL, servers), addresses)
 
-    def leave_out(self, server_id: str, now: int) -> Listing | None:
+    def enter_maintenance(self, server_id: str, now: int) -> EndpointUpdate | None:
         """Take a server out by hand; returns the news for the router, None where it was out already.
 
         Raises UnknownServerError.
@@ -61,19 +61,19 @@
         self._known(server_id)
         if server_id in self._out:
             return None
-        if len(self._out) >= OUT_MOST:
-            raise UnknownServerError("too many servers are out by hand")
-        return self.hold(server_id, now)
+        if len(self._out) >= MAX_OVERRIDES:
+            raise UnknownEndpointError("too many servers are out by hand")
+        return self.restore_override(server_id, now)
 
-    def hold(self, server_id: str, since: int) -> Listing | None:
+    def restore_override(self, server_id: str, since: int) -> EndpointUpdate | None:
         """The same for an id that may not be listed yet: the word of another process of this router."""
-        if server_id in self._out or len(self._out) >= OUT_MOST:
+        if server_id in self._out or len(self._out) >= MAX_OVERRIDES:
             return None
         self._out[server_id] = since
         self._back.pop(server_id, None)
         return self._news(server_id)
 
-    def use_again(self, server_id: str, now: int) -> Listing | None:
+    def exit_maintenance(self, server_id: str, now: int) -> EndpointUpdate | None:
         """Undo it, however often it was asked for; returns the news. Raises UnknownServerError."""
         since = self._out.pop(server_id, None)
         if since is None:
@@ -88,16 +88,16 @@
     def _known(self, server_id: str) -> None:
         entry = self._listed.get(server_id)
         if entry is None:
-            raise UnknownServerError(f"no server {server_id!r} in the list")
+            raise UnknownEndpointError(f"no server {server_id!r} in the list")
         if entry[0].kind == self._origin_kind:
-            raise UnknownServerError(f"{server_id!r} is the origin, which nothing can stand in for")
+            raise UnknownEndpointError(f"{server_id!r} is the origin, which nothing can stand in for")
 
-    def _news(self, server_id: str) -> Listing | None:
+    def _news(self, server_id: str) -> EndpointUpdate | None:
         entry = self._listed.get(server_id)
         if entry is None:
             return None
         change = EndpointsChanged(UpdateKind.DELTA, (self._seen(entry[0]),))
-        return Listing(self._generation, change, {server_id: entry[1]})
+        return EndpointUpdate(self._generation, change, {server_id: entry[1]})
 
     def _seen(self, server: Endpoint) -> Endpoint:
         if server.id in self._out and server.state is EndpointState.READY:
@@ -108,15 +108,15 @@
         return server
 
     @property
-    def out(self) -> dict[str, int]:
+    def overridden(self) -> dict[str, int]:
         """The ids out by hand, listed or not, and since when."""
         return dict(self._out)
 
     @property
-    def discovered(self) -> int:
+    def discovered_count(self) -> int:
         """How many cache servers are in the list, those that drain among them."""
         return sum(server.kind != self._origin_kind for server, _ in self._listed.values())
 
-    def avoided(self, by_choice: list[str]) -> int:
+    def excluded_count(self, by_choice: list[str]) -> int:
         """How many listed cache servers are avoided: by hand, or by the module's choice."""
         return len((self._out.keys() | set(by_choice)) & self._listed.keys())
--- a/holdgw/operation/listing.py
+++ b/holdgw/operation/endpoint_update.py
@@ -8,7 +8,7 @@
 from holdgw.wire.address import Address
 
 
-class Listing(Struct, frozen=True):
+class EndpointUpdate(Struct, frozen=True):
     """One piece of news: the module's event, and the address of each server in it that is not gone."""
 
     generation: int
--- a/holdgw/operation/fleetlog.py
+++ b/holdgw/operation/fleet_log.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from holdgw.operation.tally import MARK
+from holdgw.operation.interval_counters import LOG_LINE_PREFIX
 
 
 def _add(sums: dict[str, float], more: Mapping[str, float]) -> None:
@@ -47,7 +47,7 @@
     def read(self, router: str, text: str) -> None:
         """Take the log of one router."""
         for line in text.splitlines():
-            _, mark, told = line.partition(MARK)
+            _, mark, told = line.partition(LOG_LINE_PREFIX)
             if not mark:
                 continue
             try:
--- a/holdgw/operation/tally.py
+++ b/holdgw/operation/interval_counters.py
@@ -10,12 +10,12 @@
 
 import orjson
 
-MARK = "tally "
+LOG_LINE_PREFIX = "tally "
 """What such a line begins with, behind whatever the platform puts before it."""
-KEYS = 64
+MAX_KEYS = 64
 
 
-class Tally:
+class IntervalCounters:
     """Counts since the last line."""
 
     def __init__(self) -> None:
@@ -24,20 +24,20 @@
         self._fetched: list[int] = []
         self._before: dict[str, float] = {}
 
-    def count(self, name: str, much: float = 1) -> None:
+    def add(self, name: str, much: float = 1) -> None:
         """Count something."""
         self._counts[name] = self._counts.get(name, 0) + much
 
-    def grown(self, name: str, value: float) -> None:
+    def add_growth(self, name: str, value: float) -> None:
         """Count what a running total has grown by since it was last told of."""
-        self.count(name, value - self._before.get(name, 0))
+        self.add(name, value - self._before.get(name, 0))
         self._before[name] = value
 
-    def tried(self, again: bool, hasty: bool) -> None:
+    def count_client_request(self, again: bool, hasty: bool) -> None:
         """Count a client's try. `again`: marked as a retry; `hasty`: it waits less than its aim."""
-        self.count(f"tries{' again' if again else ''}{', hasty' if hasty else ''}")
+        self.add(f"tries{' again' if again else ''}{', hasty' if hasty else ''}")
 
-    def attempt(
+    def count_attempt(
         self, server: str, word: str, fresh: bool, late: bool, fetched: str | None, why: str = ""
     ) -> None:
         """Count an attempt's end: `word` is its outcome, `fetched` the key where it went to the origin.
@@ -45,11 +45,11 @@
         `late`: after its class's aim. `fresh`: the first on its connection. `why`: what it was made for.
         """
         if why:
-            self.count(f"why {why}.{word}")
+            self.add(f"why {why}.{word}")
         where = "origin" if fetched is not None else "cache"
-        self.count(f"{where}.{word}{'.fresh' if fresh else ''}{'.late' if late else ''}")
+        self.add(f"{where}.{word}{'.fresh' if fresh else ''}{'.late' if late else ''}")
         if fetched is not None:
-            if len(self._fetched) < KEYS:
+            if len(self._fetched) < MAX_KEYS:
                 self._fetched.append(crc32(fetched.encode()))
         else:
             met = self._servers.setdefault(server, [0, 0, 0])
@@ -57,7 +57,7 @@
             met[1] += late
             met[2] += word not in ("ok", "miss")
 
-    def line(self, second: float, states: dict[str, float]) -> str:
+    def log_line(self, second: float, states: dict[str, float]) -> str:
         """The line for what was counted since the last one; `states` are of now."""
         told = {
             "t": round(second, 3),
@@ -67,4 +67,4 @@
             "fetched": self._fetched,
         }
         self._counts, self._servers, self._fetched = {}, {}, []
-        return MARK + orjson.dumps(told).decode()
+        return LOG_LINE_PREFIX + orjson.dumps(told).decode()
--- a/holdgw/operation/figures.py
+++ b/holdgw/operation/metrics.py
@@ -19,7 +19,7 @@
     ABORTED = "aborted"
 
 
-class Figures:
+class Metrics:
     """The counts; whoever gives an answer or makes an attempt counts it there and then."""
 
     def __init__(self, classes: Iterable[str], off: Iterable[str] = ()) -> None:
@@ -30,7 +30,7 @@
         self.off = tuple(off)
         """Parts of the decisions that the settings switch off."""
 
-    def ended(self, request_class: str, disposition: Disposition) -> None:
+    def count_answer(self, request_class: str, disposition: Disposition) -> None:
         """Count a request's final answer; a class that the settings don't name is not counted."""
         key = request_class, disposition
         if key in self.results:
--- a/holdgw/operation/link.py
+++ b/holdgw/operation/process_link.py
@@ -19,10 +19,12 @@
 
 from holdgw.policy import HandoverState
 
-HELD_MOST = 32 << 10  # bytes of a command under way that go with a connection; a longer one is waited for
-MESSAGE_MOST = HELD_MOST + (64 << 10)  # a word of another kind: thousands of ids
-PART_MOST = 500  # servers, slots or calls in one message, of some 110 bytes each at most
-UNSENT_MOST = 4096  # messages that the other side has not taken, past which it is taken for stuck
+MAX_PENDING_COMMAND_BYTES = (
+    32 << 10
+)  # bytes of a command under way that go with a connection; a longer one is waited for
+MAX_MESSAGE_BYTES = MAX_PENDING_COMMAND_BYTES + (64 << 10)  # a word of another kind: thousands of ids
+MAX_PART_ITEMS = 500  # servers, slots or calls in one message, of some 110 bytes each at most
+MAX_UNSENT_MESSAGES = 4096  # messages that the other side has not taken, past which it is taken for stuck
 
 Message = TypeVar("Message")
 T = TypeVar("T")
@@ -30,13 +32,13 @@
 log = logging.getLogger("holdgw")
 
 
-class Knowledge(msgspec.Struct, tag="knowledge", frozen=True):
+class HandoverPart(msgspec.Struct, tag="knowledge", frozen=True):
     """A part of what a process's decisions have learnt, so that another need not begin anew."""
 
     learnt: HandoverState
 
 
-class Client(msgspec.Struct, tag="client", frozen=True):
+class ClientHandover(msgspec.Struct, tag="client", frozen=True):
     """A client's connection, whose descriptor comes along, and what has come of a command under way."""
 
     held: bytes
@@ -51,16 +53,16 @@
 encode = msgspec.msgpack.Encoder().encode
 
 
-def parts(learnt: HandoverState) -> Iterator[HandoverState]:
+def split_handover(learnt: HandoverState) -> Iterator[HandoverState]:
     """Cut what was learnt into parts that fit a message each."""
     yield replace(learnt, endpoints={}, tenants={}, slot_popularity={}, tenant_usage={})
-    for names in batched(learnt.endpoints, PART_MOST):
+    for names in batched(learnt.endpoints, MAX_PART_ITEMS):
         yield HandoverState(endpoints={name: learnt.endpoints[name] for name in names})
     for name, tenant in learnt.tenants.items():
-        yield HandoverState(tenants={name: replace(tenant, calls=tenant.calls[-PART_MOST:])})
-    for slots in batched(learnt.slot_popularity, PART_MOST):
+        yield HandoverState(tenants={name: replace(tenant, calls=tenant.calls[-MAX_PART_ITEMS:])})
+    for slots in batched(learnt.slot_popularity, MAX_PART_ITEMS):
         yield HandoverState(slot_popularity={slot: learnt.slot_popularity[slot] for slot in slots})
-    for tenants in batched(learnt.tenant_usage, PART_MOST):
+    for tenants in batched(learnt.tenant_usage, MAX_PART_ITEMS):
         yield HandoverState(tenant_usage={name: learnt.tenant_usage[name] for name in tenants})
 
 
@@ -71,7 +73,7 @@
         yield batch
 
 
-class Link(Generic[Message]):
+class ProcessLink(Generic[Message]):
     """One connection between two processes of a router; owns it and every descriptor on the way."""
 
     def __init__(
@@ -79,8 +81,8 @@
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
         decode: Callable[[bytes], Message],
-        take: Callable[[Link[Message], Message, int | None], None],
-        lost: Callable[[Link[Message]], None],
+        take: Callable[[ProcessLink[Message], Message, int | None], None],
+        lost: Callable[[ProcessLink[Message]], None],
     ) -> None:
         self._loop, self._sock, self._decode, self._take, self._lost = loop, sock, decode, take, lost
         self._unsent: deque[tuple[bytes, int | None]] = deque()
@@ -99,7 +101,7 @@
         self._unsent.append((encode(message), descriptor))
         if len(self._unsent) == 1:
             self._write()
-        elif len(self._unsent) > UNSENT_MOST:
+        elif len(self._unsent) > MAX_UNSENT_MESSAGES:
             log.error("link: the other process takes nothing")
             self.close()
 
@@ -130,7 +132,7 @@
         # Danger: one message a turn would let a hundred connections wait for as many turns of a busy loop.
         while self.open:
             try:
-                data, descriptors, _, _ = socket.recv_fds(self._sock, MESSAGE_MOST, 1)
+                data, descriptors, _, _ = socket.recv_fds(self._sock, MAX_MESSAGE_BYTES, 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
--- a/holdgw/operation/takeover.py
+++ b/holdgw/operation/takeover.py
@@ -18,13 +18,13 @@
 
 import msgspec
 
-from holdgw.operation.link import Client, Knowledge, Link, parts
+from holdgw.operation.process_link import ClientHandover, HandoverPart, ProcessLink, split_handover
 from holdgw.policy import HandoverState
 
 VERSION = 1
 NAME = "holdgw.link"
-MET_S = 1.0  # the elder tells what it has in so long, or is taken for stuck
-LINKS_MOST = 4  # processes of one router beside this one
+HELLO_TIMEOUT_S = 1.0  # the elder tells what it has in so long, or is taken for stuck
+MAX_LINKS = 4  # processes of one router beside this one
 
 log = logging.getLogger("holdgw")
 
@@ -35,14 +35,14 @@
     version: int
 
 
-class Outs(msgspec.Struct, tag="outs", frozen=True):
+class OverrideList(msgspec.Struct, tag="outs", frozen=True):
     """The elder's answer: the servers out by hand, and since when (monotonic ns, the machine's)."""
 
     version: int
     since: dict[str, int]
 
 
-class Hand(msgspec.Struct, tag="hand", frozen=True):
+class OverrideChanged(msgspec.Struct, tag="hand", frozen=True):
     """A server was taken out by hand at this time, or is used again from then on."""
 
     server: str
@@ -54,7 +54,7 @@
     """The successor can serve."""
 
 
-Message = Hello | Outs | Hand | Knowledge | Ready | Client
+Message = Hello | OverrideList | OverrideChanged | HandoverPart | Ready | ClientHandover
 
 decode = msgspec.msgpack.Decoder(Message).decode
 
@@ -67,9 +67,9 @@
         loop: asyncio.AbstractEventLoop,
         outs: Callable[[], dict[str, int]],
         learnt: Callable[[], HandoverState],
-        hand: Callable[[Hand], None],
+        hand: Callable[[OverrideChanged], None],
         learn: Callable[[HandoverState], None],
-        adopt: Callable[[Client, int], None],
+        adopt: Callable[[ClientHandover, int], None],
         changed: Callable[[], None],
     ) -> None:
         """`outs`, `learnt`: what this process knows; `hand`, `learn`, `adopt`: take what another sends.
@@ -78,8 +78,8 @@
         """
         self._loop, self._outs, self._learnt, self._changed = loop, outs, learnt, changed
         self._hand, self._learn, self._adopt = hand, learn, adopt
-        self._links: dict[Link[Message], None] = {}
-        self._elder: Link[Message] | None = None
+        self._links: dict[ProcessLink[Message], None] = {}
+        self._elder: ProcessLink[Message] | None = None
         self._met = asyncio.Event()  # the elder has told what it has, or is gone
         self._door: socket.socket | None = None
         self._path: Path | None = None
@@ -111,7 +111,7 @@
         self._elder.send(Hello(VERSION))
         # Danger: to serve before the elder has told which servers are out by hand would send to one of them.
         try:
-            await asyncio.wait_for(self._met.wait(), MET_S)
+            await asyncio.wait_for(self._met.wait(), HELLO_TIMEOUT_S)
         except TimeoutError:
             log.error("takeover: the elder says nothing; going on without its word")
 
@@ -121,7 +121,7 @@
         door = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             door.bind(os.fspath(path))
-            door.listen(LINKS_MOST)
+            door.listen(MAX_LINKS)
         except OSError:
             door.close()
             raise
@@ -135,54 +135,54 @@
             sock, _ = self._door.accept()
         except OSError:
             return
-        if len(self._links) >= LINKS_MOST:
+        if len(self._links) >= MAX_LINKS:
             sock.close()
             return
         self._add(sock)
 
-    def _add(self, sock: socket.socket) -> Link[Message]:
-        link = Link(self._loop, sock, decode, self._take, self._lost)
+    def _add(self, sock: socket.socket) -> ProcessLink[Message]:
+        link = ProcessLink(self._loop, sock, decode, self._take, self._lost)
         self._links[link] = None
         self._changed()
         return link
 
-    def _lost(self, link: Link[Message]) -> None:
+    def _lost(self, link: ProcessLink[Message]) -> None:
         self._links.pop(link, None)
         if link is self._elder:
             self._elder = None
             self._met.set()
         self._changed()
 
-    def _take(self, link: Link[Message], message: Message, descriptor: int | None) -> None:
+    def _take(self, link: ProcessLink[Message], message: Message, descriptor: int | None) -> None:
         match message:
             case Hello():
-                for part in parts(self._learnt()):
-                    link.send(Knowledge(part))
-                link.send(Outs(VERSION, self._outs()))
-            case Outs():
+                for part in split_handover(self._learnt()):
+                    link.send(HandoverPart(part))
+                link.send(OverrideList(VERSION, self._outs()))
+            case OverrideList():
                 for server, since in message.since.items():
-                    self._hand(Hand(server, True, since))
+                    self._hand(OverrideChanged(server, True, since))
                 self._met.set()
-            case Hand():
+            case OverrideChanged():
                 self._hand(message)
-                self.tell(message, but=link)
-            case Knowledge():
+                self.broadcast(message, but=link)
+            case HandoverPart():
                 self._learn(message.learnt)
             case Ready():
                 link.ready = True
-            case Client() if descriptor is not None:
+            case ClientHandover() if descriptor is not None:
                 self._adopt(message, descriptor)
                 descriptor = None
         if descriptor is not None:
             os.close(descriptor)
 
-    def tell(self, message: Message, but: Link[Message] | None = None) -> None:
+    def broadcast(self, message: Message, but: ProcessLink[Message] | None = None) -> None:
         """Tell the other processes."""
         for link in list(self._links):
             if link is not but:
                 link.send(message)
 
-    def ready(self) -> None:
+    def announce_ready(self) -> None:
         """Tell the elder that this process can serve."""
         if self._elder is not None:
             self._elder.send(Ready())
@@ -193,7 +193,7 @@
         return bool(self._links)
 
     @property
-    def successor(self) -> Link[Message] | None:
+    def successor(self) -> ProcessLink[Message] | None:
         """The process that takes over, once it can serve; the newest of several."""
         ready = [link for link in self._links if link.ready and link.open]
         return ready[-1] if ready else None
--- a/holdgw/policy/__init__.py
+++ b/holdgw/policy/__init__.py
@@ -1,5 +1,6 @@
 """The decisions of holdgw: a router that spreads keys over cache servers in front of one slow origin."""
 
+from holdgw.policy.disabled_features import disabled_features
 from holdgw.policy.interface import (
     Action,
     AttemptEnded,
@@ -33,7 +34,6 @@
     UpdateKind,
 )
 from holdgw.policy.logic import RoutingPolicy
-from holdgw.policy.parts import disabled_features
 
 __all__ = [
     "Action",
--- a/holdgw/policy/logic.py
+++ b/holdgw/policy/logic.py
@@ -19,9 +19,9 @@
 from zlib import crc32
 
 from holdgw.policy import interface as api
+from holdgw.policy.disabled_features import load_report_indexes
 from holdgw.policy.interface import NS_PER_S, DedupScope, EndpointState, Idempotency, Outcome, UpdateKind
-from holdgw.policy.levels import SlotRebalancer, gives
-from holdgw.policy.parts import load_report_indexes
+from holdgw.policy.slot_rebalancing import SlotRebalancer, gives
 
 Key = TypeVar("Key", int, str)
 
--- a/holdgw/router/__main__.py
+++ b/holdgw/router/__main__.py
@@ -9,7 +9,7 @@
 from holdgw.router.config import ConfigError, load_config
 from holdgw.router.discovery import Clock, read_listing
 from holdgw.router.log import make_logger
-from holdgw.router.process import run_to_the_end
+from holdgw.router.process import run_until_exit
 from holdgw.router.program import serve
 
 __all__ = ["main", "serve"]
@@ -28,7 +28,7 @@
         print(f"holdgw: {error}", file=sys.stderr)
         return 2
     make_logger(config.name)
-    return run_to_the_end(lambda: serve(config))
+    return run_until_exit(lambda: serve(config))
 
 
 if __name__ == "__main__":
--- a/holdgw/router/aggregate.py
+++ b/holdgw/router/aggregate.py
@@ -12,17 +12,17 @@
 import sys
 from dataclasses import replace
 
-from holdgw.operation.door import Door
-from holdgw.operation.figures import Figures
-from holdgw.operation.roster import UnknownServerError
+from holdgw.operation.admin_endpoint import AdminEndpoint
+from holdgw.operation.endpoint_overrides import UnknownEndpointError
+from holdgw.operation.metrics import Metrics
 from holdgw.peers.aggregated_exchange import Role
 from holdgw.peers.gossip import PeerConfig, PeerNode
 from holdgw.peers.load_view import LoadSnapshot, Observations
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.log import log_faults, make_logger
 from holdgw.router.platform import Platform
-from holdgw.router.process import run_to_the_end
-from holdgw.router.program import peer_figures
+from holdgw.router.process import run_until_exit
+from holdgw.router.program import peer_metrics
 
 
 class AggregatorProgram:
@@ -33,7 +33,7 @@
         self.loop = asyncio.get_running_loop()
         now = (platform or Platform()).monotonic_ns
         self.peers = PeerNode(self.loop, replace(peers, role=Role.SET_ASIDE), config.seed, now, self)
-        self.door = Door(self.loop, self)
+        self.door = AdminEndpoint(self.loop, self)
         self._terminated = asyncio.Event()
 
     async def run(self) -> None:
@@ -68,17 +68,17 @@
         """Whether it aggregates."""
         return not self._terminated.is_set()
 
-    def figures(self) -> bytes:
+    def metrics_text(self) -> bytes:
         """The figures as text."""
-        return Figures(()).text(0, 0, 0, **peer_figures(self.peers))
+        return Metrics(()).text(0, 0, 0, **peer_metrics(self.peers))
 
-    def leave_out(self, server_id: str) -> None:
+    def enter_maintenance(self, server_id: str) -> None:
         """It knows of no servers; raises UnknownServerError."""
-        raise UnknownServerError(server_id)
+        raise UnknownEndpointError(server_id)
 
-    def use_again(self, server_id: str) -> None:
+    def exit_maintenance(self, server_id: str) -> None:
         """It knows of no servers; raises UnknownServerError."""
-        raise UnknownServerError(server_id)
+        raise UnknownEndpointError(server_id)
 
 
 def aggregator_config(config: Config) -> PeerConfig:
@@ -105,7 +105,7 @@
         print(f"holdgw: {error}", file=sys.stderr)
         return 2
     make_logger(config.name)
-    return run_to_the_end(lambda: aggregate(config, peers))
+    return run_until_exit(lambda: aggregate(config, peers))
 
 
 if __name__ == "__main__":
--- a/holdgw/router/caches.py
+++ b/holdgw/router/cache_connection.py
@@ -7,7 +7,7 @@
 import hiredis
 
 from holdgw.policy import CacheStatus, Outcome
-from holdgw.router.upstream import Connection, Server
+from holdgw.router.connection_pool import Connection, EndpointPool
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE, bulk
 
 MAX_REST = 8 << 10  # all of an answer but its value: far more than a note and a load report take
@@ -37,7 +37,7 @@
 
     patient = True
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: EndpointPool) -> None:
         super().__init__(server)
         self._reader = hiredis.Reader()
         self._buffer = bytearray()  # of an answer with a value, until the value is whole
@@ -144,7 +144,7 @@
         rest = _without_value(self._elements, self._buffer[2:])
         self._left, self._plain = 0, True
         self._buffer.clear()
-        self.exchange.value_whole()
+        self.exchange.value_complete()
         return rest
 
     def _read(self) -> None:
@@ -169,7 +169,7 @@
             report = answer[2] if len(answer) > 2 and isinstance(answer[2], bytes) else None
             outcome = Outcome.OK if value is not None or self.streaming else Outcome.MISS
             self.finish(outcome, value, _NOTES.get(note) if isinstance(note, bytes) else None, report)
-        elif isinstance(answer, bytes) and self.exchange is not None and self.exchange.is_probe:
+        elif isinstance(answer, bytes) and self.exchange is not None and self.exchange.is_health_check:
             self.finish(Outcome.OK, None, None, answer)
         else:
             self.spoil("sent an answer of an unknown form")
--- a/holdgw/router/clients.py
+++ b/holdgw/router/client_connection.py
@@ -11,7 +11,7 @@
 from functools import partial
 from typing import Any, Protocol, cast
 
-from holdgw.operation.link import HELD_MOST, Client
+from holdgw.operation.process_link import MAX_PENDING_COMMAND_BYTES, ClientHandover
 from holdgw.router.platform import accept_queued, has_left
 from holdgw.wire.address import Address
 from holdgw.wire.resp import Command, CommandReader, parse_request
@@ -30,10 +30,10 @@
 STANDING_SHARE = 0.4  # of the table, for connections between requests
 FRESH_S = 0.3  # in which a new connection brings its first command, unless the client is silent
 LINGER_S = 0.5  # in which a client may end its side after ours: then nothing unread is left to reset it
-DROPPED_MOST = 256 << 10  # bytes that it may send meanwhile, which are read and dropped
-SWEEP_S = 0.25
+MAX_DISCARDED_BYTES = 256 << 10  # bytes that it may send meanwhile, which are read and dropped
+SWEEP_INTERVAL_S = 0.25
 NS_PER_MS = 1_000_000
-REFUSERS = 32  # connections over the limit that are answered with a refusal
+MAX_REJECTING_CONNECTIONS = 32  # connections over the limit that are answered with a refusal
 
 log = logging.getLogger("holdgw")
 
@@ -46,10 +46,10 @@
     def request_arrived(self, command: Command, reply: Reply) -> None:
         """A request is whole."""
 
-    def refuse(self, command: Command, reply: Reply) -> None:
+    def reject(self, command: Command, reply: Reply) -> None:
         """A request is whole that there is no room for."""
 
-    def client_gone(self, reply: Reply) -> None:
+    def client_disconnected(self, reply: Reply) -> None:
         """The client that waits for this reply has left."""
 
     def unread_since(self) -> int:
@@ -103,7 +103,7 @@
         """For how long its command lay there before it was read, as far as the kernel tells."""
         return self._connection.unread_ns()
 
-    def has_left(self) -> bool:
+    def client_disconnected(self) -> bool:
         """Whether the client has closed its connection, asked of the kernel; its connection goes then."""
         return self._connection.has_left()
 
@@ -153,7 +153,9 @@
 class ClientConnection:
     """One client's connection; a protocol in asyncio's sense."""
 
-    def __init__(self, server: ClientServer, taken_over: Client | None = None, late: int = 0) -> None:
+    def __init__(
+        self, server: ClientListener, taken_over: ClientHandover | None = None, late: int = 0
+    ) -> None:
         self.server = server
         self.late = late  # nanoseconds for which what is there to be read may have waited for this process
         self._made_at = 0.0
@@ -193,7 +195,7 @@
         """Whether it comes from another process, and is not begun yet."""
         return self._taken_over is not None
 
-    def hand_over(self, send: Callable[[Client, int], None], even_amid: bool) -> bool:
+    def hand_over(self, send: Callable[[ClientHandover, int], None], even_amid: bool) -> bool:
         """Give the connection to another process, if nothing taken on it is unanswered.
 
         `even_amid`: from now on nothing more is taken, so that it soon comes to that.
@@ -207,14 +209,14 @@
         if self.replies or self.blocked or transport.is_closing() or transport.get_write_buffer_size():
             return False
         held = self._reader.held
-        if len(held) > HELD_MOST:
+        if len(held) > MAX_PENDING_COMMAND_BYTES:
             return False
         # Danger: bytes that came between the descriptor's copy and the close would be read here and lost.
         # Nothing is read in between: both happen in one turn of the loop, and the copy keeps the socket up.
         descriptor = self.server.copy(transport)
         since = self.begun_at if self._reader.midway else self.used_at
         waited = max(self.server.loop.time() - since, 0.0)
-        handed = Client(held, self.asked, waited, self.server.host.unread_since())
+        handed = ClientHandover(held, self.asked, waited, self.server.host.unread_since())
         self.abort()
         send(handed, descriptor)
         return True
@@ -239,7 +241,7 @@
         replies, self.replies = self.replies, deque()
         for reply in replies:
             if reply.data is None:
-                self.server.host.client_gone(reply)
+                self.server.host.client_disconnected(reply)
 
     def data_received(self, data: bytes) -> None:
         """Read commands; an exception here costs this connection and no other."""
@@ -304,7 +306,7 @@
             return
         if self.refusing:
             self._last = True
-            self.server.host.refuse(command, reply)
+            self.server.host.reject(command, reply)
             return
         self.asked = True
         self.server.host.request_arrived(command, reply)
@@ -383,7 +385,7 @@
 
     def _set_reading(self) -> None:
         if self._linger is not None:
-            wanted = self._dropped <= DROPPED_MOST
+            wanted = self._dropped <= MAX_DISCARDED_BYTES
         else:  # a client that leaves meanwhile is found where something is about to be sent on for it
             wanted = not (self.blocked or self._last or self._handing or len(self.replies) >= MAX_PIPELINE)
         if wanted == self._reading or self.transport is None or self.transport.is_closing():
@@ -479,7 +481,7 @@
     return os.dup(transport.get_extra_info("socket").fileno())
 
 
-class ClientServer:
+class ClientListener:
     """The listener and all clients' connections, within their share of descriptors."""
 
     def __init__(
@@ -501,7 +503,7 @@
         self.ending: dict[ClientConnection, None] = {}
         """Those of them whose last answer is written and that only linger, the longest first."""
         self._listener: asyncio.Server | None = None
-        self._timer = loop.call_later(SWEEP_S, self._sweep)
+        self._timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def listen(self, address: Address, passed: socket.socket | None = None) -> Address:
         """Accept clients at this address, or on a socket that listens already; returns where that is."""
@@ -518,7 +520,7 @@
             self._connections[connection] = None
             return
         # Danger: clients that only connect would leave no descriptors for servers, and none for new clients.
-        full = len(self._connections) >= self._limit + REFUSERS
+        full = len(self._connections) >= self._limit + MAX_REJECTING_CONNECTIONS
         if full and self.ending:
             next(iter(self.ending)).abort()
             full = False
@@ -576,9 +578,11 @@
         listener: Any = self._listener
         if listener is None:
             return []
-        return accept_queued(listener.sockets, max(self._limit + REFUSERS - len(self._connections), 0))
+        return accept_queued(
+            listener.sockets, max(self._limit + MAX_REJECTING_CONNECTIONS - len(self._connections), 0)
+        )
 
-    async def adopt(self, client: Client | None, descriptor: int, late: int = 0) -> None:
+    async def adopt(self, client: ClientHandover | None, descriptor: int, late: int = 0) -> None:
         """Take a connection over from another process; None: nothing was read of it there.
 
         `late`: nanoseconds for which what is there to be read may have waited.
@@ -586,7 +590,7 @@
         factory: Any = partial(ClientConnection, self, client, late)
         await self.loop.connect_accepted_socket(factory, socket.socket(fileno=descriptor))
 
-    def hand_over(self, send: Callable[[Client, int], None], even_amid: bool) -> int:
+    def hand_over(self, send: Callable[[ClientHandover, int], None], even_amid: bool) -> int:
         """Give every connection that can be given to another process; returns how many were."""
         given = 0
         for connection in list(self._connections):
@@ -604,7 +608,7 @@
             connection.finish(even_midway)
 
     def _sweep(self) -> None:
-        self._timer = self.loop.call_later(SWEEP_S, self._sweep)
+        self._timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         many = len(self._connections) > self._limit * MANY_SHARE
         for connection in list(self._connections):
--- a/holdgw/router/upstream.py
+++ b/holdgw/router/connection_pool.py
@@ -14,9 +14,11 @@
 from holdgw.policy import CacheStatus, Outcome
 from holdgw.wire.address import Address
 
-PER_SERVER = 16  # connections to one server: more than it works on at a time, so that a jam waits here
+MAX_CONNECTIONS_PER_ENDPOINT = (
+    16  # connections to one server: more than it works on at a time, so that a jam waits here
+)
 IDLE_SHARE = 0.6  # of the server's idle limit: well before it, for a request that crosses its close is lost
-SWEEP_S = 0.5
+SWEEP_INTERVAL_S = 0.5
 STREAM_BUFFER = 64 << 10  # bytes of a long value that the kernel may take in, which it doubles
 LINGER_S = 2.0  # in which an answer that nobody waits for any more must come, for its connection to be kept
 LINGER_SHARE = 4  # of a server's connections one in so many may wait for such an answer
@@ -30,32 +32,32 @@
 
     connection: Connection | None = None
     over = False
-    is_probe = False
+    is_health_check = False
     fresh = False  # the first one on its connection
     begun = False  # some of its answer has come
 
-    def unwanted(self) -> Outcome | None:
+    def cancellation_reason(self) -> Outcome | None:
         """Why it must not be written any more; asked in the turn in which it would be. None: it may be."""
         return None
 
-    def written(self) -> None:
+    def on_written(self) -> None:
         """The kernel has taken the last byte of the request."""
 
     @abstractmethod
     def request_bytes(self, address: Address) -> bytes:
         """Write the request down; called when the connection for it is at hand."""
 
-    def value_begins(self, length: int) -> None:
+    def value_started(self, length: int) -> None:
         """A value follows that is too long to be held; its parts come as the server gives them."""
 
     def value_part(self, data: bytes) -> None:
         """A part of that value came."""
 
-    def value_whole(self) -> None:
+    def value_complete(self) -> None:
         """All of that value has come."""
 
     @abstractmethod
-    def ended(
+    def on_end(
         self,
         outcome: Outcome,
         value: bytes | None = None,
@@ -74,9 +76,9 @@
         """End the exchange, unless it is over already."""
         if not self.over:
             self.over, self.connection = True, None
-            self.ended(outcome, value, note, report)
+            self.on_end(outcome, value, note, report)
 
-    def give_up(self, outcome: Outcome) -> None:
+    def abandon(self, outcome: Outcome) -> None:
         """Stop waiting."""
         connection = self.connection
         if connection is not None:
@@ -85,7 +87,7 @@
             pool.counts["given up on"] += 1
             # Danger: a late answer would be taken for the next request's. So the connection takes it first
             # and drops it, or goes too.
-            if outcome is not Outcome.TIMEOUT or self.begun or not pool.lingers(connection):
+            if outcome is not Outcome.TIMEOUT or self.begun or not pool.awaits_late_answer(connection):
                 connection.close()
         self.end(outcome)
 
@@ -99,7 +101,7 @@
     patient = False
     """Whether an answer that nobody waits for any more can be told from the next one here."""
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: EndpointPool) -> None:
         self.server = server
         self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
@@ -126,7 +128,7 @@
         """The kernel has taken the last byte."""
         self.unsent = False
         if self.exchange is not None:
-            self.exchange.written()
+            self.exchange.on_written()
 
     @property
     def usable(self) -> bool:
@@ -140,7 +142,7 @@
         exchange.fresh, self._used = not self._used, True
         self.transport.write(exchange.request_bytes(self.server.address))
         if not self.unsent:
-            exchange.written()
+            exchange.on_written()
 
     def value_begins(self, length: int) -> None:
         """The answer's value is too long to be held: from here on the exchange has it as it comes."""
@@ -152,7 +154,7 @@
         # could do harm to throughput over long lines; these are short.
         self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_BUFFER)
         self.server.pool.streams(self)
-        self.exchange.value_begins(length)
+        self.exchange.value_started(length)
 
     @property
     def streaming(self) -> bool:
@@ -196,8 +198,8 @@
         self.turned_away = outcome is Outcome.OVERLOADED
         self.resume()
         if self.owed:
-            self.server.pool.owed_came(self)
-        self.server.pool.released(self)
+            self.server.pool.late_answer_received(self)
+        self.server.pool.connection_released(self)
         if exchange is not None:
             exchange.end(outcome, value, note, report)
 
@@ -238,15 +240,21 @@
         # A process that dies resets what rests: whoever meets it next need not find out by himself.
         self.server.deserted |= rested
         self.server.pool.counts["deserted"] += rested
-        self.server.pool.lost(self)
+        self.server.pool.connection_lost(self)
         if exchange is not None:
             exchange.end(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
 
 
-class Server:
+class EndpointPool:
     """One listed server as the pool sees it."""
 
-    def __init__(self, pool: Pool, server_id: str, address: Address, connect: Callable[[Server], Connection]):
+    def __init__(
+        self,
+        pool: ConnectionPool,
+        server_id: str,
+        address: Address,
+        connect: Callable[[EndpointPool], Connection],
+    ):
         self.pool, self.id, self.address, self.connect = pool, server_id, address, connect
         self.open = True  # listed, and not draining
         self.idle: list[Connection] = []  # the one used last at the end: spares grow old and are retired
@@ -268,7 +276,7 @@
         return self.held - len(self.streams) - len(self.owed)
 
 
-class Pool:
+class ConnectionPool:
     """Deals exchanges out to connections, within the share of descriptors that servers have."""
 
     def __init__(
@@ -285,9 +293,9 @@
         """
         self._copies = copies
         self._loop, self._limit, self._dial_timeout = loop, limit, dial_timeout
-        self.per_server = PER_SERVER
+        self.per_server = MAX_CONNECTIONS_PER_ENDPOINT
         self._idle_limit = idle_close * IDLE_SHARE
-        self._servers: dict[str, Server] = {}
+        self._servers: dict[str, EndpointPool] = {}
         self._held = 0  # descriptors: connections and dials
         self._room, self._held_bytes = room, 0
         self.counts = {
@@ -300,21 +308,23 @@
             "given up on": 0,
             "late answers": 0,
         }
-        self._starved: dict[Server, None] = {}  # those for whose waiters there was no descriptor
-        self._sweep_timer = loop.call_later(SWEEP_S, self._sweep)
+        self._starved: dict[EndpointPool, None] = {}  # those for whose waiters there was no descriptor
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
-    def list_server(self, server_id: str, address: Address, connect: Callable[[Server], Connection]) -> None:
+    def add_endpoint(
+        self, server_id: str, address: Address, connect: Callable[[EndpointPool], Connection]
+    ) -> None:
         """A server may be sent to, at this address."""
         server = self._servers.get(server_id)
         if server is None:
-            self._servers[server_id] = Server(self, server_id, address, connect)
+            self._servers[server_id] = EndpointPool(self, server_id, address, connect)
             return
         if server.address != address:
             self._retire(server)
             server.address = address
         server.open = True
 
-    def unlist_server(self, server_id: str) -> None:
+    def remove_endpoint(self, server_id: str) -> None:
         """A server drains or is gone: it finishes what it has, and nothing waits for it any longer."""
         server = self._servers.get(server_id)
         if server is not None:
@@ -327,7 +337,7 @@
         connection.server.streams[connection] = None
         self._dial_for(connection.server)
 
-    def lingers(self, connection: Connection) -> bool:
+    def awaits_late_answer(self, connection: Connection) -> bool:
         """Keep a connection whose answer nobody waits for any more until that has come; returns whether.
 
         Danger: where servers are late, each request given up on would close its connection, and the next one
@@ -346,19 +356,19 @@
         self._dial_for(server)
         return True
 
-    def owed_came(self, connection: Connection) -> None:
+    def late_answer_received(self, connection: Connection) -> None:
         """The late answer has come, and is dropped."""
         del connection.server.owed[connection]
         self.counts["late answers"] += 1
 
-    def hold(self, size: int) -> bool:
+    def reserve_bytes(self, size: int) -> bool:
         """Take so many bytes of the room for long values that can't be passed on as they come."""
         if self._held_bytes + size > self._room:
             return False
         self._held_bytes += size
         return True
 
-    def let_go(self, size: int) -> None:
+    def release_bytes(self, size: int) -> None:
         """Give room back."""
         self._held_bytes -= size
 
@@ -369,7 +379,7 @@
             pass
         self._feed_starved()
 
-    def deserted(self, server_id: str) -> bool:
+    def idle_connections_closed(self, server_id: str) -> bool:
         """Whether the server has closed connections that rested, and none has come up since."""
         server = self._servers.get(server_id)
         return server is not None and server.deserted
@@ -378,7 +388,7 @@
         server = self._servers.get(server_id)
         return server is not None and server.open
 
-    def listed(self) -> Iterator[str]:
+    def endpoints(self) -> Iterator[str]:
         """The servers that may be sent to."""
         return (server.id for server in self._servers.values() if server.open)
 
@@ -388,7 +398,7 @@
         if server is None or not server.open:
             exchange.end(Outcome.CONNECT_FAILED)
             return
-        if (unwanted := exchange.unwanted()) is not None:
+        if (unwanted := exchange.cancellation_reason()) is not None:
             exchange.end(unwanted)
             return
         oldest = self._loop.time() - self._idle_limit
@@ -401,7 +411,7 @@
         server.waiting.append(exchange)
         self._dial_for(server)
 
-    def released(self, connection: Connection) -> None:
+    def connection_released(self, connection: Connection) -> None:
         """A connection has its answer: it takes what waits, or rests."""
         server = connection.server
         server.streams.pop(connection, None)
@@ -412,7 +422,7 @@
             exchange = server.waiting.popleft()
             if exchange.over:
                 continue
-            if (unwanted := exchange.unwanted()) is not None:
+            if (unwanted := exchange.cancellation_reason()) is not None:
                 exchange.end(unwanted)
                 continue
             connection.start(exchange)
@@ -424,7 +434,7 @@
         server.idle.append(connection)
         self._feed_starved()
 
-    def lost(self, connection: Connection) -> None:
+    def connection_lost(self, connection: Connection) -> None:
         """A connection is gone, and its descriptor is free."""
         server = connection.server
         if connection not in server.connections:
@@ -472,7 +482,7 @@
             for connection in list(server.connections):
                 connection.close()
 
-    def _dial_for(self, server: Server) -> None:
+    def _dial_for(self, server: EndpointPool) -> None:
         while server.waiting and server.waiting[0].over:
             server.waiting.popleft()
         while len(server.waiting) > len(server.dials) and server.at_work < self.per_server:
@@ -503,7 +513,7 @@
         oldest.close()
         return True
 
-    async def _dial(self, server: Server) -> None:
+    async def _dial(self, server: EndpointPool) -> None:
         """Open one connection; it serves whoever waits longest, and rests if nobody does any more."""
         connection: Connection | None = None
         address = server.address
@@ -537,9 +547,9 @@
         server.connections[connection] = None
         server.deserted = False
         connection.retired = not server.open or server.address != address
-        self.released(connection)
+        self.connection_released(connection)
 
-    def _dial_failed(self, server: Server) -> None:
+    def _dial_failed(self, server: EndpointPool) -> None:
         while server.waiting:
             exchange = server.waiting.popleft()
             if not exchange.over:
@@ -548,7 +558,7 @@
         self._dial_for(server)
         self._forget(server)
 
-    def _retire(self, server: Server) -> None:
+    def _retire(self, server: EndpointPool) -> None:
         """Let no connection be used again, and nothing wait."""
         for connection in list(server.owed):
             connection.close()
@@ -561,13 +571,13 @@
         for exchange in waiting:
             exchange.end(Outcome.CONNECT_FAILED)
 
-    def _forget(self, server: Server) -> None:
+    def _forget(self, server: EndpointPool) -> None:
         if not server.open and not server.held:
             self._servers.pop(server.id, None)
 
     def _sweep(self) -> None:
         """Retire what has been idle for long: an idle connection costs the server, too."""
-        self._sweep_timer = self._loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         oldest, late = self._loop.time() - self._idle_limit, self._loop.time() - LINGER_S
         for server in list(self._servers.values()):
             while server.idle and server.idle[0].idle_since < oldest:
--- a/holdgw/router/discovery.py
+++ b/holdgw/router/discovery.py
@@ -20,19 +20,19 @@
 
 import orjson
 
-from holdgw.operation.listing import Listing
+from holdgw.operation.endpoint_update import EndpointUpdate
 from holdgw.policy import Endpoint, EndpointsChanged, EndpointState, UpdateKind
-from holdgw.router.watch_wait import WatchWait
+from holdgw.router.watch_timeout import WatchTimeout
 from holdgw.wire.address import Address, parse_address
 from holdgw.wire.http import HttpError, HttpReader, request
 
 MAX_BODY = 8 << 20  # tens of thousands of entries
 LIST_PATH = "/registry/instances"
 PUSHED_WAIT_MS = 2_000  # an agent's answers cost nothing, and a lost one is missed for so long at most
-ASKED_WAIT_MS = 3_000  # where discovery is asked each call costs it work: so short if it has room
-ASKED_WAIT_MOST_MS = 20_000  # and so long if not
+POLL_WAIT_MS = 3_000  # where discovery is asked each call costs it work: so short if it has room
+MAX_POLL_WAIT_MS = 20_000  # and so long if not
 CALL_SLACK_S = 0.5  # beyond a watch's wait, by an agent of this machine
-ASKED_SLACK_S = 1.0  # the same by a service that works through all routers' calls in turn
+POLL_SLACK_S = 1.0  # the same by a service that works through all routers' calls in turn
 LIST_TIMEOUT_S = 2.0  # for a whole list
 RETRY_S = 0.1  # a watch goes on if the next call comes within 0.2 s
 QUICK_S = 0.1  # in which an agent of this machine answers, if it does
@@ -57,7 +57,7 @@
         return unix_ms * 1_000_000 - self._behind if unix_ms else 0
 
 
-def read_listing(body: Any, clock: Clock, kind: UpdateKind | None = None) -> Listing:
+def read_listing(body: Any, clock: Clock, kind: UpdateKind | None = None) -> EndpointUpdate:
     """Read discovery's form; raises ValueError where it is no list at all."""
     servers: dict[str, Endpoint] = {}
     addresses: dict[str, Address] = {}
@@ -81,7 +81,7 @@
             log.warning("discovery: an entry can't be read: %s: %s", type(error).__name__, error)
     if entries and not servers:
         raise ValueError("not a list of servers: no entry can be read")
-    return Listing(generation, EndpointsChanged(kind, tuple(servers.values())), addresses)
+    return EndpointUpdate(generation, EndpointsChanged(kind, tuple(servers.values())), addresses)
 
 
 def _server(entry: dict[str, Any], clock: Clock) -> Endpoint:
@@ -184,9 +184,9 @@
         self.whole = first  # the whole list is asked for first
         self.down = False  # the last call failed, and the log tells of it
         self.task: asyncio.Task[None] | None = None
-        self.calls: list[asyncio.Task[Listing]] = []  # for the whole list, beside one another
+        self.calls: list[asyncio.Task[EndpointUpdate]] = []  # for the whole list, beside one another
         self.line = _Line(address)
-        self.wait = WatchWait(ASKED_WAIT_MS / 1000, ASKED_WAIT_MOST_MS / 1000)  # where discovery is asked
+        self.wait = WatchTimeout(POLL_WAIT_MS / 1000, MAX_POLL_WAIT_MS / 1000)  # where discovery is asked
 
     @property
     def running(self) -> bool:
@@ -215,7 +215,7 @@
         address: Address,
         asked: bool,
         clock: Clock,
-        take: Callable[[Listing], None],
+        take: Callable[[EndpointUpdate], None],
         failed: Callable[[], None],
         now: Callable[[], float] | None = None,
     ) -> None:
@@ -225,7 +225,7 @@
         self._watch = _Watch(address, 0, first=not asked)
         self._old: _Watch | None = None  # followed until its successor has given a list
 
-    def know(self, generation: int) -> None:
+    def resume_from(self, generation: int) -> None:
         """Take over the version of a list that came from elsewhere."""
         self._watch.generation = generation
 
@@ -240,7 +240,7 @@
         if not watch.running:
             watch.task = asyncio.get_running_loop().create_task(self._watch_asked(watch))
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Follow discovery at another address, from its whole list on: versions are each service's own."""
         old = self._watch
         if address == old.address:
@@ -306,7 +306,7 @@
                 line.close()
         self._took(watch, listing)
 
-    async def _insist(self, watch: _Watch, line: _Line, limit: float, pause: float) -> Listing:
+    async def _insist(self, watch: _Watch, line: _Line, limit: float, pause: float) -> EndpointUpdate:
         """Ask for the whole list until it comes."""
         loop = asyncio.get_running_loop()
         while True:
@@ -334,7 +334,7 @@
         """One call of a watch at a service for all routers; its delay decides on the next call's wait."""
         now = self._now or asyncio.get_running_loop().time
         whole, wait_ms, begun = watch.whole, int(watch.wait.wait_s * 1000), now()
-        await self._ask_once(watch, wait_ms, ASKED_SLACK_S)
+        await self._ask_once(watch, wait_ms, POLL_SLACK_S)
         # The loop counts whole milliseconds: as seconds, four in ten answers on the very one come out early.
         delay_ms = round((now() - begun) * 1000) - wait_ms
         if delay_ms >= 0 and not whole:  # news end a call sooner, and leave open when its turn came
@@ -346,7 +346,7 @@
         limit = LIST_TIMEOUT_S if watch.whole else wait_ms / 1000 + slack
         self._took(watch, read_listing(await watch.line.get(target, limit), self._clock))
 
-    def _took(self, watch: _Watch, listing: Listing) -> None:
+    def _took(self, watch: _Watch, listing: EndpointUpdate) -> None:
         if watch is self._watch:
             self._leave_old()
         watch.whole = watch.down = False
--- a/holdgw/router/stall.py
+++ b/holdgw/router/event_loop_lag.py
@@ -6,7 +6,7 @@
 SLACK_NS = 30_000_000  # by which a beat may be late on a busy machine; beyond it the process stood still
 
 
-class Beats:
+class LagMonitor:
     """Beats of a process, `every` so many nanoseconds; times are of its monotonic clock."""
 
     def __init__(self, every: int, now: int) -> None:
@@ -23,11 +23,11 @@
         self._ended = now
         return gap
 
-    def lately(self, now: int) -> bool:
+    def lagged_recently(self, now: int) -> bool:
         """Whether it stood still a moment ago: where the kernel tells when bytes came, it is to be asked."""
         return now - self._ended < AFTER_NS
 
-    def may_have_waited(self, now: int) -> int:
+    def possible_lag_ns(self, now: int) -> int:
         """Nanoseconds for which what is read now may have lain unread, since this process stood still."""
         # Danger: a process that was stopped, or had no core, finds requests whose clients have waited all the
         # while. Given their whole time from here on, they are answered when nobody waits any more. Should act
--- a/holdgw/router/origin.py
+++ b/holdgw/router/origin_connection.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from holdgw.policy import Outcome
-from holdgw.router.upstream import Connection, Server
+from holdgw.router.connection_pool import Connection, EndpointPool
 from holdgw.wire.http import HttpError, HttpReader
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE, bulk
 
@@ -34,14 +34,14 @@
 class OriginConnection(Connection):
     """Speaks HTTP with the origin, one request at a time."""
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: EndpointPool) -> None:
         super().__init__(server)
         self._reader = _Reader(self)
         self._held = 0  # bytes taken of the pool's room for bodies without a length
 
     def hold(self, size: int) -> bool:
         """Take so many bytes of the pool's room."""
-        if not self.server.pool.hold(size):
+        if not self.server.pool.reserve_bytes(size):
             return False
         self._held += size
         return True
@@ -54,7 +54,7 @@
         super().connection_lost(exc)
 
     def _let_go(self) -> None:
-        self.server.pool.let_go(self._held)
+        self.server.pool.release_bytes(self._held)
         self._held = 0
 
     def answer_came(self, data: bytes) -> None:
@@ -75,7 +75,7 @@
         self._let_go()
         self.retired = not reader.answer_done() or self.retired
         if self.streaming and self.exchange is not None:
-            self.exchange.value_whole()
+            self.exchange.value_complete()
         if status == 200:
             self.finish(Outcome.OK, value, None, report)
         elif status in _NEVER_RAN and not_started:
--- a/holdgw/router/process.py
+++ b/holdgw/router/process.py
@@ -13,7 +13,7 @@
 log = logging.getLogger("holdgw")
 
 
-def told_how_built() -> str:
+def log_build() -> str:
     """Which of the loaded modules of ours are compiled, in one line."""
     ours = [module for name, module in sys.modules.items() if name.startswith("holdgw.")]
     compiled = sum(not (getattr(module, "__file__", None) or ".py").endswith(".py") for module in ours)
@@ -22,14 +22,14 @@
     return f"uncompiled: all {len(ours)} modules run as sources, at twice the CPU a request or more"
 
 
-def run_to_the_end(work: Callable[[], Coroutine[Any, Any, None]]) -> int:
+def run_until_exit(work: Callable[[], Coroutine[Any, Any, None]]) -> int:
     """Run the process's work on its loop; returns the exit code."""
     # Danger: a collection of all generations goes through every module's objects, 10 to 20 ms in which every
     # client waits. What is here now is here until the end.
     gc.collect()
     gc.freeze()
     # Danger: a build without a compiler falls back to the sources, and staff would learn of it by the load.
-    log.info("%s", told_how_built())
+    log.info("%s", log_build())
     try:
         uvloop.run(work())
     except OSError as error:
--- a/holdgw/router/program.py
+++ b/holdgw/router/program.py
@@ -11,27 +11,27 @@
 from pathlib import Path
 from typing import Any
 
-from holdgw.operation.door import Door
-from holdgw.operation.figures import Figures
-from holdgw.operation.link import Client, Link
-from holdgw.operation.listing import Listing
-from holdgw.operation.roster import Roster
-from holdgw.operation.takeover import Hand, Takeover
-from holdgw.operation.tally import Tally
+from holdgw.operation.admin_endpoint import AdminEndpoint
+from holdgw.operation.endpoint_overrides import EndpointOverrides
+from holdgw.operation.endpoint_update import EndpointUpdate
+from holdgw.operation.interval_counters import IntervalCounters
+from holdgw.operation.metrics import Metrics
+from holdgw.operation.process_link import ClientHandover, ProcessLink
+from holdgw.operation.takeover import OverrideChanged, Takeover
 from holdgw.peers.gossip import PeerNode
 from holdgw.peers.load_view import LoadSnapshot, Observations, SampledWait
 from holdgw.policy import HandoverState, LoadSnapshotChanged, UpdateKind
 from holdgw.policy.interface import NS_PER_S
-from holdgw.router.clients import REFUSERS, ClientServer
+from holdgw.router.client_connection import MAX_REJECTING_CONNECTIONS, ClientListener
 from holdgw.router.config import Config, ConfigError, load_config
+from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.discovery import Clock, Discovery, read_listing
-from holdgw.router.host import RouterHost
+from holdgw.router.dispatcher import Dispatcher
 from holdgw.router.log import log_faults
 from holdgw.router.platform import Platform
-from holdgw.router.upstream import Pool
 from holdgw.wire.address import Address
 
-TALLY, TALLY_S = "HOLDGW_TALLY", 1.0  # set: what each second brought is logged
+COUNTERS_VARIABLE, COUNTERS_INTERVAL_S = "HOLDGW_TALLY", 1.0  # set: what each second brought is logged
 READY_S = 1.0  # the wait for discovery's first list, after which the known one must do
 ACCEPT_S = 0.5  # from SIGTERM on: new connections go on coming for up to 0.4 s
 MIDWAY_S = 0.65  # then commands that are not whole are no longer waited for
@@ -53,7 +53,7 @@
         self.loop = loop = asyncio.get_running_loop()
         for_clients, for_servers = self._descriptors(1)
         now = self.platform.monotonic_ns
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             loop,
             for_servers,
             config.dial_timeout / NS_PER_S,
@@ -61,8 +61,8 @@
             config.memory // LONG_VALUES_PART,
             config.copies,
         )
-        self.host = RouterHost(loop, config.settings, config.seed, self.pool, config.max_open, now)
-        self.clients = ClientServer(
+        self.host = Dispatcher(loop, config.settings, config.seed, self.pool, config.max_open, now)
+        self.clients = ClientListener(
             loop, self.host, for_clients, self.platform.has_left, config.memory // UNTAKEN_PART
         )
         self.clock = Clock(now, self.platform.unix_ns)
@@ -71,13 +71,13 @@
             config.discovery, asked, self.clock, self._take, self.host.discovery_failed
         )
         self.host.subscribe = self.discovery.subscribe
-        self.roster = Roster(config.settings.origin_kind)
-        self.door = Door(loop, self)
+        self.roster = EndpointOverrides(config.settings.origin_kind)
+        self.door = AdminEndpoint(loop, self)
         self._learnt: list[HandoverState] = []  # by the elder, for as long as there is no list of servers
         self.takeover = Takeover(
             loop,
-            lambda: self.roster.out,
-            self.host.learnt,
+            lambda: self.roster.overridden,
+            self.host.handover_state,
             self._hand,
             self._learn,
             self._adopt,
@@ -92,8 +92,8 @@
         self._leaving = False
         self._terminated = asyncio.Event()
         self._tally_timer: asyncio.TimerHandle | None = None
-        if self.platform.environ.get(TALLY):
-            self.host.tally = Tally()
+        if self.platform.environ.get(COUNTERS_VARIABLE):
+            self.host.interval_counters = IntervalCounters()
             self._tally()
 
     async def _open(self, listening: asyncio.Future[Address] | None) -> None:
@@ -108,7 +108,7 @@
         """What clients and servers may hold, where so many processes share the router's descriptors."""
         # Danger: those who are told that there is no room hold descriptors too. Were they not counted, a
         # flood of them would leave none for the call to discovery, or for dials, when these are needed most.
-        descriptors = max(self.config.sockets // processes - OWN_DESCRIPTORS - REFUSERS, 8)
+        descriptors = max(self.config.sockets // processes - OWN_DESCRIPTORS - MAX_REJECTING_CONNECTIONS, 8)
         for_clients = int(descriptors * CLIENT_SHARE)
         return for_clients, descriptors - for_clients
 
@@ -117,8 +117,8 @@
         self.clients.set_limit(for_clients)
         self.pool.set_limit(for_servers)
 
-    def _take(self, listing: Listing) -> None:
-        self._show(self.roster.take(listing))
+    def _take(self, listing: EndpointUpdate) -> None:
+        self._show(self.roster.apply(listing))
         self._make_do()
 
     def _make_do(self) -> None:
@@ -126,8 +126,8 @@
             self.host.ready = True
             learnt, self._learnt = self._learnt, []
             for part in learnt:
-                self.host.learn(part)
-            self.takeover.ready()
+                self.host.restore(part)
+            self.takeover.announce_ready()
 
     async def run(self, listening: asyncio.Future[Address] | None = None) -> None:
         """Serve until SIGTERM, and then until all that was taken is answered; tells where it listens."""
@@ -138,8 +138,8 @@
             await self.takeover.begin(Path(folder))
         if config.known is not None:
             known = read_listing(config.known, self.clock, UpdateKind.CACHED)
-            self.discovery.know(known.generation)
-            self._show(self.roster.take(known))
+            self.discovery.resume_from(known.generation)
+            self._show(self.roster.apply(known))
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         if config.ops is not None:
             await self.door.listen(config.ops)
@@ -167,16 +167,16 @@
         await asyncio.sleep(0)  # lets the transports close
 
     def _tally(self) -> None:
-        tally = self.host.tally
+        tally = self.host.interval_counters
         assert tally is not None
-        self._tally_timer = self.loop.call_later(TALLY_S, self._tally)
+        self._tally_timer = self.loop.call_later(COUNTERS_INTERVAL_S, self._tally)
         states = {
-            **self.host.count_states(tally),
+            **self.host.count_running_totals(tally),
             "clients": self.clients.connected,
             "ready": self.host.ready,
         }
-        tally.grown("cpu", self.platform.cpu_s())
-        log.info("%s", tally.line(self.platform.unix_ns() / NS_PER_S, states))
+        tally.add_growth("cpu", self.platform.cpu_s())
+        log.info("%s", tally.log_line(self.platform.unix_ns() / NS_PER_S, states))
 
     def tables(self) -> dict[str, int]:
         """How much each of the router's tables holds now, for tests of what is left behind."""
@@ -198,12 +198,14 @@
 
     def demands(self) -> dict[str, float]:
         """Each tenant's calls for the origin a second."""
-        return self.host.demands()
+        return self.host.origin_demand()
 
     def apply_load_snapshot(self, snapshot: LoadSnapshot) -> None:
         """Pass a snapshot of the load view on to the module."""
         shares = dict(snapshot.slot_shares)
-        self.host.tell(LoadSnapshotChanged(snapshot.waits, shares, snapshot.requests, snapshot.own_requests))
+        self.host.dispatch(
+            LoadSnapshotChanged(snapshot.waits, shares, snapshot.requests, snapshot.own_requests)
+        )
 
     # What operators call for at the door
 
@@ -211,52 +213,56 @@
         """Whether this process can serve clients now."""
         return self.host.ready and not self._leaving
 
-    def figures(self) -> bytes:
+    def metrics_text(self) -> bytes:
         """The figures as text."""
         host, roster, peers = self.host, self.roster, self.peers
-        among = {} if peers is None else peer_figures(peers) | {"levels": host.levels()}
-        return host.figures.text(host.outstanding, roster.discovered, roster.avoided(host.avoided()), **among)
+        among = {} if peers is None else peer_metrics(peers) | {"levels": host.rebalancing_metrics()}
+        return host.metrics.text(
+            host.outstanding, roster.discovered_count, roster.excluded_count(host.ejected()), **among
+        )
 
-    def leave_out(self, server_id: str) -> None:
+    def enter_maintenance(self, server_id: str) -> None:
         """Take a cache server out by hand; raises UnknownServerError."""
         now = self.platform.monotonic_ns()
-        self._show(self.roster.leave_out(server_id, now))
-        self.takeover.tell(Hand(server_id, True, now))
+        self._show(self.roster.enter_maintenance(server_id, now))
+        self.takeover.broadcast(OverrideChanged(server_id, True, now))
 
-    def use_again(self, server_id: str) -> None:
+    def exit_maintenance(self, server_id: str) -> None:
         """Use a cache server again; raises UnknownServerError."""
         now = self.platform.monotonic_ns()
-        self._show(self.roster.use_again(server_id, now))
-        self.takeover.tell(Hand(server_id, False, now))
+        self._show(self.roster.exit_maintenance(server_id, now))
+        self.takeover.broadcast(OverrideChanged(server_id, False, now))
 
-    def _show(self, news: Listing | None) -> None:
+    def _show(self, news: EndpointUpdate | None) -> None:
         if news is not None:
-            self.host.servers_changed(news)
+            self.host.apply_endpoint_update(news)
             if self.peers is not None:
-                self.peers.load_view.set_servers(self.pool.listed())
+                self.peers.load_view.set_servers(self.pool.endpoints())
 
     # What another process of this router says
 
-    def _hand(self, word: Hand) -> None:
+    def _hand(self, word: OverrideChanged) -> None:
         if word.out:
-            self._show(self.roster.hold(word.server, word.at))
-        elif word.server in self.roster.out:
-            self._show(self.roster.use_again(word.server, word.at))
+            self._show(self.roster.restore_override(word.server, word.at))
+        elif word.server in self.roster.overridden:
+            self._show(self.roster.exit_maintenance(word.server, word.at))
 
     def _learn(self, learnt: HandoverState) -> None:
         if self.host.ready:
-            self.host.learn(learnt)
+            self.host.restore(learnt)
         else:
             self._learnt.append(learnt)
 
-    def _adopt(self, told: Client | None, descriptor: int, since: int = 0) -> None:
+    def _adopt(self, told: ClientHandover | None, descriptor: int, since: int = 0) -> None:
         since = told.since if told is not None else since
         late = max(self.platform.monotonic_ns() - since, 0) if since else 0
         task = self.loop.create_task(self._take_client(told, descriptor, late))
         self._adopting[task] = None
         task.add_done_callback(self._adopted)
 
-    def _take_client(self, told: Client | None, descriptor: int, late: int) -> Coroutine[Any, Any, None]:
+    def _take_client(
+        self, told: ClientHandover | None, descriptor: int, late: int
+    ) -> Coroutine[Any, Any, None]:
         return self.clients.adopt(told, descriptor, late)
 
     def _adopted(self, task: asyncio.Task[None]) -> None:
@@ -266,10 +272,10 @@
 
     def _reload(self) -> None:
         """Read the configuration again, while all goes on; what can't be read changes nothing."""
-        new = read_again(self.platform, self.host.figures)
+        new = reload_config(self.platform, self.host.metrics)
         if new is None:
             return
-        self.discovery.move(new.discovery)
+        self.discovery.change_address(new.discovery)
         config = self.config
         kept = replace(
             new, discovery=config.discovery, known=config.known, seed=config.seed, passed=config.passed
@@ -278,7 +284,7 @@
             log.warning("reload: only the address of discovery is taken over; the rest waits for a restart")
 
     @property
-    def _successor(self) -> Link[Any] | None:
+    def _successor(self) -> ProcessLink[Any] | None:
         """Where clients' connections go when this process ends."""
         return self.takeover.successor
 
@@ -317,7 +323,7 @@
         log.info("takeover: %d connections handed over, %d left", given, clients.connected)
 
 
-def peer_figures(peers: PeerNode) -> dict[str, Any]:
+def peer_metrics(peers: PeerNode) -> dict[str, Any]:
     """What a member's figures say of it among its peers, as `Figures.text` takes it."""
     return {
         "peers": peers.state_counts(),
@@ -328,7 +334,7 @@
     }
 
 
-def read_again(platform: Platform, figures: Figures) -> Config | None:
+def reload_config(platform: Platform, figures: Metrics) -> Config | None:
     """Read the configuration for a reload; None, logged and counted, where it can't be read."""
     try:
         new = load_config(platform.environ, again=True, read=platform.read)
--- a/holdgw/router/wheel.py
+++ b/holdgw/router/timer_wheel.py
@@ -16,12 +16,12 @@
 ROUNDING_S = 0.0005  # the loop rounds delays to the nearest millisecond
 
 
-class TimeOut:
+class Timer:
     """One time-out; it is called once or not at all."""
 
     __slots__ = ("_wheel", "callback", "tick")
 
-    def __init__(self, wheel: Wheel, tick: int, callback: Callable[[], None]) -> None:
+    def __init__(self, wheel: TimerWheel, tick: int, callback: Callable[[], None]) -> None:
         self._wheel, self.tick = wheel, tick
         self.callback: Callable[[], None] | None = callback  # None: called or cancelled
 
@@ -32,13 +32,13 @@
             self._wheel.drop(self)
 
 
-class Wheel:
+class TimerWheel:
     """All time-outs of one owner, who closes it."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, now: Callable[[], int]) -> None:
         """`now`: nanoseconds, and never goes back."""
         self._loop, self._now = loop, now
-        self._slots: dict[int, dict[TimeOut, None]] = {}
+        self._slots: dict[int, dict[Timer, None]] = {}
         self._ticks: list[int] = []  # those of the slots; a heap
         self._timer: asyncio.TimerHandle | None = None
         self._armed = 0  # the tick that the timer is set for
@@ -48,10 +48,10 @@
         """How many time-outs are set."""
         return sum(map(len, self._slots.values()))
 
-    def at(self, due: int, callback: Callable[[], None]) -> TimeOut:
+    def call_at(self, due: int, callback: Callable[[], None]) -> Timer:
         """Call back once the clock shows `due` (ns), at most a few milliseconds later; never before."""
         tick = -(-due // GRAIN)
-        time_out = TimeOut(self, tick, callback)
+        time_out = Timer(self, tick, callback)
         if self._closed:
             return time_out
         slot = self._slots.get(tick)
@@ -63,7 +63,7 @@
         slot[time_out] = None
         return time_out
 
-    def drop(self, time_out: TimeOut) -> None:
+    def drop(self, time_out: Timer) -> None:
         """Forget a time-out. Its slot stays until its time has come: at most one for each millisecond."""
         slot = self._slots.get(time_out.tick)
         if slot is not None:
@@ -79,7 +79,7 @@
     def _fire(self) -> None:
         self._timer = None
         now = self._now()
-        due: list[TimeOut] = []
+        due: list[Timer] = []
         while self._ticks and self._ticks[0] * GRAIN <= now:
             due += self._slots.pop(heappop(self._ticks))
         # Danger: what a callback sets for at once would be called in this turn, and so on without end, if
--- a/holdgw/router/watch_wait.py
+++ b/holdgw/router/watch_timeout.py
@@ -17,7 +17,7 @@
 FADE = 0.95
 
 
-class WatchWait:
+class WatchTimeout:
     """The wait to ask for at one service, by its answers so far."""
 
     def __init__(self, shortest_s: float, longest_s: float) -> None:
--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
+from holdgw.emulators.relay_model import RelayModel
 from holdgw.peers.aggregated_exchange import AggregatedExchange, Role
 from holdgw.peers.aggregation_client import APPLY_AFTER_S, REPORT_INTERVAL_S
 from holdgw.peers.aggregator import Outgoing
 from holdgw.peers.datagram import DecodeError
 from holdgw.peers.load_view import LoadSnapshot, LoadView, Observations, SampledWait
 from holdgw.simulation.agenda import Agenda
-from holdgw.standins.relay_model import RelayModel
 
 NS_PER_S = 1_000_000_000
 TICK_NS = 100_000_000
--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable, Mapping
 from typing import Any, cast
 
-from holdgw.cores import board
-from holdgw.cores.crew import CannotFeedError, State
-from holdgw.cores.machine import BACKLOG, Decode, Ear, Lost, Take
+from holdgw.cores import shared_table
+from holdgw.cores.host_system import BACKLOG, Acceptor, Decode, Lost, Take
 from holdgw.cores.supervisor import Supervisor
-from holdgw.cores.worker import Place, Worker
-from holdgw.operation.link import Link, encode
-from holdgw.router.clients import ClientConnection, ClientServer
+from holdgw.cores.worker import Worker, WorkerSlot
+from holdgw.cores.worker_pool import InsufficientResourcesError, WorkerState
+from holdgw.operation.process_link import ProcessLink, encode
+from holdgw.router.client_connection import ClientConnection, ClientListener
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.platform import Platform
 from holdgw.simulation.play import RouterMain, SimulatedRouter
@@ -91,11 +91,11 @@
         self.open, self.ready, self.sent = True, False, True
         process.take_descriptor(self)
 
-    def begin(self, decode: Decode, take: Take, lost: Lost) -> Link[Any]:
+    def begin(self, decode: Decode, take: Take, lost: Lost) -> ProcessLink[Any]:
         """Read from now on, and what is there already."""
         self._decode, self._take, self._lost = decode, take, lost
         self.process.world.soon(self.process, self.read)
-        return cast("Link[Any]", self)
+        return cast("ProcessLink[Any]", self)
 
     def send(self, message: object, descriptor: int | None = None) -> None:
         """Send in order; the descriptor is the other side's from here on."""
@@ -216,15 +216,15 @@
     def __init__(self, process: Process, machine: SimulatedMachine, link: SimulatedLink) -> None:
         self._process, self._machine, self._link = process, machine, link
 
-    def board(self, workers: int, place: int) -> board.Board:
+    def board(self, workers: int, place: int) -> shared_table.SharedTable:
         """The shared memory as this worker sees it."""
-        return board.Board(self._machine.memory, workers, place)
+        return shared_table.SharedTable(self._machine.memory, workers, place)
 
-    def link(self, decode: Decode, take: Take, lost: Lost) -> Link[Any]:
+    def link(self, decode: Decode, take: Take, lost: Lost) -> ProcessLink[Any]:
         """The link to the supervisor."""
         return self._link.begin(decode, take, lost)
 
-    async def adopt(self, clients: ClientServer, told: Any, descriptor: int, late: int) -> None:
+    async def adopt(self, clients: ClientListener, told: Any, descriptor: int, late: int) -> None:
         """Take a client's connection."""
         end = self._machine.descriptors.end_of(descriptor)
         self._process.take_descriptor(end)
@@ -250,12 +250,12 @@
         self.workers: list[Process] = []
         self._random = random.Random(f"{router.theatre.day.seed}/{router.name}/{router.starts}/cores")
 
-    def board(self, workers: int) -> board.Board:
+    def board(self, workers: int) -> shared_table.SharedTable:
         """Make the shared memory."""
-        self.memory = bytearray(board.size(workers))
-        return board.Board(self.memory, workers)
+        self.memory = bytearray(shared_table.size(workers))
+        return shared_table.SharedTable(self.memory, workers)
 
-    def listen(self, config: Config, take: Callable[[int], None]) -> Ear:
+    def listen(self, config: Config, take: Callable[[int], None]) -> Acceptor:
         """Listen for clients."""
         listener = self.process.network.listen(
             self.process, lambda: _Porter(self.descriptors, take), config.listen, BACKLOG
@@ -269,7 +269,7 @@
         environ: Mapping[str, str],
         decode: Decode,
         take: Take,
-    ) -> tuple[_Running, Link[Any]]:
+    ) -> tuple[_Running, ProcessLink[Any]]:
         """Start a worker."""
         theatre, parent = self.router.theatre, self.process
         name = f"{self.router.name}.{place}"
@@ -289,7 +289,7 @@
                 child.monotonic_ns, child.unix_ns, environ, self.router.read, has_left=has_left
             )
             machine = _WorkerMachine(child, self, there)
-            await Worker(config, Place(place, workers, -1, -1), machine, platform).run()
+            await Worker(config, WorkerSlot(place, workers, -1, -1), machine, platform).run()
             return 0
 
         child.on_signal(signal.SIGHUP, lambda: None)
@@ -334,7 +334,7 @@
         others = [
             member
             for member, one in supervisor.workers.items()
-            if member.state is State.SERVING
+            if member.state is WorkerState.SERVING
             and cast(_Running, one.process).process is not chosen
             and cast(_Running, one.process).process.running
         ]
@@ -364,7 +364,7 @@
             config = load_config(environ, read=router.read)
             machine = SimulatedMachine(router, process, config)
             supervisor = Supervisor(config, workers, platform, cast(Any, machine))
-        except (ConfigError, CannotFeedError) as error:
+        except (ConfigError, InsufficientResourcesError) as error:
             process.faults.append(str(error))
             return 2
         in_hand = _InHand(supervisor, machine.descriptors)
--- a/holdgw/simulation/invariants.py
+++ b/holdgw/simulation/invariants.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from holdgw.rehearsal.checker import Broken
-from holdgw.router.clients import REFUSERS
-from holdgw.router.host import RECENT
+from holdgw.harness.checker import Broken
+from holdgw.router.client_connection import MAX_REJECTING_CONNECTIONS
+from holdgw.router.dispatcher import MAX_RECENT_IDS
 from holdgw.router.program import CLIENT_SHARE, OWN_DESCRIPTORS
 from holdgw.simulation.process import Process
 from holdgw.simulation.world import NS_PER_MS, World, name_of
@@ -105,8 +105,8 @@
             for_clients = int(others * CLIENT_SHARE)
             bounds = {
                 "requests": config.max_open,
-                "recent": RECENT,
-                "clients": for_clients + REFUSERS + 1,
+                "recent": MAX_RECENT_IDS,
+                "clients": for_clients + MAX_REJECTING_CONNECTIONS + 1,
                 "descriptors_counted": others - for_clients,
                 "events": 10_000,
             }
--- a/holdgw/simulation/network.py
+++ b/holdgw/simulation/network.py
@@ -13,11 +13,11 @@
 from dataclasses import dataclass, field
 from itertools import count
 
+from holdgw.emulators.relay_model import RelayModel
 from holdgw.simulation.disk import Disk
 from holdgw.simulation.process import Process
 from holdgw.simulation.transports import DatagramEnd, Listener, TcpEnd
 from holdgw.simulation.world import NS_PER_S, World
-from holdgw.standins.relay_model import RelayModel
 
 Address = tuple[str, int]
 
--- a/holdgw/simulation/play.py
+++ b/holdgw/simulation/play.py
@@ -19,17 +19,22 @@
 
 import orjson
 
-from holdgw.rehearsal.channel import Begin, Finish, Front, Message, Places, Setup, Stored, Voided
-from holdgw.rehearsal.checker import Broken, History, Life
-from holdgw.rehearsal.clients import ClientConnection
-from holdgw.rehearsal.day import STORE, Day, Step, draw, zone_of_router, zone_of_server
-from holdgw.rehearsal.deployment import Peers
-from holdgw.rehearsal.report import judged
-from holdgw.rehearsal.routers import Usage, until_ready
-from holdgw.rehearsal.scenario import Scenario, node_names, router_names
-from holdgw.rehearsal.stage import Played
-from holdgw.rehearsal.timeline import StageError, TimeLine, Worker
-from holdgw.rehearsal.worker import ClientsPart, HubPart, NodesPart, Part, relay_model, relay_trouble
+from holdgw.emulators import shell
+from holdgw.emulators.chance import between, unit
+from holdgw.emulators.discovery import DiscoveryServer, _Connection
+from holdgw.emulators.records import Deaf, Fallen, Record
+from holdgw.emulators.registry_model import Entry, RegistryModel
+from holdgw.harness.channel import Begin, Finish, Front, Message, Places, Setup, Stored, Voided
+from holdgw.harness.checker import Broken, History, Life
+from holdgw.harness.clients import ClientConnection
+from holdgw.harness.day import STORE, Day, Step, draw, zone_of_router, zone_of_server
+from holdgw.harness.deployment import Peers
+from holdgw.harness.report import judged
+from holdgw.harness.routers import Usage, until_ready
+from holdgw.harness.scenario import Scenario, node_names, router_names
+from holdgw.harness.stage import Played
+from holdgw.harness.timeline import StageError, TimeLine, Worker
+from holdgw.harness.worker import ClientsPart, HubPart, NodesPart, Part, relay_model, relay_trouble
 from holdgw.router.config import ConfigError, load_config
 from holdgw.router.platform import Platform
 from holdgw.router.program import Program
@@ -41,11 +46,6 @@
 from holdgw.simulation.trace import Trace
 from holdgw.simulation.transports import TcpEnd, has_left
 from holdgw.simulation.world import NS_PER_S, SpinError, World
-from holdgw.standins import shell
-from holdgw.standins.chance import between, unit
-from holdgw.standins.discovery import DiscoveryServer, _Connection
-from holdgw.standins.records import Deaf, Fallen, Record
-from holdgw.standins.registry_model import Entry, RegistryModel
 from holdgw.wire.address import Address, format_address
 
 LISTEN_PORT = 6380
--- a/holdgw/simulation/search.py
+++ b/holdgw/simulation/search.py
@@ -10,7 +10,7 @@
 from types import FrameType
 from typing import Any
 
-from holdgw.rehearsal.scenario import Scenario
+from holdgw.harness.scenario import Scenario
 from holdgw.simulation.cores import on_cores
 from holdgw.simulation.play import Outcome, real_router, simulate
 from holdgw.simulation.storms import written_out
--- a/holdgw/simulation/shrink.py
+++ b/holdgw/simulation/shrink.py
@@ -10,7 +10,7 @@
 import msgspec
 import tomli_w
 
-from holdgw.rehearsal.scenario import Scenario, ScenarioError, read_scenario
+from holdgw.harness.scenario import Scenario, ScenarioError, read_scenario
 from holdgw.simulation.play import Outcome
 
 MARGIN_S = 0.5  # of the day, kept beyond what broke
--- a/holdgw/simulation/tier.py
+++ b/holdgw/simulation/tier.py
@@ -6,12 +6,12 @@
 from collections import defaultdict
 from collections.abc import Callable
 
+from holdgw.emulators.relay_model import RelayModel
 from holdgw.peers import datagram
 from holdgw.peers.datagram import MemberState
 from holdgw.peers.membership import NS_PER_S, Membership, Send, Timing
 from holdgw.peers.update_budget import UPDATE_BYTES_PER_S
 from holdgw.simulation.agenda import Agenda
-from holdgw.standins.relay_model import RelayModel
 
 TICK_NS = 100_000_000
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,7 +19,7 @@
     "test_spread",
     "test_simulation_cores",
     "test_simulation_play",
-    "test_rehearsal",
+    "test_harness",
 )
 LISTED = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
 MOST_RED = 3
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -15,10 +15,10 @@
 import uvloop
 
 from holdgw.policy import Settings, UpdateKind
-from holdgw.router.clients import ClientServer
+from holdgw.router.client_connection import ClientListener
+from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.discovery import Clock, read_listing
-from holdgw.router.host import RouterHost
-from holdgw.router.upstream import Pool
+from holdgw.router.dispatcher import Dispatcher
 from tests.helpers import settings
 
 LIMIT_S = 60.0  # a hang: far beyond what any step takes, also on a machine ten times as busy as it has cores
@@ -167,15 +167,15 @@
         now: Callable[[], int] = time.monotonic_ns,
     ) -> None:
         loop = asyncio.get_running_loop()
-        self.pool = Pool(loop, 64, 5.0, 10.0, copies=copies)
-        self.host = RouterHost(loop, config or settings(), 7, self.pool, 1000, now)
+        self.pool = ConnectionPool(loop, 64, 5.0, 10.0, copies=copies)
+        self.host = Dispatcher(loop, config or settings(), 7, self.pool, 1000, now)
         self.host.ready = True
-        self.clients = ClientServer(loop, self.host, limit)
+        self.clients = ClientListener(loop, self.host, limit)
         self.address = ("", 0)
 
     async def start(self, *instances: dict[str, Any]) -> None:
         body = {"generation": 1, "reset": True, "instances": list(instances)}
-        self.host.servers_changed(read_listing(body, Clock(), UpdateKind.FULL))
+        self.host.apply_endpoint_update(read_listing(body, Clock(), UpdateKind.FULL))
         self.address = await self.clients.listen(("127.0.0.1", 0))
 
     async def dial(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
--- a/tests/processes/test_aggregation.py
+++ b/tests/processes/test_aggregation.py
@@ -11,10 +11,10 @@
 import pytest
 import uvloop
 
-from holdgw.rehearsal.day import PEERS, draw
-from holdgw.rehearsal.report import make_report
-from holdgw.rehearsal.scenario import read_scenario
-from holdgw.rehearsal.stage import Stage
+from holdgw.harness.day import PEERS, draw
+from holdgw.harness.report import make_report
+from holdgw.harness.scenario import read_scenario
+from holdgw.harness.stage import Stage
 from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
 from tests.processes.test_peers import figures
 
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -23,6 +23,12 @@
 import pytest
 import uvloop
 
+from holdgw.harness.day import Day, Step, draw
+from holdgw.harness.deployment import Peers
+from holdgw.harness.report import make_report
+from holdgw.harness.routers import RouterProcess
+from holdgw.harness.scenario import member_names, node_names, read_scenario
+from holdgw.harness.stage import Stage
 from holdgw.peers import datagram, merged_view, sequenced_report
 from holdgw.peers.aggregated_exchange import AggregatedExchange, Role
 from holdgw.peers.aggregator import Outgoing
@@ -35,12 +41,6 @@
 from holdgw.peers.merged_view import SHARE_STEP, ViewPart
 from holdgw.peers.report_table import NS_PER_S, REPORT_MAX_AGE
 from holdgw.peers.sequenced_report import MAX_SAMPLES, MAX_SLOTS, SequencedReport
-from holdgw.rehearsal.day import Day, Step, draw
-from holdgw.rehearsal.deployment import Peers
-from holdgw.rehearsal.report import make_report
-from holdgw.rehearsal.routers import RouterProcess
-from holdgw.rehearsal.scenario import member_names, node_names, read_scenario
-from holdgw.rehearsal.stage import Stage
 from tests.helpers import MS
 from tests.processes.test_aggregation import LIMIT_S, ROUTERS, Seen, changes, view
 from tests.processes.test_faults import DAY, ROOT, kept
--- a/tests/processes/test_endings.py
+++ b/tests/processes/test_endings.py
@@ -17,7 +17,7 @@
 import orjson
 import pytest
 
-from holdgw.router.upstream import PER_SERVER
+from holdgw.router.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT
 from tests.helpers import S
 from tests.peers import HIT, LIMIT_S, SERVED, Cache, command, entry, read, run
 from tests.test_endings import Mute
@@ -206,7 +206,7 @@
             for i in range(ROUTERS):
                 for n in range(80):  # far more than there are places at the servers
                     leavers.append(await play.dial(i, read(f"gone{i}-{n}", f"k{n}", 20_000)))
-            places = PER_SERVER * len(play.caches) * ROUTERS
+            places = MAX_CONNECTIONS_PER_ENDPOINT * len(play.caches) * ROUTERS
             await play.begun(places)
             for _, writer in leavers:
                 writer.close()
--- a/tests/processes/test_faults.py
+++ b/tests/processes/test_faults.py
@@ -14,11 +14,11 @@
 import pytest
 import uvloop
 
-from holdgw.rehearsal.day import draw
-from holdgw.rehearsal.report import Report, make_report
-from holdgw.rehearsal.scenario import read_scenario
-from holdgw.rehearsal.stage import Played, play
-from holdgw.standins.records import Attempt, Try
+from holdgw.emulators.records import Attempt, Try
+from holdgw.harness.day import draw
+from holdgw.harness.report import Report, make_report
+from holdgw.harness.scenario import read_scenario
+from holdgw.harness.stage import Played, play
 from tests.helpers import trouble
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("processes, faults")]
--- a/tests/processes/test_odd_peers.py
+++ b/tests/processes/test_odd_peers.py
@@ -10,14 +10,14 @@
 import pytest
 import uvloop
 
+from holdgw.harness.day import draw
+from holdgw.harness.deployment import Peers
+from holdgw.harness.report import make_report
+from holdgw.harness.scenario import node_names, read_scenario
+from holdgw.harness.stage import Stage
 from holdgw.peers import datagram, load_report
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
 from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, ServerSample, hash_server
-from holdgw.rehearsal.day import draw
-from holdgw.rehearsal.deployment import Peers
-from holdgw.rehearsal.report import make_report
-from holdgw.rehearsal.scenario import node_names, read_scenario
-from holdgw.rehearsal.stage import Stage
 from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
 from tests.processes.test_peers import figures
 
--- a/tests/processes/test_peers.py
+++ b/tests/processes/test_peers.py
@@ -9,10 +9,10 @@
 import pytest
 import uvloop
 
-from holdgw.rehearsal.day import draw
-from holdgw.rehearsal.report import make_report
-from holdgw.rehearsal.scenario import read_scenario
-from holdgw.rehearsal.stage import Stage, play
+from holdgw.harness.day import draw
+from holdgw.harness.report import make_report
+from holdgw.harness.scenario import read_scenario
+from holdgw.harness.stage import Stage, play
 from tests.helpers import trouble
 from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
 
--- a/tests/test_aggregated_tier.py
+++ b/tests/test_aggregated_tier.py
@@ -8,11 +8,11 @@
 
 import pytest
 
+from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers import load_report
 from holdgw.peers.datagram import DropReason
 from holdgw.peers.load_report import LoadReport
 from holdgw.simulation.aggregated_tier import AggregatedTier
-from holdgw.standins.relay_model import PeerWeather, RelayModel
 
 MOST_BYTES = (
     2000.0 - 430.0
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -17,10 +17,10 @@
     "operation": {"policy", "wire"},
     "router": {"operation", "peers", "policy", "wire"},
     "cores": {"operation", "policy", "router", "wire"},
-    "standins": {"wire"},
-    "rehearsal": {"standins", "wire"},
-    "simulation": {"cores", "operation", "peers", "policy", "rehearsal", "router", "standins", "wire"},
-    "cli": {"cores", "operation", "router", "rehearsal", "simulation"},
+    "emulators": {"wire"},
+    "harness": {"emulators", "wire"},
+    "simulation": {"cores", "operation", "peers", "policy", "harness", "router", "emulators", "wire"},
+    "cli": {"cores", "operation", "router", "harness", "simulation"},
     "__main__": {"cli"},
     "native": set(),
     "__init__": set(),
@@ -61,8 +61,8 @@
 
 
 def test_an_import_that_goes_up_is_seen() -> None:
-    assert upward("policy", "def f():\n    from holdgw.router import host\n") == {"router"}
-    assert upward("router", "import holdgw.rehearsal.report") == {"rehearsal"}
+    assert upward("policy", "def f():\n    from holdgw.router import dispatcher\n") == {"router"}
+    assert upward("router", "import holdgw.harness.report") == {"harness"}
 
 
 def test_decisions_have_no_io_and_no_clock() -> None:
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from holdgw.policy import CacheStatus, Outcome
-from holdgw.router.caches import CacheConnection
-from holdgw.router.upstream import Exchange, Pool, Server
+from holdgw.router.cache_connection import CacheConnection
+from holdgw.router.connection_pool import ConnectionPool, EndpointPool, Exchange
 from holdgw.wire.address import Address
 from holdgw.wire.resp import bulk
 
@@ -27,7 +27,7 @@
     def request_bytes(self, address: Address) -> bytes:
         return b""
 
-    def ended(
+    def on_end(
         self,
         outcome: Outcome,
         value: bytes | None = None,
@@ -56,8 +56,8 @@
     """How an exchange ends that is given these reads, and whether the connection serves another."""
 
     async def scene() -> tuple[list[End], bool]:
-        pool = Pool(asyncio.get_running_loop(), 10, 0.1, 10.0)
-        connection = CacheConnection(Server(pool, "s", ("127.0.0.1", 1), cast(Any, CacheConnection)))
+        pool = ConnectionPool(asyncio.get_running_loop(), 10, 0.1, 10.0)
+        connection = CacheConnection(EndpointPool(pool, "s", ("127.0.0.1", 1), cast(Any, CacheConnection)))
         connection.connection_made(cast(Any, Line()))
         exchange = Kept()
         connection.exchange, exchange.connection = exchange, connection
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,8 +7,7 @@
 
 import pytest
 
-from holdgw.rehearsal.checker import ClassRule, History, Life, counts, judge, judge_lag
-from holdgw.standins.records import (
+from holdgw.emulators.records import (
     LAG_BOUNDS_MS,
     Attempt,
     Called,
@@ -23,6 +22,7 @@
     Told,
     Try,
 )
+from holdgw.harness.checker import ClassRule, History, Life, counts, judge, judge_lag
 
 CLASSES = {1: ClassRule("safe"), 2: ClassRule("keyed", 2.5), 3: ClassRule("unsafe")}
 GRACE = 0.5
--- a/tests/test_parts.py
+++ b/tests/test_disabled_features.py
@@ -10,17 +10,17 @@
 import pytest
 from msgspec.structs import replace as changed
 
-from holdgw.operation.listing import Listing
+from holdgw.emulators.node import platform_report
+from holdgw.harness.deployment import configuration
+from holdgw.harness.scenario import load_scenario, shipped
+from holdgw.operation.endpoint_update import EndpointUpdate
 from holdgw.policy import Outcome, RoutingPolicy, disabled_features
-from holdgw.policy.parts import load_report_indexes
+from holdgw.policy.disabled_features import load_report_indexes
 from holdgw.policy.settings import read_settings
-from holdgw.rehearsal.deployment import configuration
-from holdgw.rehearsal.scenario import load_scenario, shipped
 from holdgw.router import discovery
-from holdgw.router.host import RouterHost
-from holdgw.router.upstream import Pool
+from holdgw.router.connection_pool import ConnectionPool
+from holdgw.router.dispatcher import Dispatcher
 from holdgw.simulation.play import simulate
-from holdgw.standins.node import platform_report
 from holdgw.wire.resp import parse_load
 from tests.helpers import MS, ended, fleet, only_send, request, settings, started
 
@@ -182,9 +182,9 @@
         for fields, lines in ((("x0",), 1), (("queue", "latency_ms"), 0)):
             caplog.clear()
             told = settings(load_report_fields=fields, warm_up_ns=1)
-            host = RouterHost(loop, told, 1, Pool(loop, 8, 1.0, 1.0, 1 << 20), 9)
+            host = Dispatcher(loop, told, 1, ConnectionPool(loop, 8, 1.0, 1.0, 1 << 20), 9)
             assert len(caplog.records) == lines
-            assert host.figures.text(0, 0, 0).count(b'lb_off{part="load_reports"} 1\n') == lines
+            assert host.metrics.text(0, 0, 0).count(b'lb_off{part="load_reports"} 1\n') == lines
             host.close()
 
     with caplog.at_level(logging.WARNING, "holdgw"):
@@ -201,7 +201,7 @@
         told(router, node, load)
         waits.append(node.wait)
 
-    def heard(body: Any, *words: Any) -> Listing:
+    def heard(body: Any, *words: Any) -> EndpointUpdate:
         lists.append(body)
         return listed(body, *words)
 
--- a/tests/test_standin_models.py
+++ b/tests/test_emulator_models.py
@@ -9,13 +9,13 @@
 from hypothesis import assume, given, settings
 from hypothesis import strategies as st
 
-from holdgw.standins.chance import lognormal, unit
-from holdgw.standins.faults import Fault, Shares
-from holdgw.standins.keeping import Keeping, Missing
-from holdgw.standins.node_model import Done, Job, Kind, NodeModel, NodeSpec, Result
-from holdgw.standins.registry_model import Entry, RegistryModel, State
-from holdgw.standins.store_model import Answer, Filled, Order, StoreModel, StoreSpec
-from holdgw.standins.work import Work, WorkSpec
+from holdgw.emulators.chance import lognormal, unit
+from holdgw.emulators.faults import Fault, Shares
+from holdgw.emulators.keeping import Keeping, Missing
+from holdgw.emulators.node_model import Done, Job, Kind, NodeModel, NodeSpec, Result
+from holdgw.emulators.registry_model import Entry, RegistryModel, State
+from holdgw.emulators.store_model import Answer, Filled, Order, StoreModel, StoreSpec
+from holdgw.emulators.work import Work, WorkSpec
 
 WARM = NodeSpec(work=WorkSpec(cores=1, slots=4, queue=3))
 COLD = WorkSpec(cores=1, slots=4, queue=100, cold_share=0.25, warm_s=8.0)
