--- a/tests/test_standin_sockets.py
+++ b/tests/test_emulator_sockets.py
@@ -13,15 +13,15 @@
 import pytest
 import uvloop
 
-from holdgw.standins.discovery import DiscoveryServer
-from holdgw.standins.node import NodeServer, Workload, made_for, platform_report
-from holdgw.standins.node_model import NodeSpec
-from holdgw.standins.records import Attempt, Fallen, Had, Odd, Record, Told
-from holdgw.standins.registry_model import Entry, RegistryModel, State
-from holdgw.standins.shell import Host
-from holdgw.standins.store import StoreServer
-from holdgw.standins.store_model import StoreSpec
-from holdgw.standins.work import WorkSpec
+from holdgw.emulators.discovery import DiscoveryServer
+from holdgw.emulators.node import NodeServer, Workload, made_for, platform_report
+from holdgw.emulators.node_model import NodeSpec
+from holdgw.emulators.records import Attempt, Fallen, Had, Odd, Record, Told
+from holdgw.emulators.registry_model import Entry, RegistryModel, State
+from holdgw.emulators.shell import Host
+from holdgw.emulators.store import StoreServer
+from holdgw.emulators.store_model import StoreSpec
+from holdgw.emulators.work import WorkSpec
 from holdgw.wire.resp import command
 from holdgw.wire.unread import TICK_NS
 from tests.peers import LIMIT_S
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -30,7 +30,7 @@
     TimerFired,
     UpdateKind,
 )
-from holdgw.router import clients, discovery, host, program, upstream
+from holdgw.router import client_connection, connection_pool, discovery, dispatcher, program
 from holdgw.router.platform import accept_queued, has_left
 from tests.helpers import S, settings
 from tests.peers import (
@@ -92,7 +92,7 @@
         self.cache.stop()
         self.origin.stop()
 
-    def connection(self, i: int = 0) -> clients.ClientConnection:
+    def connection(self, i: int = 0) -> client_connection.ClientConnection:
         return list(self.node.clients._connections)[i]
 
     async def alone(self, count: int = 0) -> None:
@@ -135,7 +135,7 @@
 def test_nothing_begins_for_a_client_that_left_while_waiting_for_a_place(
     count: int, reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "PER_SERVER", 1)
+    monkeypatch.setattr(connection_pool, "MAX_CONNECTIONS_PER_ENDPOINT", 1)
 
     async def play(stage: Stage) -> None:
         first = asyncio.create_task(stage.node.ask(read("r0"), len(SERVED)))
@@ -194,7 +194,7 @@
         leader.write(read("gone"))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         follower = asyncio.create_task(node.ask(read("r2"), len(SERVED)))
-        await until(lambda: ids(stage.cache)[-1] == "r2" and bool(node.host._router._flights["k"]))
+        await until(lambda: ids(stage.cache)[-1] == "r2" and bool(node.host._policy._flights["k"]))
         leader.close()
         await until(lambda: "gone" not in node.host._requests)
         loop.up.set()
@@ -211,8 +211,8 @@
 def test_nothing_more_begins_for_a_client_that_left_while_it_was_not_read(
     why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(host, "LOOK_AFTER_NS", 1 << 60 if "answered" in why else -1)
-    monkeypatch.setattr(clients, "MAX_PIPELINE", 3)
+    monkeypatch.setattr(dispatcher, "DISCONNECT_CHECK_AFTER_NS", 1 << 60 if "answered" in why else -1)
+    monkeypatch.setattr(client_connection, "MAX_PIPELINE", 3)
 
     async def play(stage: Stage) -> None:
         # It closes the connection, and the request is sent again while its client is there; or answers, and
@@ -249,7 +249,7 @@
             port = closed.getsockname()[1]
         node = Node()
         await node.start(entry("o", port, "origin"))  # it refuses connections
-        router = node.host._router
+        router = node.host._policy
         router._origin_time = 1e9  # the pause goes by it
         _, writer = await node.dial()
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=edit,t=a,d=2000,k=11", b"v"))
@@ -269,7 +269,7 @@
 def test_no_second_copy_begins_for_a_client_that_left_while_its_timer_ran(
     read_here: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(host, "LOOK_AFTER_NS", -1)
+    monkeypatch.setattr(dispatcher, "DISCONNECT_CHECK_AFTER_NS", -1)
 
     async def play(stage: Stage) -> None:
         node = stage.node
@@ -283,9 +283,9 @@
         _, writer = await node.dial()
         writer.write(read("gone"))
         await until(lambda: ids(stage.cache)[-1] == "gone")
-        attempt = node.host._requests["gone"].last
+        attempt = node.host._requests["gone"].last_attempt
         assert attempt is not None
-        assert node.host._router._requests["gone"].patience > 0
+        assert node.host._policy._requests["gone"].patience > 0
         if read_here:
             writer.close()
             await stage.alone(0)
@@ -314,7 +314,7 @@
         asked = asyncio.create_task(stage.node.ask(read("late"), 7))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         (request,) = stage.node.host._requests.values()
-        request.deadline = 0  # over, and its timer has yet to run
+        request.deadline_ns = 0  # over, and its timer has yet to run
         loop.up.set()
         assert await asked == b"-BUSY\r\n"
         assert not stage.cache.seen
@@ -332,7 +332,7 @@
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         told = [entry("s1", stage.cache.port, state="draining")]
         body = {"generation": 2, "reset": False, "instances": told}
-        node.host.servers_changed(discovery.read_listing(body, discovery.Clock()))
+        node.host.apply_endpoint_update(discovery.read_listing(body, discovery.Clock()))
         loop.up.set()
         assert await asked == SERVED  # by the origin
         assert not stage.cache.seen
@@ -360,7 +360,7 @@
         reader, writer = await node.dial()
         dial = node.pool._dial_for
 
-        def gated(server: upstream.Server) -> None:
+        def gated(server: connection_pool.EndpointPool) -> None:
             if origin.seen:
                 node.pool._loop = cast(Any, loop)
             dial(server)
@@ -369,15 +369,15 @@
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=put,t=a,d=900,k=11", b"v"))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         (request,) = node.host._requests.values()
-        attempt = request.last
+        attempt = request.last_attempt
         assert attempt is not None
         assert attempt._write_by > 0
         if over:
             attempt._write_by = 1  # over, and its timer has yet to run
         loop.up.set()
         if over:
-            node.host._router._classes["put"] = replace(cls, dedup_window_ns=0)
-            request.deadline = 0
+            node.host._policy._classes["put"] = replace(cls, dedup_window_ns=0)
+            request.deadline_ns = 0
             assert (await asyncio.wait_for(reader.readline(), LIMIT_S)).startswith(b"-")
             assert origin.seen == 1
         else:
@@ -433,8 +433,8 @@
 def test_a_client_that_floods_or_never_ends_its_side_holds_its_connection_for_a_moment_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(clients, "DROPPED_MOST", 4096)
-    monkeypatch.setattr(clients, "LINGER_S", 0.2)
+    monkeypatch.setattr(client_connection, "MAX_DISCARDED_BYTES", 4096)
+    monkeypatch.setattr(client_connection, "LINGER_S", 0.2)
 
     async def play(stage: Stage) -> None:
         stage.go.set()
@@ -455,7 +455,7 @@
 
 
 def test_a_slow_client_gets_its_whole_answer_though_the_router_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "LINGER_S", 0.05)
+    monkeypatch.setattr(client_connection, "LINGER_S", 0.05)
     value = b"v" * 65536
     whole = b"$65536\r\n%b\r\n" % value
     many = 32
@@ -475,7 +475,7 @@
         stage.node.clients.finish(even_midway=True)
         await until(lambda: not stage.connection().replies)
         begun = asyncio.get_running_loop().time()
-        await until(lambda: asyncio.get_running_loop().time() > begun + 4 * clients.LINGER_S)
+        await until(lambda: asyncio.get_running_loop().time() > begun + 4 * client_connection.LINGER_S)
         cast(Any, writer.transport).resume_reading()
         got = await asyncio.wait_for(reader.read(), LIMIT_S)
         assert got
@@ -594,7 +594,7 @@
 def test_a_page_without_a_length_ends_with_its_connection_and_not_with_a_reset(
     reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "IDLE_FEW_S", IDLE_S)
+    monkeypatch.setattr(client_connection, "IDLE_FEW_S", IDLE_S)
 
     async def test() -> None:
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue"
@@ -643,14 +643,14 @@
 
 
 def test_a_time_out_and_the_answer_in_one_turn_are_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "IDLE_FEW_S", IDLE_S)
+    monkeypatch.setattr(client_connection, "IDLE_FEW_S", IDLE_S)
 
     async def play(stage: Stage) -> None:
         node = stage.node
         asked = asyncio.create_task(node.ask(read("r1"), 100))
         await asyncio.wait_for(stage.asked.wait(), LIMIT_S)
         (request,) = node.host._requests.values()
-        attempt = request.last
+        attempt = request.last_attempt
         assert attempt is not None
         connection = attempt.connection
         assert connection is not None
@@ -660,7 +660,7 @@
         stage.go.set()
         told = await asyncio.wait_for(asked, LIMIT_S) if node.host.outstanding else b""
         assert told.count(b"\r\n") <= 2
-        results = {key: count for key, count in node.host.figures.results.items() if count}
+        results = {key: count for key, count in node.host.metrics.results.items() if count}
         assert sum(results.values()) == 1
 
     staged(play)
@@ -732,7 +732,7 @@
     pushed = discovery.PUSHED_WAIT_MS / 1000 + discovery.CALL_SLACK_S
     assert pushed + 2 * (discovery.RETRY_S + discovery.QUICK_S) < told
     first_pause = 1.0
-    assert discovery.ASKED_SLACK_S + first_pause <= 2.0  # behind a call's wait, by the page
+    assert discovery.POLL_SLACK_S + first_pause <= 2.0  # behind a call's wait, by the page
     longest = 0
     router = RoutingPolicy(settings(subscription_required=True, poll_within_ns=3600 * S), 7)
     for i in range(40):
@@ -740,7 +740,7 @@
             assert isinstance(action, SetTimer)
             longest = max(longest, action.delay_ns)
             router.handle(TimerFired("subscribe"), i * S)
-    assert told > longest / S + discovery.ASKED_SLACK_S
+    assert told > longest / S + discovery.POLL_SLACK_S
     first = RoutingPolicy(settings(subscription_required=True, poll_within_ns=3600 * S), 7)
     (action,) = first.handle(EndpointsChanged(UpdateKind.FAILED), 0)
     assert isinstance(action, SetTimer)
@@ -748,11 +748,11 @@
 
 
 def test_a_silent_watch_where_discovery_is_asked_is_found_out_in_six_seconds() -> None:
-    assert discovery.ASKED_WAIT_MS / 1000 + 2 * discovery.ASKED_SLACK_S + 1.0 <= 6.0
+    assert discovery.POLL_WAIT_MS / 1000 + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
     wait = discovery._Watch(("127.0.0.1", 9), 0, first=True).wait
     for _ in range(60):
         wait.timed_out(0.1)  # by a service that has room
-    assert wait.wait_s + 2 * discovery.ASKED_SLACK_S + 1.0 <= 6.0
+    assert wait.wait_s + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
 
 
 def test_a_list_from_before_a_move_goes_when_the_new_service_has_given_one(tmp_path: Path) -> None:
@@ -771,7 +771,7 @@
         )
         watching.start()
         assert await asyncio.wait_for(lists.get(), LIMIT_S) == (500, 9)
-        watching.move(("127.0.0.1", new.port))
+        watching.change_address(("127.0.0.1", new.port))
         assert await asyncio.wait_for(lists.get(), LIMIT_S) == (3, 10)
         await asyncio.wait_for(new.watched.wait(), LIMIT_S)
         watching.close()
@@ -790,7 +790,7 @@
             config = replace(config_of(tmp_path / "c.json", 1), sockets=sockets)
             router = program.Program(config)
             for_clients, for_servers = router._descriptors(1)
-            held = for_clients + clients.REFUSERS + for_servers
+            held = for_clients + client_connection.MAX_REJECTING_CONNECTIONS + for_servers
             assert held + program.OWN_DESCRIPTORS <= sockets
             assert router.clients._limit == for_clients
             router.clients.close()
@@ -803,22 +803,22 @@
 def test_a_burst_that_waits_in_the_accept_queue_never_holds_more_descriptors_than_there_are(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made = clients.ClientConnection.connection_made
+    made = client_connection.ClientConnection.connection_made
     most = accepted = 0
 
-    def counted(connection: clients.ClientConnection, transport: asyncio.BaseTransport) -> None:
+    def counted(connection: client_connection.ClientConnection, transport: asyncio.BaseTransport) -> None:
         nonlocal most, accepted
         accepted += 1
         most = max(most, len(os.listdir("/proc/self/fd")))
         made(connection, transport)
 
-    monkeypatch.setattr(clients.ClientConnection, "connection_made", counted)
+    monkeypatch.setattr(client_connection.ClientConnection, "connection_made", counted)
 
     async def play(stage: Stage) -> None:
         before = len(os.listdir("/proc/self/fd"))
         callers = [socket.create_connection(stage.node.address) for _ in range(300)]  # in one turn
         await until(lambda: accepted == len(callers))
-        assert 0 < most - before - len(callers) <= 8 + clients.REFUSERS + 1
+        assert 0 < most - before - len(callers) <= 8 + client_connection.MAX_REJECTING_CONNECTIONS + 1
         for caller in callers:
             caller.close()
 
@@ -826,8 +826,8 @@
 
 
 def test_newcomers_find_room_beside_connections_that_linger(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "FRESH_S", 0.0)
-    monkeypatch.setattr(clients, "REFUSERS", 2)
+    monkeypatch.setattr(client_connection, "FRESH_S", 0.0)
+    monkeypatch.setattr(client_connection, "MAX_REJECTING_CONNECTIONS", 2)
 
     async def play(stage: Stage) -> None:
         stage.go.set()
@@ -885,7 +885,7 @@
             writer.write(b"*4\r\n$6\r\nKV.")
             if i % 100 == 99:
                 assert await stage.node.ask(read(f"r{i}"), 4) in (b"-BUS", b"$5\r\n")
-            assert stage.node.clients.connected <= 64 + clients.REFUSERS
+            assert stage.node.clients.connected <= 64 + client_connection.MAX_REJECTING_CONNECTIONS
         assert len(stage.cache.seen) > 3
 
     staged(play)
--- a/tests/test_stall.py
+++ b/tests/test_event_loop_lag.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from holdgw.router.stall import AFTER_NS, SLACK_NS, Beats
+from holdgw.router.event_loop_lag import AFTER_NS, SLACK_NS, LagMonitor
 from tests.peers import HIT, Cache, Node, entry, read, run
 
 MS = 1_000_000
 EVERY = 20 * MS
 
 
-def beating(until: int) -> Beats:
-    beats = Beats(EVERY, 0)
+def beating(until: int) -> LagMonitor:
+    beats = LagMonitor(EVERY, 0)
     for now in range(EVERY, until + 1, EVERY):
         assert beats.beat(now) == 0
     return beats
@@ -24,9 +24,9 @@
 
 def test_a_process_that_beats_has_let_nothing_wait() -> None:
     beats = beating(200 * MS)
-    assert beats.may_have_waited(200 * MS + EVERY + SLACK_NS) == 0
+    assert beats.possible_lag_ns(200 * MS + EVERY + SLACK_NS) == 0
     assert beats.beat(200 * MS + EVERY + SLACK_NS) == 0  # a late beat on a busy machine is no stall
-    assert beats.may_have_waited(260 * MS) == 0
+    assert beats.possible_lag_ns(260 * MS) == 0
 
 
 @pytest.mark.parametrize("first", ["read", "beat"])
@@ -35,23 +35,23 @@
     wakes = 2_200 * MS
     if first == "beat":  # the loop may look at its timers before its sockets
         assert beats.beat(wakes) == wakes - 200 * MS
-    assert beats.may_have_waited(wakes) == wakes - 200 * MS
-    assert beats.may_have_waited(wakes + MS) == wakes + MS - 200 * MS
+    assert beats.possible_lag_ns(wakes) == wakes - 200 * MS
+    assert beats.possible_lag_ns(wakes + MS) == wakes + MS - 200 * MS
 
 
 def test_a_beat_after_the_stall_ends_the_doubt() -> None:
     beats = beating(200 * MS)
     beats.beat(2_200 * MS)
     beats.beat(2_220 * MS)
-    assert beats.may_have_waited(2_225 * MS) == 0
+    assert beats.possible_lag_ns(2_225 * MS) == 0
 
 
 def test_for_a_while_after_a_stall_the_kernel_is_to_be_asked() -> None:
     beats = beating(200 * MS)
-    assert not beats.lately(210 * MS)
+    assert not beats.lagged_recently(210 * MS)
     beats.beat(2_200 * MS)
-    assert beats.lately(2_200 * MS + AFTER_NS - 1)
-    assert not beats.lately(2_200 * MS + AFTER_NS)
+    assert beats.lagged_recently(2_200 * MS + AFTER_NS - 1)
+    assert not beats.lagged_recently(2_200 * MS + AFTER_NS)
 
 
 def test_what_is_read_some_beats_after_a_stall_is_answered_by_when_it_came() -> None:
--- a/tests/test_rehearsal.py
+++ b/tests/test_harness.py
@@ -20,16 +20,16 @@
 import pytest
 import uvloop
 
-from holdgw.rehearsal.day import STORE, draw
-from holdgw.rehearsal.deployment import DeployError, run_command
-from holdgw.rehearsal.page import nice_step, render
-from holdgw.rehearsal.report import Report, make_report
-from holdgw.rehearsal.routers import free_address
-from holdgw.rehearsal.scenario import read_scenario
-from holdgw.rehearsal.stage import Played, StageError, play
+from holdgw.emulators.records import Attempt
+from holdgw.harness.day import STORE, draw
+from holdgw.harness.deployment import DeployError, run_command
+from holdgw.harness.page import nice_step, render
+from holdgw.harness.report import Report, make_report
+from holdgw.harness.routers import free_address
+from holdgw.harness.scenario import read_scenario
+from holdgw.harness.stage import Played, StageError, play
 from holdgw.router.discovery import Clock
 from holdgw.simulation.search import play_seed
-from holdgw.standins.records import Attempt
 from tests.helpers import trouble
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -10,11 +10,11 @@
 import pytest
 from msgspec.structs import replace as changed
 
-from holdgw.operation.fleetlog import FleetLog
-from holdgw.operation.tally import Tally
+from holdgw.harness.scenario import load_scenario
+from holdgw.operation.fleet_log import FleetLog
+from holdgw.operation.interval_counters import IntervalCounters
 from holdgw.policy import Outcome, RoutingPolicy
 from holdgw.policy.logic import Node as Holder
-from holdgw.rehearsal.scenario import load_scenario
 from holdgw.simulation.search import play_seed
 from tests.helpers import MS, S, ended, finals, fleet, only_send, request, sends, settings, started
 from tests.peers import HIT, SERVED, Cache, Node, entry, read, run
@@ -145,11 +145,11 @@
 def test_the_tallies_of_a_fleet_are_merged_by_time() -> None:
     log = FleetLog(1.0)
     for router, at in (("n0", 100.1), ("n1", 100.6), ("n1", 101.7)):
-        tally = Tally()
-        tally.attempt("s-1", "ok", fresh=True, late=False, fetched=None)
-        tally.attempt("origin", "ok", fresh=False, late=True, fetched="left-pad")
-        tally.grown("dials", 3)
-        log.read(router, f"12:00 n0 INFO {tally.line(at, {'shy': 1.0})}\nsomething else\ntally {{}}\n")
+        tally = IntervalCounters()
+        tally.count_attempt("s-1", "ok", fresh=True, late=False, fetched=None)
+        tally.count_attempt("origin", "ok", fresh=False, late=True, fetched="left-pad")
+        tally.add_growth("dials", 3)
+        log.read(router, f"12:00 n0 INFO {tally.log_line(at, {'shy': 1.0})}\nsomething else\ntally {{}}\n")
     first, second = (log.seconds[at] for at in sorted(log.seconds))
     assert first.routers == {"n0", "n1"}
     assert second.routers == {"n1"}
@@ -175,20 +175,20 @@
 
 
 def test_a_tally_counts_tries_and_attempts_by_their_reason() -> None:
-    tally = Tally()
-    tally.tried(again=False, hasty=False)
-    tally.tried(again=True, hasty=True)
-    tally.attempt("s-1", "timeout", fresh=True, late=False, fetched=None, why="next")
-    counts = orjson.loads(tally.line(1.0, {}).removeprefix("tally "))["counts"]
+    tally = IntervalCounters()
+    tally.count_client_request(again=False, hasty=False)
+    tally.count_client_request(again=True, hasty=True)
+    tally.count_attempt("s-1", "timeout", fresh=True, late=False, fetched=None, why="next")
+    counts = orjson.loads(tally.log_line(1.0, {}).removeprefix("tally "))["counts"]
     assert counts == {"tries": 1, "tries again, hasty": 1, "why next.timeout": 1, "cache.timeout.fresh": 1}
 
 
 def test_a_tally_tells_of_what_has_grown_since_the_last_line() -> None:
-    tally = Tally()
-    tally.grown("dials", 5)
-    tally.line(1.0, {})
-    tally.grown("dials", 7)
-    assert orjson.loads(tally.line(2.0, {}).removeprefix("tally "))["counts"] == {"dials": 2.0}
+    tally = IntervalCounters()
+    tally.add_growth("dials", 5)
+    tally.log_line(1.0, {})
+    tally.add_growth("dials", 7)
+    assert orjson.loads(tally.log_line(2.0, {}).removeprefix("tally "))["counts"] == {"dials": 2.0}
 
 
 def test_a_dead_server_costs_one_refused_connection_where_one_rested() -> None:
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -10,14 +10,14 @@
 import pytest
 import uvloop
 
-from holdgw.rehearsal.day import PEERS, Step, draw, lines_of_routers
-from holdgw.rehearsal.scenario import read_scenario
-from holdgw.rehearsal.worker import relay_model
+from holdgw.emulators.gates import Gate, GatedListener
+from holdgw.emulators.relay import ALL, Relay
+from holdgw.emulators.relay_model import MOST_BYTES, PeerWeather, RelayModel
+from holdgw.harness.day import PEERS, Step, draw, lines_of_routers
+from holdgw.harness.scenario import read_scenario
+from holdgw.harness.worker import relay_model
 from holdgw.simulation.play import PEER_PORT, SimulatedRouter, Theatre
 from holdgw.simulation.process import Process
-from holdgw.standins.gates import Gate, GatedListener
-from holdgw.standins.relay import ALL, Relay
-from holdgw.standins.relay_model import MOST_BYTES, PeerWeather, RelayModel
 from holdgw.wire.address import Address
 
 LIMIT_S = 20.0
@@ -112,7 +112,7 @@
 
 
 def test_a_dial_that_came_up_amid_a_cut_is_reset_at_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("holdgw.standins.gates.KNOCKS", 0)  # so that one does
+    monkeypatch.setattr("holdgw.emulators.gates.KNOCKS", 0)  # so that one does
 
     async def act(gate: Gate, listener: GatedListener, address: Address, seen: list[str]) -> None:
         gate.block("both", 0.5)
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -10,7 +10,7 @@
 import pytest
 
 from holdgw.policy import Outcome, RoutingPolicy, StreamStarted
-from holdgw.router import clients, host
+from holdgw.router import client_connection, dispatcher
 from holdgw.wire.http import HttpError, HttpReader
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE
 from tests.helpers import ended, fleet, only_send, request, sends, settings, started
@@ -118,7 +118,7 @@
             assert await took(reader, 11) == bulk(b"short")
             writer.close()
             await scene.at_rest()
-            assert scene.node.host.figures.text(0, 0, 0).count(b'succeeded"} 2') == 1
+            assert scene.node.host.metrics.text(0, 0, 0).count(b'succeeded"} 2') == 1
 
     run(test)
 
@@ -204,7 +204,7 @@
             writer.close()
             await scene.at_rest()
             assert scene.cache.connections == 1
-            assert b'aborted"} 1' in scene.node.host.figures.text(0, 0, 0)
+            assert b'aborted"} 1' in scene.node.host.metrics.text(0, 0, 0)
 
     run(test)
 
@@ -227,7 +227,7 @@
             while not scene.cache.connections:
                 await asyncio.sleep(0.01)
             writer.write(read("b", "key-b"))
-            while b'aborted"} 1' not in scene.node.host.figures.text(0, 0, 0):
+            while b'aborted"} 1' not in scene.node.host.metrics.text(0, 0, 0):
                 await asyncio.sleep(0.01)
             go.set()
             assert await took(reader, 11) == bulk(b"first")
@@ -255,7 +255,7 @@
         async with Scene(Giver(all_of_it)) as scene:
             reader, writer = await scene.ask("a")
             await took(reader, 50)
-            scene.node.pool.unlist_server("s1")
+            scene.node.pool.remove_endpoint("s1")
             (connection,) = scene.node.clients._connections
             connection.pause_writing()
             go.set()
@@ -289,7 +289,7 @@
             (connection,) = scene.node.clients._connections
             connection.pause_writing()
             last.set()
-            while b'succeeded"} 1' not in scene.node.host.figures.text(0, 0, 0):
+            while b'succeeded"} 1' not in scene.node.host.metrics.text(0, 0, 0):
                 await asyncio.sleep(0.01)
             connection.resume_writing()
             assert await took(reader, 12) == VALUE[-10:] + b"\r\n"
@@ -314,7 +314,7 @@
 
 @pytest.mark.sources_only
 def test_a_server_that_gives_nothing_more_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(host, "STREAM_STALL", 200_000_000)
+    monkeypatch.setattr(dispatcher, "STREAM_STALL_NS", 200_000_000)
 
     async def test() -> None:
         async with Scene(Giver(gives(head(len(VALUE)), VALUE[:1000]))) as scene:
@@ -327,7 +327,7 @@
 
 
 def test_a_client_that_takes_nothing_of_its_value_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "STREAM_STALL_S", 0.2)
+    monkeypatch.setattr(client_connection, "STREAM_STALL_S", 0.2)
 
     async def test() -> None:
         async with Scene(Giver(gives(head(LONGEST_VALUE), *[VALUE] * 4, TAIL))) as scene:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,6 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers import datagram
 from holdgw.peers.datagram import (
     MAX_UPDATES,
@@ -18,7 +19,6 @@
 )
 from holdgw.peers.membership import NS_PER_S, Membership
 from holdgw.simulation.tier import Tier
-from holdgw.standins.relay_model import PeerWeather, RelayModel
 from tests.helpers import damaged
 
 WORDS = st.integers(0, (1 << 32) - 1)
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -17,10 +17,10 @@
 
 DIGESTS = """
 import sys
-import holdgw.router.host
-from holdgw.rehearsal.scenario import load_scenario
+import holdgw.router.dispatcher
+from holdgw.harness.scenario import load_scenario
 from holdgw.simulation.play import simulate
-print(holdgw.router.host.__file__)
+print(holdgw.router.dispatcher.__file__)
 for name, seed in (("storm", 3), ("storm", 7), ("release-morning", 2)):
     print(simulate(load_scenario(name).cut(6.0), seed).digest)
 """
@@ -31,7 +31,7 @@
     "test_sockets",
     "test_long_values",
     "test_suppressor",
-    "test_crew",
+    "test_worker_pool",
     "test_takeover",
 )
 
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -13,10 +13,10 @@
 import orjson
 import pytest
 
-from holdgw.operation import door
-from holdgw.operation.figures import Disposition, Figures
-from holdgw.operation.listing import Listing
-from holdgw.operation.roster import Roster, UnknownServerError
+from holdgw.operation import admin_endpoint
+from holdgw.operation.endpoint_overrides import EndpointOverrides, UnknownEndpointError
+from holdgw.operation.endpoint_update import EndpointUpdate
+from holdgw.operation.metrics import Disposition, Metrics
 from holdgw.policy import Endpoint, EndpointsChanged, EndpointState, UpdateKind
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.program import Program
@@ -25,12 +25,12 @@
 from tests.peers import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run
 
 
-def listing(kind: UpdateKind, *servers: Endpoint) -> Listing:
+def listing(kind: UpdateKind, *servers: Endpoint) -> EndpointUpdate:
     here = {server.id: ("127.0.0.1", 1) for server in servers if server.state is not EndpointState.GONE}
-    return Listing(1, EndpointsChanged(kind, servers), here)
+    return EndpointUpdate(1, EndpointsChanged(kind, servers), here)
 
 
-def only(news: Listing | None) -> Endpoint:
+def only(news: EndpointUpdate | None) -> Endpoint:
     assert news is not None
     (server,) = news.change.endpoints
     return server
@@ -40,75 +40,78 @@
 
 
 def test_a_server_out_by_hand_drains_whatever_discovery_says_until_one_call_back() -> None:
-    roster = Roster("origin")
-    roster.take(listing(UpdateKind.FULL, Endpoint("a"), Endpoint("b")))
-    assert only(roster.leave_out("a", 5)).state is EndpointState.DRAINING
-    assert roster.leave_out("a", 6) is None  # the call may arrive twice
+    roster = EndpointOverrides("origin")
+    roster.apply(listing(UpdateKind.FULL, Endpoint("a"), Endpoint("b")))
+    assert only(roster.enter_maintenance("a", 5)).state is EndpointState.DRAINING
+    assert roster.enter_maintenance("a", 6) is None  # the call may arrive twice
     for kind in (UpdateKind.DELTA, UpdateKind.FULL):
-        seen = roster.take(listing(kind, Endpoint("a"), Endpoint("b")))
+        seen = roster.apply(listing(kind, Endpoint("a"), Endpoint("b")))
         assert [server.state for server in seen.change.endpoints] == [
             EndpointState.DRAINING,
             EndpointState.READY,
         ]
-    assert only(roster.use_again("a", 9)).state is EndpointState.READY
-    assert roster.use_again("a", 10) is None
+    assert only(roster.exit_maintenance("a", 9)).state is EndpointState.READY
+    assert roster.exit_maintenance("a", 10) is None
     assert (
-        roster.take(listing(UpdateKind.DELTA, Endpoint("a"))).change.endpoints[0].state is EndpointState.READY
+        roster.apply(listing(UpdateKind.DELTA, Endpoint("a"))).change.endpoints[0].state
+        is EndpointState.READY
     )
 
 
 def test_a_server_out_by_hand_stays_out_when_it_leaves_the_list_and_comes_back() -> None:
-    roster = Roster(None)
-    roster.take(listing(UpdateKind.FULL, Endpoint("a"), Endpoint("b")))
-    roster.leave_out("a", 5)
-    roster.take(listing(UpdateKind.DELTA, Endpoint("a", state=EndpointState.GONE)))
-    assert (roster.discovered, roster.avoided([])) == (1, 0)
-    seen = roster.take(listing(UpdateKind.DELTA, Endpoint("a", started_ns=7)))
+    roster = EndpointOverrides(None)
+    roster.apply(listing(UpdateKind.FULL, Endpoint("a"), Endpoint("b")))
+    roster.enter_maintenance("a", 5)
+    roster.apply(listing(UpdateKind.DELTA, Endpoint("a", state=EndpointState.GONE)))
+    assert (roster.discovered_count, roster.excluded_count([])) == (1, 0)
+    seen = roster.apply(listing(UpdateKind.DELTA, Endpoint("a", started_ns=7)))
     assert seen.change.endpoints[0].state is EndpointState.DRAINING
 
 
 def test_a_server_called_back_is_cold_until_discovery_tells_when_it_started() -> None:
     # Its restart is told seconds late: believed to be warm, it would get its full load at once.
-    roster = Roster(None)
-    roster.take(listing(UpdateKind.FULL, Endpoint("a", started_ns=1)))
-    roster.leave_out("a", 5 * S)
-    assert only(roster.use_again("a", 9 * S)).started_ns == 9 * S
+    roster = EndpointOverrides(None)
+    roster.apply(listing(UpdateKind.FULL, Endpoint("a", started_ns=1)))
+    roster.enter_maintenance("a", 5 * S)
+    assert only(roster.exit_maintenance("a", 9 * S)).started_ns == 9 * S
     assert (
-        roster.take(listing(UpdateKind.FULL, Endpoint("a", started_ns=1))).change.endpoints[0].started_ns
+        roster.apply(listing(UpdateKind.FULL, Endpoint("a", started_ns=1))).change.endpoints[0].started_ns
         == 9 * S
     )
     assert (
-        roster.take(listing(UpdateKind.DELTA, Endpoint("a", started_ns=6 * S))).change.endpoints[0].started_ns
+        roster.apply(listing(UpdateKind.DELTA, Endpoint("a", started_ns=6 * S)))
+        .change.endpoints[0]
+        .started_ns
         == 6 * S
     )
 
 
 def test_an_unknown_id_and_the_origin_are_no_cache_servers() -> None:
-    roster = Roster("origin")
-    roster.take(listing(UpdateKind.FULL, Endpoint("a"), Endpoint("o", kind="origin")))
+    roster = EndpointOverrides("origin")
+    roster.apply(listing(UpdateKind.FULL, Endpoint("a"), Endpoint("o", kind="origin")))
     for name in ("b", "o", ""):
-        with pytest.raises(UnknownServerError):
-            roster.leave_out(name, 1)
-        with pytest.raises(UnknownServerError):
-            roster.use_again(name, 1)
-    assert roster.discovered == 1
+        with pytest.raises(UnknownEndpointError):
+            roster.enter_maintenance(name, 1)
+        with pytest.raises(UnknownEndpointError):
+            roster.exit_maintenance(name, 1)
+    assert roster.discovered_count == 1
 
 
 def test_a_server_is_counted_once_that_is_out_by_hand_and_by_choice() -> None:
-    roster = Roster(None)
-    roster.take(listing(UpdateKind.FULL, *map(Endpoint, "abc")))
-    roster.leave_out("a", 1)
-    assert roster.avoided(["a", "b", "unlisted"]) == 2
+    roster = EndpointOverrides(None)
+    roster.apply(listing(UpdateKind.FULL, *map(Endpoint, "abc")))
+    roster.enter_maintenance("a", 1)
+    assert roster.excluded_count(["a", "b", "unlisted"]) == 2
 
 
 # Figures and configuration
 
 
 def test_figures_stand_under_their_names() -> None:
-    figures = Figures(["fetch"])
+    figures = Metrics(["fetch"])
     for _ in range(3):
-        figures.ended("fetch", Disposition.SUCCEEDED)
-    figures.ended("no such class", Disposition.ABORTED)
+        figures.count_answer("fetch", Disposition.SUCCEEDED)
+    figures.count_answer("no such class", Disposition.ABORTED)
     text = figures.text(14, 3, 1).decode().splitlines()
     assert 'lb_results{service="fetch",disposition="succeeded"} 3' in text
     assert 'lb_results{service="fetch",disposition="aborted"} 0' in text
@@ -155,17 +158,17 @@
     def can_serve(self) -> bool:
         return self.ready
 
-    def figures(self) -> bytes:
+    def metrics_text(self) -> bytes:
         return b"lb_outstanding 0\n"
 
-    def leave_out(self, server_id: str) -> None:
+    def enter_maintenance(self, server_id: str) -> None:
         if server_id == "fault":
             raise RuntimeError(server_id)
         if server_id != "a":
-            raise UnknownServerError(server_id)
+            raise UnknownEndpointError(server_id)
         self.out.append(server_id)
 
-    def use_again(self, server_id: str) -> None:
+    def exit_maintenance(self, server_id: str) -> None:
         self.out.remove(server_id)
 
 
@@ -216,7 +219,7 @@
 )
 def test_each_call_has_its_answer_and_a_close(asked: bytes, status: int) -> None:
     async def test() -> None:
-        opened = door.Door(asyncio.get_running_loop(), Operator())
+        opened = admin_endpoint.AdminEndpoint(asyncio.get_running_loop(), Operator())
         address = await opened.listen(("127.0.0.1", 0))
         answer = await call(address, asked)
         assert answer.startswith(b"HTTP/1.1 %d " % status)
@@ -228,13 +231,13 @@
 
 def test_callers_who_finish_no_call_hold_back_nobody() -> None:
     async def test() -> None:
-        opened = door.Door(asyncio.get_running_loop(), Operator())
+        opened = admin_endpoint.AdminEndpoint(asyncio.get_running_loop(), Operator())
         address = await opened.listen(("127.0.0.1", 0))
-        stuck = [await asyncio.open_connection(*address) for _ in range(3 * door.MOST)]
+        stuck = [await asyncio.open_connection(*address) for _ in range(3 * admin_endpoint.MAX_CONNECTIONS)]
         for _, writer in stuck:
             writer.write(b"PUT /maintenance/enter HTTP/1.1\r\n")
         assert (await call(address, get("/status"))).startswith(b"HTTP/1.1 200")
-        assert opened.callers <= door.MOST
+        assert opened.callers <= admin_endpoint.MAX_CONNECTIONS
         assert await asyncio.wait_for(stuck[0][0].read(), LIMIT_S) == b""
         for _, writer in stuck:
             writer.close()
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -9,14 +9,14 @@
 import msgspec
 import pytest
 
-from holdgw.rehearsal import scenario as s
-from holdgw.rehearsal.channel import MOST_BYTES, Channel, Setup
-from holdgw.rehearsal.checker import History
-from holdgw.rehearsal.counting import Fate, count, fates, value, worst_window
-from holdgw.rehearsal.day import NETWORK, Ask, draw, idempotency_key, load_at, request_id, store_spec
-from holdgw.rehearsal.scenario import Scenario, ScenarioError, load_scenario, read_scenario, shipped
-from holdgw.rehearsal.troubles import kind_of
-from holdgw.standins.records import Try
+from holdgw.emulators.records import Try
+from holdgw.harness import scenario as s
+from holdgw.harness.channel import MOST_BYTES, Channel, Setup
+from holdgw.harness.checker import History
+from holdgw.harness.counting import Fate, count, fates, value, worst_window
+from holdgw.harness.day import NETWORK, Ask, draw, idempotency_key, load_at, request_id, store_spec
+from holdgw.harness.scenario import Scenario, ScenarioError, load_scenario, read_scenario, shipped
+from holdgw.harness.troubles import kind_of
 
 BASE = 'name = "x"\nlength_s = 20.0\n[load]\nrate = 50.0\n'
 
--- a/tests/test_simulation_play.py
+++ b/tests/test_simulation_play.py
@@ -16,9 +16,9 @@
 
 from bench.mutants import MUTANTS
 from holdgw import cli
-from holdgw.rehearsal.day import draw
-from holdgw.rehearsal.scenario import Scenario, ScenarioError, Storm, load_scenario, read_scenario
-from holdgw.rehearsal.troubles import KINDS
+from holdgw.harness.day import draw
+from holdgw.harness.scenario import Scenario, ScenarioError, Storm, load_scenario, read_scenario
+from holdgw.harness.troubles import KINDS
 from holdgw.simulation.network import Host
 from holdgw.simulation.play import Outcome, RouterMain, SimulatedRouter, Theatre, real_router, simulate
 from holdgw.simulation.process import Process
@@ -65,14 +65,14 @@
 
 
 DIGEST = """
-from holdgw.rehearsal.scenario import load_scenario
+from holdgw.harness.scenario import load_scenario
 from holdgw.simulation.search import play_seed
 {planted}
 outcome = play_seed(load_scenario("mixed-storm").cut(5.0), 12)
 print(outcome.digest, outcome.events, outcome.fault)
 """
 LEAK = """
-from holdgw.router.host import RouterHost
+from holdgw.router.dispatcher import Dispatcher
 def settle_all(host):
     for one in {"a", "b", "c", "d", "e", "f", "g"}:  # in the order of their hashes
         host.loop.call_later(0.001, host._pool.tables if one < "d" else host.tables)
@@ -82,11 +82,11 @@
         log.info("leak %s", one)
 import logging
 log = logging.getLogger("holdgw")
-kept = RouterHost.servers_changed
+kept = Dispatcher.apply_endpoint_update
 def leaking(self, listing):
     settle_all(self)
     kept(self, listing)
-RouterHost.servers_changed = leaking
+Dispatcher.apply_endpoint_update = leaking
 """
 
 
@@ -170,7 +170,7 @@
 def test_a_planted_fault_is_found(name: str, seed: int, rule: str) -> None:
     code = (
         f"from bench.mutants import MUTANTS, plant\nplant({name!r})\n"
-        "from holdgw.rehearsal.scenario import load_scenario\n"
+        "from holdgw.harness.scenario import load_scenario\n"
         "from holdgw.simulation.search import play_seed\n"
         f"outcome = play_seed(load_scenario(MUTANTS[{name!r}].scenario), {seed})\n"
         "print(outcome.first)\n"
@@ -338,7 +338,7 @@
 
 
 def broken(outcome: Outcome, request: str) -> Outcome:
-    from holdgw.rehearsal.checker import Broken
+    from holdgw.harness.checker import Broken
 
     outcome.broken = [Broken("twice", outcome.begun + 1.0, (request,), "planted")]
     return outcome
--- a/tests/test_levels.py
+++ b/tests/test_slot_rebalancing.py
@@ -11,9 +11,17 @@
 
 from holdgw.peers.load_report import LoadReport
 from holdgw.peers.load_view import MAX_ROUTER_SHARE, LoadView
-from holdgw.policy import LoadSnapshotChanged, levels
-from holdgw.policy.levels import KEPT_LEAST, PACE, PASSED_MOST, PLANNED, SCORES_AT_ONCE, SlotRebalancer, drawn
+from holdgw.policy import LoadSnapshotChanged, slot_rebalancing
 from holdgw.policy.logic import SLOTS
+from holdgw.policy.slot_rebalancing import (
+    KEPT_LEAST,
+    PACE,
+    PASSED_MOST,
+    PLANNED,
+    SCORES_AT_ONCE,
+    SlotRebalancer,
+    drawn,
+)
 from holdgw.simulation.fleet import Fleet
 from tests.helpers import MS, S, fleet, settings, started
 from tests.test_large_fleet import REPORTS, serve
@@ -183,7 +191,7 @@
         table.take(asks(), 2000.0, i * 3 * S // 10)
         table.plan(rank, lambda slot: slot in known, NODES, set(), i * 3 * S // 10)
         assert asked <= SCORES_AT_ONCE // len(NODES)
-        assert len(table._asked) <= levels.SLOTS_MOST
+        assert len(table._asked) <= slot_rebalancing.SLOTS_MOST
     assert BUSY.seed in table._kept
 
 
@@ -234,7 +242,7 @@
     found = {}
     for pace in (0.0, PACE):
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(levels, "PACE", pace)
+            patch.setattr(slot_rebalancing, "PACE", pace)
             played = Fleet(40, 20, 400.0, 3, service=0.03, keys=2000)
             played.run(24.0)
             found[pace] = played.spread(12.0, 24.0)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -13,7 +13,7 @@
 import pytest
 
 from holdgw.policy import Action, AttemptEnded, Event, Idempotency, Outcome, RequestClass, RoutingPolicy
-from holdgw.router import clients, program, upstream
+from holdgw.router import client_connection, connection_pool, program
 from holdgw.router.config import Config, load_config
 from tests.helpers import MS, S, settings
 from tests.peers import HIT, LIMIT_S, MISS, SERVED, Agent, Cache, Node, Origin, command, entry, read, run
@@ -191,7 +191,7 @@
         return handle(router, event, now)
 
     monkeypatch.setattr(RoutingPolicy, "handle", spy)
-    monkeypatch.setattr(upstream, "PER_SERVER", 1)
+    monkeypatch.setattr(connection_pool, "MAX_CONNECTIONS_PER_ENDPOINT", 1)
 
     async def test() -> None:
         asked, go = asyncio.Event(), asyncio.Event()
@@ -303,7 +303,7 @@
 def test_a_connection_without_a_whole_command_is_ended_and_an_asking_one_stays(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "COMMAND_S", 0.05)
+    monkeypatch.setattr(client_connection, "COMMAND_S", 0.05)
 
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
@@ -353,8 +353,8 @@
 def test_connections_that_ask_nothing_do_not_push_out_those_that_ask(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "FRESH_S", 0.0)
-    monkeypatch.setattr(clients, "COMMAND_S", 1000.0)
+    monkeypatch.setattr(client_connection, "FRESH_S", 0.0)
+    monkeypatch.setattr(client_connection, "COMMAND_S", 1000.0)
 
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
@@ -480,7 +480,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Found by reading: at the bound reading stopped, and nothing began it again.
-    monkeypatch.setattr(clients, "MAX_PIPELINE", 4)
+    monkeypatch.setattr(client_connection, "MAX_PIPELINE", 4)
 
     async def test() -> None:
         async def answer(words: list[bytes]) -> bytes:
@@ -506,8 +506,8 @@
 
 def test_clients_that_ask_once_and_stay_leave_room_for_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     # Found in incident re4a685: they held every connection that clients may have, idle, for 2.2 s each.
-    monkeypatch.setattr(clients, "FRESH_S", 0.0)
-    monkeypatch.setattr(clients, "IDLE_MANY_S", 1000.0)
+    monkeypatch.setattr(client_connection, "FRESH_S", 0.0)
+    monkeypatch.setattr(client_connection, "IDLE_MANY_S", 1000.0)
 
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
@@ -592,7 +592,7 @@
 
 def trusted(node: Node) -> Node:
     """Have the module send to its server whatever came of the attempts before."""
-    holder = node.host._router._caches.nodes["s1"]
+    holder = node.host._policy._caches.nodes["s1"]
     holder._chance, holder._mute, holder.down = 1.0, 0, False
     return node
 
@@ -629,7 +629,7 @@
 def test_an_answer_that_never_comes_costs_its_connection_and_no_other(
     monkeypatch: pytest.MonkeyPatch, copies: bool
 ) -> None:
-    monkeypatch.setattr(upstream, "LINGER_S", 0.0)
+    monkeypatch.setattr(connection_pool, "LINGER_S", 0.0)
 
     async def test() -> None:
         late = Late(copies)
@@ -651,14 +651,14 @@
 
 
 def test_a_server_that_drains_keeps_no_connection_for_a_late_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream, "LINGER_S", 1e9)  # the sweep would close it too, later
+    monkeypatch.setattr(connection_pool, "LINGER_S", 1e9)  # the sweep would close it too, later
 
     async def test() -> None:
         late = Late()
         _, node = await late.start()
         await node.ask(read("r1", "first", 60), 7)
         assert node.pool.tables()["owed"] == 1
-        node.pool.unlist_server("s1")
+        node.pool.remove_endpoint("s1")
         async with asyncio.timeout(LIMIT_S):
             while node.pool.tables()["connections"]:
                 await asyncio.sleep(0.005)
@@ -683,7 +683,7 @@
         async with asyncio.timeout(LIMIT_S):
             while node.pool.tables()["connections"]:
                 await asyncio.sleep(0.005)
-        assert node.pool.deserted("s1") is not full
+        assert node.pool.idle_connections_closed("s1") is not full
         node.stop()
 
     run(test)
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from holdgw.policy import LoadSnapshotChanged, RoutingPolicy, levels
+from holdgw.harness.scenario import read_scenario
+from holdgw.policy import LoadSnapshotChanged, RoutingPolicy, slot_rebalancing
 from holdgw.policy.logic import MAX_OBSERVED_SLOTS, MIN_SNAPSHOT_REQUESTS, SLOTS
-from holdgw.rehearsal.scenario import read_scenario
 from holdgw.simulation.search import play_seed
 from tests.helpers import MS, S, fleet, request, settings, started
 from tests.test_large_fleet import REPORTS, serve
@@ -118,7 +118,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Simulated, 40 routers at 6 requests a second each over 20 servers: a day with and without peers."""
-    monkeypatch.setattr(levels, "PACE", 0.0)  # slots that move cost fetches: their gain is told elsewhere
+    monkeypatch.setattr(
+        slot_rebalancing, "PACE", 0.0
+    )  # slots that move cost fetches: their gain is told elsewhere
     text = """
 name = "x"
 length_s = 7.0
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -15,7 +15,7 @@
 import pytest
 
 from holdgw import native
-from holdgw.rehearsal.deployment import run_command
+from holdgw.harness.deployment import run_command
 from tests.helpers import S
 from tests.peers import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -15,8 +15,14 @@
 import orjson
 import pytest
 
-from holdgw.operation.link import MESSAGE_MOST, Client, Knowledge, Link, parts
-from holdgw.operation.takeover import Hand, Hello, Message, Takeover, decode
+from holdgw.operation.process_link import (
+    MAX_MESSAGE_BYTES,
+    ClientHandover,
+    HandoverPart,
+    ProcessLink,
+    split_handover,
+)
+from holdgw.operation.takeover import Hello, Message, OverrideChanged, Takeover, decode
 from holdgw.policy import EndpointHandover, HandoverState, Outcome, TenantHandover
 from holdgw.router.program import Program
 from tests.helpers import MS, S, ended, fleet, only_send, request, sends, settings, started
@@ -233,9 +239,9 @@
         self.there.setblocking(False)
         self.taken: list[tuple[Message, int | None]] = []
         self.lost = asyncio.Event()
-        self.link = Link(loop, self.here, decode, self._take, lambda _: self.lost.set())
+        self.link = ProcessLink(loop, self.here, decode, self._take, lambda _: self.lost.set())
 
-    def _take(self, _: Link[Message], message: Message, descriptor: int | None) -> None:
+    def _take(self, _: ProcessLink[Message], message: Message, descriptor: int | None) -> None:
         self.taken.append((message, descriptor))
 
 
@@ -264,7 +270,7 @@
         before = descriptors()
         for _ in range(200):
             passed = os.open(os.devnull, os.O_RDONLY)
-            ends.link.send(Client(b"x" * 4096, True, 0.0), passed)
+            ends.link.send(ClientHandover(b"x" * 4096, True, 0.0), passed)
         assert not ends.link.sent
         ends.link.close()
         ends.there.close()
@@ -281,7 +287,7 @@
         changed = asyncio.Event()
 
         def takeover(name: str) -> Takeover:
-            def hand(word: Hand) -> None:
+            def hand(word: OverrideChanged) -> None:
                 heard[name].append(word.server)
                 changed.set()
 
@@ -302,7 +308,7 @@
         assert heard["c"] == ["out-b"]
         assert [part.tenant_usage for part in known["c"] if part.tenant_usage] == [{"b": 1.0}]
         assert not known["a"]
-        third.tell(Hand("s", True, 5))
+        third.broadcast(OverrideChanged("s", True, 5))
         while "s" not in heard["a"]:
             changed.clear()
             await asyncio.wait_for(changed.wait(), LIMIT_S)
@@ -317,7 +323,7 @@
 def test_an_elder_that_says_nothing_is_not_waited_for_for_ever(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("holdgw.operation.takeover.MET_S", 0.05)
+    monkeypatch.setattr("holdgw.operation.takeover.HELLO_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         stuck = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -365,7 +371,7 @@
     assert elder.ejected() == [dead.entry.id]
     successor = started(settings(), fleet(3), now=4 * S)
     fresh = successor._guards["a"].limit
-    for part in parts(elder.handover_state(4 * S)):
+    for part in split_handover(elder.handover_state(4 * S)):
         successor.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=HandoverState), 4 * S)
     assert successor.ejected() == elder.ejected()
     assert successor._guards["a"].limit == elder._guards["a"].limit < fresh / 2
@@ -380,10 +386,10 @@
         program = Program(config(tmp_path, 9))
         early, late = (HandoverState(tenant_usage={name: 2.0}) for name in ("early", "late"))
         program._learn(early)
-        assert not program.host.learnt().tenant_usage
+        assert not program.host.handover_state().tenant_usage
         program._make_do()
         program._learn(late)
-        assert program.host.learnt().tenant_usage == {"early": 2.0, "late": 2.0}
+        assert program.host.handover_state().tenant_usage == {"early": 2.0, "late": 2.0}
         assert not program._learnt
         program.host.close()
         program.clients.close()
@@ -409,7 +415,7 @@
         slot_popularity=dict.fromkeys(range(8192), 1.0),
         tenant_usage={f"tenant-{i}": 1.0 for i in range(3)},
     )
-    cut = list(parts(learnt))
-    assert max(len(msgspec.msgpack.encode(Knowledge(part))) for part in cut) < MESSAGE_MOST
+    cut = list(split_handover(learnt))
+    assert max(len(msgspec.msgpack.encode(HandoverPart(part))) for part in cut) < MAX_MESSAGE_BYTES
     assert sum(len(part.endpoints) for part in cut) == 5000
     assert sum(len(part.slot_popularity) for part in cut) == 8192
--- a/tests/test_wheel.py
+++ b/tests/test_timer_wheel.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from holdgw.router.wheel import GRAIN, Wheel
+from holdgw.router.timer_wheel import GRAIN, TimerWheel
 
 
 class Clock:
@@ -44,9 +44,9 @@
         self.now = end
 
 
-def wheel() -> tuple[Clock, Wheel]:
+def wheel() -> tuple[Clock, TimerWheel]:
     clock = Clock()
-    return clock, Wheel(cast(asyncio.AbstractEventLoop, clock), lambda: clock.now)
+    return clock, TimerWheel(cast(asyncio.AbstractEventLoop, clock), lambda: clock.now)
 
 
 @given(
@@ -61,7 +61,7 @@
     for i, (at, wait, _) in sorted(enumerate(plan), key=lambda pair: pair[1][0]):
         clock.run_until(max(begun + at, clock.now))
         set_at[i] = clock.now
-        one = timeouts.at(clock.now + wait, lambda i=i: came.setdefault(i, []).append(clock.now))  # type: ignore[misc]
+        one = timeouts.call_at(clock.now + wait, lambda i=i: came.setdefault(i, []).append(clock.now))  # type: ignore[misc]
         if plan[i][2]:
             one.cancel()
             one.cancel()
@@ -84,9 +84,9 @@
     def again() -> None:
         times.append(clock.timers)
         if len(times) < 3:
-            timeouts.at(clock.now, again)
+            timeouts.call_at(clock.now, again)
 
-    timeouts.at(clock.now, again)
+    timeouts.call_at(clock.now, again)
     clock.run_until(clock.now + 5 * GRAIN)
     assert len(set(times)) == 3
 
@@ -98,10 +98,10 @@
     def fails() -> None:
         raise ValueError("planted")
 
-    timeouts.at(clock.now, fails)
-    timeouts.at(clock.now, lambda: came.append("kept"))
-    timeouts.at(clock.now, lambda: neighbour.cancel())
-    neighbour = timeouts.at(clock.now, lambda: came.append("cancelled"))
+    timeouts.call_at(clock.now, fails)
+    timeouts.call_at(clock.now, lambda: came.append("kept"))
+    timeouts.call_at(clock.now, lambda: neighbour.cancel())
+    neighbour = timeouts.call_at(clock.now, lambda: came.append("cancelled"))
     clock.run_until(clock.now + 5 * GRAIN)
     assert came == ["kept"]
     assert [str(fault["exception"]) for fault in clock.faults] == ["planted"]
@@ -110,13 +110,13 @@
 def test_an_earlier_one_moves_the_timer_and_a_closed_wheel_sets_none() -> None:
     clock, timeouts = wheel()
     came: list[str] = []
-    timeouts.at(clock.now + 40 * GRAIN, lambda: came.append("late"))
-    timeouts.at(clock.now + 5 * GRAIN, lambda: came.append("soon"))
+    timeouts.call_at(clock.now + 40 * GRAIN, lambda: came.append("late"))
+    timeouts.call_at(clock.now + 5 * GRAIN, lambda: came.append("soon"))
     clock.run_until(clock.now + 8 * GRAIN)
     assert came == ["soon"]
     timeouts.close()
-    timeouts.at(clock.now, lambda: came.append("closed")).cancel()
-    timeouts.at(clock.now, lambda: came.append("closed"))
+    timeouts.call_at(clock.now, lambda: came.append("closed")).cancel()
+    timeouts.call_at(clock.now, lambda: came.append("closed"))
     assert clock.callback is None
     clock.run_until(clock.now + 90 * GRAIN)
     assert came == ["soon"]
--- a/tests/test_update_budget.py
+++ b/tests/test_update_budget.py
@@ -10,6 +10,7 @@
 
 from bench.slopes_failures import of_region
 from bench.slopes_tier import Seconds, delay, knows_all, living, name
+from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers import datagram
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
 from holdgw.peers.gossip import PeerConfig, PeerNode
@@ -17,7 +18,6 @@
 from holdgw.peers.membership import NS_PER_S, TRANSMISSIONS, Membership, Timing
 from holdgw.peers.update_budget import LEAST_BYTES_PER_S, UPDATE_BYTES_PER_S
 from holdgw.simulation.tier import Tier
-from holdgw.standins.relay_model import PeerWeather, RelayModel
 
 ALLOWED = 2000.0  # bytes a second of a router, said and heard
 CUT_S = 40.0
--- a/tests/test_watch_wait.py
+++ b/tests/test_watch_timeout.py
@@ -12,25 +12,25 @@
 import orjson
 import pytest
 
-from holdgw.router import discovery, watch_wait
-from holdgw.router.watch_wait import WatchWait
+from holdgw.router import discovery, watch_timeout
+from holdgw.router.watch_timeout import WatchTimeout
 from tests.peers import LIMIT_S, Peer, run
 
-SHORTEST_S, LONGEST_S = discovery.ASKED_WAIT_MS / 1000, discovery.ASKED_WAIT_MOST_MS / 1000
+SHORTEST_S, LONGEST_S = discovery.POLL_WAIT_MS / 1000, discovery.MAX_POLL_WAIT_MS / 1000
 TURNED_AWAY_S = 2.0  # a service turns a call away that would wait for its turn longer than this
 
 
-def adaptive() -> WatchWait:
-    return WatchWait(SHORTEST_S, LONGEST_S)
+def adaptive() -> WatchTimeout:
+    return WatchTimeout(SHORTEST_S, LONGEST_S)
 
 
-def fixed(wait_s: float) -> Callable[[], WatchWait]:
-    return lambda: WatchWait(wait_s, wait_s)
+def fixed(wait_s: float) -> Callable[[], WatchTimeout]:
+    return lambda: WatchTimeout(wait_s, wait_s)
 
 
 @dataclass
 class Caller:
-    wait: WatchWait
+    wait: WatchTimeout
     call: int = 0  # its number: what is said of an earlier one is over
     knows: int = 0
 
@@ -39,7 +39,7 @@
 class Service:
     """One service, first come first served, that takes a call from each router within `all_call_s`."""
 
-    wait: Callable[[], WatchWait]
+    wait: Callable[[], WatchTimeout]
     all_call_s: float
     news_s: float  # between two changes of the list
     routers: int = 100
@@ -75,7 +75,7 @@
             self.free_at = max(self.free_at, now) + self.all_call_s / self.routers
             after(self.free_at, lambda at: serve(caller, number, at))
             after(self.free_at + wait_s, lambda at: end(caller, number, at, at - now - wait_s))
-            after(now + wait_s + discovery.ASKED_SLACK_S, lambda at: give_up(caller, number, at))
+            after(now + wait_s + discovery.POLL_SLACK_S, lambda at: give_up(caller, number, at))
 
         def serve(caller: Caller, number: int, now: float) -> None:
             if number == caller.call and caller.knows < self.version:
@@ -183,11 +183,11 @@
 def test_a_watch_asks_for_shorter_waits_by_answers_in_time_and_for_the_longest_after_a_failure(
     monkeypatch: pytest.MonkeyPatch, begun_ms: int
 ) -> None:
-    monkeypatch.setattr(discovery, "ASKED_WAIT_MS", 10)
-    monkeypatch.setattr(discovery, "ASKED_WAIT_MOST_MS", 400)
-    monkeypatch.setattr(discovery, "ASKED_SLACK_S", LIMIT_S)
-    monkeypatch.setattr(watch_wait, "DELAYS", 0.02)
-    monkeypatch.setattr(watch_wait, "FADE", 0.5)
+    monkeypatch.setattr(discovery, "POLL_WAIT_MS", 10)
+    monkeypatch.setattr(discovery, "MAX_POLL_WAIT_MS", 400)
+    monkeypatch.setattr(discovery, "POLL_SLACK_S", LIMIT_S)
+    monkeypatch.setattr(watch_timeout, "DELAYS", 0.02)
+    monkeypatch.setattr(watch_timeout, "FADE", 0.5)
 
     async def test() -> None:
         service, failed = Waits(begun_ms), asyncio.Event()
@@ -195,7 +195,7 @@
         watching = discovery.Discovery(
             ("127.0.0.1", service.port), True, discovery.Clock(), lambda _: None, failed.set, service.now
         )
-        watching.know(5)
+        watching.resume_from(5)
         watching.subscribe()
         await asyncio.wait_for(failed.wait(), LIMIT_S)
         watching.subscribe()
--- a/tests/test_crew.py
+++ b/tests/test_worker_pool.py
@@ -12,26 +12,26 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from holdgw.cores import board
-from holdgw.cores.crew import (
+from holdgw.cores import shared_table
+from holdgw.cores.messages import EndpointUpdatePart, UpdateAssembler, split_update
+from holdgw.cores.worker_pool import (
     BACK_OFF_MOST_S,
     EPSILON,
-    CannotFeedError,
-    Crew,
-    Member,
-    State,
+    InsufficientResourcesError,
+    WorkerPool,
+    WorkerProcess,
+    WorkerState,
     check,
 )
-from holdgw.cores.words import Joiner, Listed, listed
-from holdgw.operation.listing import Listing
+from holdgw.operation.endpoint_update import EndpointUpdate
 from holdgw.policy import Endpoint, EndpointsChanged, UpdateKind
 
 ROOT = Path(__file__).resolve().parent.parent
 MB = 1 << 20
 
 
-def crew(workers: int) -> tuple[Crew, list[Member]]:
-    found = Crew(workers, ("a",))
+def crew(workers: int) -> tuple[WorkerPool, list[WorkerProcess]]:
+    found = WorkerPool(workers, ("a",))
     members = [found.started(place, 0.0) for place in range(workers)]
     for member in members:
         assert found.serving(member) is None
@@ -47,8 +47,8 @@
     found.account(second, 2, 0, {})
     found.account(third, 9, 0, {})
     assert found.deal(1.0) is second
-    second.state = State.LEAVING
-    first.state = third.state = State.STARTING
+    second.state = WorkerState.LEAVING
+    first.state = third.state = WorkerState.STARTING
     assert found.deal(1.0) is None
 
 
@@ -101,7 +101,7 @@
 
 def test_a_worker_that_was_starting_when_all_were_to_be_replaced_is_replaced_too() -> None:
     # Found on a loaded machine: it counted as its own successor, and stayed at the old version for good.
-    found = Crew(1, ())
+    found = WorkerPool(1, ())
     old = found.started(0, 1.0)
     assert found.replace(1.5)
     assert found.next_to_replace() is None  # not while it starts
@@ -126,13 +126,13 @@
     assert old in found.wanted()
     again = found.started(0, 60.0)
     assert found.serving(again) is old
-    assert old.state is State.LEAVING
+    assert old.state is WorkerState.LEAVING
     assert found.next_to_replace() is None
     assert found.exited(old, 61.0) is None
     assert found.next_to_replace() == 1
     assert not found.all_replaced()
     assert found.overdue(1000.0) == []
-    assert found.overdue(1000.0) == [m for m in found.members if m.state is State.STARTING]
+    assert found.overdue(1000.0) == [m for m in found.members if m.state is WorkerState.STARTING]
     late = found.started(1, 70.0)
     assert found.overdue(79.0) == []
     assert found.overdue(81.0) == [late]
@@ -159,7 +159,7 @@
 class Led:
     """A worker as it is: it goes by shares some time after it was told, in order."""
 
-    def __init__(self, member: Member) -> None:
+    def __init__(self, member: WorkerProcess) -> None:
         self.member = member
         self.share = 0.0
         self.number = 0
@@ -196,7 +196,7 @@
         elif kind == "start":
             place = number % workers
             before = found.serving(new := found.started(place, 2.0))
-            assert before is None or before.state is State.LEAVING
+            assert before is None or before.state is WorkerState.LEAVING
             alive.append(Led(new))
         assert sum(one.share for one in alive) <= 1.0 + 1e-6
     for _ in range(30):  # all hear: what is owed by demand is given in the end
@@ -233,22 +233,22 @@
     ],
 )
 def test_workers_that_can_not_be_fed_are_refused(workers: int, memory: int, sockets: int, text: str) -> None:
-    with pytest.raises(CannotFeedError, match=text):
+    with pytest.raises(InsufficientResourcesError, match=text):
         check(workers, memory, sockets)
     check(4, 512 * MB, 4096)
 
 
 CLAIMS = """
 import os, sys
-from holdgw.cores.board import Board, attach
-board = Board(attach(int(sys.argv[1]), 2), 2, int(sys.argv[2]))
+from holdgw.cores.shared_table import SharedTable, attach
+board = SharedTable(attach(int(sys.argv[1]), 2), 2, int(sys.argv[2]))
 print(*(board.claim(name.encode()) for name in sys.argv[3:]), board.revision)
 board.close()
 """
 
 
 def test_an_id_of_one_worker_is_taken_for_the_other_and_for_its_own_successor() -> None:
-    descriptor = board.create(2)
+    descriptor = shared_table.create(2)
 
     def claims(place: int, *names: str) -> list[str]:
         done = subprocess.run(
@@ -261,7 +261,7 @@
         )
         return done.stdout.split()
 
-    supervisor = board.Board(board.attach(descriptor, 2), 2)
+    supervisor = shared_table.SharedTable(shared_table.attach(descriptor, 2), 2)
     supervisor.advance()
     try:
         assert claims(0, "x", "y") == ["True", "True", "1"]
@@ -276,9 +276,12 @@
 @given(st.integers(0, 1300), st.sampled_from([UpdateKind.FULL, UpdateKind.DELTA]))
 def test_a_list_of_any_length_comes_whole_or_not_at_all(count: int, kind: UpdateKind) -> None:
     servers = tuple(Endpoint(f"n{i}") for i in range(count))
-    news = Listing(7, EndpointsChanged(kind, servers), {s.id: ("127.0.0.1", 1) for s in servers})
-    joiner = Joiner()
-    sent = [msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=Listed) for part in listed(news)]
+    news = EndpointUpdate(7, EndpointsChanged(kind, servers), {s.id: ("127.0.0.1", 1) for s in servers})
+    joiner = UpdateAssembler()
+    sent = [
+        msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=EndpointUpdatePart)
+        for part in split_update(news)
+    ]
     taken = [joiner.take(part) for part in sent]
     assert taken[:-1] == [None] * (len(sent) - 1)
     assert taken[-1] == news
