--- a/bench/capacity_control.py
+++ b/bench/capacity_control.py
@@ -431,7 +431,7 @@
         "ms",
         Read("lists", "list taken in", SERVERS),
         "slots are ranked anew as they are asked for (P15)",
-        "`SlotTable.update`, `policy/logic.py`",
+        "`SlotTable.update`, `policy/slot_table.py`",
     ),
     Row(
         "C30",
--- a/bench/cold_budget.py
+++ b/bench/cold_budget.py
@@ -19,9 +19,11 @@
 from statistics import mean
 
 from holdgw.policy import (
+    NS_PER_S,
     AttemptEnded,
     Endpoint,
     EndpointsChanged,
+    Event,
     Outcome,
     RequestArrived,
     RequestClass,
@@ -32,7 +34,6 @@
     TimerFired,
     UpdateKind,
 )
-from holdgw.policy.interface import NS_PER_S, Event
 from holdgw.simulation.agenda import Agenda
 
 ORIGIN = Endpoint("origin:1", kind="store")
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -64,7 +64,7 @@
 
 def measurement(name: str, readings: Readings) -> Measurement:
     """What was read, with the circumstances."""
-    from holdgw.policy import logic
+    from holdgw.policy import routing_policy
 
     return Measurement(
         name=name,
@@ -72,7 +72,7 @@
         commit=readings.commit,
         date=datetime.now(UTC).strftime("%Y-%m-%dT%H:%MZ"),
         cores=os.cpu_count() or 1,
-        compiled=not str(logic.__file__).endswith(".py"),
+        compiled=not str(routing_policy.__file__).endswith(".py"),
         pace=pace(),
         series=readings.all(),
     )
--- a/bench/slopes_keys.py
+++ b/bench/slopes_keys.py
@@ -17,16 +17,18 @@
 from bench.slopes import REPEATS, Readings, bytes_of, cpu_of, measurement
 from holdgw.peers.heavy_hitters import HeavyHitters
 from holdgw.policy import (
+    NS_PER_S,
+    AttemptEnded,
     Endpoint,
     EndpointsChanged,
+    Outcome,
     RequestArrived,
     RequestClass,
     RoutingPolicy,
     Settings,
     UpdateKind,
 )
-from holdgw.policy.interface import NS_PER_S, AttemptEnded, Outcome
-from holdgw.policy.logic import SLOTS
+from holdgw.policy.slot_table import SLOTS
 
 OBJECTS = 2_700_000_000
 EXPONENT = 0.9
--- a/bench/slopes_slots.py
+++ b/bench/slopes_slots.py
@@ -7,7 +7,7 @@
 from bench.capacity_model import Measurement, Scale
 from bench.slopes import REPEATS, Readings, bytes_of, cpu_of, measurement
 from holdgw.policy import Endpoint, RequestClass, Settings
-from holdgw.policy.logic import SLOTS, SlotTable
+from holdgw.policy.slot_table import SLOTS, SlotTable
 
 SERVERS = (12, 24, 48, 72, 96)
 SLOT_COUNTS = (4096, 8192, 16384, 32768, 65536)
--- a/holdgw/cores/supervisor.py
+++ b/holdgw/cores/supervisor.py
@@ -27,6 +27,7 @@
 from holdgw.operation.metrics import Metrics
 from holdgw.operation.process_link import ClientHandover, HandoverPart, ProcessLink
 from holdgw.policy import (
+    NS_PER_S,
     Action,
     EndpointsChanged,
     RoutingPolicy,
@@ -36,7 +37,6 @@
     UpdateKind,
     disabled_features,
 )
-from holdgw.policy.interface import NS_PER_S
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.discovery import Clock, Discovery, read_listing
 from holdgw.router.event_loop_lag import LagMonitor
--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -22,9 +22,14 @@
 FOLDER = ".native"
 DIGEST = "digest"
 MODULES = (
+    "policy/endpoint_health.py",
+    "policy/hot_keys.py",
     "policy/interface.py",
+    "policy/origin_limiter.py",
+    "policy/pending_request.py",
+    "policy/routing_policy.py",
     "policy/slot_rebalancing.py",
-    "policy/logic.py",
+    "policy/slot_table.py",
     "wire/resp.py",
     "operation/metrics.py",
     "router/cache_connection.py",
--- a/holdgw/policy/__init__.py
+++ b/holdgw/policy/__init__.py
@@ -2,6 +2,7 @@
 
 from holdgw.policy.disabled_features import disabled_features
 from holdgw.policy.interface import (
+    NS_PER_S,
     Action,
     AttemptEnded,
     CacheStatus,
@@ -33,9 +34,10 @@
     TimerFired,
     UpdateKind,
 )
-from holdgw.policy.logic import RoutingPolicy
+from holdgw.policy.routing_policy import RoutingPolicy
 
 __all__ = [
+    "NS_PER_S",
     "Action",
     "AttemptEnded",
     "CacheStatus",
--- a/holdgw/policy/adapter.py
+++ b/holdgw/policy/adapter.py
@@ -9,8 +9,8 @@
 import orjson
 
 from holdgw.policy import interface as api
-from holdgw.policy.logic import RoutingPolicy
-from holdgw.policy.settings import Fields, WireFormatError, choice, read_settings, typed
+from holdgw.policy.routing_policy import RoutingPolicy
+from holdgw.policy.settings_reader import Fields, WireFormatError, choice, read_settings, typed
 
 _OUTCOMES = {
     "completed": api.Outcome.OK,
--- a/holdgw/router/config.py
+++ b/holdgw/router/config.py
@@ -10,9 +10,8 @@
 
 from holdgw.peers.gossip import PeerConfig
 from holdgw.peers.update_budget import LEAST_BYTES_PER_S, UPDATE_BYTES_PER_S
-from holdgw.policy import Settings
-from holdgw.policy.interface import NS_PER_S
-from holdgw.policy.settings import WireFormatError, read_settings, typed
+from holdgw.policy import NS_PER_S, Settings
+from holdgw.policy.settings_reader import WireFormatError, read_settings, typed
 from holdgw.router.platform import read_file
 from holdgw.wire.address import Address, parse_address
 
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -15,6 +15,7 @@
 from holdgw.operation.interval_counters import IntervalCounters
 from holdgw.operation.metrics import Disposition, Metrics
 from holdgw.policy import (
+    NS_PER_S,
     Action,
     AttemptEnded,
     CacheStatus,
@@ -40,7 +41,6 @@
     UpdateKind,
     disabled_features,
 )
-from holdgw.policy.interface import NS_PER_S
 from holdgw.router.cache_connection import CacheConnection
 from holdgw.router.client_connection import NS_PER_MS, Reply
 from holdgw.router.connection_pool import ConnectionPool, Exchange
--- a/holdgw/router/program.py
+++ b/holdgw/router/program.py
@@ -20,8 +20,7 @@
 from holdgw.operation.takeover import OverrideChanged, Takeover
 from holdgw.peers.gossip import PeerNode
 from holdgw.peers.load_view import LoadSnapshot, Observations, SampledWait
-from holdgw.policy import HandoverState, LoadSnapshotChanged, UpdateKind
-from holdgw.policy.interface import NS_PER_S
+from holdgw.policy import NS_PER_S, HandoverState, LoadSnapshotChanged, UpdateKind
 from holdgw.router.client_connection import MAX_REJECTING_CONNECTIONS, ClientListener
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.connection_pool import ConnectionPool
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -40,7 +40,7 @@
 from bench.capacity_rows import Absent, Given, Kind, Read, Role, Row, Untold
 from bench.capacity_text import HEAD, UNKNOWNS
 from bench.slopes import ROOT, load, store
-from holdgw.policy.interface import NS_PER_S
+from holdgw.policy import NS_PER_S
 from tests.test_architecture import imports
 
 SIZES = (50, 100, 200, 400, 760)
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -5,7 +5,7 @@
 import pytest
 
 from holdgw.policy import EndpointsChanged, Reject, UpdateKind
-from holdgw.policy.logic import COLD_EXCESS
+from holdgw.policy.routing_policy import COLD_EXCESS
 from tests.helpers import ORIGIN, S, finals, fleet, request, sends, settings, started
 
 COLD = {
--- a/tests/test_disabled_features.py
+++ b/tests/test_disabled_features.py
@@ -16,7 +16,7 @@
 from holdgw.operation.endpoint_update import EndpointUpdate
 from holdgw.policy import Outcome, RoutingPolicy, disabled_features
 from holdgw.policy.disabled_features import load_report_indexes
-from holdgw.policy.settings import read_settings
+from holdgw.policy.settings_reader import read_settings
 from holdgw.router import discovery
 from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.dispatcher import Dispatcher
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -14,7 +14,7 @@
 from holdgw.operation.fleet_log import FleetLog
 from holdgw.operation.interval_counters import IntervalCounters
 from holdgw.policy import Outcome, RoutingPolicy
-from holdgw.policy.logic import Node as Holder
+from holdgw.policy.endpoint_health import TrackedEndpoint as Holder
 from holdgw.simulation.search import play_seed
 from tests.helpers import MS, S, ended, finals, fleet, only_send, request, sends, settings, started
 from tests.peers import HIT, SERVED, Cache, Node, entry, read, run
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -22,7 +22,7 @@
     TimerFired,
     UpdateKind,
 )
-from holdgw.policy.logic import CUT
+from holdgw.policy.origin_limiter import CUT
 from tests.helpers import MS, ORIGIN, S, ended, finals, fleet, only_send, request, sends, settings, started
 
 
--- a/tests/test_simulation_cores.py
+++ b/tests/test_simulation_cores.py
@@ -8,7 +8,7 @@
 import pytest
 
 from holdgw.harness.scenario import load_scenario
-from holdgw.policy.logic import RoutingPolicy
+from holdgw.policy.routing_policy import RoutingPolicy
 from holdgw.simulation.search import play_seed, search
 
 STORM = load_scenario(str(Path(__file__).resolve().parent.parent / "bench/scenarios/cores-storm.toml"))
--- a/tests/test_slot_rebalancing.py
+++ b/tests/test_slot_rebalancing.py
@@ -12,7 +12,6 @@
 from holdgw.peers.load_report import LoadReport
 from holdgw.peers.load_view import MAX_ROUTER_SHARE, LoadView
 from holdgw.policy import LoadSnapshotChanged, slot_rebalancing
-from holdgw.policy.logic import SLOTS
 from holdgw.policy.slot_rebalancing import (
     KEPT_LEAST,
     PACE,
@@ -22,6 +21,7 @@
     SlotRebalancer,
     drawn,
 )
+from holdgw.policy.slot_table import SLOTS
 from holdgw.simulation.fleet import Fleet
 from tests.helpers import MS, S, fleet, settings, started
 from tests.test_large_fleet import REPORTS, serve
--- a/tests/test_slot_table.py
+++ b/tests/test_slot_table.py
@@ -7,8 +7,8 @@
 
 from msgspec.structs import replace
 
-from holdgw.policy.interface import Endpoint
-from holdgw.policy.logic import DEPTH, SLOTS, SlotTable
+from holdgw.policy import Endpoint
+from holdgw.policy.slot_table import DEPTH, SLOTS, SlotTable
 from tests.helpers import S, fleet, settings
 
 COLD = {"warm_up_initial_weight": 0.25, "warm_up_ns": 10 * S}
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -10,7 +10,8 @@
 
 from holdgw.harness.scenario import read_scenario
 from holdgw.policy import LoadSnapshotChanged, RoutingPolicy, slot_rebalancing
-from holdgw.policy.logic import MAX_OBSERVED_SLOTS, MIN_SNAPSHOT_REQUESTS, SLOTS
+from holdgw.policy.routing_policy import MAX_OBSERVED_SLOTS, MIN_SNAPSHOT_REQUESTS
+from holdgw.policy.slot_table import SLOTS
 from holdgw.simulation.search import play_seed
 from tests.helpers import MS, S, fleet, request, settings, started
 from tests.test_large_fleet import REPORTS, serve
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -12,9 +12,9 @@
     Outcome,
     RoutingPolicy,
     SendAttempt,
+    Settings,
     UpdateKind,
 )
-from holdgw.policy.interface import Settings
 from tests.helpers import MS, ORIGIN, S, ended, fleet, request, sends, settings, started
 
 COLD = Endpoint("10.0.1.1:80", kind="std", started_ns=20 * S)
