--- a/bench/cold_budget.py
+++ b/bench/cold_budget.py
@@ -34,7 +34,7 @@
     TimerFired,
     UpdateKind,
 )
-from holdgw.simulation.agenda import Agenda
+from holdgw.simulation.event_queue import EventQueue
 
 ORIGIN = Endpoint("origin:1", kind="store")
 BEGIN_S, BEFORE_S, AFTER_S = 100, 12.0, 10.0  # the server's start; play before and after it
@@ -98,7 +98,7 @@
     """One case, one seed."""
 
     def __init__(self, case: Case, seed: int) -> None:
-        self._agenda, self._requests = Agenda(), count()
+        self._agenda, self._requests = EventQueue(), count()
         self.case, self._rng = case, random.Random(seed)
         self._servers = [Endpoint(f"10.0.0.{i}:80") for i in range(case.servers)]
         self._cold = self._servers[seed % case.servers]
--- a/bench/emulator_rate.py
+++ b/bench/emulator_rate.py
@@ -14,11 +14,11 @@
 import uvloop
 from msgspec.structs import replace
 
-from holdgw.harness.day import draw
 from holdgw.harness.deployment import build, run_command
+from holdgw.harness.orchestrator import play
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import load_scenario
-from holdgw.harness.stage import play
+from holdgw.harness.schedule import draw_schedule
 
 ROOT = Path(__file__).resolve().parent.parent
 NODE_RATE = 11.0  # requests a second for each node
@@ -39,7 +39,7 @@
         store = replace(base.store, per_s=rate / 3)
         keys = replace(base.keys, count=4000)
         scenario = replace(base, fleet=fleet, store=store, keys=keys, load=replace(base.load, rate=rate))
-        played = uvloop.run(play(draw(scenario, 1), run_command(deploy), ROOT))
+        played = uvloop.run(play(draw_schedule(scenario, 1), run_command(deploy), ROOT))
         body = make_report(played).body
         lag, kept = body["emulator"], body["rules"]
         busy = max(lag["cpu_s"].items(), key=lambda pair: pair[1])
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -16,8 +16,8 @@
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers.datagram import MemberState
 from holdgw.peers.load_view import NS_PER_S
-from holdgw.simulation.fleet import Fleet, One
-from holdgw.simulation.tier import Tier
+from holdgw.simulation.fleet import Fleet, SimulatedPolicy
+from holdgw.simulation.membership_tier import MembershipTier
 
 S = NS_PER_S
 ROUTERS, SERVERS, RATE, SERVICE_S = 60, 20, 300.0, 0.04
@@ -57,7 +57,7 @@
     back = 0
     report = played._report
 
-    def reported(one: One) -> None:
+    def reported(one: SimulatedPolicy) -> None:
         nonlocal back
         report(one)
         for name, node in one.router._caches.nodes.items():
@@ -72,7 +72,7 @@
 def returned(seed: int) -> float:
     """Routers held for dead, when all that were frozen or restarted are back and old datagrams come again."""
     weather = PeerWeather(loss=0.05, duplicates=0.1, reordered=0.3)
-    tier = Tier(24, seed, RelayModel(seed, lambda _a, _b: 0.004, weather))
+    tier = MembershipTier(24, seed, RelayModel(seed, lambda _a, _b: 0.004, weather))
     said: list[tuple[int, int, bytes]] = []
     say = tier.say
 
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -23,7 +23,7 @@
 from holdgw.peers.load_report import MAX_SLOTS, LoadReport
 from holdgw.peers.load_view import NS_PER_S
 from holdgw.policy import slot_rebalancing
-from holdgw.simulation.fleet import Fleet, One
+from holdgw.simulation.fleet import Fleet, SimulatedPolicy
 
 S = NS_PER_S
 BEGIN, LENGTH = 15.0, 45.0  # of the trouble, and of the whole
@@ -66,7 +66,7 @@
     )
 
 
-def _weights(weigh: Callable[[One], float]) -> Callable[[Fleet], None]:
+def _weights(weigh: Callable[[SimulatedPolicy], float]) -> Callable[[Fleet], None]:
     def trouble(fleet: Fleet) -> None:
         for one in fleet.routers:
             one.weight = weigh(one)
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -13,7 +13,7 @@
 
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers.datagram import MemberState
-from holdgw.simulation.tier import Tier
+from holdgw.simulation.membership_tier import MembershipTier
 
 DEATHS = 5
 CALM_S = 10.0
@@ -25,7 +25,7 @@
     return 0.0002 if int(a[6:]) % 3 == int(b[6:]) % 3 else 0.004
 
 
-def slow_down(tier: Tier, number: int, run_ms: int) -> None:
+def slow_down(tier: MembershipTier, number: int, run_ms: int) -> None:
     """One that runs for so many ms of each 100."""
 
     def hold() -> None:
@@ -40,7 +40,7 @@
 
 
 def learn_of_deaths(
-    tier: Tier, deaths: int, most_s: float, unlearnt: float
+    tier: MembershipTier, deaths: int, most_s: float, unlearnt: float
 ) -> tuple[list[float], list[float]]:
     """Kill so many one after the other: seconds until the first, and until all living learn of each.
 
@@ -68,7 +68,7 @@
 
 def deaths(size: int, seed: int, loss: float) -> tuple[list[float], list[float], float]:
     """Seconds until the first, and until all learn of each of some deaths; bytes a second of a router."""
-    tier = Tier(size, seed, RelayModel(seed, line, PeerWeather(loss=loss)))
+    tier = MembershipTier(size, seed, RelayModel(seed, line, PeerWeather(loss=loss)))
     tier.run(CALM_S)
     before, began = sum(tier.bytes.values()), tier.now
     first, last = learn_of_deaths(tier, DEATHS, LEARN_MOST_S, unlearnt=inf)
@@ -78,7 +78,7 @@
 
 def falsely(size: int, seed: int, seconds: float) -> dict[str, float]:
     """Suspicions and deaths an hour over the tier, nobody being dead; bytes a second of a router."""
-    tier = Tier(size, seed, RelayModel(seed, line, PeerWeather(loss=0.05)))
+    tier = MembershipTier(size, seed, RelayModel(seed, line, PeerWeather(loss=0.05)))
     slow = set(tier.random.sample(range(size), size // 10))
     for number in slow:
         slow_down(tier, number, 20)
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -24,10 +24,10 @@
 
 def figures(scenario: str, seed: int, seconds: float) -> dict[str, float]:
     """Play one seed; its figures."""
-    from holdgw.harness.counting import outcomes
-    from holdgw.harness.day import STORE
     from holdgw.harness.report import make_report
     from holdgw.harness.scenario import load_scenario
+    from holdgw.harness.schedule import STORE
+    from holdgw.harness.scoring import outcomes
     from holdgw.simulation.search import play_seed
 
     loaded = load_scenario(scenario)
--- a/bench/rehearsal_repeat.py
+++ b/bench/rehearsal_repeat.py
@@ -13,11 +13,11 @@
 
 import uvloop
 
-from holdgw.harness.day import draw
 from holdgw.harness.deployment import build, run_command
+from holdgw.harness.orchestrator import play
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import load_scenario
-from holdgw.harness.stage import play
+from holdgw.harness.schedule import draw_schedule
 
 ROOT = Path(__file__).resolve().parent.parent
 KEPT = (
@@ -31,7 +31,7 @@
     told = load_scenario(scenario)
     if seconds is not None:
         told = told.cut(seconds)
-    day = draw(told, told.seed if seed is None else seed)
+    day = draw_schedule(told, told.seed if seed is None else seed)
     played = uvloop.run(play(day, run_command(deploy), ROOT))
     body = make_report(played).body
     lag = {"lag_p99_ms": body["emulator"]["p99_ms"], "lag_worst_ms": body["emulator"]["worst_ms"]}
--- a/bench/router_core.py
+++ b/bench/router_core.py
@@ -33,10 +33,10 @@
 from rich.table import Table
 
 from holdgw.emulators.discovery import DiscoveryServer
+from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
 from holdgw.emulators.records import Record
-from holdgw.emulators.registry_model import Entry, RegistryModel, State
 from holdgw.harness.deployment import NODE_KIND, build, configuration, run_command
-from holdgw.harness.routers import child_of_stage, cpu_seconds, free_address, resident_bytes
+from holdgw.harness.routers import child_of_orchestrator, cpu_seconds, free_address, resident_bytes
 from holdgw.harness.scenario import load_scenario
 from holdgw.wire.address import Address
 
@@ -54,7 +54,7 @@
 
 def bind_to(cores: set[int]) -> None:
     """Keep this process to some cores."""
-    child_of_stage(cores)
+    child_of_orchestrator(cores)
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
@@ -378,7 +378,7 @@
 
     async def serve() -> None:
         entries = [Entry(f"node{i:03d}", State.UP, "lozenets", NODE_KIND) for i in range(len(places))]
-        model = RegistryModel(entries, [ROUTER], lambda *_: 0.0, time.monotonic())
+        model = DiscoveryModel(entries, [ROUTER], lambda *_: 0.0, time.monotonic())
         where: Callable[[str, str], Address] = lambda _, server: places[int(server[4:])]  # noqa: E731
         server = DiscoveryServer(model, [ROUTER], where, Nobody(), time.monotonic)
         addresses = await server.start()
@@ -410,7 +410,10 @@
     build(deploy)
     command = run_command(deploy) if run is None else run
     process = subprocess.Popen(
-        ["/bin/sh", "-c", command], cwd=ROOT, env=environment, preexec_fn=partial(child_of_stage, cores)
+        ["/bin/sh", "-c", command],
+        cwd=ROOT,
+        env=environment,
+        preexec_fn=partial(child_of_orchestrator, cores),
     )
     due = time.monotonic() + 30
     while time.monotonic() < due and process.poll() is None:
--- a/bench/scale_real.py
+++ b/bench/scale_real.py
@@ -12,11 +12,11 @@
 from typing import NamedTuple
 
 from bench.scale_plan import LIGHT_PER_S, SERVERS
-from holdgw.harness.day import Day, draw
 from holdgw.harness.deployment import Peers
+from holdgw.harness.orchestrator import Orchestrator
 from holdgw.harness.routers import resident_bytes
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.stage import Stage
+from holdgw.harness.schedule import Schedule, draw_schedule
 from holdgw.wire.address import Address
 
 SETTINGS = """
@@ -67,10 +67,10 @@
     heard: int
 
 
-class MixedStage(Stage):
+class MixedStage(Orchestrator):
     """A stage whose routers join the membership of a scale run."""
 
-    def __init__(self, day: Day, command: str, root: Path, join: Join | None, aggregators: int) -> None:
+    def __init__(self, day: Schedule, command: str, root: Path, join: Join | None, aggregators: int) -> None:
         super().__init__(day, command, root)
         self._join, self._aggregator_count = join, aggregators
 
@@ -102,12 +102,12 @@
             routers=count,
             peers=str(join is not None).lower(),
         )
-        day = draw(read_scenario(text, "bench"), seed)
+        day = draw_schedule(read_scenario(text, "bench"), seed)
         self.stage = MixedStage(day, command, root, join, aggregators)
         self.begun = asyncio.Event()
         self._playing = asyncio.ensure_future(self.stage.play(self._progress))
 
-    def _progress(self, _stage: Stage, at: float) -> None:
+    def _progress(self, _stage: Orchestrator, at: float) -> None:
         if at >= 0:
             self.begun.set()
 
--- a/bench/slopes_lists.py
+++ b/bench/slopes_lists.py
@@ -19,8 +19,8 @@
 from bench.capacity_model import Measurement, Scale
 from bench.slopes import REPEATS, ROUTERS, Readings, cpu_of, measurement
 from holdgw.emulators.discovery import DiscoveryServer
+from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
 from holdgw.emulators.records import Called, Record
-from holdgw.emulators.registry_model import Entry, RegistryModel, State
 from holdgw.harness.deployment import Peers, configuration
 from holdgw.harness.scenario import load_scenario
 from holdgw.policy import RequestClass, RoutingPolicy, Settings
@@ -107,7 +107,7 @@
     """
     names = [f"router{i:03d}" for i in range(routers)]
     entries = [Entry(f"node{i:03d}", State.UP, "zone0", "std-1c") for i in range(96)]
-    model = RegistryModel(entries, names, lambda *_: 0.0, time.monotonic())
+    model = DiscoveryModel(entries, names, lambda *_: 0.0, time.monotonic())
     calls = Calls()
     server = DiscoveryServer(model, names, lambda _r, s: ("127.0.0.1", 1 + int(s[4:])), calls, time.monotonic)
     addresses = await server.start()
--- a/bench/slopes_membership.py
+++ b/bench/slopes_membership.py
@@ -13,7 +13,7 @@
 from bench.slopes_tier import knows_all, make, timed
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
 from holdgw.peers.membership import Membership
-from holdgw.simulation.tier import Tier
+from holdgw.simulation.membership_tier import MembershipTier
 
 REST_S = 20.0
 FALSELY_S = 60.0
@@ -58,7 +58,7 @@
     A change is a router's own next incarnation: small, versioned, and spread by what is there today.
     """
 
-    def __init__(self, tier: Tier) -> None:
+    def __init__(self, tier: MembershipTier) -> None:
         self._tier = tier
         self._open: dict[int, tuple[int, int, set[int]]] = {}  # by router: incarnation, since, who lacks it
         self.took: list[float] = []
--- a/bench/slopes_tier.py
+++ b/bench/slopes_tier.py
@@ -8,7 +8,7 @@
 
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers.membership import Membership
-from holdgw.simulation.tier import Tier
+from holdgw.simulation.membership_tier import MembershipTier
 
 SITES, ZONES, REGIONS = 43, 25, 8
 SAME_SITE_S, SAME_ZONE_S, SAME_REGION_S, ACROSS_S = 0.0001, 0.0005, 0.002, 0.04
@@ -41,14 +41,14 @@
     return f"router{number:02d}"
 
 
-def make(size: int, seed: int, loss: float = LOSS) -> Tier:
+def make(size: int, seed: int, loss: float = LOSS) -> MembershipTier:
     """So many routers that know one another, after a calm stretch."""
-    tier = Tier(size, seed, RelayModel(seed, delay, PeerWeather(loss=loss)))
+    tier = MembershipTier(size, seed, RelayModel(seed, delay, PeerWeather(loss=loss)))
     tier.run(CALM_S)
     return tier
 
 
-def timed(tier: Tier) -> list[float]:
+def timed(tier: MembershipTier) -> list[float]:
     """Count the processor time of the members' own code from now on; the sum is the list's one entry."""
     spent = [0.0]
 
@@ -68,12 +68,12 @@
     return spent
 
 
-def living(tier: Tier) -> list[Membership]:
+def living(tier: MembershipTier) -> list[Membership]:
     """The members whose processes run."""
     return [member for member in tier.members if member is not None]
 
 
-def knows_all(tier: Tier, present: Collection[int]) -> bool:
+def knows_all(tier: MembershipTier, present: Collection[int]) -> bool:
     """Whether each living router holds just these for present."""
     wanted = set(present)
     return all(set(member.present()) == wanted for member in living(tier))
@@ -82,7 +82,7 @@
 class Seconds:
     """What each second brought: bytes said and heard by routers, and messages."""
 
-    def __init__(self, tier: Tier) -> None:
+    def __init__(self, tier: MembershipTier) -> None:
         self._tier = tier
         self._heard: dict[int, int] = {}
         comes = tier._comes
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -25,11 +25,11 @@
 import orjson
 import uvloop
 
-from holdgw.harness.day import STORE, Day, draw, workload
 from holdgw.harness.deployment import build, run_command
+from holdgw.harness.orchestrator import RunResult, play
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import node_names, read_scenario
-from holdgw.harness.stage import Played, play
+from holdgw.harness.schedule import STORE, Schedule, draw_schedule, workload
 
 ROOT = Path(__file__).resolve().parent.parent
 WINDOW_S = 5.0
@@ -116,7 +116,7 @@
     work: float
 
 
-def there(day: Day, since: float, until: float) -> list[str]:
+def there(day: Schedule, since: float, until: float) -> list[str]:
     """The nodes that are listed and warm for the whole of that time."""
     names = set(node_names(day.scenario.fleet))
     for step in day.steps:
@@ -143,7 +143,7 @@
     return found
 
 
-def idle_longest(begun: Sequence[Begun], day: Day, since: float, until: float) -> float:
+def idle_longest(begun: Sequence[Begun], day: Schedule, since: float, until: float) -> float:
     """For how many seconds on end some node's last five were under half of the mean."""
     by_second: dict[int, list[Begun]] = defaultdict(list)
     for one in begun:
@@ -160,7 +160,7 @@
     return float(longest)
 
 
-def spread(begun: Sequence[Begun], day: Day, over: float) -> dict[str, Any]:
+def spread(begun: Sequence[Begun], day: Schedule, over: float) -> dict[str, Any]:
     """The windows, and all from when the load has to be level again."""
     length = day.scenario.length_s
     since = over + AFTER_S
@@ -174,7 +174,7 @@
     return {"windows": rows, "busiest": busiest, "idlest": idlest, "idle_longest": longest}
 
 
-def work_begun(played: Played) -> list[Begun]:
+def work_begun(played: RunResult) -> list[Begun]:
     """What nodes began on the day."""
     return [
         Begun(one.at - played.begun, one.server, one.work)
@@ -183,7 +183,7 @@
     ]
 
 
-def floors(day: Day) -> dict[str, list[Begun]]:
+def floors(day: Schedule) -> dict[str, list[Begun]]:
     """The same asks as an all-knowing placement, and as pure chance, would lay them out."""
     work = workload(day.scenario, day.seed)
     classes = day.scenario.classes
@@ -235,18 +235,18 @@
     plt.close(figure)
 
 
-def played_day(text: str, seed: int, deploy: Path, logs: Path | None = None) -> Played:
+def played_day(text: str, seed: int, deploy: Path, logs: Path | None = None) -> RunResult:
     """Play a day with the program of a deploy file's checkout."""
-    day = draw(read_scenario(text, "bench"), seed)
+    day = draw_schedule(read_scenario(text, "bench"), seed)
 
-    async def scene() -> Played:
+    async def scene() -> RunResult:
         root = deploy.absolute().parent.parent
         return await asyncio.wait_for(play(day, run_command(deploy), root, keep_logs=logs), 600.0)
 
     return uvloop.run(scene())
 
 
-def once(text: str, seed: int, deploy: Path, over: float) -> tuple[dict[str, Any], Day]:
+def once(text: str, seed: int, deploy: Path, over: float) -> tuple[dict[str, Any], Schedule]:
     """Play a day; returns what is measured of it, and the day."""
     played = played_day(text, seed, deploy)
     body = make_report(played).body
--- a/bench/start.py
+++ b/bench/start.py
@@ -22,10 +22,10 @@
 import orjson
 
 from bench.spread import KEPT, played_day, trouble
-from holdgw.harness.day import STORE
 from holdgw.harness.deployment import build
+from holdgw.harness.orchestrator import RunResult
 from holdgw.harness.report import make_report
-from holdgw.harness.stage import Played
+from holdgw.harness.schedule import STORE
 
 ROOT = Path(__file__).resolve().parent.parent
 KILL, LENGTH, STEP = 10.0, 40.0, 0.1
@@ -76,7 +76,7 @@
     return float("inf")
 
 
-def measured(played: Played) -> dict[str, Any]:
+def measured(played: RunResult) -> dict[str, Any]:
     """What a play asked of whom, and when it was well again."""
     history, begun = played.history, played.begun
     report = make_report(played)
--- a/holdgw/cli/rehearse.py
+++ b/holdgw/cli/rehearse.py
@@ -15,12 +15,12 @@
 from rich.table import Table
 
 from holdgw.cli.common import FAILED, INTERRUPTED, UsageError, folder_is_there
-from holdgw.harness.day import Day, draw
 from holdgw.harness.deployment import build, run_command
-from holdgw.harness.page import render
+from holdgw.harness.html_report import render
+from holdgw.harness.orchestrator import HarnessError, Orchestrator, RunResult, play
 from holdgw.harness.report import Report, make_report
 from holdgw.harness.scenario import load_scenario, shipped
-from holdgw.harness.stage import Played, Stage, StageError, play
+from holdgw.harness.schedule import Schedule, draw_schedule
 
 FILE_WIDTH = 140  # columns of a report that goes to no terminal
 
@@ -59,14 +59,14 @@
     command = run_command(deploy)
     build(deploy)
     root = deploy.absolute().parent.parent
-    day = draw(scenario, scenario.seed if seed is None else seed)
+    day = draw_schedule(scenario, scenario.seed if seed is None else seed)
     console = Console(stderr=True)
     try:
         played = _play(day, command, root, console, logs)
     except (asyncio.CancelledError, KeyboardInterrupt):
         console.print("interrupted; every process that was started is ended")
         raise typer.Exit(INTERRUPTED) from None
-    except StageError as error:
+    except HarnessError as error:
         print(f"holdgw: the day could not be played: {error}", file=sys.stderr)
         raise typer.Exit(FAILED) from None
     report = make_report(played)
@@ -78,7 +78,7 @@
     raise typer.Exit(report.exit_code)
 
 
-def _play(day: Day, command: str, root: Path, console: Console, logs: Path | None) -> Played:
+def _play(day: Schedule, command: str, root: Path, console: Console, logs: Path | None) -> RunResult:
     columns = (
         TextColumn("{task.description}"),
         BarColumn(),
@@ -88,7 +88,7 @@
     with Progress(*columns, console=console, transient=True) as progress:
         bar = progress.add_task(day.scenario.name, total=day.scenario.length_s, told="starting")
 
-        def show(stage: Stage, at: float) -> None:
+        def show(stage: Orchestrator, at: float) -> None:
             tally = stage.tally()
             over = tally.served + tally.refused + tally.failed
             share = f"{tally.in_aim / over:.1%}" if over else "-"
--- a/holdgw/cli/simulate.py
+++ b/holdgw/cli/simulate.py
@@ -17,10 +17,10 @@
 
 from holdgw.cli.common import BROKEN, FAILED, INTERRUPTED, UsageError, folder_is_there
 from holdgw.harness.scenario import Scenario, load_scenario
-from holdgw.simulation.play import Outcome
+from holdgw.simulation.fleet_run import Outcome
+from holdgw.simulation.random_faults import told, written_out
 from holdgw.simulation.search import last_events, play_seed, search
 from holdgw.simulation.shrink import as_toml, shrink
-from holdgw.simulation.storms import told, written_out
 from holdgw.simulation.trace import Trace, TraceFile
 from holdgw.simulation.world import START_NS
 
--- a/holdgw/emulators/discovery.py
+++ b/holdgw/emulators/discovery.py
@@ -13,10 +13,10 @@
 
 import orjson
 
-from holdgw.emulators.gates import GatedConnection, Way
+from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
+from holdgw.emulators.fault_proxy import ProxiedConnection, Way
+from holdgw.emulators.listeners import Alarm, Clock, Host, Listeners, reset
 from holdgw.emulators.records import Called, Deaf, Had, Odd, Told, Witness
-from holdgw.emulators.registry_model import Entry, RegistryModel, State
-from holdgw.emulators.shell import Alarm, Clock, Host, Listeners, reset
 from holdgw.wire.address import Address, format_address
 from holdgw.wire.http import HttpError, HttpRequest, RequestReader, response
 
@@ -89,7 +89,7 @@
         if self.transport is None:
             return
         answer = response(200, self.server.body(self.router, reset, entries))
-        if isinstance(self.transport, GatedConnection):
+        if isinstance(self.transport, ProxiedConnection):
             self.transport.write(answer, lambda: self.server.told(self, reset, entries))
         else:
             self.transport.write(answer)
@@ -116,7 +116,7 @@
 
     def __init__(
         self,
-        model: RegistryModel,
+        model: DiscoveryModel,
         routers: Iterable[str],
         where: Where,
         witness: Witness,
--- a/holdgw/emulators/registry_model.py
+++ b/holdgw/emulators/discovery_model.py
@@ -102,7 +102,7 @@
         return False, list(latest.values())
 
 
-class RegistryModel:
+class DiscoveryModel:
     """The list, and every router's view of it. `delay(view, version)` is how late a change comes there."""
 
     def __init__(
--- a/holdgw/emulators/gates.py
+++ b/holdgw/emulators/fault_proxy.py
@@ -62,7 +62,7 @@
             self._listener.listen(BACKLOG)
 
 
-class Gate:
+class FaultProxy:
     """One line's state: until when nothing comes through, in each direction. Cuts that overlap end with the
     last one.
     """
@@ -72,7 +72,7 @@
         self.on_change: Callable[[bool], None] = lambda _cut: None
         """Told of the line being cut, and of its being whole again."""
         self._until = {"to": float("-inf"), "from": float("-inf")}
-        self._connections: dict[GatedConnection, None] = {}
+        self._connections: dict[ProxiedConnection, None] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     @property
@@ -107,11 +107,11 @@
         for connection in list(self._connections):
             connection.release()
 
-    def joined(self, connection: GatedConnection) -> None:
+    def joined(self, connection: ProxiedConnection) -> None:
         """A connection came up on this line."""
         self._connections[connection] = None
 
-    def left(self, connection: GatedConnection) -> None:
+    def left(self, connection: ProxiedConnection) -> None:
         """One has gone."""
         self._connections.pop(connection, None)
 
@@ -123,12 +123,12 @@
         self._connections.clear()
 
 
-class GatedConnection(asyncio.Protocol):
+class ProxiedConnection(asyncio.Protocol):
     """Between a connection's transport and its protocol, as both of them see it: holds back what a cut line
     would.
     """
 
-    def __init__(self, gate: Gate, protocol: asyncio.Protocol) -> None:
+    def __init__(self, gate: FaultProxy, protocol: asyncio.Protocol) -> None:
         self._gate, self._protocol = gate, protocol
         self._transport: asyncio.Transport | None = None
         self._came: deque[tuple[float, bytes]] = deque()
@@ -239,12 +239,12 @@
                 self._tell_end(exc)
 
 
-class GatedListener:
+class ProxiedListener:
     """Listens at one address for a line with a gate. Closed while the line is cut, it stays silent until the
     line is back, and refuses from then on.
     """
 
-    def __init__(self, gate: Gate) -> None:
+    def __init__(self, gate: FaultProxy) -> None:
         self.gate = gate
         self._sock: socket.socket | None = None
         self._make: Callable[[], asyncio.Protocol] | None = None
@@ -309,7 +309,7 @@
             sock.setblocking(False)
             make = cast(Callable[[], asyncio.Protocol], self._make)
             work = self.gate.loop.connect_accepted_socket(
-                lambda make=make: GatedConnection(self.gate, make()),  # type: ignore[misc]
+                lambda make=make: ProxiedConnection(self.gate, make()),  # type: ignore[misc]
                 sock,
             )
             task = self.gate.loop.create_task(cast(Any, work))
--- a/holdgw/emulators/faults.py
+++ b/holdgw/emulators/faults.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from holdgw.emulators.chance import unit
+from holdgw.emulators.seeded_draws import unit
 
 
 class Fault(Enum):
--- a/holdgw/emulators/shell.py
+++ b/holdgw/emulators/listeners.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import cast
 
-from holdgw.emulators.gates import LINGER_NONE, Gate, GatedListener, Way
+from holdgw.emulators.fault_proxy import LINGER_NONE, FaultProxy, ProxiedListener, Way
 from holdgw.wire.address import Address
 
 SHORT_S = 0.0007  # delays under this are left out: a timer of the loop is no finer than a millisecond
@@ -81,7 +81,7 @@
         """Whether its process runs, and takes what comes in."""
         self._clock = clock
         self._servers: list[asyncio.Server] = []
-        self._gated: dict[str, GatedListener] = {}
+        self._gated: dict[str, ProxiedListener] = {}
 
     async def open(self, protocol: Callable[[float], asyncio.Protocol]) -> None:
         """Listen; `protocol` makes one for a connection over a line with that one-way delay."""
@@ -91,7 +91,7 @@
             make = partial(protocol, delay)
             if self.host.gated:
                 if line not in self._gated:
-                    self._gated[line] = GatedListener(Gate(loop, self._clock))
+                    self._gated[line] = ProxiedListener(FaultProxy(loop, self._clock))
                 self.addresses[line] = self._gated[line].open((self.host.ip, port), make)
                 continue
             server = await loop.create_server(make, self.host.ip, port, backlog=512)
@@ -104,7 +104,7 @@
         self.addresses = dict(other.addresses)
         self._gated = other._gated
 
-    def gate(self, line: str) -> Gate:
+    def gate(self, line: str) -> FaultProxy:
         """What may cut a line; raises KeyError where no line may be cut."""
         return self._gated[line].gate
 
--- a/holdgw/emulators/keeping.py
+++ b/holdgw/emulators/lru_cache.py
@@ -9,12 +9,12 @@
 from collections import OrderedDict
 from enum import Enum
 
-from holdgw.emulators.chance import unit
+from holdgw.emulators.seeded_draws import unit
 
 MOST_REMEMBERED = 100_000  # keys whose loss is remembered
 
 
-class Missing(Enum):
+class MissReason(Enum):
     """Why a key is not kept."""
 
     NEVER = "never"
@@ -25,7 +25,7 @@
     EXPIRED = "expired"
 
 
-class Keeping:
+class LruCache:
     """Copies by key. Sizes are bytes; `lasts` is how long a copy is good, 0 for ever."""
 
     def __init__(self, memory: int, lasts: float = 0.0) -> None:
@@ -33,7 +33,7 @@
             raise ValueError("memory and lasts must be at least 0")
         self._memory, self._lasts = memory, lasts
         self._kept: OrderedDict[bytes, tuple[int, float]] = OrderedDict()  # size, stored at
-        self._lost: OrderedDict[bytes, Missing] = OrderedDict()
+        self._lost: OrderedDict[bytes, MissReason] = OrderedDict()
         self.used = 0
 
     def __len__(self) -> int:
@@ -49,14 +49,14 @@
             return None
         size, stored = held
         if self._lasts and now - stored >= self._lasts:
-            self._lose(key, Missing.EXPIRED)
+            self._lose(key, MissReason.EXPIRED)
             return None
         self._kept.move_to_end(key)
         return size
 
-    def why(self, key: bytes) -> Missing:
+    def why(self, key: bytes) -> MissReason:
         """Why a key that is not kept is missing."""
-        return self._lost.get(key, Missing.NEVER)
+        return self._lost.get(key, MissReason.NEVER)
 
     def put(self, key: bytes, size: int, now: float) -> None:
         """Keep a copy; what was used longest ago makes room. One larger than the memory is not kept."""
@@ -69,13 +69,13 @@
         self._kept[key] = (size, now)
         self.used += size
         while self.used > self._memory:
-            self._lose(next(iter(self._kept)), Missing.EVICTED)
+            self._lose(next(iter(self._kept)), MissReason.EVICTED)
 
     def void(self, key: bytes) -> bool:
         """A write was carried out: the copy is no good. Returns whether there was one."""
         if key not in self._kept:
             return False
-        self._lose(key, Missing.VOIDED)
+        self._lose(key, MissReason.VOIDED)
         return True
 
     def flush(self, share: float, seed: int, serial: int) -> int:
@@ -84,10 +84,10 @@
         """
         gone = [key for key in self._kept if unit(seed, "flush", serial, key) < share]
         for key in gone:
-            self._lose(key, Missing.FLUSHED)
+            self._lose(key, MissReason.FLUSHED)
         return len(gone)
 
-    def _lose(self, key: bytes, why: Missing) -> None:
+    def _lose(self, key: bytes, why: MissReason) -> None:
         size, _ = self._kept.pop(key)
         self.used -= size
         self._lost[key] = why
--- a/holdgw/emulators/node.py
+++ b/holdgw/emulators/node.py
@@ -10,12 +10,12 @@
 
 import hiredis
 
-from holdgw.emulators.chance import lognormal, unit
+from holdgw.emulators.fault_proxy import Way
 from holdgw.emulators.faults import NOISE, Fault, Shares
-from holdgw.emulators.gates import Way
+from holdgw.emulators.listeners import Alarm, Clock, Host, Listeners, after, reset
 from holdgw.emulators.node_model import Done, Job, Kind, NodeModel, NodeSpec, Result
 from holdgw.emulators.records import Attempt, Dialled, Fallen, Flushed, Odd, Witness
-from holdgw.emulators.shell import Alarm, Clock, Host, Listeners, after, reset
+from holdgw.emulators.seeded_draws import lognormal, unit
 from holdgw.wire.address import Address
 from holdgw.wire.resp import parse_request
 from holdgw.wire.unread import came_at
--- a/holdgw/emulators/node_model.py
+++ b/holdgw/emulators/node_model.py
@@ -13,8 +13,8 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from holdgw.emulators.keeping import Keeping, Missing
-from holdgw.emulators.work import Work, WorkSpec
+from holdgw.emulators.lru_cache import LruCache, MissReason
+from holdgw.emulators.processor_sharing import ProcessorSharingQueue, QueueSpec
 
 MISSES_KEPT = 8192  # requests that missed lately and whose object may yet come
 FETCH_LEASE_S = 1.0  # for so long a fetch that a miss began is taken to be out
@@ -28,7 +28,7 @@
 class NodeSpec:
     """One mirror node."""
 
-    work: WorkSpec = field(default_factory=WorkSpec)
+    work: QueueSpec = field(default_factory=QueueSpec)
     memory: int = 16 << 20
     """Bytes of copies."""
     lasts_s: float = 0.0
@@ -91,7 +91,7 @@
     at: float
     job: Job
     result: Result
-    missing: Missing | None = None
+    missing: MissReason | None = None
 
 
 class Report(NamedTuple):
@@ -115,8 +115,8 @@
 
     def __init__(self, spec: NodeSpec, now: float, cold: bool = False) -> None:
         self.spec = spec
-        self.work: Work[Job] = Work(spec.work, now, cold)
-        self.keeping = Keeping(spec.memory, spec.lasts_s)
+        self.work: ProcessorSharingQueue[Job] = ProcessorSharingQueue(spec.work, now, cold)
+        self.keeping = LruCache(spec.memory, spec.lasts_s)
         self.fell: Fell | None = None
         self.draining = False
         self.learning = False
--- a/holdgw/emulators/store.py
+++ b/holdgw/emulators/origin.py
@@ -7,13 +7,13 @@
 from typing import cast
 from urllib.parse import unquote_to_bytes
 
-from holdgw.emulators.chance import lognormal, unit
+from holdgw.emulators.fault_proxy import Way
 from holdgw.emulators.faults import HTTP_NOISE, Fault, Shares
-from holdgw.emulators.gates import Way
+from holdgw.emulators.listeners import Alarm, Clock, Host, Listeners, after, reset
 from holdgw.emulators.node import Workload, made_for
+from holdgw.emulators.origin_model import Answer, Filled, Order, OriginModel, OriginSpec
 from holdgw.emulators.records import Attempt, Odd, Witness
-from holdgw.emulators.shell import Alarm, Clock, Host, Listeners, after, reset
-from holdgw.emulators.store_model import Answer, Filled, Order, StoreModel, StoreSpec
+from holdgw.emulators.seeded_draws import lognormal, unit
 from holdgw.wire.address import Address
 from holdgw.wire.http import HttpError, HttpRequest, RequestReader, response
 from holdgw.wire.unread import came_at
@@ -21,10 +21,10 @@
 MAX_BODY = 64 << 10
 
 
-class StoreConnection(asyncio.Protocol):
+class OriginServerConnection(asyncio.Protocol):
     """One router's connection; a request at a time."""
 
-    def __init__(self, store: StoreServer, delay: float) -> None:
+    def __init__(self, store: OriginServer, delay: float) -> None:
         self.store, self.delay = store, delay
         self.transport: asyncio.Transport | None = None
         self.order: Order | None = None
@@ -70,13 +70,13 @@
         reset(self.transport)
 
 
-class StoreServer:
+class OriginServer:
     """The package store: slow, shared, and the only place where effects happen."""
 
     def __init__(
         self,
         name: str,
-        spec: StoreSpec,
+        spec: OriginSpec,
         workload: Workload,
         windows: dict[str, float],
         host: Host,
@@ -87,18 +87,18 @@
         self.loop = asyncio.get_running_loop()
         self.shares = Shares()
         self.error_share = 0.0
-        self.model = StoreModel(spec, clock())
+        self.model = OriginModel(spec, clock())
         self._windows = windows  # class -> seconds for which repeats of its writes are dropped
         self._witness = witness
         self._listeners = Listeners(host, clock)
-        self._connections: dict[StoreConnection, None] = {}
+        self._connections: dict[OriginServerConnection, None] = {}
         self._alarm = Alarm(self.loop, clock, self._rings)
         self._serial = 0
 
     async def start(self) -> None:
         """Take connections."""
         if not self._listeners.is_open:
-            await self._listeners.open(lambda delay: StoreConnection(self, delay))
+            await self._listeners.open(lambda delay: OriginServerConnection(self, delay))
 
     @property
     def addresses(self) -> dict[str, Address]:
@@ -110,7 +110,7 @@
         self._listeners.close()
         for order in self.model.die():
             connection = order.owner
-            if isinstance(connection, StoreConnection):
+            if isinstance(connection, OriginServerConnection):
                 self._record(connection, order, "gone")
                 connection.order = None
         for connection in list(self._connections):
@@ -136,13 +136,13 @@
         self._ended(self.model.slow(self.clock(), factor))
         self._alarm.set(self.model.next_due())
 
-    def opened(self, connection: StoreConnection) -> None:
+    def opened(self, connection: OriginServerConnection) -> None:
         """A connection came up; one too many is reset."""
         self._connections[connection] = None
         if len(self._connections) > self.spec.connections:
             connection.abort()
 
-    def closed(self, connection: StoreConnection) -> None:
+    def closed(self, connection: OriginServerConnection) -> None:
         """A connection is gone."""
         self._connections.pop(connection, None)
 
@@ -150,7 +150,7 @@
         """Something came that no router should send."""
         self._witness.saw(Odd(self.name, self.clock(), text))
 
-    def request(self, connection: StoreConnection, request: HttpRequest) -> None:
+    def request(self, connection: OriginServerConnection, request: HttpRequest) -> None:
         """One request is whole."""
         connection.at, connection.left_at = self.clock(), connection.left
         connection.came_at = came_at(connection.transport, connection.at)
@@ -196,10 +196,10 @@
     def _ended(self, filled: list[Filled]) -> None:
         for end in filled:
             connection = end.order.owner
-            if isinstance(connection, StoreConnection):
+            if isinstance(connection, OriginServerConnection):
                 self._answer(connection, end)
 
-    def _answer(self, connection: StoreConnection, end: Filled) -> None:
+    def _answer(self, connection: OriginServerConnection, end: Filled) -> None:
         order = end.order
         connection.order = None
         if order.probe:
@@ -229,7 +229,7 @@
 
     def _record(
         self,
-        connection: StoreConnection,
+        connection: OriginServerConnection,
         order: Order,
         result: str,
         fault: Fault = Fault.NONE,
--- a/holdgw/emulators/store_model.py
+++ b/holdgw/emulators/origin_model.py
@@ -9,13 +9,13 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-from holdgw.emulators.work import Work, WorkSpec
+from holdgw.emulators.processor_sharing import ProcessorSharingQueue, QueueSpec
 
 REMEMBERED = 100_000  # keyed writes, the oldest go first
 
 
 @dataclass(frozen=True, slots=True)
-class StoreSpec:
+class OriginSpec:
     """The package store."""
 
     slots: int = 12
@@ -62,12 +62,14 @@
     effect: bool = False
 
 
-class StoreModel:
+class OriginModel:
     """The package store's process."""
 
-    def __init__(self, spec: StoreSpec, now: float) -> None:
+    def __init__(self, spec: OriginSpec, now: float) -> None:
         self.spec = spec
-        self._work: Work[Order] = Work(WorkSpec(cores=spec.slots, slots=spec.slots, queue=spec.queue), now)
+        self._work: ProcessorSharingQueue[Order] = ProcessorSharingQueue(
+            QueueSpec(cores=spec.slots, slots=spec.slots, queue=spec.queue), now
+        )
         self._remembered: OrderedDict[bytes, float] = OrderedDict()  # idempotency key -> until
 
     def advance(self, now: float) -> list[Filled]:
--- a/holdgw/emulators/work.py
+++ b/holdgw/emulators/processor_sharing.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkSpec:
+class QueueSpec:
     """Sizes; work is core-seconds at speed 1."""
 
     cores: int = 1
@@ -51,10 +51,10 @@
     item: T
 
 
-class Work(Generic[T]):
+class ProcessorSharingQueue(Generic[T]):
     """The items held by one process. Every call first brings the model up to `now`, which never goes back."""
 
-    def __init__(self, spec: WorkSpec, now: float, cold: bool = False) -> None:
+    def __init__(self, spec: QueueSpec, now: float, cold: bool = False) -> None:
         self.spec = spec
         self.speed = spec.speed
         self.tax = 0.0
--- a/holdgw/emulators/relay.py
+++ b/holdgw/emulators/relay.py
@@ -10,8 +10,8 @@
 from collections.abc import Mapping
 from typing import cast
 
+from holdgw.emulators.listeners import Clock, after
 from holdgw.emulators.relay_model import RelayModel
-from holdgw.emulators.shell import Clock, after
 from holdgw.wire.address import Address
 
 ALL = ""  # the name of the address at which all others are reached
--- a/holdgw/harness/channel.py
+++ b/holdgw/harness/channel.py
@@ -88,7 +88,7 @@
     records: list[Record]
 
 
-class Tally(msgspec.Struct, tag="tally"):
+class ClientCounts(msgspec.Struct, tag="tally"):
     """What a clients' worker has counted so far, for the eye."""
 
     asked: int = 0
@@ -108,7 +108,7 @@
     text: str
 
 
-Message = Setup | Places | Begin | Do | Did | Front | Stored | Voided | Batch | Tally | Finish | Fault
+Message = Setup | Places | Begin | Do | Did | Front | Stored | Voided | Batch | ClientCounts | Finish | Fault
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Life:
+class ProcessLifetime:
     """A router's process: `exited` None if it never ended, `wanted` how it was told to end (TERM, KILL or
     "").
     """
@@ -78,7 +78,7 @@
     flushed: list[Flushed] = field(default_factory=list)
     calls: list[Called] = field(default_factory=list)
     dials: list[Dialled] = field(default_factory=list)
-    lives: list[Life] = field(default_factory=list)
+    lives: list[ProcessLifetime] = field(default_factory=list)
     severed: set[str] = field(default_factory=set)
     """Requests whose client's own connection the network broke: no router could have answered them."""
     stops: list[tuple[str, float, float]] = field(default_factory=list)
@@ -164,7 +164,7 @@
         attempts[attempt.request].append(attempt)
     for several in attempts.values():
         several.sort(key=lambda attempt: attempt.at)
-    lives = defaultdict[str, list[Life]](list)
+    lives = defaultdict[str, list[ProcessLifetime]](list)
     for life in history.lives:
         lives[life.router].append(life)
     stops = _by_router(history.stops)
@@ -198,7 +198,7 @@
 # Rule 1
 
 
-def _excused(lives: list[Life], start: float, end: float) -> bool:
+def _excused(lives: list[ProcessLifetime], start: float, end: float) -> bool:
     """Whether the router was killed while a request was open; what it held then is the client's to retry."""
     return any(
         life.wanted == "KILL"
@@ -236,7 +236,7 @@
 def _lost(
     history: History,
     attempts: Mapping[str, list[Attempt]],
-    lives: Mapping[str, list[Life]],
+    lives: Mapping[str, list[ProcessLifetime]],
     stops: Stretches,
 ) -> Iterable[Broken]:
     for extra in history.extras:
@@ -297,7 +297,7 @@
             yield Broken("lost", several[0].at, (request,), text)
 
 
-def _crashed(lives: Iterable[Life], stops: Stretches) -> Iterable[Broken]:
+def _crashed(lives: Iterable[ProcessLifetime], stops: Stretches) -> Iterable[Broken]:
     for life in lives:
         if life.exited is None or life.wanted == "KILL":
             continue
@@ -317,7 +317,7 @@
     history: History,
     attempts: Mapping[str, list[Attempt]],
     classes: Mapping[int, ClassRule],
-    lives: Mapping[str, list[Life]],
+    lives: Mapping[str, list[ProcessLifetime]],
 ) -> Iterable[Broken]:
     for one in history.tries:
         rule = classes.get(one.ask, ClassRule("safe"))
@@ -365,7 +365,7 @@
 
 
 def _late_drains(
-    history: History, lives: Mapping[str, list[Life]], stops: Stretches, grace: float
+    history: History, lives: Mapping[str, list[ProcessLifetime]], stops: Stretches, grace: float
 ) -> Iterable[Broken]:
     """Each router's knowledge of each server, as a line of (time, state); a process begins with
     nothing told.
@@ -427,7 +427,9 @@
             yield Broken("late_drain", attempt.at, (attempt.request,), text)
 
 
-def _sent_though_out(history: History, lives: Mapping[str, list[Life]], grace: float) -> Iterable[Broken]:
+def _sent_though_out(
+    history: History, lives: Mapping[str, list[ProcessLifetime]], grace: float
+) -> Iterable[Broken]:
     """Servers out by hand: nothing new from the router's yes on, plus the grace, until the call back,
     whatever discovery says; a process that starts anew has heard nothing.
     """
--- a/holdgw/harness/clients.py
+++ b/holdgw/harness/clients.py
@@ -10,13 +10,13 @@
 
 import hiredis
 
+from holdgw.emulators.listeners import Clock
 from holdgw.emulators.records import Extra, Try, Witness
-from holdgw.emulators.shell import Clock
-from holdgw.harness import day as drawn
-from holdgw.harness.channel import Tally
+from holdgw.harness import schedule as drawn
+from holdgw.harness.channel import ClientCounts
 from holdgw.harness.checker import SLACK_S
-from holdgw.harness.day import Ask, Day
 from holdgw.harness.scenario import router_names
+from holdgw.harness.schedule import Schedule, ScheduledRequest
 from holdgw.wire.address import Address
 from holdgw.wire.resp import command
 
@@ -32,10 +32,10 @@
     def __init__(self, router: str) -> None:
         self.router = router
         self.transport: asyncio.Transport | None = None
-        self.attempt: TryOut | None = None
+        self.attempt: AttemptAbandoned | None = None
         self.used = 0
         self.lost = False
-        self.last: TryOut | None = None
+        self.last: AttemptAbandoned | None = None
         self._reader = hiredis.Reader(replyError=RefusalError)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -75,10 +75,10 @@
     """An error line."""
 
 
-class TryOut:
+class AttemptAbandoned:
     """One try on its way."""
 
-    def __init__(self, clients: Clients, ask: Ask, number: int, deadline: float) -> None:
+    def __init__(self, clients: Clients, ask: ScheduledRequest, number: int, deadline: float) -> None:
         self.clients, self.ask, self.number, self.deadline = clients, ask, number, deadline
         self.id = drawn.request_id(clients.day.seed, ask.number, number)
         cls = clients.day.scenario.classes[ask.request_class]
@@ -224,9 +224,9 @@
 class Clients:
     """A part of all clients: the asks whose number fits."""
 
-    def __init__(self, day: Day, index: int, count: int, witness: Witness, clock: Clock) -> None:
+    def __init__(self, day: Schedule, index: int, count: int, witness: Witness, clock: Clock) -> None:
         self.day, self.clock, self.loop = day, clock, asyncio.get_running_loop()
-        self.tally = Tally()
+        self.tally = ClientCounts()
         self.open = 0  # asks that are not over
         self._asks = [ask for ask in day.asks if ask.number % count == index]
         self._next = 0
@@ -269,11 +269,11 @@
             counts = ask.source != drawn.PRELUDE
             self.tally.asked += counts
             cls = self.day.scenario.classes[ask.request_class]
-            TryOut(self, ask, 0, self._begun + ask.at + cls.give_up_ms / 1000).start()
+            AttemptAbandoned(self, ask, 0, self._begun + ask.at + cls.give_up_ms / 1000).start()
         if self._next < len(asks):
             self._timer = self.loop.call_later(max(asks[self._next].at - now, 0.0), self._fire)
 
-    def choose(self, ask: Ask, number: int) -> str | None:
+    def choose(self, ask: ScheduledRequest, number: int) -> str | None:
         """The router of a try: the hot caller's own, else one that is up in the client's zone, else any."""
         if ask.router and ask.router in self._up:
             return ask.router
@@ -300,13 +300,13 @@
         else:
             connection.abort()
 
-    def dial(self, router: str, attempt: TryOut) -> None:
+    def dial(self, router: str, attempt: AttemptAbandoned) -> None:
         """Open a connection for a try."""
         task = self.loop.create_task(self._dial(router, attempt))
         self._dials[task] = None
         task.add_done_callback(lambda over: self._dials.pop(over, None))
 
-    async def _dial(self, router: str, attempt: TryOut) -> None:
+    async def _dial(self, router: str, attempt: AttemptAbandoned) -> None:
         connection: ClientConnection | None = None
         try:
             async with asyncio.timeout(DIAL_S):
@@ -322,7 +322,7 @@
         elif connection is not None:
             connection.abort()
 
-    def over(self, attempt: TryOut, record: Try) -> None:
+    def over(self, attempt: AttemptAbandoned, record: Try) -> None:
         """A try is over: the ask is too, or it goes on after a wait."""
         self.witness.saw(record)
         ask, now = attempt.ask, self.clock()
@@ -337,7 +337,7 @@
             if record.come_again > 0 and ask.honours:
                 wait = max(wait, record.come_again)
             if now + wait + LEAST_TRY_S < attempt.deadline:
-                following = TryOut(self, ask, attempt.number + 1, attempt.deadline)
+                following = AttemptAbandoned(self, ask, attempt.number + 1, attempt.deadline)
                 self.loop.call_later(wait, self._retry, following)
                 return
         self.open -= 1
@@ -352,7 +352,7 @@
         else:
             self.tally.failed += 1
 
-    def _retry(self, following: TryOut) -> None:
+    def _retry(self, following: AttemptAbandoned) -> None:
         cls = self.day.scenario.classes[following.ask.request_class]
         following.wait = min(
             cls.give_up_ms / 1000 * following.ask.patience, following.deadline - self.clock()
--- a/holdgw/harness/deployment.py
+++ b/holdgw/harness/deployment.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from holdgw.emulators.chance import unit
 from holdgw.emulators.node import REPORT_FIELDS
+from holdgw.emulators.seeded_draws import unit
 from holdgw.harness.scenario import Scenario, member_names, zone_of
 from holdgw.wire.address import Address, format_address
 
--- a/holdgw/harness/timeline.py
+++ b/holdgw/harness/fault_injection.py
@@ -12,14 +12,23 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from holdgw.emulators.chance import between, unit
+from holdgw.emulators.listeners import Clock
 from holdgw.emulators.records import Handed
-from holdgw.emulators.shell import Clock
+from holdgw.emulators.seeded_draws import between, unit
 from holdgw.harness.channel import Begin, Front, Message, Places
-from holdgw.harness.checker import History, Life
-from holdgw.harness.day import DOORS, NETWORK, PEERS, ROUTERS, STORE, Day, Step, lines_of_routers
+from holdgw.harness.checker import History, ProcessLifetime
 from holdgw.harness.deployment import Peers, configuration
 from holdgw.harness.routers import call_door
+from holdgw.harness.schedule import (
+    DOORS,
+    NETWORK,
+    PEERS,
+    ROUTERS,
+    STORE,
+    Schedule,
+    ScheduledFault,
+    lines_of_routers,
+)
 from holdgw.wire.address import Address
 
 ANSWER_S = 30.0  # for a worker to do what it is told
@@ -32,7 +41,7 @@
 SLICE_S = 0.1  # a slow process runs for a part of each
 
 
-class StageError(Exception):
+class HarnessError(Exception):
     """The day could not be played to its end; one plain line."""
 
 
@@ -46,7 +55,7 @@
         """Send it a message."""
 
 
-class RouterLife(Protocol):
+class RouterLifetime(Protocol):
     """A router and its lives."""
 
     name: str
@@ -54,7 +63,7 @@
     ops: Address
     """Where its door is."""
     starts: int
-    lives: list[Life]
+    lives: list[ProcessLifetime]
 
     def configure(self, told: dict[str, Any]) -> None:
         """Write its configuration."""
@@ -91,7 +100,7 @@
     reasons: int = 0
 
 
-class TimeLine:
+class FaultInjector:
     """Carries out a day's steps. Whoever plays the day fills in who is there."""
 
     node_workers: Sequence[Worker]
@@ -101,7 +110,7 @@
     routers: dict[str, Any]
     history: History
 
-    def __init__(self, day: Day, clock: Clock = time.monotonic) -> None:
+    def __init__(self, day: Schedule, clock: Clock = time.monotonic) -> None:
         self.day, self.clock = day, clock
         self.begun = 0.0
         self.home: dict[str, Worker] = {}  # of each node
@@ -180,14 +189,14 @@
         """Where a server listens, by zone."""
         self.places[name] = {zone: (host, port) for zone, (host, port) in addresses.items()}
 
-    async def start_router(self, router: RouterLife) -> None:
+    async def start_router(self, router: RouterLifetime) -> None:
         """Start one, and wait until it takes requests; it is told the list as discovery has it now."""
         await self._configure(router)
         await router.start(self.discovery[router.name])
         if not await router.ready():
-            raise StageError(f"{router.name} did not get ready: {router.last_words()}".rstrip(": "))
+            raise HarnessError(f"{router.name} did not get ready: {router.last_words()}".rstrip(": "))
 
-    async def _configure(self, router: RouterLife) -> None:
+    async def _configure(self, router: RouterLifetime) -> None:
         known = await asyncio.wait_for(self.hub.ask("known", router.name), ANSWER_S)
         told = configuration(
             self.day.scenario,
@@ -227,7 +236,7 @@
         """The list changes."""
         await asyncio.wait_for(self.hub.ask(state, server), ANSWER_S)
 
-    async def carry_out(self, step: Step) -> None:
+    async def carry_out(self, step: ScheduledFault) -> None:
         """Do one thing to the fleet."""
         verb, target, args = step.verb, step.target, step.args
         if verb == "restart":
@@ -256,7 +265,7 @@
 
     # Routers that stand still, and machines that are gone
 
-    async def _router_trouble(self, verb: str, router: RouterLife, args: dict[str, Any]) -> None:
+    async def _router_trouble(self, verb: str, router: RouterLifetime, args: dict[str, Any]) -> None:
         if verb == "stop":
             self.hold(router)
         elif verb == "continue":
@@ -270,7 +279,7 @@
         else:
             raise ValueError(f"no such thing to do to a router: {verb}")
 
-    def hold(self, router: RouterLife) -> None:
+    def hold(self, router: RouterLifetime) -> None:
         """Have its process stand still; reasons that overlap end with the last one."""
         if not router.running:
             return
@@ -280,7 +289,7 @@
             router.tell(signal.SIGSTOP)
         standing.reasons += 1
 
-    def let_go(self, router: RouterLife) -> None:
+    def let_go(self, router: RouterLifetime) -> None:
         """One reason less to stand still; it goes on with the last."""
         standing = self._standing.get(router.name)
         if standing is None:
@@ -294,7 +303,7 @@
         ended = router.lives[standing.start - 1].exited  # it may have been killed as it stood
         self.history.stops.append((router.name, standing.since, self.clock() if ended is None else ended))
 
-    async def _slow(self, router: RouterLife, seconds: float, run_s: float) -> None:
+    async def _slow(self, router: RouterLifetime, seconds: float, run_s: float) -> None:
         until = self.clock() + seconds
         while self.clock() < until:
             self.hold(router)
@@ -302,7 +311,7 @@
             self.let_go(router)
             await asyncio.sleep(run_s)
 
-    def _lose(self, router: RouterLife) -> None:
+    def _lose(self, router: RouterLifetime) -> None:
         if not router.running or router.name in self._restarting:
             return
         self._restarting.add(router.name)
@@ -310,7 +319,7 @@
         router.lose()
         self.spawn(self._front_notices(router.name))
 
-    async def _return(self, router: RouterLife) -> None:
+    async def _return(self, router: RouterLifetime) -> None:
         since = self._lost.pop(router.name, None)
         if since is None:
             return  # it was being restarted when its machine was to be lost
@@ -356,7 +365,7 @@
         if self.peers:
             await self.relay.ask(verb, "", args)
 
-    async def _call(self, router: RouterLife, out: bool, node: str) -> None:
+    async def _call(self, router: RouterLifetime, out: bool, node: str) -> None:
         """Staff call at one router's door, and believe it only when it says yes."""
         path = "/maintenance/enter" if out else "/maintenance/exit"
         if router.running and await call_door(router.ops, path, node):
@@ -382,7 +391,7 @@
         if state is not None:
             await self.list_state(state, target)
 
-    async def _restart(self, router: RouterLife, how: str) -> None:
+    async def _restart(self, router: RouterLifetime, how: str) -> None:
         """A planned restart as PROTOCOL has it, or a death that the front sees in its time."""
         if router.name in self._restarting:
             return  # two troubles chose the same one
@@ -392,7 +401,7 @@
         finally:
             self._restarting.discard(router.name)
 
-    async def _end_and_start(self, router: RouterLife, how: str) -> None:
+    async def _end_and_start(self, router: RouterLifetime, how: str) -> None:
         if how == "KILL":
             router.tell(signal.SIGKILL)
             await router.ended(END_S)
@@ -407,7 +416,7 @@
         await self.start_router(router)
         self._front(router.name, True)
 
-    async def _reload(self, router: RouterLife) -> None:
+    async def _reload(self, router: RouterLifetime) -> None:
         """A new file names another address of discovery, and SIGHUP has it read."""
         if not router.running:
             return
--- a/holdgw/harness/troubles.py
+++ b/holdgw/harness/fault_types.py
@@ -6,10 +6,10 @@
 
 from msgspec import Meta
 
-from holdgw.harness.fields import AtLeast0, Count, Positive, Share, Table
+from holdgw.harness.scenario_fields import AtLeast0, Count, Positive, ScenarioTable, Share
 
 
-class _Trouble(Table, frozen=True, kw_only=True, tag_field="kind"):
+class _Trouble(ScenarioTable, frozen=True, kw_only=True, tag_field="kind"):
     """Something that goes wrong at a second of the day."""
 
     at: AtLeast0
--- a/holdgw/harness/page.py
+++ b/holdgw/harness/html_report.py
@@ -7,10 +7,10 @@
 from html import escape
 from math import ceil, floor, log10
 
-from holdgw.harness.counting import quantile
-from holdgw.harness.day import STORE, Mark
 from holdgw.harness.report import Report
 from holdgw.harness.routers import Usage
+from holdgw.harness.schedule import STORE, Mark
+from holdgw.harness.scoring import quantile
 
 WIDTH, HEIGHT = 960, 190
 LEFT, RIGHT, TOP, BOTTOM = 56, 12, 10, 22
--- a/holdgw/harness/stage.py
+++ b/holdgw/harness/orchestrator.py
@@ -27,6 +27,7 @@
 from holdgw.harness.channel import (
     Batch,
     Channel,
+    ClientCounts,
     Did,
     Do,
     Fault,
@@ -35,25 +36,24 @@
     Places,
     Setup,
     Stored,
-    Tally,
     Voided,
 )
 from holdgw.harness.checker import History
-from holdgw.harness.day import PEERS, Day
 from holdgw.harness.deployment import Peers, configuration
+from holdgw.harness.fault_injection import ANSWER_S, FaultInjector, HarnessError
 from holdgw.harness.routers import (
     PING_EVERY_S,
     READY_S,
     RouterProcess,
     Usage,
-    child_of_stage,
+    child_of_orchestrator,
     cpu_seconds,
     first_line,
     free_address,
     share_cores,
 )
 from holdgw.harness.scenario import Scenario, member_names, router_names
-from holdgw.harness.timeline import ANSWER_S, StageError, TimeLine
+from holdgw.harness.schedule import PEERS, Schedule
 
 CLOCK = time.monotonic
 AGGREGATE = f"exec {sys.executable} -m holdgw.router.aggregate"
@@ -65,10 +65,10 @@
 
 
 @dataclass(slots=True)
-class Played:
+class RunResult:
     """A day that was played. `begun`: the clock's time of second 0."""
 
-    day: Day
+    day: Schedule
     history: History
     begun: float
     length: float
@@ -82,12 +82,12 @@
 class WorkerProcess:
     """A worker process as the stage sees it."""
 
-    def __init__(self, stage: Stage, name: str) -> None:
+    def __init__(self, stage: Orchestrator, name: str) -> None:
         self.stage, self.name = stage, name
         self.channel: Channel | None = None
         self.process: asyncio.subprocess.Process | None = None
         self.finished = asyncio.Event()
-        self.tally = Tally()
+        self.tally = ClientCounts()
         self.cpu = 0.0
         self._answers: dict[int, asyncio.Future[Any]] = {}
         self._number = 0
@@ -105,7 +105,7 @@
                 env=environment,
                 stdin=asyncio.subprocess.DEVNULL,
                 start_new_session=True,
-                preexec_fn=partial(child_of_stage, self.stage.cores),
+                preexec_fn=partial(child_of_orchestrator, self.stage.cores),
             )
         self.channel = await Channel.over(mine, self._take, self._lost)
         self.channel.send(setup)
@@ -135,7 +135,7 @@
             self.stage.saw(message)
         elif isinstance(message, Stored | Voided):
             self.stage.tell_nodes(message)
-        elif isinstance(message, Tally):
+        elif isinstance(message, ClientCounts):
             self.tally = message
         elif isinstance(message, Did):
             future = self._answers.pop(message.number, None)
@@ -167,10 +167,10 @@
             await self.process.wait()
 
 
-class Stage(TimeLine):
+class Orchestrator(FaultInjector):
     """One day's play."""
 
-    def __init__(self, day: Day, command: str, root: Path, keep_logs: Path | None = None) -> None:
+    def __init__(self, day: Schedule, command: str, root: Path, keep_logs: Path | None = None) -> None:
         super().__init__(day, CLOCK)
         self.history = History()
         self.felled = 0
@@ -205,13 +205,13 @@
         """The day can't be played on."""
         if self._failure is not None and not self._failure.done():
             self._fault_text = details
-            self._failure.set_exception(StageError(text))
+            self._failure.set_exception(HarnessError(text))
 
-    def tally(self) -> Tally:
+    def tally(self) -> ClientCounts:
         """What all clients have counted so far."""
-        total = Tally()
+        total = ClientCounts()
         for worker in self.client_workers:
-            for name in Tally.__struct_fields__:
+            for name in ClientCounts.__struct_fields__:
                 setattr(total, name, getattr(total, name) + getattr(worker.tally, name))
         return total
 
@@ -228,7 +228,9 @@
 
     # The whole day
 
-    async def play(self, progress: Callable[[Stage, float], None] = lambda _stage, _at: None) -> Played:
+    async def play(
+        self, progress: Callable[[Orchestrator, float], None] = lambda _stage, _at: None
+    ) -> RunResult:
         """Play the day; `progress` is called some times a second with the second of the day."""
         self._failure = asyncio.get_running_loop().create_future()
         with tempfile.TemporaryDirectory(prefix="holdgw-rehearsal-") as folder:
@@ -254,7 +256,7 @@
             if self._fault_text:
                 (self._keep_logs / "fault.txt").write_text(self._fault_text)
 
-    async def _play(self, folder: Path, progress: Callable[[Stage, float], None]) -> Played:
+    async def _play(self, folder: Path, progress: Callable[[Orchestrator, float], None]) -> RunResult:
         scenario = self.day.scenario
         await self._start_workers(scenario)
         await self._start_routers(scenario, folder)
@@ -264,7 +266,7 @@
         await self.until_over(partial(progress, self))
         return await self._gather()
 
-    async def _gather(self) -> Played:
+    async def _gather(self) -> RunResult:
         """End routers in good order, and have workers tell all that is left."""
         for task in list(self._tasks):
             task.cancel()
@@ -281,7 +283,7 @@
             self.history.lives += router.lives
             self.history.starved += router.starved
         times = os.times()
-        return Played(
+        return RunResult(
             self.day,
             self.history,
             self.begun,
@@ -369,7 +371,7 @@
         due = self.clock() + READY_S
         while not (await first_line(machine.ops, STATUS)).startswith(b"HTTP/1.1 200"):
             if not machine.running or self.clock() > due:
-                raise StageError(f"{machine.name} did not get ready: {machine.last_words()}".rstrip(": "))
+                raise HarnessError(f"{machine.name} did not get ready: {machine.last_words()}".rstrip(": "))
             await asyncio.sleep(PING_EVERY_S)
 
     async def _join_peers(self) -> None:
@@ -396,12 +398,12 @@
 
 
 async def play(
-    day: Day,
+    day: Schedule,
     command: str,
     root: Path,
-    progress: Callable[[Stage, float], None] = lambda _stage, _at: None,
+    progress: Callable[[Orchestrator, float], None] = lambda _stage, _at: None,
     keep_logs: Path | None = None,
-) -> Played:
+) -> RunResult:
     """Play a day with routers started by `command` from `root`; SIGTERM ends it like Ctrl-C."""
     task = asyncio.current_task()
     assert task is not None
@@ -410,11 +412,11 @@
         loop.add_signal_handler(signal.SIGTERM, task.cancel)
         loop.add_signal_handler(signal.SIGINT, task.cancel)
     try:
-        return await Stage(day, command, root, keep_logs).play(progress)
+        return await Orchestrator(day, command, root, keep_logs).play(progress)
     finally:
         with contextlib.suppress(ValueError, RuntimeError):
             loop.remove_signal_handler(signal.SIGTERM)
             loop.remove_signal_handler(signal.SIGINT)
 
 
-__all__ = ["Played", "Stage", "StageError", "play"]
+__all__ = ["HarnessError", "Orchestrator", "RunResult", "play"]
--- a/holdgw/harness/report.py
+++ b/holdgw/harness/report.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from holdgw.emulators.records import Attempt
-from holdgw.harness import counting
+from holdgw.harness import scoring
 from holdgw.harness.checker import (
     STARVED,
     Broken,
@@ -21,11 +21,11 @@
     judge,
     judge_lag,
 )
-from holdgw.harness.counting import Fate, Service, fates, quantile
-from holdgw.harness.day import STORE, Day, zone_of_router, zone_of_server
+from holdgw.harness.orchestrator import RunResult
 from holdgw.harness.routers import Usage
 from holdgw.harness.scenario import node_names, router_names
-from holdgw.harness.stage import Played
+from holdgw.harness.schedule import STORE, Schedule, zone_of_router, zone_of_server
+from holdgw.harness.scoring import Fate, Service, fates, quantile
 
 WINDOW_S = 5.0
 BUSIEST = 5
@@ -37,7 +37,7 @@
     """A day's report. `body` is what `--json` writes; the rest is for those who draw."""
 
     body: dict[str, Any]
-    day: Day
+    day: Schedule
     broken: list[Broken]
     lag: LagVerdict
     fates: list[Fate]
@@ -54,12 +54,12 @@
         return 1 if self.broken else 0
 
 
-def _summary(found: Sequence[Fate], day: Day) -> dict[str, Any]:
+def _summary(found: Sequence[Fate], day: Schedule) -> dict[str, Any]:
     """Counts, service and latencies of some asks."""
     classes = day.scenario.classes
-    counted = counting.outcomes(found, classes)
+    counted = scoring.outcomes(found, classes)
     took = sorted(fate.took * 1000 for fate in found if fate.took is not None)
-    share = counting.shares(found, classes, lambda _: 0).get(0, counting.Share())
+    share = scoring.shares(found, classes, lambda _: 0).get(0, scoring.Share())
     return {
         **{name: counted[name] for name in ("asked", "served", "in_aim", "refused", "failed")},
         "service": round(share.service, 4),
@@ -68,7 +68,7 @@
     }
 
 
-def _grouped(found: Iterable[Fate], day: Day, group: Callable[[Fate], str]) -> dict[str, Any]:
+def _grouped(found: Iterable[Fate], day: Schedule, group: Callable[[Fate], str]) -> dict[str, Any]:
     parts = defaultdict[str, list[Fate]](list)
     for fate in found:
         parts[group(fate)].append(fate)
@@ -90,7 +90,7 @@
     }
 
 
-def _laboratory(played: Played) -> dict[str, Any]:
+def _laboratory(played: RunResult) -> dict[str, Any]:
     """What the laboratory itself took: processes, memory, starts, and cores that were waited for."""
     latest: dict[int, dict[str, int]] = defaultdict(dict)
     for router, usage in played.usage.items():
@@ -124,7 +124,7 @@
 
 
 def _windows(
-    found: Sequence[Fate], attempts: Sequence[Attempt], day: Day, router_of: dict[str, str]
+    found: Sequence[Fate], attempts: Sequence[Attempt], day: Schedule, router_of: dict[str, str]
 ) -> list[dict[str, Any]]:
     """Every 5 s: what was asked, what became of it, and the signs by which troubles are told apart."""
     asks = defaultdict[int, list[Fate]](list)
@@ -152,7 +152,9 @@
     return rows
 
 
-def _told_apart(found: Sequence[Fate], attempts: Sequence[Attempt], day: Day, flushed: int) -> dict[str, Any]:
+def _told_apart(
+    found: Sequence[Fate], attempts: Sequence[Attempt], day: Schedule, flushed: int
+) -> dict[str, Any]:
     """Troubles that overlap, each by its own sign: a scan by keys wanted once, a hot caller by who asked and
     through which router, a flush by copies that had been kept and were missed.
     """
@@ -168,7 +170,7 @@
     }
 
 
-def _nodes(attempts: Iterable[Attempt], day: Day) -> dict[str, Any]:
+def _nodes(attempts: Iterable[Attempt], day: Schedule) -> dict[str, Any]:
     rows: dict[str, Counter[str]] = defaultdict(Counter)
     work = defaultdict[str, float](float)
     for attempt in attempts:
@@ -184,12 +186,12 @@
     }
 
 
-def judged(day: Day, history: History) -> list[Broken]:
+def judge_run(day: Schedule, history: History) -> list[Broken]:
     """All breaks of the four rules on a day, in order of time."""
-    return [one for one in found_wrong(day, history) if one.rule != STARVED]
+    return [one for one in failures_of(day, history) if one.rule != STARVED]
 
 
-def found_wrong(day: Day, history: History) -> list[Broken]:
+def failures_of(day: Schedule, history: History) -> list[Broken]:
     """All breaks on a day, and requests lost for want of a core, in order of time."""
     classes = day.scenario.classes
     rules = {
@@ -200,10 +202,10 @@
     return judge(history, rules, day.scenario.router.drain_grace_ms / 1000)
 
 
-def make_report(played: Played) -> Report:
+def make_report(played: RunResult) -> Report:
     """Judge and count a played day."""
     day, scenario, history, begun = played.day, played.day.scenario, played.history, played.begun
-    wrong = found_wrong(day, history)
+    wrong = failures_of(day, history)
     broken = [one for one in wrong if one.rule != STARVED]
     lag = judge_lag(history.lags, scenario.emulator.lag_ms, scenario.emulator.worst_ms, begun)
     found = fates(day.asks, history.tries, begun)
@@ -212,7 +214,7 @@
     servers = {attempt.server for attempt in history.attempts}
     zones |= {name: zone_of_server(scenario, name) for name in servers}
     tenants = [one.name for one in scenario.tenants]
-    service = counting.count(found, history, scenario.classes, tenants, scenario.length_s, begun, zones)
+    service = scoring.count(found, history, scenario.classes, tenants, scenario.length_s, begun, zones)
     router_of = {one.request: one.router for one in history.tries}
     attempts = sorted(
         (
--- a/holdgw/harness/routers.py
+++ b/holdgw/harness/routers.py
@@ -18,8 +18,8 @@
 import msgspec
 import orjson
 
-from holdgw.emulators.shell import Clock
-from holdgw.harness.checker import Life
+from holdgw.emulators.listeners import Clock
+from holdgw.harness.checker import ProcessLifetime
 from holdgw.wire import http, resp
 from holdgw.wire.address import Address, format_address
 
@@ -39,7 +39,7 @@
     _libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
-def child_of_stage(cores: Collection[int]) -> None:
+def child_of_orchestrator(cores: Collection[int]) -> None:
     """For a child before its program starts: it ends with the stage, and keeps to these cores."""
     die_with_parent()
     os.sched_setaffinity(0, cores)
@@ -150,7 +150,7 @@
         """Where it listens for other routers, if these may speak to it."""
         self.lost = False
         """Its machine is gone: the process stands still for ever, as silent as that."""
-        self.lives: list[Life] = []
+        self.lives: list[ProcessLifetime] = []
         self.usage: list[Usage] = []
         self.starved: list[tuple[str, float, float, float]] = []
         """Stretches in which it waited for a core, as the checker's history has them."""
@@ -199,9 +199,9 @@
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
-                preexec_fn=partial(child_of_stage, self._cores),
+                preexec_fn=partial(child_of_orchestrator, self._cores),
             )
-        self.lives.append(Life(self.name, self._clock()))
+        self.lives.append(ProcessLifetime(self.name, self._clock()))
         self._waited = self._clock(), 0.0
         self._watch = asyncio.create_task(self._wait(self._process, len(self.lives) - 1))
 
--- a/holdgw/harness/scenario.py
+++ b/holdgw/harness/scenario.py
@@ -14,16 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from holdgw.harness.fields import (
-    AtLeast0,
-    Count,
-    Positive,
-    Share,
-    Span,
-    Table,
-    not_finite,
-)
-from holdgw.harness.troubles import (
+from holdgw.harness.fault_types import (
     KINDS,
     STORM_ONLY,
     Burst,
@@ -33,6 +24,15 @@
     kind_of,
     only_simulated,
 )
+from holdgw.harness.scenario_fields import (
+    AtLeast0,
+    Count,
+    Positive,
+    ScenarioTable,
+    Share,
+    Span,
+    not_finite,
+)
 
 MOST_NODES = 2000
 MOST_ROUTERS = 400
@@ -45,7 +45,7 @@
     """The file can't be used; the text is one plain line that names file and field."""
 
 
-class Fleet(Table, frozen=True, kw_only=True):
+class Fleet(ScenarioTable, frozen=True, kw_only=True):
     """Mirror nodes and routers, and the lines between their zones."""
 
     nodes: Annotated[int, Meta(ge=1, le=MOST_NODES)] = 36
@@ -58,7 +58,7 @@
     cell: Count = 6
 
 
-class Node(Table, frozen=True, kw_only=True):
+class Node(ScenarioTable, frozen=True, kw_only=True):
     """A mirror node (emulators/node_model.py); spans are drawn for each node."""
 
     cores: Count = 1
@@ -84,7 +84,7 @@
     attempt_noise: AtLeast0 = 0.25
 
 
-class Store(Table, frozen=True, kw_only=True):
+class Store(ScenarioTable, frozen=True, kw_only=True):
     """The package store."""
 
     per_s: Positive = 120.0
@@ -97,7 +97,7 @@
     error_share: Share = 0.0
 
 
-class Discovery(Table, frozen=True, kw_only=True):
+class Discovery(ScenarioTable, frozen=True, kw_only=True):
     """How the list of nodes reaches the routers."""
 
     mode: Literal["push", "ask"] = "push"
@@ -107,7 +107,7 @@
     """Asked: work of one call, all routers in one line."""
 
 
-class RequestClass(Table, frozen=True, kw_only=True):
+class RequestClass(ScenarioTable, frozen=True, kw_only=True):
     """A class of requests."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z][a-z0-9_-]*$")]
@@ -122,7 +122,7 @@
     window_ms: AtLeast0 = 0.0
 
 
-class Tenant(Table, frozen=True, kw_only=True):
+class Tenant(ScenarioTable, frozen=True, kw_only=True):
     """A namespace. `quota_per_s` 0: no quota."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z][a-z0-9_-]*$")]
@@ -130,7 +130,7 @@
     quota_per_s: AtLeast0 = 0.0
 
 
-class Keys(Table, frozen=True, kw_only=True):
+class Keys(ScenarioTable, frozen=True, kw_only=True):
     """What is asked for."""
 
     count: Count = 4000
@@ -140,7 +140,7 @@
     size_cv: AtLeast0 = 0.6
 
 
-class Load(Table, frozen=True, kw_only=True):
+class Load(ScenarioTable, frozen=True, kw_only=True):
     """First tries a second, all clients together; `shape` is a list of (second, factor), straight in
     between.
     """
@@ -149,7 +149,7 @@
     shape: tuple[tuple[AtLeast0, AtLeast0], ...] = ((0.0, 1.0),)
 
 
-class Clients(Table, frozen=True, kw_only=True):
+class Clients(ScenarioTable, frozen=True, kw_only=True):
     """What clients do."""
 
     retries: Annotated[int, Meta(ge=0, le=5)] = 2
@@ -166,7 +166,7 @@
     """Until the front sees that a router is gone."""
 
 
-class Router(Table, frozen=True, kw_only=True):
+class Router(ScenarioTable, frozen=True, kw_only=True):
     """What a router is given."""
 
     memory_mb: Count = 192
@@ -178,7 +178,7 @@
     drain_grace_ms: Positive = 500.0
 
 
-class Peers(Table, frozen=True, kw_only=True):
+class Peers(ScenarioTable, frozen=True, kw_only=True):
     """Lines from router to router: datagrams of 256 bytes at most, over the fleet's lines between zones."""
 
     allowed: bool = False
@@ -198,7 +198,7 @@
     """
 
 
-class Emulator(Table, frozen=True, kw_only=True):
+class Emulator(ScenarioTable, frozen=True, kw_only=True):
     """When the emulator itself is too late to judge by."""
 
     lag_ms: Positive = 5.0
@@ -224,7 +224,7 @@
 )  # fmt: skip
 
 
-class Simulation(Table, frozen=True, kw_only=True):
+class Simulation(ScenarioTable, frozen=True, kw_only=True):
     """What only `holdgw simulate` plays by."""
 
     jitter: Annotated[float, Meta(ge=0, le=10)] = 0.2
@@ -237,7 +237,7 @@
     """Processes that each router serves with; they are killed, held up and replaced. 0: it is one process."""
 
 
-class Storm(Table, frozen=True, kw_only=True):
+class Storm(ScenarioTable, frozen=True, kw_only=True):
     """Troubles that are drawn by the seed, beside those of the file; for `holdgw simulate`."""
 
     count: tuple[Annotated[int, Meta(ge=0, le=40)], Annotated[int, Meta(ge=0, le=40)]] = (0, 0)
@@ -245,7 +245,7 @@
     """Empty: all kinds."""
 
 
-class Scenario(Table, frozen=True, kw_only=True):
+class Scenario(ScenarioTable, frozen=True, kw_only=True):
     """A whole day."""
 
     name: Annotated[str, Meta(min_length=1)]
--- a/holdgw/harness/fields.py
+++ b/holdgw/harness/scenario_fields.py
@@ -16,7 +16,7 @@
 Span = tuple[AtLeast0, AtLeast0]
 
 
-class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class ScenarioTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A table of the file."""
 
 
--- a/holdgw/harness/day.py
+++ b/holdgw/harness/schedule.py
@@ -15,15 +15,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from holdgw.emulators.chance import between, unit
 from holdgw.emulators.node import Workload
 from holdgw.emulators.node_model import NodeSpec
-from holdgw.emulators.store_model import StoreSpec
-from holdgw.emulators.work import WorkSpec
+from holdgw.emulators.origin_model import OriginSpec
+from holdgw.emulators.processor_sharing import QueueSpec
+from holdgw.emulators.seeded_draws import between, unit
+from holdgw.harness import fault_types as t
 from holdgw.harness import scenario as s
-from holdgw.harness import troubles as t
+from holdgw.harness.fault_types import kind_of
 from holdgw.harness.scenario import AGGREGATOR, Scenario, node_names, router_names, zone_of
-from holdgw.harness.troubles import kind_of
 
 STORE = "store"
 NETWORK = "network"
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class ScheduledRequest:
     """What one client wants once, with its retries: all of it drawn ahead. `at` is seconds from the day's
     start.
     """
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Step:
+class ScheduledFault:
     """Something that is done to the fleet at a second of the day."""
 
     at: float
@@ -85,13 +85,13 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Day:
+class Schedule:
     """A drawn day. `asks` and `steps` are in order of time; the prelude's asks lie before 0."""
 
     scenario: Scenario
     seed: int
-    asks: tuple[Ask, ...]
-    steps: tuple[Step, ...]
+    asks: tuple[ScheduledRequest, ...]
+    steps: tuple[ScheduledFault, ...]
     marks: tuple[Mark, ...]
 
     @property
@@ -100,11 +100,11 @@
         return self.scenario.fleet.zones
 
 
-def draw(scenario: Scenario, seed: int) -> Day:
+def draw_schedule(scenario: Scenario, seed: int) -> Schedule:
     """Draw the day."""
     asks = tuple(_prelude(scenario, seed)) + tuple(_arrivals(scenario, seed))
     steps, marks = _troubles(scenario, seed)
-    return Day(scenario, seed, asks, tuple(steps), tuple(marks))
+    return Schedule(scenario, seed, asks, tuple(steps), tuple(marks))
 
 
 def drawing(place: int, trouble: t.Trouble) -> int:
@@ -143,7 +143,7 @@
     return scenario.load.rate * (f0 + (f1 - f0) * (at - t0) / (t1 - t0))
 
 
-def _prelude(scenario: Scenario, seed: int) -> Iterator[Ask]:
+def _prelude(scenario: Scenario, seed: int) -> Iterator[ScheduledRequest]:
     """The keys asked for most, each once, before the day begins."""
     count = min(scenario.emulator.prelude_keys, scenario.keys.count)
     if not scenario.emulator.prelude_s or not count:
@@ -157,12 +157,12 @@
         zone = rng.choice(scenario.fleet.zones)
         # The rarest first: those asked for most are the last to be forgotten.
         key = key_name(count - 1 - i)
-        yield Ask(
+        yield ScheduledRequest(
             i - count, at, safe, 0, key, PRELUDE, zone, rng.random(), "", 0.8, 0.5, True, 1.0, False, False
         )
 
 
-def _arrivals(scenario: Scenario, seed: int) -> Iterator[Ask]:
+def _arrivals(scenario: Scenario, seed: int) -> Iterator[ScheduledRequest]:
     rng = _generator(seed, "arrivals")
     popularity = _Popularity(scenario.keys)
     classes = list(itertools.accumulate(one.share for one in scenario.classes))
@@ -242,7 +242,7 @@
             if not over:
                 window.append(at)
         clients = scenario.clients
-        yield Ask(
+        yield ScheduledRequest(
             number,
             at,
             cls,
@@ -265,8 +265,8 @@
 # Troubles
 
 
-def _troubles(scenario: Scenario, seed: int) -> tuple[list[Step], list[Mark]]:
-    steps: list[Step] = []
+def _troubles(scenario: Scenario, seed: int) -> tuple[list[ScheduledFault], list[Mark]]:
+    steps: list[ScheduledFault] = []
     marks: list[Mark] = []
     alive = node_names(scenario.fleet)  # those that no trouble so far has taken away for good
     fresh = itertools.count(scenario.fleet.nodes)
@@ -286,24 +286,26 @@
         match trouble:
             case t.Pause():
                 nodes = chosen(trouble.nodes)
-                steps += [Step(trouble.at, "pause", name, {"seconds": trouble.seconds}) for name in nodes]
+                steps += [
+                    ScheduledFault(trouble.at, "pause", name, {"seconds": trouble.seconds}) for name in nodes
+                ]
                 text = f"{', '.join(nodes)} paused {trouble.seconds:g} s"
             case t.FalseReport():
                 nodes = chosen(trouble.nodes)
                 for name in nodes:
-                    steps.append(Step(trouble.at, "report", name, {"says": trouble.says}))
-                    steps.append(Step(until, "report", name, {"says": ""}))
+                    steps.append(ScheduledFault(trouble.at, "report", name, {"says": trouble.says}))
+                    steps.append(ScheduledFault(until, "report", name, {"says": ""}))
                 text = f"{', '.join(nodes)} report: {trouble.says}"
             case t.Kill():
                 nodes = chosen(trouble.nodes)
-                steps += [Step(trouble.at, "kill", name) for name in nodes]
+                steps += [ScheduledFault(trouble.at, "kill", name) for name in nodes]
                 alive = [name for name in alive if name not in nodes]
                 text = f"{', '.join(nodes)} killed"
             case t.Restart():
                 nodes = chosen(trouble.nodes)
                 until = trouble.at + trouble.down_s
                 for name in nodes:
-                    steps += [Step(trouble.at, "kill", name), Step(until, "start", name)]
+                    steps += [ScheduledFault(trouble.at, "kill", name), ScheduledFault(until, "start", name)]
                 text = f"{', '.join(nodes)} restarted, cold"
             case t.Replace():
                 nodes = chosen(trouble.nodes)
@@ -312,32 +314,37 @@
                 for name in nodes:
                     new = f"node{next(fresh):03d}"
                     place_of = {"instead": name if trouble.same_address else ""}
-                    steps += [Step(trouble.at, "kill", name), Step(until, "create", new, place_of)]
+                    steps += [
+                        ScheduledFault(trouble.at, "kill", name),
+                        ScheduledFault(until, "create", new, place_of),
+                    ]
                     alive.append(new)
                 text = f"{', '.join(nodes)} replaced"
             case t.Drain():
                 nodes = chosen(trouble.nodes)
                 for name in nodes:
-                    steps += [Step(trouble.at, "drain", name), Step(until, "kill", name)]
+                    steps += [ScheduledFault(trouble.at, "drain", name), ScheduledFault(until, "kill", name)]
                 alive = [name for name in alive if name not in nodes]
                 text = f"{', '.join(nodes)} drain, gone after {trouble.seconds:g} s"
             case t.ByHand():
                 nodes = chosen(trouble.nodes)
                 for name in nodes:
                     steps += [
-                        Step(trouble.at, "out", DOORS, {"node": name}),
-                        Step(trouble.at + trouble.seconds * 0.4, "kill", name),
-                        Step(trouble.at + trouble.seconds * 0.6, "start", name),
-                        Step(until, "back", DOORS, {"node": name}),
+                        ScheduledFault(trouble.at, "out", DOORS, {"node": name}),
+                        ScheduledFault(trouble.at + trouble.seconds * 0.4, "kill", name),
+                        ScheduledFault(trouble.at + trouble.seconds * 0.6, "start", name),
+                        ScheduledFault(until, "back", DOORS, {"node": name}),
                     ]
                 text = f"{', '.join(nodes)} out by hand for {trouble.seconds:g} s, restarted meanwhile"
             case t.ColdStart():
                 new_nodes = [f"node{next(fresh):03d}" for _ in range(trouble.nodes)]
-                steps += [Step(trouble.at, "create", name, {"instead": ""}) for name in new_nodes]
+                steps += [ScheduledFault(trouble.at, "create", name, {"instead": ""}) for name in new_nodes]
                 alive += new_nodes
                 text = f"{', '.join(new_nodes)} join, cold"
             case t.Flush():
-                steps.append(Step(trouble.at, "flush", "", {"share": trouble.share, "serial": place}))
+                steps.append(
+                    ScheduledFault(trouble.at, "flush", "", {"share": trouble.share, "serial": place})
+                )
                 text = f"{trouble.share:.0%} of the keys flushed"
             case t.Scan():
                 text = f"scan: {trouble.share:.0%} of the reads"
@@ -353,12 +360,12 @@
                 )
             case t.OriginSlow():
                 steps += [
-                    Step(trouble.at, "slow", STORE, {"factor": trouble.factor}),
-                    Step(until, "slow", STORE, {"factor": 1.0}),
+                    ScheduledFault(trouble.at, "slow", STORE, {"factor": trouble.factor}),
+                    ScheduledFault(until, "slow", STORE, {"factor": 1.0}),
                 ]
                 text = f"package store {trouble.factor:g} times as slow"
             case t.OriginDown():
-                steps += [Step(trouble.at, "down", STORE), Step(until, "up", STORE)]
+                steps += [ScheduledFault(trouble.at, "down", STORE), ScheduledFault(until, "up", STORE)]
                 text = "package store down"
             case t.Reset() | t.Garble() | t.Silence():
                 nodes = [""] if trouble.nodes == "all" else chosen(trouble.nodes)
@@ -367,32 +374,34 @@
                 for name in nodes:
                     for at, share in ((trouble.at, trouble.share), (until, -trouble.share)):
                         spoil = {"fault": kind_of(trouble), "share": share}
-                        steps.append(Step(at, "spoil", name, spoil))
+                        steps.append(ScheduledFault(at, "spoil", name, spoil))
                 text = f"{kind_of(trouble)}: {trouble.share:.1%} of the answers"
             case t.DiscoveryLate():
                 lateness = {"extra": trouble.extra_s, "seconds": trouble.seconds}
-                steps.append(Step(trouble.at, "late", "discovery", lateness))
+                steps.append(ScheduledFault(trouble.at, "late", "discovery", lateness))
                 text = f"discovery {trouble.extra_s:g} s late"
             case t.DiscoveryStale():
                 views = rng.sample(routers, trouble.routers) if trouble.routers else routers
                 steps.append(
-                    Step(trouble.at, "stale", "discovery", {"seconds": trouble.seconds, "routers": views})
+                    ScheduledFault(
+                        trouble.at, "stale", "discovery", {"seconds": trouble.seconds, "routers": views}
+                    )
                 )
                 text = f"discovery stale at {len(views)} routers"
             case t.DiscoveryDown():
-                steps.append(Step(trouble.at, "down", "discovery", {"seconds": trouble.seconds}))
+                steps.append(ScheduledFault(trouble.at, "down", "discovery", {"seconds": trouble.seconds}))
                 text = "discovery down"
             case t.RouterRestart():
                 picked = _picked(rng, routers, trouble.routers)
                 for i, name in enumerate(picked):
                     at = trouble.at + i // trouble.together * trouble.gap_s
-                    step = Step(at, "restart", name, {"signal": trouble.signal})
+                    step = ScheduledFault(at, "restart", name, {"signal": trouble.signal})
                     steps.append(step)
                     until = step.at
                 text = f"{', '.join(picked)}: SIG{trouble.signal} and a new start"
             case t.RouterReload():
                 picked = rng.sample(routers, trouble.routers)
-                steps += [Step(trouble.at, "reload", name) for name in picked]
+                steps += [ScheduledFault(trouble.at, "reload", name) for name in picked]
                 text = f"{', '.join(picked)}: new configuration, SIGHUP"
             case t.Partition():
                 nodes = alive if trouble.nodes == "all" else chosen(trouble.nodes)
@@ -413,21 +422,25 @@
                 words = {"way": trouble.way, "seconds": trouble.seconds}
                 for one, other in parted:
                     sides = {"routers": one, "servers": other}
-                    steps.append(Step(trouble.at, "partition", NETWORK, {**sides, **words}))
+                    steps.append(ScheduledFault(trouble.at, "partition", NETWORK, {**sides, **words}))
                 if trouble.discovery:
-                    steps.append(Step(trouble.at, "deafen", NETWORK, {"routers": deaf, **words}))
+                    steps.append(ScheduledFault(trouble.at, "deafen", NETWORK, {"routers": deaf, **words}))
                 if others:
-                    steps.append(Step(trouble.at, "partition", PEERS, {"a": picked, "b": others, **words}))
+                    steps.append(
+                        ScheduledFault(trouble.at, "partition", PEERS, {"a": picked, "b": others, **words})
+                    )
             case t.Freeze() | t.RouterStop():
                 picked = _picked(rng, routers, trouble.routers)
-                steps += [Step(trouble.at, "stop", ROUTERS, {"router": name}) for name in picked]
-                steps += [Step(until, "continue", ROUTERS, {"router": name}) for name in picked]
+                steps += [ScheduledFault(trouble.at, "stop", ROUTERS, {"router": name}) for name in picked]
+                steps += [ScheduledFault(until, "continue", ROUTERS, {"router": name}) for name in picked]
                 word = "frozen" if isinstance(trouble, t.Freeze) else "stand still"
                 text = f"{', '.join(picked)} {word} for {trouble.seconds:g} s"
             case t.Slow():
                 picked = _picked(rng, routers, trouble.routers)
                 pace = {"seconds": trouble.seconds, "run_ms": trouble.run_ms}
-                steps += [Step(trouble.at, "slow", ROUTERS, {"router": name} | pace) for name in picked]
+                steps += [
+                    ScheduledFault(trouble.at, "slow", ROUTERS, {"router": name} | pace) for name in picked
+                ]
                 text = f"{', '.join(picked)} run {trouble.run_ms} ms of each 100"
             case t.MachineLoss():
                 picked = _picked(rng, routers, trouble.routers)
@@ -447,7 +460,10 @@
                 table = scenario.peers
                 bad = {name: getattr(trouble, name) for name in PEER_TROUBLES}
                 well = {name: getattr(table, name) for name in PEER_TROUBLES}
-                steps += [Step(trouble.at, "weather", PEERS, bad), Step(until, "weather", PEERS, well)]
+                steps += [
+                    ScheduledFault(trouble.at, "weather", PEERS, bad),
+                    ScheduledFault(until, "weather", PEERS, well),
+                ]
                 text = f"lines between routers: {trouble.loss:.1%} lost"
             case t.Vanish():
                 nodes = chosen(trouble.nodes)
@@ -457,8 +473,8 @@
             case t.Cut():
                 cut = {"share": trouble.share, "phases": list(trouble.phases), "lines": trouble.lines}
                 steps += [
-                    Step(trouble.at, "cut", NETWORK, {**cut, "name": place}),
-                    Step(until, "uncut", NETWORK, {"name": place}),
+                    ScheduledFault(trouble.at, "cut", NETWORK, {**cut, "name": place}),
+                    ScheduledFault(until, "uncut", NETWORK, {"name": place}),
                 ]
                 text = f"{trouble.share:.1%} of what is sent breaks off ({trouble.lines})"
             case t.Weather():
@@ -469,19 +485,19 @@
                     "window_kb": trouble.window_kb,
                 }
                 steps += [
-                    Step(trouble.at, "weather", NETWORK, {**weather, "name": place}),
-                    Step(until, "weather", NETWORK, {"name": place}),
+                    ScheduledFault(trouble.at, "weather", NETWORK, {**weather, "name": place}),
+                    ScheduledFault(until, "weather", NETWORK, {"name": place}),
                 ]
                 text = f"bad lines: {trouble.loss:.1%} lost, {trouble.chop:.0%} in pieces"
             case t.ClockJump():
                 picked = rng.sample(routers, trouble.routers)
                 steps += [
-                    Step(trouble.at, "clock", NETWORK, {"router": name, "by_s": trouble.by_s})
+                    ScheduledFault(trouble.at, "clock", NETWORK, {"router": name, "by_s": trouble.by_s})
                     for name in picked
                 ]
                 text = f"{', '.join(picked)}: clock set by {trouble.by_s:+g} s"
             case t.Stall():
-                steps.append(Step(trouble.at, "stall", trouble.where, {"seconds": trouble.seconds}))
+                steps.append(ScheduledFault(trouble.at, "stall", trouble.where, {"seconds": trouble.seconds}))
                 text = f"the emulator's {trouble.where} stand still"
         marks.append(Mark(kind_of(trouble), trouble.at, until, text))
     steps.sort(key=lambda step: step.at)
@@ -498,18 +514,18 @@
     return rng.sample(routers, min(wanted, len(routers)))
 
 
-def _vanishes(name: str, at: float, noticed: float, back: float) -> list[Step]:
+def _vanishes(name: str, at: float, noticed: float, back: float) -> list[ScheduledFault]:
     return [
-        Step(at, "vanish", NETWORK, {"node": name, "seconds": back - at}),
-        Step(noticed, "noticed", NETWORK, {"node": name}),
-        Step(back, "return", NETWORK, {"node": name}),
+        ScheduledFault(at, "vanish", NETWORK, {"node": name, "seconds": back - at}),
+        ScheduledFault(noticed, "noticed", NETWORK, {"node": name}),
+        ScheduledFault(back, "return", NETWORK, {"node": name}),
     ]
 
 
-def _machines_lost(at: float, back: float | None, routers: Sequence[str]) -> list[Step]:
-    steps = [Step(at, "lose", ROUTERS, {"router": name}) for name in routers]
+def _machines_lost(at: float, back: float | None, routers: Sequence[str]) -> list[ScheduledFault]:
+    steps = [ScheduledFault(at, "lose", ROUTERS, {"router": name}) for name in routers]
     if back is not None:
-        steps += [Step(back, "return", ROUTERS, {"router": name}) for name in routers]
+        steps += [ScheduledFault(back, "return", ROUTERS, {"router": name}) for name in routers]
     return steps
 
 
@@ -548,7 +564,7 @@
         return between(unit(seed, "node", name, what), bounds)
 
     return NodeSpec(
-        work=WorkSpec(
+        work=QueueSpec(
             cores=table.cores,
             slots=round(span("slots", table.slots)) * table.cores,
             queue=round(span("queue", table.queue)),
@@ -573,14 +589,14 @@
     )
 
 
-def store_spec(scenario: Scenario) -> StoreSpec:
+def store_spec(scenario: Scenario) -> OriginSpec:
     """The package store's sizes: as many slots as its rate takes, each at the speed that gives just that
     rate.
     """
     table = scenario.store
     slots = max(1, round(table.per_s * table.read_ms / 1000))
     fit = slots / (table.per_s * table.read_ms / 1000)
-    return StoreSpec(
+    return OriginSpec(
         slots=slots,
         queue=round(table.queue_s * table.per_s),
         read_s=table.read_ms / 1000 * fit,
--- a/holdgw/harness/counting.py
+++ b/holdgw/harness/scoring.py
@@ -16,8 +16,8 @@
 
 from holdgw.emulators.records import Try
 from holdgw.harness.checker import GOOD, History
-from holdgw.harness.day import PRELUDE, STORE, Ask
 from holdgw.harness.scenario import RequestClass
+from holdgw.harness.schedule import PRELUDE, STORE, ScheduledRequest
 
 K = TypeVar("K")
 
@@ -32,7 +32,7 @@
 class Fate:
     """What became of an ask. `took`: seconds from its first try to its good answer, None without one."""
 
-    ask: Ask
+    ask: ScheduledRequest
     took: float | None = None
     outcome: str = "failed"
     """served, refused or failed: what its last try got; `left` where the client went away by itself."""
@@ -41,7 +41,7 @@
     """Seconds of the day."""
 
 
-def fates(asks: Iterable[Ask], tries: Iterable[Try], begun: float) -> list[Fate]:
+def fates(asks: Iterable[ScheduledRequest], tries: Iterable[Try], begun: float) -> list[Fate]:
     """Every ask of the day itself and what became of it. `begun`: the clock's time of second 0."""
     by_ask = defaultdict[int, list[Try]](list)
     for one in tries:
--- a/holdgw/harness/worker.py
+++ b/holdgw/harness/worker.py
@@ -19,16 +19,16 @@
 
 import uvloop
 
-from holdgw.emulators.chance import between, unit
 from holdgw.emulators.discovery import DiscoveryServer
+from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
+from holdgw.emulators.listeners import Clock, Host
 from holdgw.emulators.node import NodeServer
+from holdgw.emulators.origin import OriginServer
 from holdgw.emulators.records import LAG_BOUNDS_MS, Lag, Record
-from holdgw.emulators.registry_model import Entry, RegistryModel, State
 from holdgw.emulators.relay import Relay
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
-from holdgw.emulators.shell import Clock, Host
-from holdgw.emulators.store import StoreServer
-from holdgw.harness import day as drawn
+from holdgw.emulators.seeded_draws import between, unit
+from holdgw.harness import schedule as drawn
 from holdgw.harness.channel import (
     Batch,
     Begin,
@@ -45,7 +45,9 @@
     Voided,
 )
 from holdgw.harness.clients import Clients
-from holdgw.harness.day import (
+from holdgw.harness.deployment import NODE_KIND, STORE_KIND
+from holdgw.harness.scenario import Scenario, node_names, router_names
+from holdgw.harness.schedule import (
     PEERS,
     STORE,
     lines,
@@ -56,8 +58,6 @@
     workload,
     zone_of_server,
 )
-from holdgw.harness.deployment import NODE_KIND, STORE_KIND
-from holdgw.harness.scenario import Scenario, node_names, router_names
 from holdgw.wire.address import Address
 
 BEAT_S = 0.005  # how often a worker looks at how late it is
@@ -262,7 +262,7 @@
 class HubPart(Part):
     """The package store and discovery."""
 
-    store: StoreServer
+    store: OriginServer
     discovery: DiscoveryServer
 
     async def start(self) -> Any:
@@ -273,7 +273,7 @@
         windows = {one.name: one.window_ms / 1000 for one in scenario.classes}
         zone = zone_of_server(scenario, STORE)
         spec = store_spec(scenario)
-        self.store = StoreServer(
+        self.store = OriginServer(
             STORE, spec, workload(scenario, seed), windows, self.host(STORE, zone), self, self.clock
         )
         await self.store.start()
@@ -284,12 +284,12 @@
         def notice(view: str, version: int) -> float:
             return between(unit(seed, "notice", view, version), scenario.discovery.notice_s)
 
-        model = RegistryModel(entries, routers, notice, self.clock())
+        model = DiscoveryModel(entries, routers, notice, self.clock())
         call_s = scenario.discovery.call_ms / 1000 if scenario.discovery.mode == "ask" else 0.0
         self.discovery = self.make_discovery(model, routers, call_s)
         return await self.discovery.start()
 
-    def make_discovery(self, model: RegistryModel, routers: list[str], call_s: float) -> DiscoveryServer:
+    def make_discovery(self, model: DiscoveryModel, routers: list[str], call_s: float) -> DiscoveryServer:
         """Discovery's sockets."""
         gated = may_be_cut(self.setup.scenario)
         return DiscoveryServer(model, routers, self._where, self, self.clock, self.setup.ip, call_s, gated)
@@ -366,9 +366,9 @@
 
     async def start(self) -> Any:
         """Draw the day."""
-        self.take_up(drawn.draw(self.setup.scenario, self.setup.seed))
+        self.take_up(drawn.draw_schedule(self.setup.scenario, self.setup.seed))
 
-    def take_up(self, day: drawn.Day) -> None:
+    def take_up(self, day: drawn.Schedule) -> None:
         """Have the clients of a day that is drawn."""
         self.clients = Clients(day, self.setup.index, self.setup.count, self, self.clock)
 
--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -17,7 +17,7 @@
 from holdgw.peers.aggregator import Outgoing
 from holdgw.peers.datagram import DecodeError
 from holdgw.peers.load_view import LoadSnapshot, LoadView, Observations, SampledWait
-from holdgw.simulation.agenda import Agenda
+from holdgw.simulation.event_queue import EventQueue
 
 NS_PER_S = 1_000_000_000
 TICK_NS = 100_000_000
@@ -38,7 +38,7 @@
     unread: list[tuple[bytes, int]] = field(default_factory=list)
 
 
-class AggregatedTier(Agenda):
+class AggregatedTier(EventQueue):
     """So many routers, then so many set-aside aggregators; `sites` of equal size, or as `site_of` says."""
 
     def __init__(
--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -22,7 +22,7 @@
 from holdgw.router.client_connection import ClientConnection, ClientListener
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.platform import Platform
-from holdgw.simulation.play import RouterMain, SimulatedRouter
+from holdgw.simulation.fleet_run import RouterMain, SimulatedRouter
 from holdgw.simulation.process import Process
 from holdgw.simulation.transports import Listener, TcpEnd, has_left
 from holdgw.simulation.world import NS_PER_MS, NS_PER_S
--- a/holdgw/simulation/guard.py
+++ b/holdgw/simulation/determinism_guard.py
@@ -37,14 +37,14 @@
     """The real world leaked into a run. No `except Exception` of the program under test may swallow it."""
 
 
-class Guard:
+class DeterminismGuard:
     """Watches while it is entered; one at a time in a process."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._kept: list[tuple[Any, str, Any]] = []
 
-    def __enter__(self) -> Guard:
+    def __enter__(self) -> DeterminismGuard:
         """Begin to watch."""
         for owner, name in WATCHED:
             kept = getattr(owner, name)
--- a/holdgw/simulation/agenda.py
+++ b/holdgw/simulation/event_queue.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 
-class Agenda:
+class EventQueue:
     """Acts by their times, nanoseconds; those of one time in the order in which they were asked for."""
 
     def __init__(self) -> None:
--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -31,7 +31,7 @@
     Settings,
     UpdateKind,
 )
-from holdgw.simulation.agenda import Agenda
+from holdgw.simulation.event_queue import EventQueue
 
 REPORT_NS = round(REPORT_TICKS * TICK_S * NS_PER_S)
 ORIGIN = Endpoint("origin:1", kind="store")
@@ -59,7 +59,7 @@
 
 
 @dataclass
-class One:
+class SimulatedPolicy:
     """A router: its module, and its load view where it has peers."""
 
     number: int
@@ -69,7 +69,7 @@
     weight: float = 1.0
 
 
-class Fleet(Agenda):
+class Fleet(EventQueue):
     """So many routers and servers under one load, drawn by the seed."""
 
     def __init__(
@@ -104,18 +104,21 @@
         }
         self._service = service
         self.routers = [
-            One(n, RoutingPolicy(self.settings, seed * 1000 + n), LoadView(n, 1)) for n in range(routers)
+            SimulatedPolicy(n, RoutingPolicy(self.settings, seed * 1000 + n), LoadView(n, 1))
+            for n in range(routers)
         ]
         self.listed = list(self.servers)
         self.reach: Callable[[int, int], bool] = lambda _from, _to: True
         self.hot: dict[str, float] = {}  # keys that get such a part of all reads besides
-        self.falsify: Callable[[One, LoadReport], LoadReport] = lambda _one, report: report
+        self.falsify: Callable[[SimulatedPolicy, LoadReport], LoadReport] = lambda _one, report: report
         """What a router sends in place of its true report."""
         self._keys = [f"key{i}" for i in range(keys)]
         self.random.shuffle(self._keys)
         self._popular = list(accumulate((i + 1) ** -skew for i in range(keys)))
         self._ids = count()
-        self._open: dict[str, tuple[One, str, int, int]] = {}  # request: router, key, begun, attempt
+        self._open: dict[
+            str, tuple[SimulatedPolicy, str, int, int]
+        ] = {}  # request: router, key, begun, attempt
         self._missed: dict[str, str] = {}  # request: the server where it missed
         self.count: Counter[str] = Counter()
         self.latest: dict[int, int] = defaultdict(int)  # late or refused, by second
@@ -130,7 +133,7 @@
 
     # Lists, freezes
 
-    def _list(self, one: One, kind: UpdateKind) -> None:
+    def _list(self, one: SimulatedPolicy, kind: UpdateKind) -> None:
         def told() -> None:
             entries = tuple(self.servers[name].entry for name in self.listed)
             one.load_view.set_servers(self.listed)
@@ -164,7 +167,7 @@
 
         self.at(self.now + int(seconds * NS_PER_S), wake)
 
-    def _unless_frozen(self, one: One, act: Callable[[], None]) -> None:
+    def _unless_frozen(self, one: SimulatedPolicy, act: Callable[[], None]) -> None:
         if one.frozen is not None:
             one.frozen.append(act)
         else:
@@ -197,7 +200,7 @@
 
         self._unless_frozen(one, arrive)
 
-    def _act(self, one: One, actions: Sequence[object]) -> None:
+    def _act(self, one: SimulatedPolicy, actions: Sequence[object]) -> None:
         for action in actions:
             if isinstance(action, SendAttempt):
                 self._sent(one, action)
@@ -206,7 +209,7 @@
                 self.latest[self.now // NS_PER_S] += 1
                 self._open.pop(action.request, None)
 
-    def _sent(self, one: One, send: SendAttempt) -> None:
+    def _sent(self, one: SimulatedPolicy, send: SendAttempt) -> None:
         _, key, begun, attempt = self._open[send.request_id]
         self._open[send.request_id] = one, key, begun, attempt + 1
         server = self.servers.get(send.endpoint_id)
@@ -224,7 +227,9 @@
             self._missed[send.request_id] = send.endpoint_id
         self._ends(one, send, end, Outcome.OK if hit else Outcome.MISS, server)
 
-    def _ends(self, one: One, send: SendAttempt, end: int, outcome: Outcome, server: Queue | None) -> None:
+    def _ends(
+        self, one: SimulatedPolicy, send: SendAttempt, end: int, outcome: Outcome, server: Queue | None
+    ) -> None:
         sent, attempt = self.now, self._open[send.request_id][3]
 
         def over() -> None:
@@ -261,7 +266,7 @@
 
     # Load reports
 
-    def _report(self, one: One) -> None:
+    def _report(self, one: SimulatedPolicy) -> None:
         self.at(self.now + REPORT_NS, lambda: self._report(one))
         if not self.peers or one.frozen is not None:
             return
@@ -277,7 +282,7 @@
         event = LoadSnapshotChanged(view.waits, dict(view.slot_shares), view.requests, view.own_requests)
         self._act(one, one.router.handle(event, self.now))
 
-    def _receive(self, one: One, report: LoadReport) -> None:
+    def _receive(self, one: SimulatedPolicy, report: LoadReport) -> None:
         self._unless_frozen(one, lambda: one.load_view.receive(report, self.now))
 
     # What is measured
--- a/holdgw/simulation/play.py
+++ b/holdgw/simulation/fleet_run.py
@@ -19,27 +19,34 @@
 
 import orjson
 
-from holdgw.emulators import shell
-from holdgw.emulators.chance import between, unit
+from holdgw.emulators import listeners
 from holdgw.emulators.discovery import DiscoveryServer, _Connection
+from holdgw.emulators.discovery_model import DiscoveryModel, Entry
 from holdgw.emulators.records import Deaf, Fallen, Record
-from holdgw.emulators.registry_model import Entry, RegistryModel
+from holdgw.emulators.seeded_draws import between, unit
 from holdgw.harness.channel import Begin, Finish, Front, Message, Places, Setup, Stored, Voided
-from holdgw.harness.checker import Broken, History, Life
+from holdgw.harness.checker import Broken, History, ProcessLifetime
 from holdgw.harness.clients import ClientConnection
-from holdgw.harness.day import STORE, Day, Step, draw, zone_of_router, zone_of_server
 from holdgw.harness.deployment import Peers
-from holdgw.harness.report import judged
+from holdgw.harness.fault_injection import FaultInjector, HarnessError, Worker
+from holdgw.harness.orchestrator import RunResult
+from holdgw.harness.report import judge_run
 from holdgw.harness.routers import Usage, until_ready
 from holdgw.harness.scenario import Scenario, node_names, router_names
-from holdgw.harness.stage import Played
-from holdgw.harness.timeline import StageError, TimeLine, Worker
+from holdgw.harness.schedule import (
+    STORE,
+    Schedule,
+    ScheduledFault,
+    draw_schedule,
+    zone_of_router,
+    zone_of_server,
+)
 from holdgw.harness.worker import ClientsPart, HubPart, NodesPart, Part, relay_model, relay_trouble
 from holdgw.router.config import ConfigError, load_config
 from holdgw.router.platform import Platform
 from holdgw.router.program import Program
+from holdgw.simulation.determinism_guard import DeterminismGuard, LeakError
 from holdgw.simulation.disk import Disk
-from holdgw.simulation.guard import Guard, LeakError
 from holdgw.simulation.invariants import Watch
 from holdgw.simulation.network import Connection, Cut, Host, Network, Weather
 from holdgw.simulation.process import Process
@@ -73,7 +80,7 @@
     asked: int = 0
     served: int = 0
     begun: float = 0.0
-    played: Played | None = None
+    played: RunResult | None = None
 
     @property
     def failed(self) -> bool:
@@ -119,7 +126,7 @@
 class SimulatedPart:
     """A part of the emulator in a process of its own, as the time line sees it."""
 
-    def __init__(self, theatre: Theatre, process: Process, make: Callable[[], Part]) -> None:
+    def __init__(self, theatre: SimulatedFleet, process: Process, make: Callable[[], Part]) -> None:
         self.theatre, self.process, self._make = theatre, process, make
         self.part: Part | None = None
 
@@ -175,7 +182,7 @@
 class _Outlet:
     """The parts' way to the stage."""
 
-    def __init__(self, theatre: Theatre) -> None:
+    def __init__(self, theatre: SimulatedFleet) -> None:
         self._theatre = theatre
 
     def send(self, message: Message) -> None:
@@ -187,16 +194,16 @@
 class _Seen(Part):
     """A part that hands on at once what it saw, over lines that the network plays."""
 
-    theatre: Theatre
+    theatre: SimulatedFleet
 
     def saw(self, record: Record) -> None:
         """Keep a record."""
         self.theatre.saw(record)
 
-    def host(self, name: str, zone: str) -> shell.Host:
+    def host(self, name: str, zone: str) -> listeners.Host:
         """One listener for each zone, as on the machine; delays are the network's."""
         ip = self.theatre.ips[name]
-        return shell.Host(ip, dict.fromkeys(self.setup.scenario.fleet.zones, 0.0))
+        return listeners.Host(ip, dict.fromkeys(self.setup.scenario.fleet.zones, 0.0))
 
     @cached_property
     def line_of(self) -> dict[str, str]:
@@ -218,7 +225,7 @@
 class _Discovery(DiscoveryServer):
     """Tells of what a router was told once the bytes are there."""
 
-    theatre: Theatre
+    theatre: SimulatedFleet
 
     def told(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
         """Remember what was written once it comes: a cut line holds it back."""
@@ -235,7 +242,7 @@
 
 
 class _Hub(_Seen, HubPart):
-    def make_discovery(self, model: RegistryModel, routers: list[str], call_s: float) -> DiscoveryServer:
+    def make_discovery(self, model: DiscoveryModel, routers: list[str], call_s: float) -> DiscoveryServer:
         """On a host of its own."""
         ip = self.theatre.ips[DISCOVERY]
         made = _Discovery(model, routers, self._where, self, self.clock, ip, call_s)
@@ -246,12 +253,12 @@
 class SimulatedRouter:
     """One router and its lives, as the time line sees it."""
 
-    def __init__(self, theatre: Theatre, name: str, host: Host, main: RouterMain) -> None:
+    def __init__(self, theatre: SimulatedFleet, name: str, host: Host, main: RouterMain) -> None:
         self.theatre, self.name, self.host = theatre, name, host
         self.address: Address = (host.ips[0], LISTEN_PORT)
         self.ops: Address = (host.ips[0], OPS_PORT)
         self.starts = 0
-        self.lives: list[Life] = []
+        self.lives: list[ProcessLifetime] = []
         self.usage: list[Usage] = []
         self.process: Process | None = None
         self.program: Program | None = None
@@ -295,7 +302,7 @@
             "LB_DISCOVERY": format_address(discovery),
             "LB_CONFIG": f"/{self.name}.json",
         }
-        self.lives.append(Life(self.name, theatre.clock()))
+        self.lives.append(ProcessLifetime(self.name, theatre.clock()))
         process.start(self._main(self, process, environ))
         theatre.watch.began(self.name, process)
 
@@ -376,7 +383,7 @@
     return 0
 
 
-class Theatre(TimeLine):
+class SimulatedFleet(FaultInjector):
     """A day in simulated time."""
 
     node_workers: list[SimulatedPart]
@@ -384,7 +391,7 @@
     routers: dict[str, SimulatedRouter]
     hub: SimulatedPart
 
-    def __init__(self, day: Day, trace: Trace | None = None, main: RouterMain = real_router) -> None:
+    def __init__(self, day: Schedule, trace: Trace | None = None, main: RouterMain = real_router) -> None:
         self.world = World(day.seed, trace)
         super().__init__(day, self._seconds)
         self.network = Network(self.world, self._line)
@@ -504,7 +511,7 @@
         collecting = gc.isenabled()
         gc.disable()
         try:
-            with Guard(self.world), Logs(self.world):
+            with DeterminismGuard(self.world), Logs(self.world):
                 self.world.run(until)
         except (SpinError, LeakError) as error:
             self.failure = str(error)
@@ -522,9 +529,9 @@
         for name, router in self.routers.items():
             history.lives += router.lives
             self.watch.tell_faults(name)
-        broken = [] if self.failure else judged(self.day, history)
+        broken = [] if self.failure else judge_run(self.day, history)
         broken = sorted([*broken, *self.watch.broken], key=lambda one: one.at)
-        played = Played(self.day, history, self.begun, scenario.length_s)
+        played = RunResult(self.day, history, self.begun, scenario.length_s)
         return Outcome(
             self.day.seed,
             self.world.trace.digest(),
@@ -560,7 +567,7 @@
             await self._start_parts(scenario)
             for router in self.routers.values():
                 await self.start_router(router)
-        except StageError as error:
+        except HarnessError as error:
             self.fail(str(error))
             return 1
         self.open_front()
@@ -622,7 +629,7 @@
 
     # Troubles of the network and of processes
 
-    async def carry_out(self, step: Step) -> None:
+    async def carry_out(self, step: ScheduledFault) -> None:
         """Do one thing to the fleet, or to what lies between."""
         if step.verb != "stall":  # virtual time is never late
             await super().carry_out(step)
@@ -703,4 +710,4 @@
     scenario: Scenario, seed: int, trace: Trace | None = None, main: RouterMain = real_router
 ) -> Outcome:
     """Play one seed of a scenario whose troubles are all drawn."""
-    return Theatre(draw(scenario, seed), trace, main).play()
+    return SimulatedFleet(draw_schedule(scenario, seed), trace, main).play()
--- a/holdgw/simulation/invariants.py
+++ b/holdgw/simulation/invariants.py
@@ -19,7 +19,7 @@
 from holdgw.simulation.world import NS_PER_MS, World, name_of
 
 if TYPE_CHECKING:
-    from holdgw.simulation.play import Theatre
+    from holdgw.simulation.fleet_run import SimulatedFleet
 
 LOOK_NS = 250 * NS_PER_MS
 LISTENERS = 3  # descriptors that are neither a client's nor a server's: two doors, and discovery's call
@@ -57,7 +57,7 @@
 class Watch:
     """Looks at all routers now and then."""
 
-    def __init__(self, world: World, theatre: Theatre) -> None:
+    def __init__(self, world: World, theatre: SimulatedFleet) -> None:
         self._world, self._theatre = world, theatre
         self.broken: list[Broken] = []
         self._lives: dict[str, list[Process]] = {}
--- a/holdgw/simulation/tier.py
+++ b/holdgw/simulation/membership_tier.py
@@ -11,12 +11,12 @@
 from holdgw.peers.datagram import MemberState
 from holdgw.peers.membership import NS_PER_S, Membership, Send, Timing
 from holdgw.peers.update_budget import UPDATE_BYTES_PER_S
-from holdgw.simulation.agenda import Agenda
+from holdgw.simulation.event_queue import EventQueue
 
 TICK_NS = 100_000_000
 
 
-class Tier(Agenda):
+class MembershipTier(EventQueue):
     """So many routers; `stopped` ones neither tick nor take anything, and read what came when they go on."""
 
     def __init__(
--- a/holdgw/simulation/storms.py
+++ b/holdgw/simulation/random_faults.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
+from holdgw.harness.fault_types import KINDS, PHASES, Trouble, kind_of
 from holdgw.harness.scenario import Scenario, Storm, node_names
-from holdgw.harness.troubles import KINDS, PHASES, Trouble, kind_of
 
 FIRST, LAST = 0.05, 0.8  # of the day, between which a storm's troubles begin
 MOST_NODES_SHARE = 0.25
--- a/holdgw/simulation/search.py
+++ b/holdgw/simulation/search.py
@@ -12,8 +12,8 @@
 
 from holdgw.harness.scenario import Scenario
 from holdgw.simulation.cores import on_cores
-from holdgw.simulation.play import Outcome, real_router, simulate
-from holdgw.simulation.storms import written_out
+from holdgw.simulation.fleet_run import Outcome, real_router, simulate
+from holdgw.simulation.random_faults import written_out
 from holdgw.simulation.trace import Trace, readable
 
 HUNG_S = 300.0  # of real time, after which a run that does not come back is given up
--- a/holdgw/simulation/shrink.py
+++ b/holdgw/simulation/shrink.py
@@ -11,7 +11,7 @@
 import tomli_w
 
 from holdgw.harness.scenario import Scenario, ScenarioError, read_scenario
-from holdgw.simulation.play import Outcome
+from holdgw.simulation.fleet_run import Outcome
 
 MARGIN_S = 0.5  # of the day, kept beyond what broke
 
--- a/tests/processes/test_aggregation.py
+++ b/tests/processes/test_aggregation.py
@@ -11,10 +11,10 @@
 import pytest
 import uvloop
 
-from holdgw.harness.day import PEERS, draw
+from holdgw.harness.orchestrator import Orchestrator
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.stage import Stage
+from holdgw.harness.schedule import PEERS, draw_schedule
 from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
 from tests.processes.test_peers import figures
 
@@ -31,7 +31,7 @@
 class Table:
     """A day that runs, its figures, and its aggregators."""
 
-    def __init__(self, stage: Stage) -> None:
+    def __init__(self, stage: Orchestrator) -> None:
         self.stage = stage
         self.first, self.second = stage.aggregators.values()
 
@@ -70,7 +70,7 @@
     text = DAY.format(length=length) + f"[peers]\nallowed = true\naggregators = 2\n{peers}"
 
     async def main() -> None:
-        stage = Stage(draw(read_scenario(text, "test"), 1), ROUTER, ROOT, logs)
+        stage = Orchestrator(draw_schedule(read_scenario(text, "test"), 1), ROUTER, ROOT, logs)
         playing = asyncio.ensure_future(stage.play())
         while not stage.begun and not playing.done():
             await asyncio.sleep(0.05)
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -23,12 +23,12 @@
 import pytest
 import uvloop
 
-from holdgw.harness.day import Day, Step, draw
 from holdgw.harness.deployment import Peers
+from holdgw.harness.orchestrator import Orchestrator
 from holdgw.harness.report import make_report
 from holdgw.harness.routers import RouterProcess
 from holdgw.harness.scenario import member_names, node_names, read_scenario
-from holdgw.harness.stage import Stage
+from holdgw.harness.schedule import Schedule, ScheduledFault, draw_schedule
 from holdgw.peers import datagram, merged_view, sequenced_report
 from holdgw.peers.aggregated_exchange import AggregatedExchange, Role
 from holdgw.peers.aggregator import Outgoing
@@ -133,12 +133,12 @@
             self._transport.sendto(data, self.among.each[to])
 
 
-class FalseStage(Stage):
+class FalseStage(Orchestrator):
     """The process of one member, if any is named, has no peers, or is not started: the test speaks for it."""
 
     speaker: Speaker
 
-    def __init__(self, day: Day, logs: Path, spoken: str | None) -> None:
+    def __init__(self, day: Schedule, logs: Path, spoken: str | None) -> None:
         super().__init__(day, WATCHING, ROOT, logs)
         self._spoken = spoken
         self.lied_from = self.lied_until = 0.0
@@ -211,7 +211,7 @@
 def play(scene: Scene, length: float, logs: Path, spoken: str | None) -> FalseStage:
     """Play a day through which the scene goes; the rules hold, whatever the scene does."""
     text = DAY.format(length=length) + "[peers]\nallowed = true\naggregators = 2\n"
-    stage = FalseStage(draw(read_scenario(text, "test"), 1), logs, spoken)
+    stage = FalseStage(draw_schedule(read_scenario(text, "test"), 1), logs, spoken)
 
     async def main() -> None:
         playing = asyncio.ensure_future(stage.play())
@@ -571,7 +571,7 @@
 
     async def scene(stage: FalseStage) -> None:
         await stage.covered()
-        await stage.carry_out(Step(0.0, "restart", RESTARTED, {"signal": "KILL"}))
+        await stage.carry_out(ScheduledFault(0.0, "restart", RESTARTED, {"signal": "KILL"}))
         again = time.monotonic()
         # What its first process reported counts for 3 s, and a view for as long.
         while time.monotonic() < again + 2 * REPORT_MAX_AGE / NS_PER_S:
--- a/tests/processes/test_faults.py
+++ b/tests/processes/test_faults.py
@@ -15,10 +15,10 @@
 import uvloop
 
 from holdgw.emulators.records import Attempt, Try
-from holdgw.harness.day import draw
+from holdgw.harness.orchestrator import RunResult, play
 from holdgw.harness.report import Report, make_report
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.stage import Played, play
+from holdgw.harness.schedule import draw_schedule
 from tests.helpers import trouble
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("processes, faults")]
@@ -48,8 +48,8 @@
 SLACK_S = 0.3  # of a loaded machine, beside what a trouble's own times say
 
 
-def rehearse(text: str, length: float = 5.0) -> tuple[Played, Report]:
-    day = draw(read_scenario(DAY.format(length=length) + text, "test"), 1)
+def rehearse(text: str, length: float = 5.0) -> tuple[RunResult, Report]:
+    day = draw_schedule(read_scenario(DAY.format(length=length) + text, "test"), 1)
     played = uvloop.run(asyncio.wait_for(play(day, ROUTER, ROOT), 90.0))
     return played, make_report(played)
 
@@ -60,7 +60,7 @@
     assert report.body["served"] > report.body["asked"] / 2
 
 
-def sent(played: Played, since: float, until: float) -> list[tuple[str, Attempt]]:
+def sent(played: RunResult, since: float, until: float) -> list[tuple[str, Attempt]]:
     """What left routers within those seconds of the day, and which router it was."""
     router_of = {one.request: one.router for one in played.history.tries}
     begun = played.begun
@@ -72,7 +72,7 @@
     return found
 
 
-def tries(played: Played, router: str, since: float, until: float) -> list[Try]:
+def tries(played: RunResult, router: str, since: float, until: float) -> list[Try]:
     return [
         one
         for one in played.history.tries
--- a/tests/processes/test_odd_peers.py
+++ b/tests/processes/test_odd_peers.py
@@ -10,11 +10,11 @@
 import pytest
 import uvloop
 
-from holdgw.harness.day import draw
 from holdgw.harness.deployment import Peers
+from holdgw.harness.orchestrator import Orchestrator
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import node_names, read_scenario
-from holdgw.harness.stage import Stage
+from holdgw.harness.schedule import draw_schedule
 from holdgw.peers import datagram, load_report
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
 from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, ServerSample, hash_server
@@ -28,7 +28,7 @@
 ACCUSES_S, READ_S, LENGTH_S = 4.0, 11.0, 12.5
 
 
-class OddStage(Stage):
+class OddStage(Orchestrator):
     """The liar's own process has no peers: the test speaks from its address."""
 
     among: Peers
@@ -80,7 +80,7 @@
             await asyncio.sleep(0.02)
 
 
-DRAWN = draw(read_scenario(DAY.format(length=LENGTH_S) + "[peers]\nallowed = true\n", "test"), 1)
+DRAWN = draw_schedule(read_scenario(DAY.format(length=LENGTH_S) + "[peers]\nallowed = true\n", "test"), 1)
 
 
 def test_one_that_lies_one_under_anothers_name_and_one_with_another_list_harm_nobody() -> None:
--- a/tests/processes/test_peers.py
+++ b/tests/processes/test_peers.py
@@ -9,10 +9,10 @@
 import pytest
 import uvloop
 
-from holdgw.harness.day import draw
+from holdgw.harness.orchestrator import Orchestrator, play
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.stage import Stage, play
+from holdgw.harness.schedule import draw_schedule
 from tests.helpers import trouble
 from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
 
@@ -30,7 +30,7 @@
 
 def test_a_lost_router_is_gone_for_all_and_nobody_else_is(tmp_path: Path) -> None:
     scenario = read_scenario(DAY.format(length=11.0) + TROUBLES, "test")
-    day = draw(scenario, 1)
+    day = draw_schedule(scenario, 1)
 
     async def scene() -> None:
         played = await asyncio.wait_for(play(day, ROUTER, ROOT, keep_logs=tmp_path), 90.0)
@@ -71,15 +71,15 @@
     seen: dict[str, dict[str, float]] = {}
 
     async def scene() -> None:
-        stages: list[Stage] = []
+        stages: list[Orchestrator] = []
         late = asyncio.Event()
 
-        def progress(stage: Stage, at: float) -> None:
+        def progress(stage: Orchestrator, at: float) -> None:
             stages[:] = [stage]
             if at > 11.0:
                 late.set()
 
-        day = draw(read_scenario(DAY.format(length=12.5) + ALONE, "test"), 1)
+        day = draw_schedule(read_scenario(DAY.format(length=12.5) + ALONE, "test"), 1)
         playing = asyncio.create_task(play(day, ROUTER, ROOT, progress))
         await asyncio.wait_for(late.wait(), 60.0)
         for name, router in stages[0].routers.items():
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -22,7 +22,7 @@
     Told,
     Try,
 )
-from holdgw.harness.checker import ClassRule, History, Life, counts, judge, judge_lag
+from holdgw.harness.checker import ClassRule, History, ProcessLifetime, counts, judge, judge_lag
 
 CLASSES = {1: ClassRule("safe"), 2: ClassRule("keyed", 2.5), 3: ClassRule("unsafe")}
 GRACE = 0.5
@@ -43,7 +43,9 @@
     return Attempt(**{**fields, **changes})
 
 
-def history(*records: Record, lives: tuple[Life, ...] = (Life("r1", 0.0, 0.1),)) -> History:
+def history(
+    *records: Record, lives: tuple[ProcessLifetime, ...] = (ProcessLifetime("r1", 0.0, 0.1),)
+) -> History:
     found = History(lives=list(lives))
     for record in records:
         found.add(record)
@@ -116,7 +118,7 @@
 
 def test_what_fails_and_is_not_lost() -> None:
     assert rules(history(tried(answer="cut"))) == []  # nothing was sent on for it
-    killed = Life("r1", 0.0, 0.1, told_to_end=10.05, wanted="KILL", exited=10.06, code=-9)
+    killed = ProcessLifetime("r1", 0.0, 0.1, told_to_end=10.05, wanted="KILL", exited=10.06, code=-9)
     assert rules(history(tried(answer="cut"), attempt(), lives=(killed,))) == []
     assert rules(history(tried(answer="none", ended=10.95), lives=(killed,))) == []
     assert rules(history(tried(answer="unsent", crossed=10.05), attempt(at=10.0), lives=(killed,))) == []
@@ -146,11 +148,11 @@
 
 
 def test_a_planned_end_loses_nothing_and_a_router_that_ends_by_itself_has_crashed() -> None:
-    planned = Life("r1", 0.0, 0.1, told_to_end=10.05, wanted="TERM", exited=10.8, code=0)
+    planned = ProcessLifetime("r1", 0.0, 0.1, told_to_end=10.05, wanted="TERM", exited=10.8, code=0)
     assert rules(history(lives=(planned,))) == []
     assert rules(history(tried(answer="cut"), attempt(), lives=(planned,))) == ["lost"]
     assert rules(history(lives=(replace(planned, code=1),))) == ["lost"]
-    assert rules(history(lives=(Life("r1", 0.0, 0.1, exited=5.0, code=0),))) == ["lost"]
+    assert rules(history(lives=(ProcessLifetime("r1", 0.0, 0.1, exited=5.0, code=0),))) == ["lost"]
 
 
 # Rule 2
@@ -260,8 +262,11 @@
 
 def test_another_router_and_a_new_process_have_not_been_told() -> None:
     told = Told("r1", "n1", "draining", 5.0, 4.0)
-    assert rules(history(told, tried(router="r2"), attempt(), lives=(Life("r2", 0.0),))) == []
-    lives = (Life("r1", 0.0, told_to_end=6.0, wanted="KILL", exited=6.0), Life("r1", 7.0))
+    assert rules(history(told, tried(router="r2"), attempt(), lives=(ProcessLifetime("r2", 0.0),))) == []
+    lives = (
+        ProcessLifetime("r1", 0.0, told_to_end=6.0, wanted="KILL", exited=6.0),
+        ProcessLifetime("r1", 7.0),
+    )
     assert rules(history(told, tried(), attempt(), lives=lives)) == []
 
 
@@ -288,7 +293,10 @@
 def test_a_new_process_knows_what_its_view_is_at_its_start_and_nothing_of_before() -> None:
     # Found by bench/scenarios/black-start.toml, seeds 2 and 6.
     gone, back = Had("r1", "n1", "removed", 3.0), Had("r1", "n1", "up", 4.0)
-    lives = (Life("r1", 0.0, told_to_end=4.1, wanted="KILL", exited=4.1), Life("r1", 4.2))
+    lives = (
+        ProcessLifetime("r1", 0.0, told_to_end=4.1, wanted="KILL", exited=4.1),
+        ProcessLifetime("r1", 4.2),
+    )
     assert rules(history(gone, back, tried(), attempt(at=9.7), lives=lives)) == []
     at_once = Had("r1", "n1", "up", 3.0)
     told = Told("r1", "n1", "up", 3.0, 3.0)  # to the process that died
@@ -298,7 +306,10 @@
 
 def test_a_word_to_a_process_that_has_died_is_told_to_nobody() -> None:
     # Found by bench/scenarios/black-start.toml, seeds 9 and 11: its watch is answered before its end is seen.
-    lives = (Life("r1", 0.0, told_to_end=8.0, wanted="KILL", exited=8.0), Life("r1", 8.1))
+    lives = (
+        ProcessLifetime("r1", 0.0, told_to_end=8.0, wanted="KILL", exited=8.0),
+        ProcessLifetime("r1", 8.1),
+    )
     told = Told("r1", "n1", "draining", 8.2, 8.2)
     watch = Called("r1", 7.0, whole=False)
     assert rules(history(watch, told, tried(), attempt(), lives=lives)) == []
@@ -313,8 +324,11 @@
     assert rules(history(out, up, tried(), attempt(at=9.54))) == []  # within the grace
     assert rules(history(out, Handed("r1", "n1", True, 9.8), back, tried(), attempt())) == []
     assert rules(history(out, Handed("r1", "n1", True, 9.8), tried(), attempt())) == ["late_drain"]
-    assert rules(history(out, tried(router="r2"), attempt(), lives=(Life("r2", 0.0),))) == []
-    lives = (Life("r1", 0.0, told_to_end=9.5, wanted="TERM", exited=9.5), Life("r1", 9.6))
+    assert rules(history(out, tried(router="r2"), attempt(), lives=(ProcessLifetime("r2", 0.0),))) == []
+    lives = (
+        ProcessLifetime("r1", 0.0, told_to_end=9.5, wanted="TERM", exited=9.5),
+        ProcessLifetime("r1", 9.6),
+    )
     assert "late_drain" not in rules(history(out, tried(), attempt(), lives=lives))
 
 
--- a/tests/test_disabled_features.py
+++ b/tests/test_disabled_features.py
@@ -20,7 +20,7 @@
 from holdgw.router import discovery
 from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.dispatcher import Dispatcher
-from holdgw.simulation.play import simulate
+from holdgw.simulation.fleet_run import simulate
 from holdgw.wire.resp import parse_load
 from tests.helpers import MS, ended, fleet, only_send, request, settings, started
 
--- a/tests/test_emulator_models.py
+++ b/tests/test_emulator_models.py
@@ -9,16 +9,16 @@
 from hypothesis import assume, given, settings
 from hypothesis import strategies as st
 
-from holdgw.emulators.chance import lognormal, unit
+from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
 from holdgw.emulators.faults import Fault, Shares
-from holdgw.emulators.keeping import Keeping, Missing
+from holdgw.emulators.lru_cache import LruCache, MissReason
 from holdgw.emulators.node_model import Done, Job, Kind, NodeModel, NodeSpec, Result
-from holdgw.emulators.registry_model import Entry, RegistryModel, State
-from holdgw.emulators.store_model import Answer, Filled, Order, StoreModel, StoreSpec
-from holdgw.emulators.work import Work, WorkSpec
+from holdgw.emulators.origin_model import Answer, Filled, Order, OriginModel, OriginSpec
+from holdgw.emulators.processor_sharing import ProcessorSharingQueue, QueueSpec
+from holdgw.emulators.seeded_draws import lognormal, unit
 
-WARM = NodeSpec(work=WorkSpec(cores=1, slots=4, queue=3))
-COLD = WorkSpec(cores=1, slots=4, queue=100, cold_share=0.25, warm_s=8.0)
+WARM = NodeSpec(work=QueueSpec(cores=1, slots=4, queue=3))
+COLD = QueueSpec(cores=1, slots=4, queue=100, cold_share=0.25, warm_s=8.0)
 
 
 def test_a_name_has_one_number_and_names_do_not_run_together() -> None:
@@ -44,7 +44,7 @@
 
 
 def test_one_item_takes_its_work_and_two_share_the_core() -> None:
-    work: Work[str] = Work(WorkSpec(cores=1, slots=2, queue=1), 10.0)
+    work: ProcessorSharingQueue[str] = ProcessorSharingQueue(QueueSpec(cores=1, slots=2, queue=1), 10.0)
     assert work.submit("a", 0.1)
     assert work.submit("b", 0.1)
     assert work.submit("waits", 0.05)
@@ -55,14 +55,16 @@
 
 
 def test_two_cores_do_two_items_at_full_speed_each() -> None:
-    work: Work[str] = Work(WorkSpec(cores=2, slots=4, queue=0, speed=2.0), 0.0)
+    work: ProcessorSharingQueue[str] = ProcessorSharingQueue(
+        QueueSpec(cores=2, slots=4, queue=0, speed=2.0), 0.0
+    )
     for name in "ab":
         work.submit(name, 0.1)
     assert [at for at, _, _ in work.advance(1.0)] == [pytest.approx(0.05)] * 2
 
 
 def test_a_cold_start_does_its_share_and_is_warm_in_time() -> None:
-    work: Work[str] = Work(COLD, 0.0, cold=True)
+    work: ProcessorSharingQueue[str] = ProcessorSharingQueue(COLD, 0.0, cold=True)
     assert work.capacity(0.0) == 0.25
     assert work.capacity(4.0) == pytest.approx(0.625)
     assert work.capacity(8.0) == 1.0
@@ -71,8 +73,8 @@
 
 
 def test_holding_too_many_costs_efficiency() -> None:
-    spec = WorkSpec(cores=1, slots=1, queue=100, thrash=0.5, thrash_at=2)
-    work: Work[int] = Work(spec, 0.0)
+    spec = QueueSpec(cores=1, slots=1, queue=100, thrash=0.5, thrash_at=2)
+    work: ProcessorSharingQueue[int] = ProcessorSharingQueue(spec, 0.0)
     for i in range(6):
         work.submit(i, 0.1)
     first = work.advance(10.0)[0]
@@ -92,7 +94,7 @@
     plan: list[tuple[float, float, float | None]], steps: int, cold: bool
 ) -> None:
     def play(looks: int) -> dict[int, float]:
-        work: Work[int] = Work(COLD, 0.0, cold)
+        work: ProcessorSharingQueue[int] = ProcessorSharingQueue(COLD, 0.0, cold)
         ends: dict[int, float] = {}
         now = 0.0
         for i, (gap, size, pause) in enumerate(plan):
@@ -120,7 +122,7 @@
 def test_no_more_work_is_done_than_there_is_capacity(
     plan: list[tuple[float, float, float | None]], cold: bool
 ) -> None:
-    work: Work[float] = Work(COLD, 0.0, cold)
+    work: ProcessorSharingQueue[float] = ProcessorSharingQueue(COLD, 0.0, cold)
     now = done = paused = 0.0
     paused_until = 0.0
     for gap, size, pause in plan:
@@ -146,24 +148,24 @@
 
 
 def test_least_recently_used_goes_first_and_the_reason_is_known() -> None:
-    keeping = Keeping(memory=300, lasts=10.0)
+    keeping = LruCache(memory=300, lasts=10.0)
     for key in (b"a", b"b", b"c"):
         keeping.put(key, 100, 0.0)
     assert keeping.look(b"a", 1.0) == 100
     keeping.put(b"d", 100, 1.0)
     assert keeping.look(b"b", 1.0) is None
-    assert keeping.why(b"b") is Missing.EVICTED
-    assert keeping.why(b"never") is Missing.NEVER
+    assert keeping.why(b"b") is MissReason.EVICTED
+    assert keeping.why(b"never") is MissReason.NEVER
     assert keeping.void(b"c")
     assert not keeping.void(b"c")
-    assert keeping.why(b"c") is Missing.VOIDED
+    assert keeping.why(b"c") is MissReason.VOIDED
     assert keeping.look(b"a", 10.0) is None
-    assert keeping.why(b"a") is Missing.EXPIRED
+    assert keeping.why(b"a") is MissReason.EXPIRED
     assert keeping.used == 100
 
 
 def test_a_flush_takes_the_same_share_of_keys_at_every_node() -> None:
-    nodes = [Keeping(1 << 20) for _ in range(2)]
+    nodes = [LruCache(1 << 20) for _ in range(2)]
     keys = [b"key-%d" % i for i in range(1000)]
     for node in nodes:
         for key in keys:
@@ -171,13 +173,13 @@
         assert 650 <= node.flush(0.7, seed=3, serial=1) <= 750
     assert [key in nodes[0] for key in keys] == [key in nodes[1] for key in keys]
     gone = next(key for key in keys if key not in nodes[0])
-    assert nodes[0].why(gone) is Missing.FLUSHED
+    assert nodes[0].why(gone) is MissReason.FLUSHED
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(1, 120)), max_size=80))
 def test_memory_is_never_exceeded(puts: list[tuple[int, int]]) -> None:
-    keeping = Keeping(memory=100)
+    keeping = LruCache(memory=100)
     for key, size in puts:
         keeping.put(b"%d" % key, size, 0.0)
         assert keeping.used <= 100
@@ -200,7 +202,7 @@
     node = NodeModel(WARM, 0.0)
     node.arrive(0.0, read("r1"))
     (miss,) = node.advance(1.0)
-    assert (miss.result, miss.missing) == (Result.MISS, Missing.NEVER)
+    assert (miss.result, miss.missing) == (Result.MISS, MissReason.NEVER)
     assert not node.stored(1.0, b"another", b"k", 100)
     assert not node.stored(1.0, b"r1", b"other-key", 100)
     assert node.stored(1.0, b"r1", b"k", 100)
@@ -342,7 +344,7 @@
 
 
 def test_a_repeat_is_dropped_for_its_window_and_has_its_effect_again_after_it() -> None:
-    store = StoreModel(StoreSpec(slots=2, queue=2), 0.0)
+    store = OriginModel(OriginSpec(slots=2, queue=2), 0.0)
     assert store.arrive(0.0, order("w1")) == []
     assert answers(store.arrive(0.01, order("w1"))) == [(b"w1", Answer.REPEAT, False)]  # also while it runs
     assert answers(store.arrive(2.4, order("w2"))) == [
@@ -354,7 +356,7 @@
 
 
 def test_a_write_that_was_turned_away_is_not_remembered() -> None:
-    store = StoreModel(StoreSpec(slots=1, queue=0), 0.0)
+    store = OriginModel(OriginSpec(slots=1, queue=0), 0.0)
     store.arrive(0.0, order("r", write=False))
     assert answers(store.arrive(0.0, order("w"))) == [(b"w", Answer.BUSY, False)]
     assert answers(store.arrive(1.0, order("w"))) == [(b"r", Answer.SERVED, False)]
@@ -362,7 +364,7 @@
 
 
 def test_a_slow_store_takes_so_much_longer_and_one_that_dies_forgets_its_line_alone() -> None:
-    store = StoreModel(StoreSpec(slots=1, queue=5), 0.0)
+    store = OriginModel(OriginSpec(slots=1, queue=5), 0.0)
     store.slow(0.0, 4.0)
     store.arrive(0.0, order("w"))
     assert store.next_due() == pytest.approx(0.2)
@@ -374,9 +376,9 @@
 # Discovery
 
 
-def listed(count: int, delay: float = 1.0, views: tuple[str, ...] = ("r1", "r2")) -> RegistryModel:
+def listed(count: int, delay: float = 1.0, views: tuple[str, ...] = ("r1", "r2")) -> DiscoveryModel:
     entries = [Entry(f"n{i}", State.UP) for i in range(count)]
-    return RegistryModel(entries, views, lambda view, _: delay if view == "r1" else 2 * delay, 0.0)
+    return DiscoveryModel(entries, views, lambda view, _: delay if view == "r1" else 2 * delay, 0.0)
 
 
 def test_each_router_hears_of_a_change_in_its_own_time() -> None:
@@ -432,4 +434,4 @@
 )
 def test_sizes_that_make_no_sense_are_refused(wrong: dict[str, float]) -> None:
     with pytest.raises(ValueError, match="must be"):
-        WorkSpec(**wrong)  # type: ignore[arg-type]
+        QueueSpec(**wrong)  # type: ignore[arg-type]
--- a/tests/test_emulator_sockets.py
+++ b/tests/test_emulator_sockets.py
@@ -14,14 +14,14 @@
 import uvloop
 
 from holdgw.emulators.discovery import DiscoveryServer
+from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
+from holdgw.emulators.listeners import Host
 from holdgw.emulators.node import NodeServer, Workload, made_for, platform_report
 from holdgw.emulators.node_model import NodeSpec
+from holdgw.emulators.origin import OriginServer
+from holdgw.emulators.origin_model import OriginSpec
+from holdgw.emulators.processor_sharing import QueueSpec
 from holdgw.emulators.records import Attempt, Fallen, Had, Odd, Record, Told
-from holdgw.emulators.registry_model import Entry, RegistryModel, State
-from holdgw.emulators.shell import Host
-from holdgw.emulators.store import StoreServer
-from holdgw.emulators.store_model import StoreSpec
-from holdgw.emulators.work import WorkSpec
 from holdgw.wire.resp import command
 from holdgw.wire.unread import TICK_NS
 from tests.peers import LIMIT_S
@@ -29,7 +29,7 @@
 R = TypeVar("R")
 
 WORKLOAD = Workload(1, {"read": (0.05, 0.0), "edit": (0.05, 0.0)}, 0.0, (100.0, 0.0))
-NODE = NodeSpec(work=WorkSpec(slots=4, queue=2), handshake_s=0.0, miss_share=1.0)
+NODE = NodeSpec(work=QueueSpec(slots=4, queue=2), handshake_s=0.0, miss_share=1.0)
 
 
 class Clock:
@@ -255,7 +255,7 @@
 
 def test_answers_keep_the_order_of_their_commands() -> None:
     async def test() -> None:
-        scene = Scene(replace(NODE, work=WorkSpec(cores=4, slots=4, queue=2)))
+        scene = Scene(replace(NODE, work=QueueSpec(cores=4, slots=4, queue=2)))
         await scene.start()
         reader, writer = await scene.dial()
         writer.write(get("slow") + command(b"PING"))
@@ -338,7 +338,7 @@
 
 def test_death_resets_and_refuses_and_a_new_start_is_cold_and_empty_at_the_same_address() -> None:
     async def test() -> None:
-        scene = Scene(replace(NODE, work=WorkSpec(slots=4, queue=2, cold_share=0.25, warm_s=8.0)))
+        scene = Scene(replace(NODE, work=QueueSpec(slots=4, queue=2, cold_share=0.25, warm_s=8.0)))
         await scene.start()
         where = scene.node.addresses[""]
         scene.node.model.keeping.put(b"k", 10, 0.0)
@@ -364,7 +364,7 @@
 def test_a_cold_node_that_is_pushed_over_is_gone_and_says_so() -> None:
     async def test() -> None:
         spec = replace(
-            NODE, work=WorkSpec(slots=4, queue=99, cold_share=0.1, warm_s=9.0), fall_multiple=1.0, fall_s=0.5
+            NODE, work=QueueSpec(slots=4, queue=99, cold_share=0.1, warm_s=9.0), fall_multiple=1.0, fall_s=0.5
         )
         scene = Scene(spec)
         await scene.start(cold=True)
@@ -407,9 +407,9 @@
 # The package store
 
 
-def store(notes: Notes, clock: Clock) -> StoreServer:
-    spec = StoreSpec(slots=2, queue=1, read_s=0.05, write_s=0.05, cv=0.0)
-    return StoreServer("store", spec, WORKLOAD, {"edit": 2.5}, Host(), notes, clock)
+def store(notes: Notes, clock: Clock) -> OriginServer:
+    spec = OriginSpec(slots=2, queue=1, read_s=0.05, write_s=0.05, cv=0.0)
+    return OriginServer("store", spec, WORKLOAD, {"edit": 2.5}, Host(), notes, clock)
 
 
 def http(method: str, name: str, body: bytes | None = None, info: str = "c=read,t=a,d=900") -> bytes:
@@ -489,7 +489,7 @@
 
 
 def discovery(notes: Notes, clock: Clock, call_s: float = 0.0) -> DiscoveryServer:
-    model = RegistryModel(
+    model = DiscoveryModel(
         [Entry("n1", State.UP), Entry("n2", State.UP)], ["r1", "r2"], lambda *_: 1.0, clock()
     )
     return DiscoveryServer(model, ["r1", "r2"], lambda *_: ("127.0.0.1", 9), notes, clock, call_s=call_s)
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -21,13 +21,13 @@
 import uvloop
 
 from holdgw.emulators.records import Attempt
-from holdgw.harness.day import STORE, draw
 from holdgw.harness.deployment import DeployError, run_command
-from holdgw.harness.page import nice_step, render
+from holdgw.harness.html_report import nice_step, render
+from holdgw.harness.orchestrator import HarnessError, RunResult, play
 from holdgw.harness.report import Report, make_report
 from holdgw.harness.routers import free_address
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.stage import Played, StageError, play
+from holdgw.harness.schedule import STORE, draw_schedule
 from holdgw.router.discovery import Clock
 from holdgw.simulation.search import play_seed
 from tests.helpers import trouble
@@ -57,8 +57,8 @@
     return SMALL.format(length=length, rate=rate, nodes=nodes) + text
 
 
-def rehearse(text: str, command: str = ROUTER, seed: int = 1) -> tuple[Played, Report]:
-    day = draw(read_scenario(text, "test"), seed)
+def rehearse(text: str, command: str = ROUTER, seed: int = 1) -> tuple[RunResult, Report]:
+    day = draw_schedule(read_scenario(text, "test"), seed)
     played = uvloop.run(asyncio.wait_for(play(day, command, ROOT), LIMIT_S))
     return played, make_report(played)
 
@@ -86,7 +86,7 @@
 
 
 @pytest.fixture(scope="module")
-def nodes_in_trouble() -> tuple[Played, Report]:
+def nodes_in_trouble() -> tuple[RunResult, Report]:
     return rehearse(
         small(
             trouble("pause", 1.0, nodes=["node000"], seconds=2.0)
@@ -105,13 +105,13 @@
     )
 
 
-def at_node(played: Played, server: str) -> list[tuple[float, Attempt]]:
+def at_node(played: RunResult, server: str) -> list[tuple[float, Attempt]]:
     return [(one.at - played.begun, one) for one in played.history.attempts if one.server == server]
 
 
 @pytest.mark.xdist_group("one day")
 def test_a_paused_node_answers_nothing_and_goes_on_with_what_it_held(
-    nodes_in_trouble: tuple[Played, Report],
+    nodes_in_trouble: tuple[RunResult, Report],
 ) -> None:
     played, _ = nodes_in_trouble
     answered = [one.ended - played.begun for _, one in at_node(played, "node000")]
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.xdist_group("one day")
-def test_nodes_die_drain_restart_join_and_are_replaced(nodes_in_trouble: tuple[Played, Report]) -> None:
+def test_nodes_die_drain_restart_join_and_are_replaced(nodes_in_trouble: tuple[RunResult, Report]) -> None:
     played, report = nodes_in_trouble
     states: dict[str, list[str]] = {}
     for one in played.history.had:
@@ -147,7 +147,7 @@
 
 @pytest.mark.xdist_group("one day")
 def test_a_flush_amid_a_scan_amid_a_hot_caller_are_told_apart(
-    nodes_in_trouble: tuple[Played, Report],
+    nodes_in_trouble: tuple[RunResult, Report],
 ) -> None:
     _, report = nodes_in_trouble
     apart = report.body["told_apart"]
@@ -297,7 +297,7 @@
     _, report = rehearse(small(length=5.0), f"exec {sys.executable} -m tests.crashing_router")
     assert report.exit_code == 1
     assert any("ended by itself with code 7" in one.text for one in report.broken)
-    with pytest.raises(StageError, match=r"router0\d did not get ready: no such luck"):
+    with pytest.raises(HarnessError, match=r"router0\d did not get ready: no such luck"):
         rehearse(small(), "echo no such luck; exit 3")
 
 
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -10,13 +10,13 @@
 import pytest
 import uvloop
 
-from holdgw.emulators.gates import Gate, GatedListener
+from holdgw.emulators.fault_proxy import FaultProxy, ProxiedListener
 from holdgw.emulators.relay import ALL, Relay
 from holdgw.emulators.relay_model import MOST_BYTES, PeerWeather, RelayModel
-from holdgw.harness.day import PEERS, Step, draw, lines_of_routers
 from holdgw.harness.scenario import read_scenario
+from holdgw.harness.schedule import PEERS, ScheduledFault, draw_schedule, lines_of_routers
 from holdgw.harness.worker import relay_model
-from holdgw.simulation.play import PEER_PORT, SimulatedRouter, Theatre
+from holdgw.simulation.fleet_run import PEER_PORT, SimulatedFleet, SimulatedRouter
 from holdgw.simulation.process import Process
 from holdgw.wire.address import Address
 
@@ -42,11 +42,11 @@
         self.seen.append("lost")
 
 
-def played(act: Callable[[Gate, GatedListener, Address, list[str]], Awaitable[None]]) -> None:
+def played(act: Callable[[FaultProxy, ProxiedListener, Address, list[str]], Awaitable[None]]) -> None:
     async def scene() -> None:
         loop = asyncio.get_running_loop()
-        gate = Gate(loop, loop.time)
-        listener = GatedListener(gate)
+        gate = FaultProxy(loop, loop.time)
+        listener = ProxiedListener(gate)
         seen: list[str] = []
         address = listener.open(("127.0.0.1", 0), lambda: Echo(seen))
         try:
@@ -63,7 +63,7 @@
 
 
 def test_a_dial_over_a_cut_line_neither_comes_up_nor_is_refused_and_comes_up_later() -> None:
-    async def act(gate: Gate, listener: GatedListener, address: Address, seen: list[str]) -> None:
+    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         gate.block("both", 1.0)
         dial = asyncio.create_task(asyncio.open_connection(*address))
         await asyncio.sleep(A_WHILE_S)
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("way", ["to", "from"])
 def test_a_line_cut_one_way_carries_the_other_and_loses_nothing(way: str) -> None:
-    async def act(gate: Gate, listener: GatedListener, address: Address, seen: list[str]) -> None:
+    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"a")
         assert await reader.read(1) == b"A"
@@ -98,7 +98,7 @@
 
 
 def test_what_came_up_just_before_a_cut_is_up_and_tells_when_its_bytes_were_sent() -> None:
-    async def act(gate: Gate, listener: GatedListener, address: Address, seen: list[str]) -> None:
+    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         await asyncio.sleep(0)
         with socket.create_connection(address) as early:  # it waits in the listener's queue
             gate.block("both", 0.5)
@@ -112,9 +112,9 @@
 
 
 def test_a_dial_that_came_up_amid_a_cut_is_reset_at_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("holdgw.emulators.gates.KNOCKS", 0)  # so that one does
+    monkeypatch.setattr("holdgw.emulators.fault_proxy.KNOCKS", 0)  # so that one does
 
-    async def act(gate: Gate, listener: GatedListener, address: Address, seen: list[str]) -> None:
+    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         gate.block("both", 0.5)
         with socket.create_connection(address) as amid:
             amid.sendall(b"a")
@@ -128,7 +128,7 @@
 
 
 def test_cuts_that_overlap_end_with_the_last_one() -> None:
-    async def act(gate: Gate, listener: GatedListener, address: Address, seen: list[str]) -> None:
+    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         reader, writer = await asyncio.open_connection(*address)
         gate.block("both", 0.3)
         gate.block("both", 1.0)
@@ -143,7 +143,7 @@
 
 
 def test_what_dies_behind_a_cut_line_is_silent_until_the_line_is_back() -> None:
-    async def act(gate: Gate, listener: GatedListener, address: Address, seen: list[str]) -> None:
+    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"a")
         assert await reader.read(1) == b"A"
@@ -165,7 +165,7 @@
 
 
 def test_a_stand_in_that_is_back_before_its_line_takes_what_comes_then() -> None:
-    async def act(gate: Gate, listener: GatedListener, address: Address, seen: list[str]) -> None:
+    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         gate.block("both", 0.8)
         listener.close()
         assert listener.open(address, lambda: Echo(seen)) == address
@@ -304,14 +304,14 @@
         await asyncio.sleep(1.0)
         cut = {"a": ["router00"], "b": ["router01"], "way": "to", "seconds": 1.0}
         begun = theatre.clock()
-        await theatre.carry_out(Step(0.0, "partition", PEERS, cut))
+        await theatre.carry_out(ScheduledFault(0.0, "partition", PEERS, cut))
         await asyncio.sleep(2.0)
         reached = {name for name, at in heard if begun < at < begun + 1.0}
         assert reached == {"router02"}
         assert {name for name, at in heard if at > begun + 1.0} == {"router01", "router02"}
         return 0
 
-    theatre = Theatre(draw(scenario, 1), main=speaker)
+    theatre = SimulatedFleet(draw_schedule(scenario, 1), main=speaker)
     assert theatre.network.peers is not None
     assert theatre.network.peers.weather == relay_model(scenario, 1).weather
     theatre.stage.on_exit = lambda _: theatre.world.stop()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -18,7 +18,7 @@
     is_newer,
 )
 from holdgw.peers.membership import NS_PER_S, Membership
-from holdgw.simulation.tier import Tier
+from holdgw.simulation.membership_tier import MembershipTier
 from tests.helpers import damaged
 
 WORDS = st.integers(0, (1 << 32) - 1)
@@ -38,13 +38,13 @@
 )
 
 
-def tier(members: int, seed: int = 1, calm: float = 5.0, **weather: float) -> Tier:
-    made = Tier(members, seed, RelayModel(seed, lambda a, b: 0.002, PeerWeather(**weather)))
+def tier(members: int, seed: int = 1, calm: float = 5.0, **weather: float) -> MembershipTier:
+    made = MembershipTier(members, seed, RelayModel(seed, lambda a, b: 0.002, PeerWeather(**weather)))
     made.run(calm)
     return made
 
 
-def held(tier: Tier, state: MemberState) -> dict[int, set[int]]:
+def held(tier: MembershipTier, state: MemberState) -> dict[int, set[int]]:
     """By router that lives: whom it holds to be that."""
     return {
         member.me: {one.number for one in member.members if one.state is state}
@@ -53,7 +53,7 @@
     }
 
 
-def all_alive(tier: Tier) -> bool:
+def all_alive(tier: MembershipTier) -> bool:
     return all(len(found) == len(tier.members) for found in held(tier, MemberState.ALIVE).values())
 
 
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -19,7 +19,7 @@
 import sys
 import holdgw.router.dispatcher
 from holdgw.harness.scenario import load_scenario
-from holdgw.simulation.play import simulate
+from holdgw.simulation.fleet_run import simulate
 print(holdgw.router.dispatcher.__file__)
 for name, seed in (("storm", 3), ("storm", 7), ("release-morning", 2)):
     print(simulate(load_scenario(name).cut(6.0), seed).digest)
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -14,8 +14,8 @@
 from hypothesis import strategies as st
 
 from holdgw.simulation import world as worlds
+from holdgw.simulation.determinism_guard import DeterminismGuard, LeakError
 from holdgw.simulation.disk import Disk
-from holdgw.simulation.guard import Guard, LeakError
 from holdgw.simulation.network import Cut, Network
 from holdgw.simulation.process import Process
 from holdgw.simulation.world import NS_PER_S, START_NS, SpinError, World
@@ -181,7 +181,7 @@
     scope = {"__name__": "holdgw.router.planted", "time": time}
     exec("async def main():\n    return int(time.monotonic())", scope)
     fixture.client.start(scope["main"]())  # type: ignore[operator]
-    with Guard(fixture.world), pytest.raises(LeakError, match=r"planted called time\.monotonic"):
+    with DeterminismGuard(fixture.world), pytest.raises(LeakError, match=r"planted called time\.monotonic"):
         fixture.run()
     assert time.monotonic() > 0  # it watches no longer
 
--- a/tests/test_simulation_play.py
+++ b/tests/test_simulation_play.py
@@ -16,15 +16,22 @@
 
 from bench.mutants import MUTANTS
 from holdgw import cli
-from holdgw.harness.day import draw
+from holdgw.harness.fault_types import KINDS
 from holdgw.harness.scenario import Scenario, ScenarioError, Storm, load_scenario, read_scenario
-from holdgw.harness.troubles import KINDS
+from holdgw.harness.schedule import draw_schedule
+from holdgw.simulation.fleet_run import (
+    Outcome,
+    RouterMain,
+    SimulatedFleet,
+    SimulatedRouter,
+    real_router,
+    simulate,
+)
 from holdgw.simulation.network import Host
-from holdgw.simulation.play import Outcome, RouterMain, SimulatedRouter, Theatre, real_router, simulate
 from holdgw.simulation.process import Process
+from holdgw.simulation.random_faults import ASKED_FOR, DRAWS, written_out
 from holdgw.simulation.search import last_events, play_seed, search
 from holdgw.simulation.shrink import as_toml, shrink
-from holdgw.simulation.storms import ASKED_FOR, DRAWS, written_out
 
 ROOT = Path(__file__).resolve().parent.parent
 TINY = """
@@ -266,7 +273,7 @@
 
 def test_a_vanished_node_is_left_by_its_routers_and_comes_back_cold() -> None:
     text = '[[trouble]]\nkind = "vanish"\nat = 0.5\nseconds = 3.0\nnodes = ["node001"]\nnotice_s = 1.0\n'
-    theatre = Theatre(draw(tiny(text, length=6.0), 1))
+    theatre = SimulatedFleet(draw_schedule(tiny(text, length=6.0), 1))
     outcome = theatre.play()
     assert not outcome.failed
     at = [one.at - outcome.begun for one in theatre.history.attempts if one.server == "node001"]
--- a/tests/test_update_budget.py
+++ b/tests/test_update_budget.py
@@ -17,7 +17,7 @@
 from holdgw.peers.load_view import LoadSnapshot, Observations
 from holdgw.peers.membership import NS_PER_S, TRANSMISSIONS, Membership, Timing
 from holdgw.peers.update_budget import LEAST_BYTES_PER_S, UPDATE_BYTES_PER_S
-from holdgw.simulation.tier import Tier
+from holdgw.simulation.membership_tier import MembershipTier
 
 ALLOWED = 2000.0  # bytes a second of a router, said and heard
 CUT_S = 40.0
@@ -38,9 +38,9 @@
         raise NotImplementedError
 
 
-def tier(size: int, seed: int = 1, rate: float | None = UPDATE_BYTES_PER_S) -> Tier:
+def tier(size: int, seed: int = 1, rate: float | None = UPDATE_BYTES_PER_S) -> MembershipTier:
     relay = RelayModel(seed, delay, PeerWeather(loss=0.01))
-    made = Tier(size, seed, relay, update_bytes_per_s=rate)
+    made = MembershipTier(size, seed, relay, update_bytes_per_s=rate)
     made.run(3.0)
     return made
 
