--- a/tests/test_aggregate_program.py
+++ b/tests/test_aggregate_program.py
@@ -16,7 +16,7 @@
 from holdgw.peers.update_budget import UPDATE_BYTES_PER_S
 from holdgw.router.aggregate import aggregator_config
 from holdgw.router.config import Config, ConfigError, load_config
-from tests.peers import LIMIT_S, run, unused_address
+from tests.emulated_nodes import LIMIT_S, run, unused_address
 
 PEERS = [f"127.0.0.1:{port}" for port in (7001, 7002, 7003)]
 CLASSES = [{"name": "read", "aimNs": 300_000_000, "giveUpNs": 1_000_000_000, "semantics": "retryable"}]
--- a/tests/test_cores.py
+++ b/tests/test_cores.py
@@ -14,8 +14,8 @@
 import orjson
 import pytest
 
+from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, entry, read, run, unused_address
 from tests.helpers import S
-from tests.peers import HIT, LIMIT_S, SERVED, Agent, Cache, entry, read, run, unused_address
 from tests.test_operation import call, get, put, until_serving
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_emulator_sockets.py
+++ b/tests/test_emulator_sockets.py
@@ -24,7 +24,7 @@
 from holdgw.emulators.work import WorkSpec
 from holdgw.wire.resp import command
 from holdgw.wire.unread import TICK_NS
-from tests.peers import LIMIT_S
+from tests.emulated_nodes import LIMIT_S
 
 R = TypeVar("R")
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -32,8 +32,7 @@
 )
 from holdgw.router import client_connection, connection_pool, discovery, dispatcher, program
 from holdgw.router.platform import accept_queued, has_left
-from tests.helpers import S, settings
-from tests.peers import (
+from tests.emulated_nodes import (
     HIT,
     LIMIT_S,
     MISS,
@@ -48,6 +47,7 @@
     read,
     run,
 )
+from tests.helpers import S, settings
 from tests.test_sockets import config_of
 
 PAGE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"
--- a/tests/test_event_loop_lag.py
+++ b/tests/test_event_loop_lag.py
@@ -9,7 +9,7 @@
 import pytest
 
 from holdgw.router.event_loop_lag import AFTER_NS, SLACK_NS, LagMonitor
-from tests.peers import HIT, Cache, Node, entry, read, run
+from tests.emulated_nodes import HIT, Cache, Node, entry, read, run
 
 MS = 1_000_000
 EVERY = 20 * MS
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -16,8 +16,8 @@
 from holdgw.policy import Outcome, RoutingPolicy
 from holdgw.policy.endpoint_health import TrackedEndpoint as Holder
 from holdgw.simulation.search import play_seed
+from tests.emulated_nodes import HIT, SERVED, Cache, Node, entry, read, run
 from tests.helpers import MS, S, ended, finals, fleet, only_send, request, sends, settings, started
-from tests.peers import HIT, SERVED, Cache, Node, entry, read, run
 
 REPORTS = {"tenants": (), "routers": 40, "load_report_fields": ("recent_ms", "backlog")}
 
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -13,8 +13,8 @@
 from holdgw.router import client_connection, dispatcher
 from holdgw.wire.http import HttpError, HttpReader
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE
+from tests.emulated_nodes import LIMIT_S, MISS, Node, Peer, command, entry, read, run
 from tests.helpers import ended, fleet, only_send, request, sends, settings, started
-from tests.peers import LIMIT_S, MISS, Node, Peer, command, entry, read, run
 
 TAIL = b"\r\n$3\r\nhit\r\n$-1\r\n"
 VALUE = bytes(range(256)) * 4096 * 4  # 4 MiB
--- a/tests/test_operation.py
+++ b/tests/test_operation.py
@@ -21,8 +21,8 @@
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.program import Program
 from holdgw.wire import http
+from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run
 from tests.helpers import S
-from tests.peers import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run
 
 
 def listing(kind: UpdateKind, *servers: Endpoint) -> EndpointUpdate:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,8 +15,21 @@
 from holdgw.policy import Action, AttemptEnded, Event, Idempotency, Outcome, RequestClass, RoutingPolicy
 from holdgw.router import client_connection, connection_pool, program
 from holdgw.router.config import Config, load_config
+from tests.emulated_nodes import (
+    HIT,
+    LIMIT_S,
+    MISS,
+    SERVED,
+    Agent,
+    Cache,
+    Node,
+    Origin,
+    command,
+    entry,
+    read,
+    run,
+)
 from tests.helpers import MS, S, settings
-from tests.peers import HIT, LIMIT_S, MISS, SERVED, Agent, Cache, Node, Origin, command, entry, read, run
 
 PAGE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -16,8 +16,8 @@
 
 from holdgw import native
 from holdgw.harness.deployment import run_command
+from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 from tests.helpers import S
-from tests.peers import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 
 ROOT = Path(__file__).resolve().parent.parent
 RUN = run_command(ROOT / "deploy/balancer.toml")
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -25,8 +25,8 @@
 from holdgw.operation.takeover import Hello, Message, OverrideChanged, Takeover, decode
 from holdgw.policy import EndpointHandover, HandoverState, Outcome, TenantHandover
 from holdgw.router.program import Program
+from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 from tests.helpers import MS, S, ended, fleet, only_send, request, sends, settings, started
-from tests.peers import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 from tests.test_operation import call, config, get, put, until_serving
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_watch_timeout.py
+++ b/tests/test_watch_timeout.py
@@ -14,7 +14,7 @@
 
 from holdgw.router import discovery, watch_timeout
 from holdgw.router.watch_timeout import WatchTimeout
-from tests.peers import LIMIT_S, Peer, run
+from tests.emulated_nodes import LIMIT_S, Peer, run
 
 SHORTEST_S, LONGEST_S = discovery.POLL_WAIT_MS / 1000, discovery.MAX_POLL_WAIT_MS / 1000
 TURNED_AWAY_S = 2.0  # a service turns a call away that would wait for its turn longer than this
