--- a/tests/test_emulator_sockets.py
+++ b/tests/test_emulator_sockets.py
@@ -24,7 +24,7 @@
 from holdgw.emulators.records import Attempt, Fallen, Had, Odd, Record, Told
 from holdgw.wire.resp import command
 from holdgw.wire.unread import TICK_NS
-from tests.peers import LIMIT_S
+from tests.emulated_nodes import LIMIT_S
 
 R = TypeVar("R")
 
