--- a/bench/capacity_path.py
+++ b/bench/capacity_path.py
@@ -202,7 +202,7 @@
         "ms",
         Read("slots", "one server leaves", SLOTS),
         "over 64 changes at a time every slot is ranked anew (P15)",
-        "`CHANGES` in `policy/slot_table.py`",
+        "`MAX_PENDING_CHANGES` in `policy/slot_table.py`",
     ),
     Row(
         "P18",
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -60,9 +60,9 @@
     def reported(one: One) -> None:
         nonlocal back
         report(one)
-        for name, node in one.router._caches.nodes.items():
-            back += node.told_at < newest.get((one.number, name), 0)
-            newest[one.number, name] = node.told_at
+        for name, node in one.router._caches.endpoints.items():
+            back += node.reported_at_ns < newest.get((one.number, name), 0)
+            newest[one.number, name] = node.reported_at_ns
 
     played._report = reported  # type: ignore[method-assign]
     played.run(12.0)
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -118,7 +118,8 @@
 
 def switch(_self: slot_rebalancing.SlotRebalancer, _slot: int, ranking: Sequence[Any]) -> int:
     """Where a slot would be were it the one that says the shortest wait who has it."""
-    return min(range(min(len(ranking), slot_rebalancing.RANKED)), key=lambda i: ranking[i].wait or math.inf)
+    count = min(len(ranking), slot_rebalancing.RANKED)
+    return min(range(count), key=lambda i: ranking[i].reported_response_time_ns or math.inf)
 
 
 def once(case: str, way: str, seed: int) -> dict[str, float]:
@@ -127,7 +128,7 @@
     if way == "picture":
         slot_rebalancing.PACE = 0.0
     if way == "switch":
-        slot_rebalancing.SlotRebalancer.taker = switch  # type: ignore[method-assign, assignment]
+        slot_rebalancing.SlotRebalancer.receiver_rank = switch  # type: ignore[method-assign, assignment]
     played = Fleet(
         **{
             "routers": ROUTERS,
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -223,14 +223,19 @@
     "cold-unbounded": Mutant(
         "a cold server has its share of slots, whatever the load on them",
         "holdgw.policy.routing_policy",
-        "self._caches.any_cold(self._now) and not (room := self._has_room(request, node, candidates))",
-        "False",
+        "            if self._caches.any_warming_up(self._now) and not (\n"
+        "                room := self._has_warm_up_capacity(request, node, candidates)\n"
+        "            ):\n",
+        "            if False:\n",
         scenario="bench/scenarios/cold-start.toml",
     ),
     "all-cold-unbounded": Mutant(
         "where all servers are cold each is sent whatever comes",
         "holdgw.policy.routing_policy",
-        "            return request.lot < bears * len(self._caches.nodes) / self._caches.most\n",
+        "            return (\n"
+        "                request.warm_up_draw < bears * len(self._caches.endpoints)"
+        " / self._caches.max_endpoints_listed\n"
+        "            )\n",
         "            return True\n",
         scenario="bench/scenarios/black-start.toml",
     ),
@@ -265,21 +270,22 @@
     "bound-off": Mutant(
         "a server that reports a long wait is sent as much as ever",
         "holdgw.policy.endpoint_health",
-        "if self.wait > self.bound and (wait := self.waits(now)) > self.bound:",
-        "if (wait := 0.0) > self.bound:",
+        "            self.reported_response_time_ns > self.max_response_time_ns\n"
+        "            and (wait := self.expected_response_time_ns(now)) > self.max_response_time_ns\n",
+        "            (wait := 0.0) > self.max_response_time_ns\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "deserted-off": Mutant(
         "a refused connection where connections rested is no death",
         "holdgw.policy.endpoint_health",
-        "self._refused >= STRIKES or deserted or",
-        "self._refused >= STRIKES or",
+        "            or deserted\n",
+        "",
         scenario="bench/scenarios/fleet-join.toml",
     ),
     "draw-off": Mutant(
         "a hot slot's owners are drawn without what they report",
         "holdgw.policy.routing_policy",
-        "        weight /= max(node.wait, self._usual_wait / 2, 1.0)\n",
+        "        weight /= max(node.reported_response_time_ns, self._usual_response_time_ns / 2, 1.0)\n",
         "",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
@@ -293,7 +299,7 @@
     "lean-off": Mutant(
         "a server that answers late gives no slots up",
         "holdgw.policy.routing_policy",
-        "            if node.bad > LEAN_BAD and not node.down:\n",
+        "            if node.failure_fraction > DONOR_FAILURE_FRACTION and not node.ejected:\n",
         "            if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
@@ -314,9 +320,11 @@
     "switch": Mutant(
         "a slot goes to the ranked server that says the shortest wait, all at once",
         "holdgw.policy.slot_rebalancing",
-        "        if not self._lacks or not ranking or slot in self._unmoved:\n            return 0\n",
+        "        if not self._surplus_capacity or not ranking or slot in self._sticky:\n"
+        "            return 0\n",
         "        if ranking:\n"
-        "            return min(range(min(len(ranking), RANKED)), key=lambda i: ranking[i].wait or 1e18)\n",
+        "            count = min(len(ranking), RANKED)\n"
+        "            return min(range(count), key=lambda i: ranking[i].reported_response_time_ns or 1e18)\n",
         figure="herd",
     ),
     "incarnation-ignored": Mutant(
@@ -329,7 +337,7 @@
     "own-evidence-below": Mutant(
         "what others were told goes before a server's newer word to this router",
         "holdgw.policy.routing_policy",
-        "            if node is not None and at > node.told_at:\n",
+        "            if node is not None and at > node.reported_at_ns:\n",
         "            if node is not None:\n",
         figure="overruled",
     ),
@@ -433,8 +441,8 @@
     "cold-undivided": Mutant(
         "each router has the whole of a cold server's budget",
         "holdgw.policy.routing_policy",
-        "        pace = self._usual(now) * bears * workers",
-        "        pace = self._usual(now) * bears * workers * self._settings.routers",
+        "        pace = self._usual_answers_per_ns(now) * bears * workers",
+        "        pace = self._usual_answers_per_ns(now) * bears * workers * self._settings.routers",
         test="tests/test_cold_budget.py",
     ),
     "fin-before-answers": Mutant(
--- a/holdgw/policy/hot_keys.py
+++ b/holdgw/policy/hot_keys.py
@@ -7,7 +7,9 @@
 
 Key = TypeVar("Key", int, str)
 
-HEAT_MEMORY = 1024  # requests after which counts are halved: many endpoints' worth, yet seconds when busy
+MAX_COUNTED_REQUESTS = (
+    1024  # requests after which counts are halved: many endpoints' worth, yet seconds when busy
+)
 
 
 class PopularityCounter(Generic[Key]):
@@ -23,12 +25,12 @@
         share = count / max(self._total, 1.0)
         self.counts[slot] = count + 1
         self._total += 1
-        if self._total >= HEAT_MEMORY:
+        if self._total >= MAX_COUNTED_REQUESTS:
             self.counts = {slot: count / 2 for slot, count in self.counts.items() if count > 1}
             self._total = sum(self.counts.values())
         return share
 
-    def recall(self, counts: Mapping[Key, float]) -> None:
+    def restore(self, counts: Mapping[Key, float]) -> None:
         """Add what another process has counted."""
         for slot, count in counts.items():
             self.counts[slot] = self.counts.get(slot, 0.0) + count
--- a/holdgw/policy/pending_request.py
+++ b/holdgw/policy/pending_request.py
@@ -21,14 +21,14 @@
         )
         self.cls, self.guard = cls, guard
         self.slot = self.sends = self.sent_at = 0
-        self.share = 0.0  # its slot's share of the requests here
+        self.slot_popularity = 0.0  # its slot's share of the requests here
         self.failed: list[TrackedEndpoint] = []
         self.node: TrackedEndpoint | None = None
         self.ran: tuple[TrackedEndpoint, int] | None = (
             None  # the first attempt that may have run: where, when sent
         )
         self.spared = False  # has been asked for again after an answer that stayed out
-        self.lot = 0.0  # by which it is one of those that cold servers bear; 0: not drawn yet
+        self.warm_up_draw = 0.0  # by which it is one of those that cold servers bear; 0: not drawn yet
         self.patience = 0  # after which the attempt that is out counts as lost; 0: not at all
         self.fetching = self.out = self.leads = self.waiting = self.done = self.streams = False
 
--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -7,7 +7,12 @@
 from zlib import crc32
 
 from holdgw.policy.disabled_features import load_report_indexes
-from holdgw.policy.endpoint_health import LEAN_BAD, LEAN_WELL, RESETS, TrackedEndpoint
+from holdgw.policy.endpoint_health import (
+    DONOR_FAILURE_FRACTION,
+    MAX_CONSECUTIVE_RESETS,
+    RECEIVER_FAILURE_FRACTION,
+    TrackedEndpoint,
+)
 from holdgw.policy.hot_keys import PopularityCounter
 from holdgw.policy.interface import (
     NS_PER_S,
@@ -39,7 +44,7 @@
 from holdgw.policy.origin_limiter import CUT, OriginLimiter
 from holdgw.policy.pending_request import PendingRequest
 from holdgw.policy.slot_rebalancing import SlotRebalancer
-from holdgw.policy.slot_table import DEPTH, SLOTS, SlotTable
+from holdgw.policy.slot_table import RANKING_DEPTH, SLOTS, SlotTable
 
 HEAT_SHARE = 0.25  # part of a server's fair load that one slot may bring before it is spread
 BAD_SAMPLES = 8  # smoothing of the share of bad fetches
@@ -85,7 +90,10 @@
             for tenant in tenants
         }
         self._caches, self._origins = SlotTable(settings), SlotTable(settings)
-        self._heat, self._usage = PopularityCounter[int](), PopularityCounter[str]()  # by slot; by tenant
+        self._slot_popularity, self._tenant_usage = (
+            PopularityCounter[int](),
+            PopularityCounter[str](),
+        )  # by slot; by tenant
         self._requests: dict[str, PendingRequest] = {}
         self._flights: dict[
             str, list[PendingRequest]
@@ -97,27 +105,29 @@
             0,
         )  # most own attempts out at the origin before writes are held
         self._held: list[PendingRequest] = []  # writes waiting for one of them to end; the newest goes first
-        self._strain = 0.0
-        self._done, self._done_at = 0.0, 0  # caches' answers, fading, and as of when
+        self._overloaded_fraction = 0.0
+        self._cache_answers, self._cache_answers_at_ns = 0.0, 0  # caches' answers, fading, and as of when
         self._budget = BUDGET_MOST  # attempts that may be taken for lost by their time
-        self._fields = load_report_indexes(settings.load_report_fields)
+        self._load_report_indexes = load_report_indexes(settings.load_report_fields)
         self._aim = aim
-        self._usual_wait = 0.0  # smoothed over the reports of all servers
+        self._usual_response_time_ns = 0.0  # smoothed over the reports of all servers
         self._origin_bad = 0.0  # smoothed share of bad fetches
         self._origin_broke = 0  # its connections that broke since its last answer
         self._asking, self._failed_calls = False, 0
-        self._shares: dict[int, float] | None = None  # of slots, as many routers see them
-        self._levels = SlotRebalancer()
-        self._observed_waits: dict[str, tuple[float, int]] = {}  # by server: its reported wait, and when
+        self._shared_popularity: dict[int, float] | None = None  # of slots, as many routers see them
+        self._rebalancer = SlotRebalancer()
+        self._observed_response_times: dict[
+            str, tuple[float, int]
+        ] = {}  # by server: its reported wait, and when
         self._slot_requests: dict[int, int] = {}  # for other routers
-        self._now = self._began = 0  # the clock; at the first event
+        self._now = self._started_at_ns = 0  # the clock; at the first event
         self._actions: list[Action] = []
         self.rejections_by_reason: dict[str, int] = {}  # requests refused or failed, by the reason
 
     def handle(self, event: Event, now: int) -> list[Action]:
         """Take one event at clock time `now` and return the actions to carry out, in order."""
         self._now, self._actions = now, []
-        self._began = self._began or now
+        self._started_at_ns = self._started_at_ns or now
         match event:
             case AttemptEnded():
                 self._attempt_ended(event)
@@ -141,20 +151,20 @@
 
     def ejected(self) -> list[str]:
         """The ready cache servers that are left out by choice, but for a trial now and then."""
-        return [name for name, node in self._caches.nodes.items() if node.down]
+        return [name for name, node in self._caches.endpoints.items() if node.ejected]
 
     def metrics(self, now: int) -> dict[str, float]:
         """What the decisions go by now: limits in fetches a second, shares and counts of servers."""
-        nodes = self._caches.nodes.values()
+        nodes = self._caches.endpoints.values()
         return {
             **{f"limit {name}": guard.limit for name, guard in self._guards.items() if name},
             "width": -1.0 if math.isinf(self._width) else self._width,
             "origin bad": self._origin_bad,
-            "strain": self._strain,
+            "strain": self._overloaded_fraction,
             "budget": self._budget,
-            "down": sum(node.down for node in nodes),
-            "shy": sum(node.chance(now) < 1.0 for node in nodes),
-            "lean": sum(node.share < 1.0 for node in nodes),
+            "down": sum(node.ejected for node in nodes),
+            "shy": sum(node.admission_probability(now) < 1.0 for node in nodes),
+            "lean": sum(node.slot_retention < 1.0 for node in nodes),
         }
 
     def origin_demand(self, now: int) -> dict[str, float]:
@@ -170,18 +180,23 @@
         return HandoverState(
             endpoints={
                 name: EndpointHandover(
-                    node.chance(now), node.down, node.share, node.bad, node.pace, node.usual_load
+                    node.admission_probability(now),
+                    node.ejected,
+                    node.slot_retention,
+                    node.failure_fraction,
+                    node.latency_ns,
+                    node.usual_in_flight,
                 )
-                for name, node in self._caches.nodes.items()
+                for name, node in self._caches.endpoints.items()
             },
             tenants={
                 name: TenantHandover(guard.limit, tuple(guard._calls)) for name, guard in self._guards.items()
             },
-            slot_popularity=dict(self._heat.counts),
-            tenant_usage=dict(self._usage.counts),
+            slot_popularity=dict(self._slot_popularity.counts),
+            tenant_usage=dict(self._tenant_usage.counts),
             origin_latency_ns=self._origin_time,
             write_concurrency_limit=self._width,
-            cache_answers=self._done * math.exp((self._done_at - now) / DONE_MEMORY),
+            cache_answers=self._cache_answers * math.exp((self._cache_answers_at_ns - now) / DONE_MEMORY),
         )
 
     def restore(self, learnt: HandoverState, now: int) -> None:
@@ -192,18 +207,18 @@
         hence it comes from a process that lives, and fades as if it had been learnt here.
         """
         for name, server in learnt.endpoints.items():
-            if (node := self._caches.nodes.get(name)) is not None:
-                node.recall(server, now)
+            if (node := self._caches.endpoints.get(name)) is not None:
+                node.restore(server, now)
         for name, tenant in learnt.tenants.items():
             if (guard := self._guards.get(name)) is not None:
                 guard.recall(tenant.rate_limit, tenant.calls, now)
-        self._heat.recall(learnt.slot_popularity)
-        self._usage.recall(learnt.tenant_usage)
+        self._slot_popularity.restore(learnt.slot_popularity)
+        self._tenant_usage.restore(learnt.tenant_usage)
         self._origin_time = learnt.origin_latency_ns or self._origin_time
         self._width = learnt.write_concurrency_limit or self._width
         if learnt.cache_answers:
-            self._done, self._done_at = learnt.cache_answers, now
-            self._began = now - 2 * DONE_MEMORY
+            self._cache_answers, self._cache_answers_at_ns = learnt.cache_answers, now
+            self._started_at_ns = now - 2 * DONE_MEMORY
 
     def _servers_changed(self, event: EndpointsChanged) -> None:
         if self._settings.subscription_required:
@@ -214,7 +229,9 @@
         left = [entry.id for entry in event.endpoints if entry.state is not EndpointState.READY]
         for table, is_origin in ((self._caches, False), (self._origins, True)):
             mine = [e for e in ready if (e.kind == self._settings.origin_kind) == is_origin]
-            unlisted = table.nodes.keys() - {e.id for e in mine} if event.kind is not UpdateKind.DELTA else ()
+            unlisted = (
+                table.endpoints.keys() - {e.id for e in mine} if event.kind is not UpdateKind.DELTA else ()
+            )
             table.update(mine, [*left, *unlisted])
 
     def _keep_subscribed(self, kind: UpdateKind) -> None:
@@ -248,22 +265,22 @@
         if request.is_write and self._settings.origin_kind is not None:
             self._fetch(request)
         else:
-            request.share = self._heat.add(request.slot)
-            if self._shares is not None:
-                request.share = self._shares.get(request.slot, 0.0)
+            request.slot_popularity = self._slot_popularity.add(request.slot)
+            if self._shared_popularity is not None:
+                request.slot_popularity = self._shared_popularity.get(request.slot, 0.0)
             if self._settings.gossip_allowed and len(self._slot_requests) < MAX_OBSERVED_SLOTS:
                 self._slot_requests[request.slot] = self._slot_requests.get(request.slot, 0) + 1
-            guard.excess = (self._usage.add(event.tenant or "") / max(guard.weight, 0.001)) ** 2
+            guard.excess = (self._tenant_usage.add(event.tenant or "") / max(guard.weight, 0.001)) ** 2
             self._route(request)
 
     def _send(self, request: PendingRequest, node: TrackedEndpoint) -> None:
         request.sends += 1
         why = self._why(request, node)
         request.node, request.sent_at, request.out = node, self._now, True
-        node.usual_load += (node.load - node.usual_load) / 32
-        node.load += 1
+        node.usual_in_flight += (node.in_flight - node.usual_in_flight) / 32
+        node.in_flight += 1
         if not request.fetching:
-            node.room -= 1
+            node.warm_up_tokens -= 1
         request.patience = self._patience(request, node)
         bounded = request.ran is not None and request.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
         within = request.write_within(self._now) if bounded else 0
@@ -273,7 +290,7 @@
         """What an attempt is made for, before it is noted."""
         if request.fetching:
             return "write" if request.is_write else "fetch"
-        if node.down:
+        if node.ejected:
             return "trial"
         return "first" if request.sends == 1 else "again" if node is request.node else "next"
 
@@ -285,9 +302,13 @@
         """
         if request.spared or self._budget < 1 or request.sends + 2 > self._settings.max_attempts:
             return 0
-        if not node.pace or node.chance(self._now) < 1.0 or self._strain > STRAIN:
+        if (
+            not node.latency_ns
+            or node.admission_probability(self._now) < 1.0
+            or self._overloaded_fraction > STRAIN
+        ):
             return 0  # not known to be well, or the others are not
-        patience = int(max(request.cls.latency_objective_ns * PATIENCE_AIM, node.pace * PATIENCE_PACE))
+        patience = int(max(request.cls.latency_objective_ns * PATIENCE_AIM, node.latency_ns * PATIENCE_PACE))
         return patience if self._now + 2 * patience < request.deadline_ns else 0
 
     def _may_try(self, request: PendingRequest) -> bool:
@@ -299,33 +320,37 @@
             self._give_up(request, "attempts or time")
             return
         candidates = self._candidates(request)
-        keepers = [node for node in candidates if node.down or node.keeps(request.slot, self._now)]
+        keepers = [node for node in candidates if node.ejected or node.retains(request.slot, self._now)]
         room = True
         for i, node in enumerate(keepers or candidates[:1]):
             if node in request.failed or not request.may_send(node, self._now):
                 continue
-            if self._caches.any_cold(self._now) and not (room := self._has_room(request, node, candidates)):
+            if self._caches.any_warming_up(self._now) and not (
+                room := self._has_warm_up_capacity(request, node, candidates)
+            ):
                 continue
             # Danger: clients that give a try up early come again, and the server goes on with what nobody
             # waits for: all it does is late then, for as long as they come. It could do harm where a report
             # is too high: whoever waits longer goes there still, and brings a new one.
             left = request.deadline_ns - self._now
-            if node.wait > left and node.waits(self._now) > left:
+            if node.reported_response_time_ns > left and node.expected_response_time_ns(self._now) > left:
                 self._give_up(request, "too late there")
                 return
-            self._strain += ((not node.down and node.chance(self._now) < 1.0) - self._strain) / 64
-            chance = node.chance(self._now)
-            if node.bad > LEAN_BAD and not node.down:
-                self._lean(node, keepers[i + 1 :])
+            self._overloaded_fraction += (
+                (not node.ejected and node.admission_probability(self._now) < 1.0) - self._overloaded_fraction
+            ) / 64
+            chance = node.admission_probability(self._now)
+            if node.failure_fraction > DONOR_FAILURE_FRACTION and not node.ejected:
+                self._release_slots(node, keepers[i + 1 :])
             # Tenants over their portion are shed first, those well within it last.
             # A server is shed where more than usual is out there, which is when its queue is long.
-            crowd = min(0.25 + 0.75 * node.load / max(node.usual_load, 0.25), 2.0)
+            crowd = min(0.25 + 0.75 * node.in_flight / max(node.usual_in_flight, 0.25), 2.0)
             if chance >= 1.0 or (
                 chance > 0 and self._rng.random() < chance ** (request.guard.excess * crowd)
             ):
                 self._send(request, node)
                 return
-            if not node.down:  # over its load: another server would miss, unless the slot moves for good
+            if not node.ejected:  # over its load: another server would miss, unless the slot moves for good
                 self._give_up(request, "server")
                 return
         if room:
@@ -333,7 +358,7 @@
         else:  # only a cold server could take it, and that is why it can't
             self._give_up(request, "cold server")
 
-    def _lean(self, node: TrackedEndpoint, others: list[TrackedEndpoint]) -> None:
+    def _release_slots(self, node: TrackedEndpoint, others: list[TrackedEndpoint]) -> None:
         """Departure: a server over its load gives slots to the next-ranked, if that one is well.
 
         Danger: a server that is slow, or takes only so many a second, would have its keys refused for as
@@ -342,25 +367,29 @@
         degrees, and loads that slots of equal number share out unevenly. It could do harm when all are
         over their load: slots would wander, and miss; hence the other must be well.
         """
-        other = next((other for other in others if not other.down), None)
-        if other is not None and other.bad < LEAN_WELL:
-            node.lean(self._now)
+        other = next((other for other in others if not other.ejected), None)
+        if other is not None and other.failure_fraction < RECEIVER_FAILURE_FRACTION:
+            node.release_slots(self._now)
 
     def _candidates(self, request: PendingRequest) -> list[TrackedEndpoint]:
         """Departure for hot keys: a slot too hot for one server is shared by the few ranked first."""
-        ranking, owners = self._ranked(request.slot, request.share)
+        ranking, owners = self._rank_for_popularity(request.slot, request.slot_popularity)
         if owners > 1:
             # Where they say that they are over their load, more of those ranked next take a part.
-            over = sum(node.wait for node in ranking[:owners]) / owners / self._most_wait()
+            over = (
+                sum(node.reported_response_time_ns for node in ranking[:owners])
+                / owners
+                / self._overload_response_time_ns()
+            )
             if over > 1.0:
                 owners = math.ceil(owners * min(over, OWNERS_MORE))
-                ranking = self._caches.rank(request.slot, self._now, max(owners, DEPTH))
-            return sorted(ranking[:owners], key=self._draw) + ranking[owners:]
-        if taker := self._levels.taker(request.slot, ranking):
+                ranking = self._caches.rank(request.slot, self._now, max(owners, RANKING_DEPTH))
+            return sorted(ranking[:owners], key=self._owner_preference) + ranking[owners:]
+        if taker := self._rebalancer.receiver_rank(request.slot, ranking):
             return [ranking[taker], *ranking[:taker], *ranking[taker + 1 :]]
         return ranking
 
-    def _has_room(
+    def _has_warm_up_capacity(
         self, request: PendingRequest, node: TrackedEndpoint, others: list[TrackedEndpoint]
     ) -> bool:
         """Whether a cold server may be sent one more, by its warmth and what others usually get.
@@ -371,42 +400,51 @@
         Where all are cold nobody else has the keys, and what they usually get is not known: each request goes
         by chance then, so that all routers together send the part of what is asked that cold servers bear.
         """
-        warmth = self._caches.warmth(node, self._now)
+        warmth = self._caches.warm_up_weight(node, self._now)
         if warmth >= 1.0:
             return True
         bears = warmth * self._settings.warm_up_overload_factor * COLD_EXCESS
-        if all(self._caches.warmth(other, self._now) < 1.0 for other in others):
+        if all(self._caches.warm_up_weight(other, self._now) < 1.0 for other in others):
             # Danger: all that is asked comes to the few that a list names first when everything starts anew.
-            request.lot = request.lot or self._rng.random()
-            return request.lot < bears * len(self._caches.nodes) / self._caches.most
+            request.warm_up_draw = request.warm_up_draw or self._rng.random()
+            return (
+                request.warm_up_draw < bears * len(self._caches.endpoints) / self._caches.max_endpoints_listed
+            )
         # Danger: each worker of a router would spend the bound anew. So one of them has all of it, always the
         # same one for a server; to the others a cold server has no room, and the next-ranked has the key.
         # Danger: what is sent tells less of what servers can do than what they answer. In a storm a request
         # comes four times, and a cold server would be sent its part of that.
         now, workers = self._now, self._settings.workers
-        pace = self._usual(now) * bears * workers
+        pace = self._usual_answers_per_ns(now) * bears * workers
         if node.seed % workers != self._settings.worker_index:
             return False
-        if not node.room_at:
+        if not node.warm_up_tokens_at_ns:
             # Danger: were each router to begin with a whole attempt or two, hundreds would send a cold
             # server more at once than it bears. A part, drawn, keeps their sum at the pace from the first.
             # One that has just started itself knows too little for that, and is asked too little to do harm.
             ahead = pace * COLD_AHEAD * self._settings.warm_up_overload_window_ns
-            node.room = self._rng.random() + ahead if now - self._began > DONE_MEMORY else COLD_BURST
-            node.room_at = now
-        node.room, node.room_at = min(COLD_BURST, node.room + pace * (now - node.room_at)), now
-        return node.room >= 1.0
+            node.warm_up_tokens = (
+                self._rng.random() + ahead if now - self._started_at_ns > DONE_MEMORY else COLD_BURST
+            )
+            node.warm_up_tokens_at_ns = now
+        node.warm_up_tokens, node.warm_up_tokens_at_ns = (
+            min(COLD_BURST, node.warm_up_tokens + pace * (now - node.warm_up_tokens_at_ns)),
+            now,
+        )
+        return node.warm_up_tokens >= 1.0
 
-    def _usual(self, now: int) -> float:
+    def _usual_answers_per_ns(self, now: int) -> float:
         """Answers a nanosecond of a cache server to this router, as of lately."""
-        heard = -math.expm1(min(self._began - now, -NS_PER_S) / DONE_MEMORY)  # the part that is counted yet
-        return self._done / heard / DONE_MEMORY / len(self._caches.nodes)
+        heard = -math.expm1(
+            min(self._started_at_ns - now, -NS_PER_S) / DONE_MEMORY
+        )  # the part that is counted yet
+        return self._cache_answers / heard / DONE_MEMORY / len(self._caches.endpoints)
 
-    def _draw(self, node: TrackedEndpoint) -> tuple[float, float]:
+    def _owner_preference(self, node: TrackedEndpoint) -> tuple[float, float]:
         """Fewest own attempts out for its weight; ties by a lottery in proportion to the weights."""
-        weight = node.weight * self._caches.warmth(node, self._now)
-        weight /= max(node.wait, self._usual_wait / 2, 1.0)
-        return node.load, self._rng.expovariate(1.0) / weight
+        weight = node.weight * self._caches.warm_up_weight(node, self._now)
+        weight /= max(node.reported_response_time_ns, self._usual_response_time_ns / 2, 1.0)
+        return node.in_flight, self._rng.expovariate(1.0) / weight
 
     def _missed(self, request: PendingRequest) -> None:
         """Fetch, unless this router's fetch of the key is out: then wait for what it stores."""
@@ -425,7 +463,7 @@
             self._give_up(request, "no origin or attempt")
             return
         if (
-            request.is_write and origins[0].load >= self._width
+            request.is_write and origins[0].in_flight >= self._width
         ):  # held, for more would only queue at the origin
             self._held.append(request)
             self._wait(request, request.deadline_ns - self._now)
@@ -449,7 +487,7 @@
         """
         if request.node is not None and request.out and not request.streams:
             request.streams = True
-            request.node.load -= 1
+            request.node.in_flight -= 1
             if request.leads:
                 self._land(request, stored=True)
 
@@ -459,7 +497,7 @@
             return
         node, fetched, outcome = request.node, request.fetching, event.outcome
         request.out = request.fetching = False
-        node.load -= not request.streams
+        node.in_flight -= not request.streams
         request.streams = False
         took = event.latency_ns - event.queued_ns
         late = took > request.cls.latency_objective_ns
@@ -480,25 +518,29 @@
             if lost and not early:
                 self._budget = min(BUDGET_MOST, self._budget + 1)
         elif told and not broke:
-            node.answered = self._now
+            node.answered_at_ns = self._now
         if outcome in (Outcome.OK, Outcome.MISS):
             # A prompt answer to what was asked again shows that the first one was lost.
             proof = request.spared and took <= request.cls.latency_objective_ns * PATIENCE_AIM
             self._budget = min(BUDGET_MOST, self._budget + (1.0 if proof else BUDGET_SHARE))
             if not event.first_on_connection:
-                node.pace += (took - node.pace) / 16 if node.pace else took
+                node.latency_ns += (took - node.latency_ns) / 16 if node.latency_ns else took
             if not fetched:
-                self._done = self._done * math.exp((self._done_at - self._now) / DONE_MEMORY) + 1
-                self._done_at = self._now
-        if not fetched and event.load_report is not None and self._fields is not None:
-            self._told(node, event.load_report)
+                self._cache_answers = (
+                    self._cache_answers * math.exp((self._cache_answers_at_ns - self._now) / DONE_MEMORY) + 1
+                )
+                self._cache_answers_at_ns = self._now
+        if not fetched and event.load_report is not None and self._load_report_indexes is not None:
+            self._apply_load_report(node, event.load_report)
         if fetched:
             self._judge_fetch(node, event, late and not unsure, lost)
         elif told:
             # A time-out before the deadline is one of our own patience, and no sign of load.
             slow = not lost if outcome is Outcome.TIMEOUT else late and not unsure
-            alone = self._strain <= ALONE
-            node.judge(outcome, slow, self._now, request.sent_at, alone, event.idle_connections_closed)
+            alone = self._overloaded_fraction <= ALONE
+            node.record_attempt(
+                outcome, slow, self._now, request.sent_at, alone, event.idle_connections_closed
+            )
         if not outcome.has_no_effect and request.ran is None:
             request.ran = node, request.sent_at
         if event.request_answered or request.done:
@@ -514,20 +556,22 @@
             request.failed.append(node)
             self._route(request)
 
-    def _told(self, node: TrackedEndpoint, load: tuple[float, ...]) -> None:
+    def _apply_load_report(self, node: TrackedEndpoint, load: tuple[float, ...]) -> None:
         """Take a server's load report, which tells of the whole fleet's load on it."""
-        assert self._fields is not None
-        latency, queue = load[self._fields[0]], load[self._fields[1]]
+        assert self._load_report_indexes is not None
+        latency, queue = load[self._load_report_indexes[0]], load[self._load_report_indexes[1]]
         wait = latency * 1e6 * (1.0 + queue / QUEUE_SLOTS)
         if self._settings.gossip_allowed:
-            self._observed_waits[node.entry.id] = wait, self._now
-        self._heard(node, wait, self._now)
+            self._observed_response_times[node.entry.id] = wait, self._now
+        self._apply_response_time(node, wait, self._now)
 
-    def _heard(self, node: TrackedEndpoint, wait: float, at: int) -> None:
+    def _apply_response_time(self, node: TrackedEndpoint, wait: float, at: int) -> None:
         """A server's wait, by its own report or by what others were told, as of then."""
-        self._usual_wait += (wait - self._usual_wait) / 32 if self._usual_wait else wait
-        node.bound = self._aim * BOUND_AIM
-        node.told(wait, self._most_wait(), at)
+        self._usual_response_time_ns += (
+            (wait - self._usual_response_time_ns) / 32 if self._usual_response_time_ns else wait
+        )
+        node.max_response_time_ns = self._aim * BOUND_AIM
+        node.apply_load_report(wait, self._overload_response_time_ns(), at)
 
     def _apply_load_snapshot(self, event: LoadSnapshotChanged) -> None:
         """Take the load view of many routers: waits newer than those held, and shares that rest on enough.
@@ -537,41 +581,45 @@
         reachability is judged by own attempts alone, and shares of too few requests are ignored.
         """
         for name, (wait, age) in event.response_times.items():
-            node, at = self._caches.nodes.get(name), self._now - age
-            if node is not None and at > node.told_at:
-                self._heard(node, wait, at)
+            node, at = self._caches.endpoints.get(name), self._now - age
+            if node is not None and at > node.reported_at_ns:
+                self._apply_response_time(node, wait, at)
         # The view names the most frequent slots alone, and undercounts each: a router with a large part of
         # all requests would spread hot keys less by it than by its own counts, which it uses instead.
         enough = (
             event.sampled_requests >= MIN_SNAPSHOT_REQUESTS
             and event.own_requests < MAX_OWN_PART * event.sampled_requests
         )
-        self._shares = event.slot_shares if enough else None
-        self._levels.take(event.slot_shares if enough else {}, event.sampled_requests * enough, self._now)
-        nodes = list(self._caches.nodes.values())
+        self._shared_popularity = event.slot_shares if enough else None
+        self._rebalancer.add_sample(
+            event.slot_shares if enough else {}, event.sampled_requests * enough, self._now
+        )
+        nodes = list(self._caches.endpoints.values())
         cold: set[int] = set()
-        if self._caches.any_cold(self._now):
-            cold = {node.seed for node in nodes if self._caches.warmth(node, self._now) < 1.0}
-        self._levels.plan(self._ranked, self._caches.knows, nodes, cold, self._now, self._aim * PRESSED_AIM)
+        if self._caches.any_warming_up(self._now):
+            cold = {node.seed for node in nodes if self._caches.warm_up_weight(node, self._now) < 1.0}
+        self._rebalancer.plan(
+            self._rank_for_popularity, self._caches.is_ranked, nodes, cold, self._now, self._aim * PRESSED_AIM
+        )
 
-    def _ranked(self, slot: int, share: float) -> tuple[list[TrackedEndpoint], int]:
+    def _rank_for_popularity(self, slot: int, share: float) -> tuple[list[TrackedEndpoint], int]:
         """The servers ranked for a slot, and how many have it with such a share of the requests."""
-        owners = max(math.ceil(share * len(self._caches.nodes) / HEAT_SHARE), 1)
-        return self._caches.rank(slot, self._now, max(owners, DEPTH)), owners
+        owners = max(math.ceil(share * len(self._caches.endpoints) / HEAT_SHARE), 1)
+        return self._caches.rank(slot, self._now, max(owners, RANKING_DEPTH)), owners
 
     def take_observations(self) -> tuple[dict[str, tuple[float, int]], dict[int, int]]:
         """What this router observed since the last call, for others: servers' waits, requests by slot."""
-        observed = self._observed_waits, self._slot_requests
-        self._observed_waits, self._slot_requests = {}, {}
+        observed = self._observed_response_times, self._slot_requests
+        self._observed_response_times, self._slot_requests = {}, {}
         return observed
 
     def rebalancing_metrics(self) -> dict[str, float]:
         """How many servers give slots up and take some, and the least part that one keeps."""
-        return self._levels.state()
+        return self._rebalancer.metrics()
 
-    def _most_wait(self) -> float:
+    def _overload_response_time_ns(self) -> float:
         """The reported wait past which a server is over its load."""
-        return max(self._aim * FULL_AIM, self._usual_wait * FULL_USUAL)
+        return max(self._aim * FULL_AIM, self._usual_response_time_ns * FULL_USUAL)
 
     def _vanished(self, node: TrackedEndpoint, request: PendingRequest, took: int) -> bool:
         """Whether an answer that never came was lost on the way, and says nothing of its server's load.
@@ -581,9 +629,10 @@
         itself, so it could do harm only where one kind of request is slow: its lateness then tells nothing.
         """
         usual = (
-            0 < node.pace * LOST_PACE < took and node.pace < request.cls.latency_objective_ns * PATIENCE_AIM
+            0 < node.latency_ns * LOST_PACE < took
+            and node.latency_ns < request.cls.latency_objective_ns * PATIENCE_AIM
         )
-        return usual and node.answered > request.sent_at
+        return usual and node.answered_at_ns > request.sent_at
 
     def _judge_fetch(self, node: TrackedEndpoint, event: AttemptEnded, late: bool, lost: bool) -> None:
         """Rise while the origin answers well; on failures cut the tenants over their portion first.
@@ -594,7 +643,7 @@
         """
         broke = event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET)
         self._origin_broke = self._origin_broke + 1 if broke else 0
-        if (broke or lost) and self._origin_broke < RESETS:
+        if (broke or lost) and self._origin_broke < MAX_CONSECUTIVE_RESETS:
             pass
         elif event.outcome is Outcome.OK and not late:
             self._origin_bad -= self._origin_bad / BAD_SAMPLES
@@ -608,13 +657,13 @@
             # A lone bad fetch is chance (a heavy tail), and one round-trip's bad fetches are one sign.
             if self._origin_bad >= BAD_SHARE and self._now - self._last_cut >= self._origin_time:
                 self._last_cut = self._now
-                self._width = max(1.0, min(self._width, node.load + 1) * CUT)
+                self._width = max(1.0, min(self._width, node.in_flight + 1) * CUT)
                 for guard in self._guards.values():  # the origin is shared: it speaks for all
                     guard.cut(self._now)
         origins = self._origins.rank(0, self._now)
         # Danger: the origin of this fetch may have been listed anew since, and a write that goes by its
         # load would be held again for the new one's, for ever.
-        while self._held and (not origins or origins[0].load < self._width):
+        while self._held and (not origins or origins[0].in_flight < self._width):
             waiter = self._held.pop()
             if waiter.waiting:
                 self._fetch(waiter)
--- a/holdgw/policy/slot_rebalancing.py
+++ b/holdgw/policy/slot_rebalancing.py
@@ -36,12 +36,12 @@
 
     seed: int
     weight: float
-    down: bool
-    share: float
-    wait: float
+    ejected: bool
+    slot_retention: float
+    reported_response_time_ns: float
 
 
-def drawn(slot: int, seed: int) -> float:
+def uniform_hash(slot: int, seed: int) -> float:
     """A number in (0, 1) for this slot and server, the same at every router."""
     mixed = (seed ^ (slot + 0x51ED2701) * 0xBF58476D1CE4E5B9) * 0x94D049BB133111EB & WORD
     mixed = (mixed ^ mixed >> 31) * 0xD6E8FEB86659FD93 & WORD
@@ -52,34 +52,34 @@
     """What slots bring, and which part of theirs servers give up and take for it."""
 
     def __init__(self) -> None:
-        self._asked: dict[int, float] = {}  # by slot, of `_rests_on`
-        self._rests_on, self._unit = 0.0, 1.0
-        self._at = self._planned = 0
+        self._popularity: dict[int, float] = {}  # by slot, of `_rests_on`
+        self._samples, self._unit = 0.0, 1.0
+        self._sampled_at_ns = self._planned_at_ns = 0
         # By a server's seed: what it is to take beyond its own slots, in fair loads; under 0 it gives.
-        self._lacks: dict[int, float] = {}
-        self._kept: dict[int, float] = {}  # the part of its slots, where it is under 1
-        self._unmoved: set[int] = set()
+        self._surplus_capacity: dict[int, float] = {}
+        self._retention: dict[int, float] = {}  # the part of its slots, where it is under 1
+        self._sticky: set[int] = set()
         # The plan in the making: slots not gone through yet, and what servers have of those that were.
-        self._waiting: list[int] = []
+        self._remaining: list[int] = []
         self._home: dict[int, float] = {}  # of slots that may move, by the table
         self._placed: dict[int, float] = {}  # the same as they are placed now
         self._fixed: dict[int, float] = {}  # of those that stay
-        self._moves_not: set[int] = set()
+        self._sticky_planned: set[int] = set()
 
-    def take(self, shares: Mapping[int, float], rests_on: float, now: int) -> None:
+    def add_sample(self, shares: Mapping[int, float], rests_on: float, now: int) -> None:
         """Take what slots bring: shares of all requests, and how many of these were counted."""
-        passed = (now - self._at) / NS_PER_S if self._at else 0.0
-        self._at = now
+        passed = (now - self._sampled_at_ns) / NS_PER_S if self._sampled_at_ns else 0.0
+        self._sampled_at_ns = now
         # What fades is not touched: what is new counts for more, in units that grow.
         self._unit *= math.exp(passed / MEMORY_S)
         counted = rests_on * min(passed / NEWS_S, 1.0) * self._unit
-        self._rests_on += counted
+        self._samples += counted
         for slot, share in shares.items():
-            self._asked[slot] = self._asked.get(slot, 0.0) + share * counted
-        if self._unit > UNIT_MOST or len(self._asked) > SLOTS_MOST:
-            most = sorted(self._asked, key=self._asked.__getitem__, reverse=True)[: SLOTS_MOST // 2]
-            self._asked = {slot: self._asked[slot] / self._unit for slot in most}
-            self._rests_on, self._unit = self._rests_on / self._unit, 1.0
+            self._popularity[slot] = self._popularity.get(slot, 0.0) + share * counted
+        if self._unit > UNIT_MOST or len(self._popularity) > SLOTS_MOST:
+            most = sorted(self._popularity, key=self._popularity.__getitem__, reverse=True)[: SLOTS_MOST // 2]
+            self._popularity = {slot: self._popularity[slot] / self._unit for slot in most}
+            self._samples, self._unit = self._samples / self._unit, 1.0
 
     def plan(
         self,
@@ -104,42 +104,42 @@
         an event, for seconds, at each of 200 routers): hence a few in one call, those asked for most first,
         and a plan when all are gone through.
         """
-        if not self._asked or not servers:
-            self._lacks, self._kept = {}, {}
+        if not self._popularity or not servers:
+            self._surplus_capacity, self._retention = {}, {}
             return
-        if not self._waiting:
-            if now - self._planned < PLANNED:
+        if not self._remaining:
+            if now - self._planned_at_ns < PLANNED:
                 return
-            least = TOLD_LEAST * max(self._rests_on, self._unit) / len(servers)
-            found = [(count, slot) for slot, count in self._asked.items() if count >= least]
-            self._waiting = [slot for _, slot in sorted(found)]  # gone through from the end
-            self._home, self._placed, self._fixed, self._moves_not = {}, {}, {}, set()
+            least = TOLD_LEAST * max(self._samples, self._unit) / len(servers)
+            found = [(count, slot) for slot, count in self._popularity.items() if count >= least]
+            self._remaining = [slot for _, slot in sorted(found)]  # gone through from the end
+            self._home, self._placed, self._fixed, self._sticky_planned = {}, {}, {}, set()
         whole = sum(server.weight for server in servers)
-        total = max(self._rests_on, self._unit)
+        total = max(self._samples, self._unit)
         fresh = max(SCORES_AT_ONCE // len(servers), 1)
-        batch, self._waiting = self._waiting[-AT_ONCE:], self._waiting[:-AT_ONCE]
+        batch, self._remaining = self._remaining[-AT_ONCE:], self._remaining[:-AT_ONCE]
         for slot in reversed(batch):
             if not ranked(slot):
                 if not fresh:
                     continue  # one of the rest, this time
                 fresh -= 1
-            share = self._asked.get(slot, 0.0) / total
+            share = self._popularity.get(slot, 0.0) / total
             ranking, owners = rank(slot, share)
             first = ranking[0].seed
             if owners > 1 or share > UNMOVED * ranking[0].weight / whole:
-                self._moves_not.add(slot)
+                self._sticky_planned.add(slot)
                 for server in ranking[:owners]:
                     self._fixed[server.seed] = self._fixed.get(server.seed, 0.0) + share / owners
                 continue
             self._home[first] = self._home.get(first, 0.0) + share
-            place = ranking[self._place(slot, ranking, self._kept.get(first, 1.0))].seed
+            place = ranking[self._placed_rank(slot, ranking, self._retention.get(first, 1.0))].seed
             self._placed[place] = self._placed.get(place, 0.0) + share
-        if not self._waiting:
-            self._settle(servers, cold, now, pressed)
+        if not self._remaining:
+            self._finish_plan(servers, cold, now, pressed)
 
-    def _settle(self, servers: Sequence[Endpoint], cold: Set[int], now: int, pressed: float) -> None:
+    def _finish_plan(self, servers: Sequence[Endpoint], cold: Set[int], now: int, pressed: float) -> None:
         """All slots are gone through: a server that is laid out too much gives, one that lacks takes."""
-        passed, self._planned = min((now - self._planned) / NS_PER_S, PASSED_MOST), now
+        passed, self._planned_at_ns = min((now - self._planned_at_ns) / NS_PER_S, PASSED_MOST), now
         home, placed, fixed = self._home, self._placed, self._fixed
         whole = sum(server.weight for server in servers)
         # What is asked for seldom is told in part only: the most of the rest is taken to be more of the same.
@@ -147,62 +147,64 @@
         rest = max(1.0 - told - sum(fixed.values()), 0.0)
         more = min(rest, told * UNTOLD_MOST) / told if told > 0.0 else 0.0
         rest -= more * told
-        counted = self._rests_on / self._unit
+        counted = self._samples / self._unit
         trust = counted / (counted + PRIOR * len(servers))
         lacks, kept = {}, {}
         for server in servers:
             seed, fair = server.seed, server.weight / whole
             has = (fixed.get(seed, 0.0) + placed.get(seed, 0.0) * (1.0 + more)) / fair + rest
             own = home.get(seed, 0.0) * (1.0 + more) / fair + rest
-            before = self._lacks.get(seed, 0.0)
+            before = self._surplus_capacity.get(seed, 0.0)
             change = trust * (1.0 - has) * STEP - before * (1.0 - trust) * STEP
             most = PACE * passed
             after = before + min(max(change, -most), most)
             after = min(max(after, own * (KEPT_LEAST - 1.0)), 0.0 if seed in cold else LACKS_MOST)
-            if server.wait < pressed:
+            if server.reported_response_time_ns < pressed:
                 after = max(after, min(before, 0.0))
             if abs(after) > 0.001:
                 lacks[seed] = after
             if after < -0.001:
                 kept[seed] = 1.0 + after / own
-        self._lacks, self._kept, self._unmoved = lacks, kept, self._moves_not
+        self._surplus_capacity, self._retention, self._sticky = lacks, kept, self._sticky_planned
 
-    def taker(self, slot: int, ranking: Sequence[Endpoint]) -> int:
+    def receiver_rank(self, slot: int, ranking: Sequence[Endpoint]) -> int:
         """The place in a slot's ranking of the server that has it: 0, or of one that lacks load.
 
         Danger: a server that this router can't reach, or that is over its load by its own word, would be sent
         more; the picture tells of neither, hence own evidence goes before it.
         """
-        if not self._lacks or not ranking or slot in self._unmoved:
+        if not self._surplus_capacity or not ranking or slot in self._sticky:
             return 0
         first = ranking[0]
-        if first.down:
+        if first.ejected:
             return 0
-        return self._place(slot, ranking, min(self._kept.get(first.seed, 1.0), first.share))
+        return self._placed_rank(
+            slot, ranking, min(self._retention.get(first.seed, 1.0), first.slot_retention)
+        )
 
-    def _place(self, slot: int, ranking: Sequence[Endpoint], kept: float) -> int:
+    def _placed_rank(self, slot: int, ranking: Sequence[Endpoint], kept: float) -> int:
         """Where a slot is whose first-ranked server keeps such a part of its slots."""
-        if kept >= 1.0 or not gives(slot, ranking[0].seed, kept):
+        if kept >= 1.0 or not releases_slot(slot, ranking[0].seed, kept):
             return 0
         best, place = 0.0, 0
         for i in range(1, min(len(ranking), RANKED)):
             server = ranking[i]
-            lacks = self._lacks.get(server.seed, 0.0)
-            if lacks > 0.0 and not server.down and server.share >= 1.0:
-                score = -lacks * server.weight / math.log(drawn(slot, server.seed))
+            lacks = self._surplus_capacity.get(server.seed, 0.0)
+            if lacks > 0.0 and not server.ejected and server.slot_retention >= 1.0:
+                score = -lacks * server.weight / math.log(uniform_hash(slot, server.seed))
                 if score > best:
                     best, place = score, i
         return place
 
-    def state(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """How many servers give up slots and take them, and the least part that one keeps."""
         return {
-            "giving": len(self._kept),
-            "taking": sum(lacks > 0.0 for lacks in self._lacks.values()),
-            "kept_least": min(self._kept.values(), default=1.0),
+            "giving": len(self._retention),
+            "taking": sum(lacks > 0.0 for lacks in self._surplus_capacity.values()),
+            "kept_least": min(self._retention.values(), default=1.0),
         }
 
 
-def gives(slot: int, seed: int, part: float) -> bool:
+def releases_slot(slot: int, seed: int, part: float) -> bool:
     """Whether a server that keeps such a part of its slots gives this one up."""
     return ((slot ^ seed >> 24) * 0x9E3779B1 >> 8 & 0xFFFF) >= part * 0x10000
--- a/holdgw/policy/slot_table.py
+++ b/holdgw/policy/slot_table.py
@@ -10,9 +10,9 @@
 from holdgw.policy.interface import Endpoint, Settings
 
 SLOTS = 8192  # far more than endpoints, so that a slot's load is small beside an endpoint's
-DEPTH = 8  # ranked endpoints remembered for a slot: more than the attempts of any request
-SPARE = 4  # and more, so that some may leave before all are ranked anew
-CHANGES = 64  # comings and goings remembered; past that every slot is ranked anew when asked for
+RANKING_DEPTH = 8  # ranked endpoints remembered for a slot: more than the attempts of any request
+SPARE_RANKS = 4  # and more, so that some may leave before all are ranked anew
+MAX_PENDING_CHANGES = 64  # comings and goings remembered; past that every slot is ranked anew when asked for
 WORD = (1 << 64) - 1
 
 
@@ -20,38 +20,38 @@
     """Weighted rendezvous hashing of slots over the ready servers, remembered slot by slot."""
 
     def __init__(self, settings: Settings) -> None:
-        self.nodes: dict[str, TrackedEndpoint] = {}
+        self.endpoints: dict[str, TrackedEndpoint] = {}
         self._settings = settings
-        self._memo: dict[
+        self._rankings: dict[
             int, tuple[int, list[tuple[float, TrackedEndpoint]]]
         ] = {}  # with the changes it knows of
         self._changes: list[
             tuple[str, TrackedEndpoint | None]
         ] = []  # servers that left or, with a node, came
-        self._cold_until = 0
-        self.most = 1  # servers listed at a time, so far
+        self._warming_until_ns = 0
+        self.max_endpoints_listed = 1  # servers listed at a time, so far
 
     def update(self, ready: list[Endpoint], left: list[str]) -> None:
         """Take servers in and out; a slot hears of it when it is next asked for."""
         # Danger: to go through every slot for each newcomer takes a tenth of a second; all requests wait.
-        changed = [e for e in ready if e.id not in self.nodes or self.nodes[e.id].entry != e]
+        changed = [e for e in ready if e.id not in self.endpoints or self.endpoints[e.id].entry != e]
         gone = {*left, *(entry.id for entry in changed)}
-        self._changes += [(name, None) for name in gone if self.nodes.pop(name, None) is not None]
+        self._changes += [(name, None) for name in gone if self.endpoints.pop(name, None) is not None]
         for node in [TrackedEndpoint(entry, self._settings.weights_state_capacity) for entry in changed]:
-            self.nodes[node.entry.id] = node
+            self.endpoints[node.entry.id] = node
             self._changes.append((node.entry.id, node))
-        if len(self._changes) > CHANGES:
-            self._memo, self._changes = {}, []
-        self.most = max(self.most, len(self.nodes))
-        newest = max((node.entry.started_ns for node in self.nodes.values()), default=0)
-        self._cold_until = newest + self._settings.warm_up_ns
+        if len(self._changes) > MAX_PENDING_CHANGES:
+            self._rankings, self._changes = {}, []
+        self.max_endpoints_listed = max(self.max_endpoints_listed, len(self.endpoints))
+        newest = max((node.entry.started_ns for node in self.endpoints.values()), default=0)
+        self._warming_until_ns = newest + self._settings.warm_up_ns
 
     def _score(self, slot: int, node: TrackedEndpoint) -> float:
         mixed = (node.seed ^ (slot + 1) * 0x9E3779B97F4A7C15) * 0xD6E8FEB86659FD93 & WORD
         mixed = (mixed ^ mixed >> 32) * 0xD6E8FEB86659FD93 & WORD
         return -node.weight / math.log(((mixed ^ mixed >> 32) + 1) / (WORD + 2))
 
-    def warmth(self, node: TrackedEndpoint, now: int) -> float:
+    def warm_up_weight(self, node: TrackedEndpoint, now: int) -> float:
         """The part of its full weight that a server has: from the cold share to 1 over the warm-up."""
         age, cold, cold_time = (
             now - node.entry.started_ns,
@@ -61,11 +61,11 @@
         warm = not node.entry.started_ns or age >= cold_time
         return 1.0 if warm else cold + (1 - cold) * max(age, 0) / cold_time
 
-    def any_cold(self, now: int) -> bool:
+    def any_warming_up(self, now: int) -> bool:
         """Whether some server may not be warm yet."""
-        return now < self._cold_until
+        return now < self._warming_until_ns
 
-    def _catch_up(
+    def _apply_changes(
         self,
         slot: int,
         held: list[tuple[float, TrackedEndpoint]],
@@ -76,24 +76,26 @@
                 held = [pair for pair in held if pair[1].entry.id != name]
             elif held and (score := self._score(slot, node)) > held[-1][0]:
                 held = sorted([*held, (score, node)], key=itemgetter(0), reverse=True)
-        return held[: 2 * DEPTH + SPARE] if len(held) > 2 * DEPTH + SPARE else held
+        return (
+            held[: 2 * RANKING_DEPTH + SPARE_RANKS] if len(held) > 2 * RANKING_DEPTH + SPARE_RANKS else held
+        )
 
-    def knows(self, slot: int) -> bool:
+    def is_ranked(self, slot: int) -> bool:
         """Whether the slot's ranking is remembered."""
-        return slot in self._memo
+        return slot in self._rankings
 
-    def rank(self, slot: int, now: int, depth: int = DEPTH) -> list[TrackedEndpoint]:
+    def rank(self, slot: int, now: int, depth: int = RANKING_DEPTH) -> list[TrackedEndpoint]:
         """The slot's best servers, at least `depth`, best first, with cold ones at their ramped weight."""
-        known, held = self._memo.get(slot, (0, []))
+        known, held = self._rankings.get(slot, (0, []))
         if known < len(self._changes):
-            held = self._catch_up(slot, held, self._changes[known:]) if held else held
-            self._memo[slot] = len(self._changes), held
-        if len(held) < min(depth, len(self.nodes)):
-            scored = ((self._score(slot, node), node) for node in self.nodes.values())
-            held = nlargest(depth + SPARE, scored, key=itemgetter(0))
-            self._memo[slot] = len(self._changes), held
-        if self.any_cold(now):
+            held = self._apply_changes(slot, held, self._changes[known:]) if held else held
+            self._rankings[slot] = len(self._changes), held
+        if len(held) < min(depth, len(self.endpoints)):
+            scored = ((self._score(slot, node), node) for node in self.endpoints.values())
+            held = nlargest(depth + SPARE_RANKS, scored, key=itemgetter(0))
+            self._rankings[slot] = len(self._changes), held
+        if self.any_warming_up(now):
             # Rule 4, for load and misses alike: a newcomer is given slots only as it warms.
-            ramped = [(score * self.warmth(node, now), node) for score, node in held]
+            ramped = [(score * self.warm_up_weight(node, now), node) for score, node in held]
             held = sorted(ramped, key=itemgetter(0), reverse=True)
         return [node for _, node in held]
--- a/tests/test_disabled_features.py
+++ b/tests/test_disabled_features.py
@@ -146,7 +146,7 @@
     send = only_send(router.handle(request("r", tenant=None), 0))
     load = tuple(values.get(name, 999.0) for name in fields)
     router.handle(changed(ended(send, Outcome.OK), load_report=load), 20 * MS)
-    assert router._caches.nodes[send.endpoint_id].wait == 600.0 * MS
+    assert router._caches.endpoints[send.endpoint_id].reported_response_time_ns == 600.0 * MS
 
 
 @pytest.mark.parametrize("fields", [(), ("recent_ms",), ("queue", "x0"), ("Latency_ms", "queue")])
@@ -195,17 +195,17 @@
     # Reports did not: the module knew them by the platform's names only, and the stand-ins said others.
     waits: list[float] = []
     lists: list[Any] = []
-    told, listed = RoutingPolicy._told, discovery.read_listing
+    told, listed = RoutingPolicy._apply_load_report, discovery.read_listing
 
     def seen(router: RoutingPolicy, node: Any, load: tuple[float, ...]) -> None:
         told(router, node, load)
-        waits.append(node.wait)
+        waits.append(node.reported_response_time_ns)
 
     def heard(body: Any, *words: Any) -> EndpointUpdate:
         lists.append(body)
         return listed(body, *words)
 
-    monkeypatch.setattr(RoutingPolicy, "_told", seen)
+    monkeypatch.setattr(RoutingPolicy, "_apply_load_report", seen)
     monkeypatch.setattr(discovery, "read_listing", heard)
     scenario = load_scenario(Path("bench/scenarios/fleet-zone.toml"))
     simulate(changed(scenario.cut(1.0), load=changed(scenario.load, rate=100.0)), 1)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -52,10 +52,10 @@
     shares = []
     for step in (S // 40, S // 2):
         router = started(settings(**REPORTS), fleet(6))
-        node = router._caches.nodes[fleet(6)[2].id]
+        node = router._caches.endpoints[fleet(6)[2].id]
         for now in range(S, 4 * S, step):
-            node.told(600.0 * MS, 300.0 * MS, now)
-        shares.append(node.share)
+            node.apply_load_report(600.0 * MS, 300.0 * MS, now)
+        shares.append(node.slot_retention)
     assert 0.1 < shares[0] < 0.4
     assert abs(shares[0] - shares[1]) < 0.1
 
@@ -64,7 +64,7 @@
     router = started(settings(**REPORTS), fleet(6))
     loads = {server.id: (200.0, 8.0) for server in fleet(6)}
     sent_to(router, "", 0, loads)
-    assert {node.share for node in router._caches.nodes.values()} == {1.0}
+    assert {node.slot_retention for node in router._caches.endpoints.values()} == {1.0}
 
 
 def test_owners_of_a_hot_slot_are_drawn_by_what_they_tell() -> None:
@@ -81,7 +81,7 @@
         router = started(settings(**REPORTS), fleet(1))
         name = fleet(1)[0].id
         serve(router, "first", "k", 0, {name: (wait_ms, 0.0)})
-        return router._caches.nodes[name].chance(20 * MS + after)
+        return router._caches.endpoints[name].admission_probability(20 * MS + after)
 
     assert chance(200.0, 0) == 1.0  # an aim of 300 ms is kept
     assert chance(480.0, 0) == pytest.approx(0.5)
@@ -96,7 +96,7 @@
     # Found on join+mass: 200 routers sent 5,000 requests in 2 s that had no time left to be answered in.
     router = started(settings(**REPORTS), fleet(1))
     serve(router, "first", "k", 0, {fleet(1)[0].id: (150.0, 12.0)})  # 600 ms
-    router._caches.nodes[fleet(1)[0].id].bound = float("inf")
+    router._caches.endpoints[fleet(1)[0].id].max_response_time_ns = float("inf")
     now = 20 * MS + after
     actions = router.handle(request("r", now, tenant=None, deadline_ns=now + int(left * S)), now)
     assert bool(sends(actions)) is goes
@@ -110,7 +110,7 @@
         refused = changed(ended(first, Outcome.CONNECT_FAILED, latency=MS), idle_connections_closed=deserted)
         second = only_send(router.handle(refused, MS))
         assert (second.endpoint_id == first.endpoint_id) is not deserted
-        assert router._caches.nodes[first.endpoint_id].down is deserted
+        assert router._caches.endpoints[first.endpoint_id].ejected is deserted
 
 
 def test_a_hot_slot_has_more_owners_only_while_its_own_are_over_their_load() -> None:
@@ -128,11 +128,11 @@
     usual = owners()
     assert 2 <= len(usual) <= 6
     for node in usual:
-        node.wait = 200.0 * MS
+        node.reported_response_time_ns = 200.0 * MS
     assert usual < owners()
     assert len(owners()) <= 2 * len(usual)
     for node in usual:
-        node.wait = 100.0 * MS  # not over half the aim
+        node.reported_response_time_ns = 100.0 * MS  # not over half the aim
     assert owners() == usual
 
 
@@ -169,7 +169,7 @@
     fetch = only_send(router.handle(ended(other, Outcome.MISS, 2), 30 * MS))
     assert [send.purpose for send in (first, again, other, fetch)] == ["first", "again", "next", "fetch"]
     router = started(settings(tenants=()), fleet(1))
-    router._caches.nodes[fleet(1)[0].id].down = True
+    router._caches.endpoints[fleet(1)[0].id].ejected = True
     assert only_send(router.handle(request("t", S, tenant=None), S)).purpose == "trial"
     assert only_send(router.handle(request("w", S, cls="edit", tenant=None), S)).purpose == "write"
 
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -415,13 +415,13 @@
     fetch = only_send(router.handle(ended(first, Outcome.MISS), 2))
     second = only_send(router.handle(request("b"), 3))
     assert not sends(router.handle(ended(second, Outcome.MISS), 4))  # it waits for the fetch
-    load = [node.load for node in router._origins.nodes.values()]
+    load = [node.in_flight for node in router._origins.endpoints.values()]
     again = only_send(router.handle(StreamStarted("a", 1), 5))
     assert (again.request_id, again.endpoint_id) == ("b", second.endpoint_id)
-    assert [node.load for node in router._origins.nodes.values()] == [load[0] - 1]
+    assert [node.in_flight for node in router._origins.endpoints.values()] == [load[0] - 1]
     assert not router.handle(StreamStarted("a", 1), 6)  # told twice, it counts once
     router.handle(ended(fetch, Outcome.OK, attempt=1), 7)
-    assert [node.load for node in router._origins.nodes.values()] == [0]
+    assert [node.in_flight for node in router._origins.endpoints.values()] == [0]
     assert not router.handle(StreamStarted("gone", 1), 8)
 
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -188,12 +188,14 @@
     router = started(settings(tenants=()), fleet(5))
     dead = only_send(router.handle(request("r"), 0))
     router.handle(ended(dead, Outcome.CONNECT_FAILED), 0)
-    node = router._caches.nodes[dead.endpoint_id]
-    node.judge(Outcome.RESET, False, 0)
-    node.judge(Outcome.CONNECT_FAILED, False, 0)
-    node.judge(Outcome.CONNECT_FAILED, False, 0)
-    assert node.chance(0) == 1.0  # one failed connection is chance, and so is a second, or one after a reset
-    node.judge(Outcome.CONNECT_FAILED, False, 0)
+    node = router._caches.endpoints[dead.endpoint_id]
+    node.record_attempt(Outcome.RESET, False, 0)
+    node.record_attempt(Outcome.CONNECT_FAILED, False, 0)
+    node.record_attempt(Outcome.CONNECT_FAILED, False, 0)
+    assert (
+        node.admission_probability(0) == 1.0
+    )  # one failed connection is chance, and so is a second, or one after a reset
+    node.record_attempt(Outcome.CONNECT_FAILED, False, 0)
     early = [only_send(router.handle(request(f"s{i}"), 900 * MS)) for i in range(40)]
     assert dead.endpoint_id not in {send.endpoint_id for send in early}
     router.handle(ended(early[0], Outcome.OK), 910 * MS)
@@ -210,7 +212,7 @@
         for send in sends(router.handle(request(f"r{i}", tenant=tenant), 0)):
             router.handle(ended(send, Outcome.OK), 0)
     for _ in range(4):
-        router._caches.nodes[fleet(1)[0].id].judge(Outcome.OK, True, 0)
+        router._caches.endpoints[fleet(1)[0].id].record_attempt(Outcome.OK, True, 0)
     served = {"a": 0, "b": 0}
     for i in range(600):
         tenant = "a" if i % 3 == 0 else "b"
@@ -305,7 +307,7 @@
         router.handle(ended(fetch, Outcome.ERROR, 1), S + 200 * MS)
     once = guard.limit
     assert once < guard.cap
-    router._judge_fetch(router._origins.nodes[ORIGIN.id], ended(fetches[0], Outcome.ERROR), False, False)
+    router._judge_fetch(router._origins.endpoints[ORIGIN.id], ended(fetches[0], Outcome.ERROR), False, False)
     assert guard.limit == once
 
 
@@ -407,12 +409,12 @@
     # Found in issue 5: second losses went to the next-ranked server, a miss and a fetch each.
     router = started(settings(tenants=()), fleet(5))
     send = only_send(router.handle(request("r"), 0))
-    first, node = send.endpoint_id, router._caches.nodes[send.endpoint_id]
+    first, node = send.endpoint_id, router._caches.endpoints[send.endpoint_id]
     for attempt in range(2):
         send = only_send(router.handle(ended(send, outcome, attempt, latency=MS), 0))
         assert send.endpoint_id == first
     router.handle(ended(send, Outcome.OK, 2), 0)
-    assert (node.down, node.chance(0)) == (False, 1.0)
+    assert (node.ejected, node.admission_probability(0)) == (False, 1.0)
 
 
 def test_broken_connections_to_the_origin_cut_nobody_but_so_many_in_a_row_do() -> None:
@@ -438,15 +440,15 @@
 def test_the_first_answer_on_a_connection_and_the_wait_for_one_say_nothing_of_a_server() -> None:
     # Found in issue 5: 7.6 % of such answers were late, 1 % of the others, and each shed its server.
     router = started(settings(), fleet(1))
-    node = router._caches.nodes[fleet(1)[0].id]
+    node = router._caches.endpoints[fleet(1)[0].id]
     for i, (latency, waited, fresh) in enumerate([(550, 0, True), (900, 700, False), (900, 350, True)]):
         send = only_send(router.handle(request(f"r{i}"), 0))
         end = ended(send, Outcome.OK, latency=latency * MS)
         router.handle(changed(end, queued_ns=waited * MS, first_on_connection=fresh), 0)
-        assert node.chance(0) == 1.0
+        assert node.admission_probability(0) == 1.0
     send = only_send(router.handle(request("s"), 0))
     router.handle(changed(ended(send, Outcome.OK, latency=700 * MS), first_on_connection=True), 0)
-    assert node.chance(0) < 1.0
+    assert node.admission_probability(0) < 1.0
 
 
 def test_a_fetch_that_broke_amid_its_answer_is_looked_for_at_the_cache() -> None:
@@ -496,7 +498,7 @@
             late = ended(send, Outcome.TIMEOUT, latency=send.timeout_ns)
             second = only_send(router.handle(late, send.timeout_ns))
             assert (second.endpoint_id, second.timeout_ns) == (send.endpoint_id, 0)
-            assert router._caches.nodes[send.endpoint_id].chance(0) == 1.0
+            assert router._caches.endpoints[send.endpoint_id].admission_probability(0) == 1.0
             router.handle(ended(second, then, 1, closed=True), send.timeout_ns)
             again += 1
     assert least <= again <= most  # a prompt answer proves that the first was lost
@@ -543,8 +545,8 @@
             elif send.endpoint_id == flaky and asked[flaky] % 2:
                 outcome = Outcome.RESET
             router.handle(ended(send, outcome, closed=True), now)
-    nodes = router._caches.nodes
-    assert (nodes[hung].down, nodes[flaky].down) == (True, False)
+    nodes = router._caches.endpoints
+    assert (nodes[hung].ejected, nodes[flaky].ejected) == (True, False)
     assert asked[hung] <= 8
     assert asked[flaky] >= 20
 
@@ -566,16 +568,18 @@
 
     router, refused, there = play({fleet(6)[0].id})
     assert refused + there < 700 / 6 * 0.5  # of the slow server's share of the last 700
-    node = router._caches.nodes[fleet(6)[0].id]
-    moved = [slot for slot in range(200) if not node.keeps(slot, 3 * S)]
-    other = started(settings(tenants=()), fleet(6), seed=9)._caches.nodes[node.entry.id]
-    other.share, other._shared_at, other.bad = node.share, 3 * S, 1.0
-    assert moved == [slot for slot in range(200) if not other.keeps(slot, 3 * S)]  # the same at every router
+    node = router._caches.endpoints[fleet(6)[0].id]
+    moved = [slot for slot in range(200) if not node.retains(slot, 3 * S)]
+    other = started(settings(tenants=()), fleet(6), seed=9)._caches.endpoints[node.entry.id]
+    other.slot_retention, other._retention_at_ns, other.failure_fraction = node.slot_retention, 3 * S, 1.0
+    assert moved == [
+        slot for slot in range(200) if not other.retains(slot, 3 * S)
+    ]  # the same at every router
     for _ in range(100):
-        node.judge(Outcome.OK, False, 3 * S)
-    assert all(node.keeps(slot, 24 * S) for slot in range(200))
+        node.record_attempt(Outcome.OK, False, 3 * S)
+    assert all(node.retains(slot, 24 * S) for slot in range(200))
     router, _, _ = play({server.id for server in fleet(6)})  # all are slow: none gives to another
-    assert {node.share for node in router._caches.nodes.values()} == {1.0}
+    assert {node.slot_retention for node in router._caches.endpoints.values()} == {1.0}
 
 
 @pytest.mark.parametrize(("usual", "shed"), [(20 * MS, False), (280 * MS, True)])
@@ -584,7 +588,7 @@
 ) -> None:
     # Found in incident r02ff52: 777 of 15,700 answers never came, and their servers refused 3,229 tries.
     router = started(settings(), fleet(1), origin=False)
-    node = router._caches.nodes[fleet(1)[0].id]
+    node = router._caches.endpoints[fleet(1)[0].id]
     for i in range(40):
         now = i * 2 * S
         pair = [sends(router.handle(request(f"{name}{i}", now), now)) for name in "ab"]
@@ -594,7 +598,7 @@
         elif all(pair):
             router.handle(ended(pair[0][0], Outcome.OK, latency=usual), now + usual)
             router.handle(ended(pair[1][0], Outcome.TIMEOUT, latency=S), now + S)
-    assert (node.chance(80 * S) < 1.0) is shed
+    assert (node.admission_probability(80 * S) < 1.0) is shed
 
 
 def test_fetches_that_vanish_while_others_come_cut_no_tenant() -> None:
@@ -619,16 +623,16 @@
     passed = {}
     for out in (0, 6):
         router = started(settings(tenants=()), fleet(1), origin=False)
-        node = router._caches.nodes[fleet(1)[0].id]
+        node = router._caches.endpoints[fleet(1)[0].id]
         for i in range(40):  # two at a time
             pair = [only_send(router.handle(request(f"{name}{i}"), 0)) for name in "ab"]
             for send in pair:
                 router.handle(ended(send, Outcome.OK), 0)
         for _ in range(3):
-            node.judge(Outcome.OK, True, 0)
+            node.record_attempt(Outcome.OK, True, 0)
         held = [send for i in range(60) for send in sends(router.handle(request(f"h{i}"), 0))][:out]
         passed[out] = 0
         for i in range(300):
-            node.load = len(held)
+            node.in_flight = len(held)
             passed[out] += bool(sends(router.handle(request(f"r{i}"), 0)))
     assert passed[6] < 70 < 150 < passed[0]
--- a/tests/test_simulation_cores.py
+++ b/tests/test_simulation_cores.py
@@ -31,7 +31,7 @@
 def test_workers_that_all_spend_a_cold_servers_bound_are_told_apart() -> None:
     """The scene has cold servers: without any, the owner of a bound would make no difference."""
     asked = []
-    room = RoutingPolicy._has_room
+    room = RoutingPolicy._has_warm_up_capacity
 
     def spy(router: RoutingPolicy, request: object, node: object, others: object) -> bool:
         found = room(router, request, node, others)  # type: ignore[arg-type]
@@ -39,6 +39,6 @@
         return found
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(RoutingPolicy, "_has_room", spy)
+        patch.setattr(RoutingPolicy, "_has_warm_up_capacity", spy)
         play_seed(STORM, 1)
     assert {worker for worker, _, _ in asked} == {0, 1}
--- a/tests/test_slot_rebalancing.py
+++ b/tests/test_slot_rebalancing.py
@@ -19,7 +19,7 @@
     PLANNED,
     SCORES_AT_ONCE,
     SlotRebalancer,
-    drawn,
+    uniform_hash,
 )
 from holdgw.policy.slot_table import SLOTS
 from holdgw.simulation.fleet import Fleet
@@ -33,16 +33,16 @@
 class Node:
     seed: int
     weight: float = 1.0
-    down: bool = False
-    share: float = 1.0
-    wait: float = 0.0
+    ejected: bool = False
+    slot_retention: float = 1.0
+    reported_response_time_ns: float = 0.0
 
 
 NODES = [Node(random.Random(i).getrandbits(64)) for i in range(20)]
 
 
 def ranked(slot: int) -> list[Node]:
-    return sorted(NODES, key=lambda node: drawn(slot + 1_000_003, node.seed), reverse=True)[:8]
+    return sorted(NODES, key=lambda node: uniform_hash(slot + 1_000_003, node.seed), reverse=True)[:8]
 
 
 RANKS = {slot: ranked(slot) for slot in range(2000)}
@@ -71,13 +71,13 @@
     found = table or SlotRebalancer()
     for i in range(1, int(seconds * 10 / 3) + 1):
         now = int((begun + i * 0.3) * S)
-        found.take(asks(noise and noise * 1000 + i) if rests_on else {}, rests_on, now)
+        found.add_sample(asks(noise and noise * 1000 + i) if rests_on else {}, rests_on, now)
         found.plan(lambda slot, _: (RANKS[slot], 1), lambda _: True, NODES, set(), now)
     return found
 
 
 def placed(table: SlotRebalancer) -> dict[int, int]:
-    return {slot: RANKS[slot][table.taker(slot, RANKS[slot])].seed for slot in RANKS}
+    return {slot: RANKS[slot][table.receiver_rank(slot, RANKS[slot])].seed for slot in RANKS}
 
 
 def loads(table: SlotRebalancer) -> dict[int, float]:
@@ -102,7 +102,7 @@
     table, before = SlotRebalancer(), dict.fromkeys((node.seed for node in NODES), 1.0)
     for i in range(24):
         fed(3.0, table=table, begun=i * 3.0)
-        after = {seed: table._kept.get(seed, 1.0) for seed in before}
+        after = {seed: table._retention.get(seed, 1.0) for seed in before}
         assert max(abs(after[seed] - before[seed]) for seed in before) <= PACE * PASSED_MOST + 0.01
         before = after
     assert before[BUSY.seed] < 0.6
@@ -115,17 +115,17 @@
 
 def test_a_few_requests_move_next_to_nothing() -> None:
     table = fed(0.9, rests_on=5.0)
-    assert table._kept.get(BUSY.seed, 1.0) > 0.9
+    assert table._retention.get(BUSY.seed, 1.0) > 0.9
 
 
 def test_slots_go_home_when_no_news_comes() -> None:
     table = fed(90.0)
-    before = table._kept[BUSY.seed]
+    before = table._retention[BUSY.seed]
     assert before < 0.6
     fed(100.0, rests_on=0.0, table=table, begun=90.0)
-    assert before < table._kept[BUSY.seed] < 1.0
+    assert before < table._retention[BUSY.seed] < 1.0
     fed(100.0, rests_on=0.0, table=table, begun=190.0)
-    assert table._kept.get(BUSY.seed, 1.0) > 0.98
+    assert table._retention.get(BUSY.seed, 1.0) > 0.98
 
 
 def test_a_slot_asked_for_much_stays_and_others_make_room() -> None:
@@ -134,34 +134,36 @@
     share = asks()
     share = {slot: one * 0.99 for slot, one in share.items()} | {heavy: share[heavy] + 0.01}
     for i in range(1, 300):
-        table.take(share, 2000.0, i * 3 * S // 10)
+        table.add_sample(share, 2000.0, i * 3 * S // 10)
         table.plan(lambda slot, _: (RANKS[slot], 1), lambda _: True, NODES, set(), i * 3 * S // 10)
-    assert table.taker(heavy, RANKS[heavy]) == 0
-    assert table._kept[BUSY.seed] < 0.6
+    assert table.receiver_rank(heavy, RANKS[heavy]) == 0
+    assert table._retention[BUSY.seed] < 0.6
 
 
 def test_own_evidence_goes_before_the_picture(monkeypatch: pytest.MonkeyPatch) -> None:
     table = fed(90.0)
     to_idle = [slot for slot, seed in placed(table).items() if seed == IDLE.seed and RANKS[slot][0] is BUSY]
     assert to_idle
-    monkeypatch.setattr(IDLE, "down", True)
+    monkeypatch.setattr(IDLE, "ejected", True)
     assert all(placed(table)[slot] != IDLE.seed for slot in to_idle)
-    monkeypatch.setattr(IDLE, "down", False)
-    monkeypatch.setattr(IDLE, "share", 0.9)  # by its own word it is over its load
+    monkeypatch.setattr(IDLE, "ejected", False)
+    monkeypatch.setattr(IDLE, "slot_retention", 0.9)  # by its own word it is over its load
     assert all(placed(table)[slot] != IDLE.seed for slot in to_idle)
-    monkeypatch.setattr(IDLE, "share", 1.0)
-    monkeypatch.setattr(BUSY, "down", True)  # what can't be reached gives nothing up: its keys are next door
-    assert all(table.taker(slot, RANKS[slot]) == 0 for slot in to_idle)
+    monkeypatch.setattr(IDLE, "slot_retention", 1.0)
+    monkeypatch.setattr(
+        BUSY, "ejected", True
+    )  # what can't be reached gives nothing up: its keys are next door
+    assert all(table.receiver_rank(slot, RANKS[slot]) == 0 for slot in to_idle)
 
 
 def test_a_server_that_answers_at_once_gives_nothing_more_up(monkeypatch: pytest.MonkeyPatch) -> None:
     table, kept = SlotRebalancer(), []
     for i in range(1, 300):
-        monkeypatch.setattr(BUSY, "wait", 0.0 if i < 100 or i >= 200 else 2.0)
-        table.take(asks(), 2000.0, i * 3 * S // 10)
+        monkeypatch.setattr(BUSY, "reported_response_time_ns", 0.0 if i < 100 or i >= 200 else 2.0)
+        table.add_sample(asks(), 2000.0, i * 3 * S // 10)
         now = i * 3 * S // 10
         table.plan(lambda slot, _: (RANKS[slot], 1), lambda _: True, NODES, set(), now, pressed=1.0)
-        kept.append(table._kept.get(BUSY.seed, 1.0))
+        kept.append(table._retention.get(BUSY.seed, 1.0))
     assert kept[98] == 1.0
     assert kept[198] < 0.8
     assert kept[-1] == pytest.approx(kept[205], abs=0.02)  # nor does it take back what it gave
@@ -170,10 +172,10 @@
 def test_a_cold_server_is_given_nothing() -> None:
     table = SlotRebalancer()
     for i in range(1, 300):
-        table.take(asks(), 2000.0, i * 3 * S // 10)
+        table.add_sample(asks(), 2000.0, i * 3 * S // 10)
         table.plan(lambda slot, _: (RANKS[slot], 1), lambda _: True, NODES, {IDLE.seed}, i * 3 * S // 10)
-    assert IDLE.seed not in table._lacks
-    assert table._lacks
+    assert IDLE.seed not in table._surplus_capacity
+    assert table._surplus_capacity
 
 
 def test_one_event_goes_through_so_many_slots_and_no_more() -> None:
@@ -188,11 +190,11 @@
 
     for i in range(1, 120):
         asked = 0
-        table.take(asks(), 2000.0, i * 3 * S // 10)
+        table.add_sample(asks(), 2000.0, i * 3 * S // 10)
         table.plan(rank, lambda slot: slot in known, NODES, set(), i * 3 * S // 10)
         assert asked <= SCORES_AT_ONCE // len(NODES)
-        assert len(table._asked) <= slot_rebalancing.SLOTS_MOST
-    assert BUSY.seed in table._kept
+        assert len(table._popularity) <= slot_rebalancing.SLOTS_MOST
+    assert BUSY.seed in table._retention
 
 
 def test_the_module_follows_the_plan_and_a_hot_slot_does_not() -> None:
@@ -206,14 +208,14 @@
     share = {slot: one / whole for slot, one in share.items()}
     for i in range(1, 100):
         router.handle(LoadSnapshotChanged({busy: (100.0 * MS, 0)}, share, 1000.0), i * 3 * S // 10)
-    assert router._levels.state()["giving"] >= 1
-    moved = [slot for slot in ranks if router._levels.taker(slot, ranks[slot])]
+    assert router._rebalancer.metrics()["giving"] >= 1
+    moved = [slot for slot in ranks if router._rebalancer.receiver_rank(slot, ranks[slot])]
     assert moved
     assert all(ranks[slot][0].entry.id == busy for slot in moved) or len(moved) < 160
     keys = {slot: f"k{i}" for i in range(200_000) if (slot := crc32(f"k{i}".encode()) % SLOTS) in moved[:5]}
     assert keys
     for slot, key in keys.items():
-        taker = ranks[slot][router._levels.taker(slot, ranks[slot])].entry.id
+        taker = ranks[slot][router._rebalancer.receiver_rank(slot, ranks[slot])].entry.id
         assert serve(router, f"a{slot}", key, 31 * S, {}) == taker
 
 
--- a/tests/test_slot_table.py
+++ b/tests/test_slot_table.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from holdgw.policy import Endpoint
-from holdgw.policy.slot_table import DEPTH, SLOTS, SlotTable
+from holdgw.policy.slot_table import RANKING_DEPTH, SLOTS, SlotTable
 from tests.helpers import S, fleet, settings
 
 COLD = {"warm_up_initial_weight": 0.25, "warm_up_ns": 10 * S}
@@ -64,8 +64,8 @@
     fresh = table_of((*fleet(12)[:3], *fleet(12)[4:], Endpoint("10.9.9.9:80")))
     for slot in range(300):
         remembered = [node.entry.id for node in table.rank(slot, 0)]
-        assert remembered[:DEPTH] == [node.entry.id for node in fresh.rank(slot, 0)][:DEPTH]
-        assert len(remembered) >= DEPTH
+        assert remembered[:RANKING_DEPTH] == [node.entry.id for node in fresh.rank(slot, 0)][:RANKING_DEPTH]
+        assert len(remembered) >= RANKING_DEPTH
 
 
 def test_cold_ramp_starts_at_the_cold_share_and_rises_monotonically() -> None:
@@ -111,5 +111,5 @@
             table.update([Endpoint(f"n{step}")], [])
         fresh = table_of(tuple(map(Endpoint, sorted(live))))
         for slot in rng.sample(range(100), 10):
-            ranks = [[node.entry.id for node in t.rank(slot, 0)][:DEPTH] for t in (table, fresh)]
+            ranks = [[node.entry.id for node in t.rank(slot, 0)][:RANKING_DEPTH] for t in (table, fresh)]
             assert ranks[0] == ranks[1]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -592,8 +592,8 @@
 
 def trusted(node: Node) -> Node:
     """Have the module send to its server whatever came of the attempts before."""
-    holder = node.host._policy._caches.nodes["s1"]
-    holder._chance, holder._mute, holder.down = 1.0, 0, False
+    holder = node.host._policy._caches.endpoints["s1"]
+    holder._probability, holder._unanswered, holder.ejected = 1.0, 0, False
     return node
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -67,33 +67,33 @@
 def test_news_older_than_a_servers_own_word_is_no_news() -> None:
     router = started(settings(**KNOWN), SERVERS)
     name = serve(router, "a", "k", 0, {SERVERS[i].id: (30.0, 0.0) for i in range(20)})
-    node = router._caches.nodes[name]
-    own, at = node.wait, node.told_at
+    node = router._caches.endpoints[name]
+    own, at = node.reported_response_time_ns, node.reported_at_ns
     router.handle(LoadSnapshotChanged({name: (900.0 * MS, 2 * S)}, {}, ENOUGH), at + S)
-    assert (node.wait, node.told_at) == (own, at)
+    assert (node.reported_response_time_ns, node.reported_at_ns) == (own, at)
     router.handle(LoadSnapshotChanged({name: (900.0 * MS, S // 2)}, {}, ENOUGH), at + S)
-    assert (node.wait, node.told_at) == (900.0 * MS, at + S // 2)
-    assert node.share < 1.0  # it gives slots up by what others were told
+    assert (node.reported_response_time_ns, node.reported_at_ns) == (900.0 * MS, at + S // 2)
+    assert node.slot_retention < 1.0  # it gives slots up by what others were told
 
 
 def test_the_same_old_news_again_and_again_sheds_no_further() -> None:
     router = started(settings(**KNOWN), SERVERS)
-    node = router._caches.nodes[SERVERS[3].id]
+    node = router._caches.endpoints[SERVERS[3].id]
     for i in range(1, 30):
         router.handle(
             LoadSnapshotChanged({SERVERS[3].id: (900.0 * MS, i * S // 3)}, {}, ENOUGH), S + i * S // 3
         )
-    assert node.told_at == S
-    assert node.share > 0.3  # of one word, whatever its repeats
+    assert node.reported_at_ns == S
+    assert node.slot_retention > 0.3  # of one word, whatever its repeats
 
 
 def test_a_picture_says_nothing_of_who_can_be_reached() -> None:
     router = started(settings(**KNOWN), SERVERS)
-    node = router._caches.nodes[SERVERS[3].id]
-    node.down, node._chance = True, -0.02
+    node = router._caches.endpoints[SERVERS[3].id]
+    node.ejected, node._probability = True, -0.02
     router.handle(LoadSnapshotChanged({SERVERS[3].id: (1.0 * MS, 0), "unknown": (1.0, 0)}, {}, ENOUGH), S)
-    assert node.down
-    assert node._chance < 0
+    assert node.ejected
+    assert node._probability < 0
 
 
 def test_what_was_seen_is_told_once_and_bounded() -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -365,9 +365,9 @@
         (fetch, *_) = sends(elder.handle(ended(send, Outcome.MISS), now)) or (None,)
         if fetch is not None:
             elder.handle(ended(fetch, Outcome.ERROR, attempt=1, closed=True), now + MS)
-    dead = next(iter(elder._caches.nodes.values()))
+    dead = next(iter(elder._caches.endpoints.values()))
     for _ in range(4):
-        dead.judge(Outcome.CONNECT_FAILED, False, 4 * S)
+        dead.record_attempt(Outcome.CONNECT_FAILED, False, 4 * S)
     assert elder.ejected() == [dead.entry.id]
     successor = started(settings(), fleet(3), now=4 * S)
     fresh = successor._guards["a"].limit
