--- a/bench/paired.py
+++ b/bench/paired.py
@@ -26,7 +26,7 @@
     """Play one seed; its figures."""
     from holdgw.harness.report import make_report
     from holdgw.harness.scenario import load_scenario
-    from holdgw.harness.schedule import STORE
+    from holdgw.harness.schedule import ORIGIN
     from holdgw.harness.scoring import outcomes
     from holdgw.simulation.search import play_seed
 
@@ -37,7 +37,7 @@
     report = make_report(outcome.played)
     counted = outcomes(report.fates, loaded.classes)
     asked = counted["asked"]
-    fetches = sum(one.server == STORE for one in report.attempts)
+    fetches = sum(one.server == ORIGIN for one in report.attempts)
     return {
         "service": report.service.whole,
         "served": counted["served"] / asked,
--- a/bench/rehearsal_repeat.py
+++ b/bench/rehearsal_repeat.py
@@ -17,7 +17,7 @@
 from holdgw.harness.orchestrator import play
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import load_scenario
-from holdgw.harness.schedule import draw_schedule
+from holdgw.harness.schedule_drawing import draw_schedule
 
 ROOT = Path(__file__).resolve().parent.parent
 KEPT = (
--- a/bench/scale_real.py
+++ b/bench/scale_real.py
@@ -16,7 +16,8 @@
 from holdgw.harness.orchestrator import Orchestrator
 from holdgw.harness.routers import resident_bytes
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.schedule import Schedule, draw_schedule
+from holdgw.harness.schedule import Schedule
+from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.wire.address import Address
 
 SETTINGS = """
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -29,7 +29,9 @@
 from holdgw.harness.orchestrator import RunResult, play
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import node_names, read_scenario
-from holdgw.harness.schedule import STORE, Schedule, draw_schedule, workload
+from holdgw.harness.schedule import ORIGIN, Schedule
+from holdgw.harness.schedule_drawing import draw_schedule
+from holdgw.harness.topology import workload
 
 ROOT = Path(__file__).resolve().parent.parent
 WINDOW_S = 5.0
@@ -119,7 +121,7 @@
 def there(day: Schedule, since: float, until: float) -> list[str]:
     """The nodes that are listed and warm for the whole of that time."""
     names = set(node_names(day.scenario.fleet))
-    for step in day.steps:
+    for step in day.faults:
         if step.verb == "create" and step.at + day.scenario.node.warm_s <= since:
             names.add(step.target)
         elif step.verb in ("drain", "kill") and step.at < until:
@@ -179,7 +181,7 @@
     return [
         Begun(one.at - played.begun, one.server, one.work)
         for one in played.history.attempts
-        if one.server != STORE and one.at >= played.begun and one.result in ("hit", "miss", "pending")
+        if one.server != ORIGIN and one.at >= played.begun and one.result in ("hit", "miss", "pending")
     ]
 
 
@@ -189,7 +191,7 @@
     classes = day.scenario.classes
     rng = random.Random(day.seed)
     by_window: dict[int, list[tuple[float, float]]] = defaultdict(list)
-    for ask in day.asks:
+    for ask in day.requests:
         if ask.at >= 0 and classes[ask.request_class].effect == "safe":
             name = classes[ask.request_class].name
             cost = work.work(name, b"%d" % ask.number, "any")
--- a/bench/start.py
+++ b/bench/start.py
@@ -25,7 +25,7 @@
 from holdgw.harness.deployment import build
 from holdgw.harness.orchestrator import RunResult
 from holdgw.harness.report import make_report
-from holdgw.harness.schedule import STORE
+from holdgw.harness.schedule import ORIGIN
 
 ROOT = Path(__file__).resolve().parent.parent
 KILL, LENGTH, STEP = 10.0, 40.0, 0.1
@@ -101,7 +101,7 @@
         "dials": by_step(at for times in dials.values() for at in times),
         "turned away": by_step(one.at - begun for one in history.dials if not one.taken),
         "fetches": by_step(
-            one.at - begun for one in history.attempts if one.server == STORE and not one.idempotency
+            one.at - begun for one in history.attempts if one.server == ORIGIN and not one.idempotency
         ),
     }
     return {
--- a/holdgw/cli/rehearse.py
+++ b/holdgw/cli/rehearse.py
@@ -20,7 +20,8 @@
 from holdgw.harness.orchestrator import HarnessError, Orchestrator, RunResult, play
 from holdgw.harness.report import Report, make_report
 from holdgw.harness.scenario import load_scenario, shipped
-from holdgw.harness.schedule import Schedule, draw_schedule
+from holdgw.harness.schedule import Schedule
+from holdgw.harness.schedule_drawing import draw_schedule
 
 FILE_WIDTH = 140  # columns of a report that goes to no terminal
 
--- a/holdgw/harness/clients.py
+++ b/holdgw/harness/clients.py
@@ -12,11 +12,11 @@
 
 from holdgw.emulators.listeners import Clock
 from holdgw.emulators.records import Extra, Try, Witness
-from holdgw.harness import schedule as drawn
 from holdgw.harness.channel import ClientCounts
 from holdgw.harness.checker import SLACK_S
 from holdgw.harness.scenario import router_names
-from holdgw.harness.schedule import Schedule, ScheduledRequest
+from holdgw.harness.schedule import PRELUDE, Schedule, ScheduledRequest, idempotency_key, request_id
+from holdgw.harness.topology import zone_of_router
 from holdgw.wire.address import Address
 from holdgw.wire.resp import command
 
@@ -80,9 +80,9 @@
 
     def __init__(self, clients: Clients, ask: ScheduledRequest, number: int, deadline: float) -> None:
         self.clients, self.ask, self.number, self.deadline = clients, ask, number, deadline
-        self.id = drawn.request_id(clients.day.seed, ask.number, number)
+        self.id = request_id(clients.day.seed, ask.number, number)
         cls = clients.day.scenario.classes[ask.request_class]
-        self.wait = min(cls.give_up_ms / 1000 * ask.patience, deadline - clients.clock())
+        self.wait = min(cls.give_up_ms / 1000 * ask.abandon_after_share, deadline - clients.clock())
         self.sent = 0.0
         self.crossed = 0.0
         self.connection: ClientConnection | None = None
@@ -96,7 +96,7 @@
         if router is None:
             self.ended("unsent")
             return
-        connection = None if self.ask.fresh else self.clients.idle(router)
+        connection = None if self.ask.new_connection else self.clients.idle(router)
         if connection is not None:
             self._send(connection)
         else:
@@ -122,7 +122,7 @@
         if cls.effect != "safe":
             words[0] = b"KV.SET"
             if cls.effect == "keyed":
-                info += f",k={drawn.idempotency_key(clients.day.seed, ask.number)}"
+                info += f",k={idempotency_key(clients.day.seed, ask.number)}"
         words.append(info.encode())
         if cls.effect != "safe":
             words.append(WRITE_VALUE)
@@ -130,7 +130,7 @@
         connection.used += 1
         connection.transport.write(command(*words))
         if self._timer is None:
-            leaves = ask.leaves if self.number == 0 else 1.0
+            leaves = ask.disconnect_after_share if self.number == 0 else 1.0
             if leaves < 1.0:
                 self._timer = clients.loop.call_later(self.wait * leaves, self._leave)
             else:
@@ -153,7 +153,7 @@
         """A whole answer came."""
         connection = self.connection
         if connection is not None and not connection.lost:
-            if self.ask.fresh:
+            if self.ask.new_connection:
                 connection.abort()
             else:
                 self.clients.rest(connection)
@@ -228,7 +228,7 @@
         self.day, self.clock, self.loop = day, clock, asyncio.get_running_loop()
         self.tally = ClientCounts()
         self.open = 0  # asks that are not over
-        self._asks = [ask for ask in day.asks if ask.number % count == index]
+        self._asks = [ask for ask in day.requests if ask.number % count == index]
         self._next = 0
         self.witness = witness
         self._begun = 0.0
@@ -237,9 +237,7 @@
         self._idle: dict[str, list[ClientConnection]] = {}
         self._dials: dict[asyncio.Task[None], None] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._zone = {
-            name: drawn.zone_of_router(day.scenario, name) for name in router_names(day.scenario.fleet)
-        }
+        self._zone = {name: zone_of_router(day.scenario, name) for name in router_names(day.scenario.fleet)}
 
     def routers(self, addresses: dict[str, Address]) -> None:
         """Where routers listen."""
@@ -266,7 +264,7 @@
             ask = asks[self._next]
             self._next += 1
             self.open += 1
-            counts = ask.source != drawn.PRELUDE
+            counts = ask.source != PRELUDE
             self.tally.asked += counts
             cls = self.day.scenario.classes[ask.request_class]
             AttemptAbandoned(self, ask, 0, self._begun + ask.at + cls.give_up_ms / 1000).start()
@@ -331,17 +329,17 @@
             record.answer in ("refused", "failed", "none", "cut", "unsent")
             and attempt.number < clients.retries
         )
-        if again and ask.source != drawn.PRELUDE:
+        if again and ask.source != PRELUDE:
             low, high = (one / 1000 for one in clients.backoff_ms)
             wait = (low + ask.backoff * (high - low)) * 2**attempt.number
-            if record.come_again > 0 and ask.honours:
+            if record.come_again > 0 and ask.honours_retry_after:
                 wait = max(wait, record.come_again)
             if now + wait + LEAST_TRY_S < attempt.deadline:
                 following = AttemptAbandoned(self, ask, attempt.number + 1, attempt.deadline)
                 self.loop.call_later(wait, self._retry, following)
                 return
         self.open -= 1
-        if ask.source == drawn.PRELUDE:
+        if ask.source == PRELUDE:
             return
         cls = self.day.scenario.classes[ask.request_class]
         if record.answer == "served":
@@ -355,7 +353,7 @@
     def _retry(self, following: AttemptAbandoned) -> None:
         cls = self.day.scenario.classes[following.ask.request_class]
         following.wait = min(
-            cls.give_up_ms / 1000 * following.ask.patience, following.deadline - self.clock()
+            cls.give_up_ms / 1000 * following.ask.abandon_after_share, following.deadline - self.clock()
         )
         following.start()
 
--- a/holdgw/harness/fault_injection.py
+++ b/holdgw/harness/fault_injection.py
@@ -18,17 +18,9 @@
 from holdgw.harness.channel import Begin, Front, Message, Places
 from holdgw.harness.checker import History, ProcessLifetime
 from holdgw.harness.deployment import Peers, configuration
+from holdgw.harness.fault_schedule import lines_of_routers
 from holdgw.harness.routers import call_door
-from holdgw.harness.schedule import (
-    DOORS,
-    NETWORK,
-    PEERS,
-    ROUTERS,
-    STORE,
-    Schedule,
-    ScheduledFault,
-    lines_of_routers,
-)
+from holdgw.harness.schedule import ADMIN, NETWORK, ORIGIN, PEERS, ROUTERS, Schedule, ScheduledFault
 from holdgw.wire.address import Address
 
 ANSWER_S = 30.0  # for a worker to do what it is told
@@ -154,7 +146,7 @@
         self.spawn(self.watch_routers())
         for worker in self.node_workers:
             self.spawn(self.later(0.0, worker.ask, "learn"))
-        for step in self.day.steps:
+        for step in self.day.faults:
             self.spawn(self.later(step.at, self.carry_out, step))
 
     async def until_over(self, progress: Callable[[float], None] = lambda _at: None) -> None:
@@ -252,11 +244,11 @@
             await self._network_trouble(verb, args)
         elif target == PEERS:
             await self._peers_trouble(verb, args)
-        elif target == DOORS:
+        elif target == ADMIN:
             await asyncio.gather(
                 *(self._call(router, verb == "out", args["node"]) for router in self.routers.values())
             )
-        elif target in (STORE, "discovery"):
+        elif target in (ORIGIN, "discovery"):
             await self.hub.ask(verb, target, args)
         elif not target:
             await asyncio.gather(*(worker.ask(verb, "", args) for worker in self.node_workers))
@@ -347,7 +339,7 @@
             line_of = lines_of_routers(self.day.scenario, self.day.seed)
             lines = sorted({line_of[name] for name in args["routers"]})
             words = {name: args[name] for name in ("servers", "way", "seconds")} | {"lines": lines}
-            parts = [*self.node_workers, *([self.hub] if STORE in args["servers"] else [])]
+            parts = [*self.node_workers, *([self.hub] if ORIGIN in args["servers"] else [])]
             await asyncio.gather(*(part.ask("partition", "", words) for part in parts))
         elif verb == "deafen":
             await self.hub.ask("deafen", "", args)
--- /dev/null
+++ b/holdgw/harness/fault_schedule.py
@@ -0,0 +1,434 @@
+"""Faults of a run, drawn ahead from the scenario and the seed; pure.
+
+Each fault draws from a generator of its own, so that another fault in the file moves none of its targets.
+"""
+
+from __future__ import annotations
+
+import itertools
+import random
+from collections.abc import Sequence
+from dataclasses import dataclass
+from functools import singledispatchmethod
+from typing import Any
+
+from holdgw.harness import fault_types as t
+from holdgw.harness.fault_types import kind_of
+from holdgw.harness.scenario import Scenario, node_names, router_names
+from holdgw.harness.schedule import (
+    ADMIN,
+    LINE_MARK,
+    NETWORK,
+    ORIGIN,
+    PEERS,
+    ROUTERS,
+    DrawnFault,
+    ScheduledFault,
+    draw_number,
+    generator,
+)
+from holdgw.harness.topology import zone_of_router, zone_of_server
+
+DISCOVERY = "discovery"
+DATAGRAM_FAULTS = ("loss", "duplicates", "reordered", "late_ms", "bytes_per_s")
+"""Settings of the lines between routers that a fault may change."""
+# An endpoint in maintenance is restarted meanwhile: from and to these fractions of the time.
+MAINTENANCE_KILL = 0.4
+MAINTENANCE_START = 0.6
+
+
+def draw_faults(scenario: Scenario, seed: int) -> tuple[list[ScheduledFault], list[DrawnFault]]:
+    """Draw every fault of the scenario.
+
+    Returns:
+        What is done to the fleet, in order of time, and one entry for each fault of the scenario.
+    """
+    drawing = _FaultDrawing(scenario, seed)
+    order = sorted(enumerate(scenario.trouble), key=lambda pair: pair[1].at)
+    drawn = [drawing.draw(number, fault) for number, fault in order]
+    steps = sorted(drawing.steps, key=lambda step: step.at)
+    return [step for step in steps if step.at < scenario.length_s], drawn
+
+
+@dataclass(slots=True)
+class _Current:
+    """The fault being drawn: its generator, the number of its draw, when it ends, who is up at its start."""
+
+    rng: random.Random
+    number: int
+    until: float
+    alive: tuple[str, ...]
+
+    def chosen_nodes(self, wanted: int | tuple[str, ...]) -> list[str]:
+        """Nodes by name, or so many drawn among those that are up."""
+        if isinstance(wanted, int):
+            return sorted(self.rng.sample(self.alive, min(wanted, len(self.alive))))
+        return [name for name in wanted if name in self.alive]
+
+    def chosen_routers(self, routers: Sequence[str], wanted: int | tuple[str, ...]) -> list[str]:
+        """Routers by name, or so many drawn."""
+        if isinstance(wanted, tuple):
+            return [name for name in wanted if name in routers]
+        return self.rng.sample(routers, min(wanted, len(routers)))
+
+
+class _FaultDrawing:
+    """Draws faults in order of their beginnings; keeps which nodes no fault so far has taken away for good.
+
+    A method of `_draw` adds the steps of one kind of fault and returns its text for reports. It sets
+    `_now.until` where the fault does not end after its `seconds`.
+    """
+
+    def __init__(self, scenario: Scenario, seed: int) -> None:
+        self._scenario = scenario
+        self._seed = seed
+        self._alive = node_names(scenario.fleet)
+        self._new_numbers = itertools.count(scenario.fleet.nodes)
+        self._routers = router_names(scenario.fleet)
+        self._now = _Current(random.Random(0), 0, 0.0, ())
+        self.steps: list[ScheduledFault] = []
+
+    def draw(self, number: int, fault: t.Trouble) -> DrawnFault:
+        """Draw one fault, the scenario's `number`-th."""
+        place = draw_number(number, fault)
+        until = fault.at + getattr(fault, "seconds", 0.0)
+        self._now = _Current(generator(self._seed, f"trouble{place}"), place, until, tuple(self._alive))
+        text = self._draw(fault)
+        return DrawnFault(kind_of(fault), fault.at, self._now.until, text)
+
+    def _add(self, at: float, verb: str, target: str = "", args: dict[str, Any] | None = None) -> None:
+        self.steps.append(ScheduledFault(at, verb, target, {} if args is None else args))
+
+    def _take_away(self, nodes: Sequence[str]) -> None:
+        self._alive = [name for name in self._alive if name not in nodes]
+
+    def _new_node(self) -> str:
+        return f"node{next(self._new_numbers):03d}"
+
+    @singledispatchmethod
+    def _draw(self, fault: t.Trouble) -> str:
+        raise NotImplementedError(kind_of(fault))
+
+    # Nodes
+
+    @_draw.register
+    def _(self, fault: t.Pause) -> str:
+        nodes = self._now.chosen_nodes(fault.nodes)
+        for name in nodes:
+            self._add(fault.at, "pause", name, {"seconds": fault.seconds})
+        return f"{', '.join(nodes)} paused {fault.seconds:g} s"
+
+    @_draw.register
+    def _(self, fault: t.FalseReport) -> str:
+        nodes = self._now.chosen_nodes(fault.nodes)
+        for name in nodes:
+            self._add(fault.at, "report", name, {"says": fault.says})
+            self._add(self._now.until, "report", name, {"says": ""})
+        return f"{', '.join(nodes)} report: {fault.says}"
+
+    @_draw.register
+    def _(self, fault: t.Kill) -> str:
+        nodes = self._now.chosen_nodes(fault.nodes)
+        for name in nodes:
+            self._add(fault.at, "kill", name)
+        self._take_away(nodes)
+        return f"{', '.join(nodes)} killed"
+
+    @_draw.register
+    def _(self, fault: t.Restart) -> str:
+        nodes = self._now.chosen_nodes(fault.nodes)
+        self._now.until = fault.at + fault.down_s
+        for name in nodes:
+            self._add(fault.at, "kill", name)
+            self._add(self._now.until, "start", name)
+        return f"{', '.join(nodes)} restarted, cold"
+
+    @_draw.register
+    def _(self, fault: t.Replace) -> str:
+        nodes = self._now.chosen_nodes(fault.nodes)
+        self._now.until = fault.at + fault.down_s
+        self._take_away(nodes)
+        for name in nodes:
+            new = self._new_node()
+            self._add(fault.at, "kill", name)
+            self._add(self._now.until, "create", new, {"instead": name if fault.same_address else ""})
+            self._alive.append(new)
+        return f"{', '.join(nodes)} replaced"
+
+    @_draw.register
+    def _(self, fault: t.Drain) -> str:
+        nodes = self._now.chosen_nodes(fault.nodes)
+        for name in nodes:
+            self._add(fault.at, "drain", name)
+            self._add(self._now.until, "kill", name)
+        self._take_away(nodes)
+        return f"{', '.join(nodes)} drain, gone after {fault.seconds:g} s"
+
+    @_draw.register
+    def _(self, fault: t.ByHand) -> str:
+        nodes = self._now.chosen_nodes(fault.nodes)
+        for name in nodes:
+            self._add(fault.at, "out", ADMIN, {"node": name})
+            self._add(fault.at + fault.seconds * MAINTENANCE_KILL, "kill", name)
+            self._add(fault.at + fault.seconds * MAINTENANCE_START, "start", name)
+            self._add(self._now.until, "back", ADMIN, {"node": name})
+        return f"{', '.join(nodes)} out by hand for {fault.seconds:g} s, restarted meanwhile"
+
+    @_draw.register
+    def _(self, fault: t.ColdStart) -> str:
+        new_nodes = [self._new_node() for _ in range(fault.nodes)]
+        for name in new_nodes:
+            self._add(fault.at, "create", name, {"instead": ""})
+        self._alive += new_nodes
+        return f"{', '.join(new_nodes)} join, cold"
+
+    @_draw.register
+    def _(self, fault: t.Flush) -> str:
+        self._add(fault.at, "flush", "", {"share": fault.share, "serial": self._now.number})
+        return f"{fault.share:.0%} of the keys flushed"
+
+    @_draw.register
+    def _(self, fault: t.Vanish) -> str:
+        nodes = self._now.chosen_nodes(fault.nodes)
+        for name in nodes:
+            self._vanish(name, fault.at, fault.at + fault.notice_s, self._now.until)
+        return f"{', '.join(nodes)} vanish for {fault.seconds:g} s"
+
+    def _vanish(self, name: str, at: float, noticed: float, back: float) -> None:
+        self._add(at, "vanish", NETWORK, {"node": name, "seconds": back - at})
+        self._add(noticed, "noticed", NETWORK, {"node": name})
+        self._add(back, "return", NETWORK, {"node": name})
+
+    # Load
+
+    @_draw.register
+    def _(self, fault: t.Scan) -> str:
+        return f"scan: {fault.share:.0%} of the reads"
+
+    @_draw.register
+    def _(self, fault: t.HotKey) -> str:
+        whose = f" of {fault.zone}" if fault.zone else ""
+        return f"{fault.keys} keys get {fault.share:.0%} of the reads{whose}"
+
+    @_draw.register
+    def _(self, fault: t.HotCaller) -> str:
+        through = generator(self._seed, f"hot{self._now.number}").sample(self._routers, fault.routers)
+        return f"hot caller: {fault.share:.0%} through {', '.join(through)}"
+
+    @_draw.register
+    def _(self, fault: t.Burst) -> str:
+        whose = f" of {fault.tenant}" if fault.tenant else ""
+        return f"burst: {fault.factor:g} times the load{whose}"
+
+    # Origin and spoilt answers
+
+    @_draw.register
+    def _(self, fault: t.OriginSlow) -> str:
+        self._add(fault.at, "slow", ORIGIN, {"factor": fault.factor})
+        self._add(self._now.until, "slow", ORIGIN, {"factor": 1.0})
+        return f"package store {fault.factor:g} times as slow"
+
+    @_draw.register
+    def _(self, fault: t.OriginDown) -> str:
+        self._add(fault.at, "down", ORIGIN)
+        self._add(self._now.until, "up", ORIGIN)
+        return "package store down"
+
+    @_draw.register(t.Reset)
+    @_draw.register(t.Garble)
+    @_draw.register(t.Silence)
+    def _(self, fault: t.Reset | t.Garble | t.Silence) -> str:
+        kind = kind_of(fault)
+        nodes = [""] if fault.nodes == "all" else self._now.chosen_nodes(fault.nodes)
+        if fault.store:
+            nodes.append(ORIGIN)
+        for name in nodes:
+            self._add(fault.at, "spoil", name, {"fault": kind, "share": fault.share})
+            self._add(self._now.until, "spoil", name, {"fault": kind, "share": -fault.share})
+        return f"{kind}: {fault.share:.1%} of the answers"
+
+    # Discovery
+
+    @_draw.register
+    def _(self, fault: t.DiscoveryLate) -> str:
+        self._add(fault.at, "late", DISCOVERY, {"extra": fault.extra_s, "seconds": fault.seconds})
+        return f"discovery {fault.extra_s:g} s late"
+
+    @_draw.register
+    def _(self, fault: t.DiscoveryStale) -> str:
+        views = self._now.rng.sample(self._routers, fault.routers) if fault.routers else self._routers
+        self._add(fault.at, "stale", DISCOVERY, {"seconds": fault.seconds, "routers": views})
+        return f"discovery stale at {len(views)} routers"
+
+    @_draw.register
+    def _(self, fault: t.DiscoveryDown) -> str:
+        self._add(fault.at, "down", DISCOVERY, {"seconds": fault.seconds})
+        return "discovery down"
+
+    # Routers
+
+    @_draw.register
+    def _(self, fault: t.RouterRestart) -> str:
+        picked = self._now.chosen_routers(self._routers, fault.routers)
+        for i, name in enumerate(picked):
+            at = fault.at + i // fault.together * fault.gap_s
+            self._add(at, "restart", name, {"signal": fault.signal})
+            self._now.until = at
+        return f"{', '.join(picked)}: SIG{fault.signal} and a new start"
+
+    @_draw.register
+    def _(self, fault: t.RouterReload) -> str:
+        picked = self._now.rng.sample(self._routers, fault.routers)
+        for name in picked:
+            self._add(fault.at, "reload", name)
+        return f"{', '.join(picked)}: new configuration, SIGHUP"
+
+    @_draw.register(t.Freeze)
+    @_draw.register(t.RouterStop)
+    def _(self, fault: t.Freeze | t.RouterStop) -> str:
+        picked = self._now.chosen_routers(self._routers, fault.routers)
+        for name in picked:
+            self._add(fault.at, "stop", ROUTERS, {"router": name})
+        for name in picked:
+            self._add(self._now.until, "continue", ROUTERS, {"router": name})
+        what = "frozen" if isinstance(fault, t.Freeze) else "stand still"
+        return f"{', '.join(picked)} {what} for {fault.seconds:g} s"
+
+    @_draw.register
+    def _(self, fault: t.Slow) -> str:
+        picked = self._now.chosen_routers(self._routers, fault.routers)
+        for name in picked:
+            self._add(
+                fault.at,
+                "slow",
+                ROUTERS,
+                {"router": name, "seconds": fault.seconds, "run_ms": fault.run_ms},
+            )
+        return f"{', '.join(picked)} run {fault.run_ms} ms of each 100"
+
+    @_draw.register
+    def _(self, fault: t.ClockJump) -> str:
+        picked = self._now.rng.sample(self._routers, fault.routers)
+        for name in picked:
+            self._add(fault.at, "clock", NETWORK, {"router": name, "by_s": fault.by_s})
+        return f"{', '.join(picked)}: clock set by {fault.by_s:+g} s"
+
+    @_draw.register
+    def _(self, fault: t.MachineLoss) -> str:
+        picked = self._now.chosen_routers(self._routers, fault.routers)
+        self._now.until = fault.at + fault.down_s
+        self._lose_machines(fault.at, self._now.until if fault.down_s else None, picked)
+        back = f"back empty after {fault.down_s:g} s" if fault.down_s else "for good"
+        return f"{', '.join(picked)}: machine lost, {back}"
+
+    @_draw.register
+    def _(self, fault: t.ZoneLoss) -> str:
+        lost = [name for name in self._alive if zone_of_server(self._scenario, name) == fault.zone]
+        picked = [name for name in self._routers if zone_of_router(self._scenario, name) == fault.zone]
+        for name in lost:
+            self._vanish(name, fault.at, fault.at + fault.notice_s, self._now.until)
+        self._lose_machines(fault.at, self._now.until, picked)
+        return f"zone {fault.zone} lost: {len(lost)} nodes and {len(picked)} routers"
+
+    def _lose_machines(self, at: float, back: float | None, routers: Sequence[str]) -> None:
+        for name in routers:
+            self._add(at, "lose", ROUTERS, {"router": name})
+        if back is not None:
+            for name in routers:
+                self._add(back, "return", ROUTERS, {"router": name})
+
+    # Lines
+
+    @_draw.register
+    def _(self, fault: t.Partition) -> str:
+        nodes = self._alive if fault.nodes == "all" else self._now.chosen_nodes(fault.nodes)
+        servers = [*nodes, *([ORIGIN] if fault.store else [])]
+        picked = self._now.chosen_routers(self._routers, fault.routers) if fault.routers else self._routers
+        rest = [name for name in self._routers if name not in picked]
+        others = self._now.chosen_routers(rest, fault.peers)
+        if fault.zone:
+            return self._partition_zone(fault)
+        parts = [f"{len(others)} routers"] * bool(others) + servers
+        parts += [DISCOVERY] * fault.discovery
+        self._add_partition(fault, [(picked, servers)], picked, (picked, others))
+        return f"{len(picked)} routers and {', '.join(parts)} parted ({fault.way})"
+
+    def _partition_zone(self, fault: t.Partition) -> str:
+        every = [*self._alive, *([ORIGIN] if fault.store else [])]
+        picked = [name for name in self._routers if zone_of_router(self._scenario, name) == fault.zone]
+        others = [name for name in self._routers if name not in picked]
+        own = [name for name in every if zone_of_server(self._scenario, name) == fault.zone]
+        sides = [(picked, [name for name in every if name not in own]), (others, own)]
+        without_discovery = others if fault.zone == self._scenario.fleet.zones[0] else picked
+        self._add_partition(fault, sides, without_discovery, (picked, others))
+        return f"zone {fault.zone} parted from the others ({fault.way})"
+
+    def _add_partition(
+        self,
+        fault: t.Partition,
+        sides: Sequence[tuple[list[str], list[str]]],
+        without_discovery: list[str],
+        peers: tuple[list[str], list[str]],
+    ) -> None:
+        """Part routers from servers by `sides`, some from discovery, and two groups from each other."""
+        common = {"way": fault.way, "seconds": fault.seconds}
+        for routers, servers in sides:
+            self._add(fault.at, "partition", NETWORK, {"routers": routers, "servers": servers, **common})
+        if fault.discovery:
+            self._add(fault.at, "deafen", NETWORK, {"routers": without_discovery, **common})
+        if peers[1]:
+            self._add(fault.at, "partition", PEERS, {"a": peers[0], "b": peers[1], **common})
+
+    @_draw.register
+    def _(self, fault: t.LossyPeers) -> str:
+        self._add(fault.at, "weather", PEERS, {name: getattr(fault, name) for name in DATAGRAM_FAULTS})
+        usual = {name: getattr(self._scenario.peers, name) for name in DATAGRAM_FAULTS}
+        self._add(self._now.until, "weather", PEERS, usual)
+        return f"lines between routers: {fault.loss:.1%} lost"
+
+    @_draw.register
+    def _(self, fault: t.Cut) -> str:
+        cut = {"share": fault.share, "phases": list(fault.phases), "lines": fault.lines}
+        self._add(fault.at, "cut", NETWORK, {**cut, "name": self._now.number})
+        self._add(self._now.until, "uncut", NETWORK, {"name": self._now.number})
+        return f"{fault.share:.1%} of what is sent breaks off ({fault.lines})"
+
+    @_draw.register
+    def _(self, fault: t.Weather) -> str:
+        weather = {
+            "loss": fault.loss,
+            "chop": fault.chop,
+            "slow_ms": fault.slow_ms,
+            "window_kb": fault.window_kb,
+        }
+        self._add(fault.at, "weather", NETWORK, {**weather, "name": self._now.number})
+        self._add(self._now.until, "weather", NETWORK, {"name": self._now.number})
+        return f"bad lines: {fault.loss:.1%} lost, {fault.chop:.0%} in pieces"
+
+    @_draw.register
+    def _(self, fault: t.Stall) -> str:
+        self._add(fault.at, "stall", fault.where, {"seconds": fault.seconds})
+        return f"the emulator's {fault.where} stand still"
+
+
+def lines_of_routers(scenario: Scenario, seed: int) -> dict[str, str]:
+    """The line over which each router comes to servers.
+
+    That is its zone, or, for routers that a partition of the run cuts off, one of a zone's lines of their
+    own, shared by all that are cut off by the same partitions.
+    """
+    steps, _ = draw_faults(scenario, seed)
+    cuts = [step.args["routers"] for step in steps if step.verb == "partition" and step.target == NETWORK]
+    numbers: dict[tuple[str, tuple[int, ...]], str] = {}
+    found = {}
+    for name in router_names(scenario.fleet):
+        zone = zone_of_router(scenario, name)
+        partitions = tuple(i for i, routers in enumerate(cuts) if name in routers)
+        line = f"{zone}{LINE_MARK}{len(numbers)}" if partitions else zone
+        found[name] = numbers.setdefault((zone, partitions), line)
+    return found
+
+
+def may_be_cut(scenario: Scenario) -> bool:
+    """Whether a fault of the run cuts lines to servers or to discovery."""
+    return any(isinstance(one, t.Partition | t.Vanish | t.ZoneLoss) for one in scenario.trouble)
--- a/holdgw/harness/html_report.py
+++ b/holdgw/harness/html_report.py
@@ -9,7 +9,7 @@
 
 from holdgw.harness.report import Report
 from holdgw.harness.routers import Usage
-from holdgw.harness.schedule import STORE, Mark
+from holdgw.harness.schedule import ORIGIN, DrawnFault
 from holdgw.harness.scoring import quantile
 
 WIDTH, HEIGHT = 960, 190
@@ -48,7 +48,7 @@
     return next(factor * power for factor in (1, 2, 5, 10) if factor * power >= raw)
 
 
-def plot(series: Series, length: float, marks: Sequence[Mark], least: float = 0.0) -> str:
+def plot(series: Series, length: float, marks: Sequence[DrawnFault], least: float = 0.0) -> str:
     """An SVG of lines over the seconds of the day; bands are troubles."""
     most = max((y for line in series.values() for _, y in line), default=0.0)
     step = nice_step(max(most, least))
@@ -103,7 +103,7 @@
 
 
 def _figure(title: str, series: Series, report: Report, note: str = "") -> str:
-    length, marks = report.day.scenario.length_s, report.day.marks
+    length, marks = report.day.scenario.length_s, report.day.drawn_faults
     text = f"<p>{escape(note)}</p>" if note else ""
     return f"<h2>{escape(title)}</h2>{text}{_key(list(series))}{plot(series, length, marks)}"
 
@@ -139,7 +139,7 @@
     length = report.day.scenario.length_s
     times: dict[str, list[float]] = {
         "package store fetches": [
-            one.at for one in report.attempts if one.server == STORE and not one.idempotency
+            one.at for one in report.attempts if one.server == ORIGIN and not one.idempotency
         ]
     }
     for why in ("never", "flushed", "evicted", "voided", "expired"):
@@ -160,7 +160,7 @@
 def _node_load(report: Report) -> Series:
     work = defaultdict[int, Counter[str]](Counter)
     for one in report.attempts:
-        if one.server != STORE and one.result not in ("busy", "gone"):
+        if one.server != ORIGIN and one.result not in ("busy", "gone"):
             work[int(one.at)][one.server] += 1
     nodes = len(report.body["nodes"]) or 1
     lines: dict[str, list[tuple[float, float]]] = {"mean": [], "busiest": []}
@@ -209,7 +209,7 @@
     )
 
 
-def _when(mark: Mark) -> str:
+def _when(mark: DrawnFault) -> str:
     return f"{mark.at:g} to {mark.until:g} s" if mark.until > mark.at else f"{mark.at:g} s"
 
 
@@ -234,7 +234,9 @@
             ("p99 ms", body["p99_ms"]),
         )
     )
-    troubles = "".join(f"<li><b>{_when(mark)}</b> {escape(mark.text)}</li>" for mark in report.day.marks)
+    troubles = "".join(
+        f"<li><b>{_when(mark)}</b> {escape(mark.text)}</li>" for mark in report.day.drawn_faults
+    )
     broken = _table(
         ("rule", "second", "requests", "what"),
         [(one["rule"], one["at"], " ".join(one["requests"]), one["text"]) for one in body["broken"]],
--- a/holdgw/harness/report.py
+++ b/holdgw/harness/report.py
@@ -24,8 +24,9 @@
 from holdgw.harness.orchestrator import RunResult
 from holdgw.harness.routers import Usage
 from holdgw.harness.scenario import node_names, router_names
-from holdgw.harness.schedule import STORE, Schedule, zone_of_router, zone_of_server
+from holdgw.harness.schedule import ORIGIN, Schedule
 from holdgw.harness.scoring import Fate, Service, fates, quantile
+from holdgw.harness.topology import zone_of_router, zone_of_server
 
 WINDOW_S = 5.0
 BUSIEST = 5
@@ -143,7 +144,7 @@
                 "at": i * WINDOW_S,
                 **_summary(here, day),
                 "sources": dict(Counter(fate.ask.source for fate in here)),
-                "origin_fetches": sum(one.server == STORE and not one.idempotency for one in tried),
+                "origin_fetches": sum(one.server == ORIGIN and not one.idempotency for one in tried),
                 "attempts": len(tried),
                 "missing": dict(_missing(tried)),
                 "router_skew": round(max(routers.values(), default=0) / mean, 2) if mean else 0.0,
@@ -179,7 +180,7 @@
         row[attempt.result] += 1
         row["spoilt"] += bool(attempt.fault)
         work[attempt.server] += attempt.work
-    names = {*node_names(day.scenario.fleet), *rows} - {STORE}
+    names = {*node_names(day.scenario.fleet), *rows} - {ORIGIN}
     return {
         name: {**rows[name], "work_s": round(work[name], 2), "zone": zone_of_server(day.scenario, name)}
         for name in sorted(names)
@@ -196,7 +197,7 @@
     classes = day.scenario.classes
     rules = {
         ask.number: ClassRule(cls.effect, cls.window_ms / 1000)
-        for ask in day.asks
+        for ask in day.requests
         for cls in (classes[ask.request_class],)
     }
     return judge(history, rules, day.scenario.router.drain_grace_ms / 1000)
@@ -208,7 +209,7 @@
     wrong = failures_of(day, history)
     broken = [one for one in wrong if one.rule != STARVED]
     lag = judge_lag(history.lags, scenario.emulator.lag_ms, scenario.emulator.worst_ms, begun)
-    found = fates(day.asks, history.tries, begun)
+    found = fates(day.requests, history.tries, begun)
     routers = router_names(scenario.fleet)
     zones = {name: zone_of_router(scenario, name) for name in routers}
     servers = {attempt.server for attempt in history.attempts}
@@ -240,7 +241,7 @@
         "starved": len(wrong) - len(broken),
         "p50_ms": total["p50_ms"],
         "p99_ms": total["p99_ms"],
-        "origin_fetches": sum(one.server == STORE and not one.idempotency for one in attempts),
+        "origin_fetches": sum(one.server == ORIGIN and not one.idempotency for one in attempts),
         "nodes": _nodes(attempts, day),
         "routers": {
             name: {
@@ -269,7 +270,7 @@
         "sources": _grouped(found, day, lambda fate: fate.ask.source),
         "told_apart": _told_apart(found, attempts, day, flushed),
         "windows": _windows(found, attempts, day, router_of),
-        "troubles": [asdict(mark) for mark in day.marks],
+        "troubles": [asdict(mark) for mark in day.drawn_faults],
         "broken": [
             {"rule": one.rule, "at": round(one.at - begun, 3), "requests": one.requests, "text": one.text}
             for one in broken[:MOST_BROKEN]
--- a/holdgw/harness/scoring.py
+++ b/holdgw/harness/scoring.py
@@ -17,15 +17,24 @@
 from holdgw.emulators.records import Try
 from holdgw.harness.checker import GOOD, History
 from holdgw.harness.scenario import RequestClass
-from holdgw.harness.schedule import PRELUDE, STORE, ScheduledRequest
+from holdgw.harness.schedule import ORIGIN, PRELUDE, ScheduledRequest
 
 K = TypeVar("K")
 
 OVER_WORTH = 0.05
 WORST_WINDOW_S = 10.0
 WINDOW_STEP_S = 1.0
-WHOLE, WINDOW, CLASS, TENANT = 0.55, 0.15, 0.05, 0.25
-ORIGIN, LATE_FAIL, WASTE, PROBE, CROSSING = 0.15, 0.08, 0.04, 0.01, 0.01
+# Weights of the parts of the score; together 1.
+TOTAL_WEIGHT = 0.55
+WINDOW_WEIGHT = 0.15
+CLASS_WEIGHT = 0.05
+TENANT_WEIGHT = 0.25
+# Deductions, at a ratio of 1.
+ORIGIN_DEDUCTION = 0.15
+LATE_FAILURE_DEDUCTION = 0.08
+WASTE_DEDUCTION = 0.04
+HEALTH_CHECK_DEDUCTION = 0.01
+CROSSING_DEDUCTION = 0.01
 
 
 @dataclass(slots=True)
@@ -91,7 +100,7 @@
 def value(fate: Fate, classes: Sequence[RequestClass]) -> tuple[float, float]:
     """Worth asked for and worth got by one ask."""
     cls = classes[fate.ask.request_class]
-    worth = cls.worth * (OVER_WORTH if fate.ask.over else 1.0)
+    worth = cls.worth * (OVER_WORTH if fate.ask.over_quota else 1.0)
     if fate.took is None or fate.took > cls.give_up_ms / 1000:
         return worth, 0.0
     return worth, worth * (1.0 if fate.took <= cls.aim_ms / 1000 else cls.late_worth)
@@ -144,7 +153,12 @@
     window, window_at = worst_window(found, classes, length)
     worst_class = min(((classes[i].name, one.service) for i, one in by_class.items()), key=lambda x: x[1])
     worst_tenant = min(((tenants[i], one.service) for i, one in by_tenant.items()), key=lambda x: x[1])
-    goal = WHOLE * total.service + WINDOW * window + CLASS * worst_class[1] + TENANT * worst_tenant[1]
+    goal = (
+        TOTAL_WEIGHT * total.service
+        + WINDOW_WEIGHT * window
+        + CLASS_WEIGHT * worst_class[1]
+        + TENANT_WEIGHT * worst_tenant[1]
+    )
     taken = deductions(found, history, classes, begun, zones, probes)
     return Service(
         max(goal - sum(taken.values()), 0.0),
@@ -170,13 +184,13 @@
     day = [attempt for attempt in history.attempts if attempt.at >= begun]
     router = {one.request: one.router for one in history.tries}
     used = {(one.server, one.serial) for one in history.tries if one.answer == "served"}
-    fetches = sum(attempt.server == STORE and not attempt.idempotency for attempt in day)
+    fetches = sum(attempt.server == ORIGIN and not attempt.idempotency for attempt in day)
     crossing = sum(
         zones.get(attempt.server) != zones.get(router.get(attempt.request, ""))
         for attempt in day
-        if attempt.server != STORE
+        if attempt.server != ORIGIN
     )
-    ran = [attempt for attempt in day if attempt.server != STORE and attempt.result in GOOD]
+    ran = [attempt for attempt in day if attempt.server != ORIGIN and attempt.result in GOOD]
     wasted = sum(attempt.work for attempt in ran if (attempt.server, attempt.serial) not in used)
     work = sum(classes[fate.ask.request_class].work_ms / 1000 for fate in found)
     late = sum(
@@ -186,11 +200,11 @@
     )
     worth = sum(value(fate, classes)[0] for fate in found)
     return {
-        "origin": ORIGIN * fetches / asked,
-        "late_fail": LATE_FAIL * late / worth if worth else 0.0,
-        "waste": WASTE * wasted / work if work else 0.0,
-        "probes": PROBE * probes / asked,
-        "crossing": CROSSING * crossing / asked,
+        "origin": ORIGIN_DEDUCTION * fetches / asked,
+        "late_fail": LATE_FAILURE_DEDUCTION * late / worth if worth else 0.0,
+        "waste": WASTE_DEDUCTION * wasted / work if work else 0.0,
+        "probes": HEALTH_CHECK_DEDUCTION * probes / asked,
+        "crossing": CROSSING_DEDUCTION * crossing / asked,
     }
 
 
--- a/holdgw/harness/worker.py
+++ b/holdgw/harness/worker.py
@@ -28,7 +28,6 @@
 from holdgw.emulators.relay import Relay
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.emulators.seeded_draws import between, unit
-from holdgw.harness import schedule as drawn
 from holdgw.harness.channel import (
     Batch,
     Begin,
@@ -46,18 +45,11 @@
 )
 from holdgw.harness.clients import Clients
 from holdgw.harness.deployment import NODE_KIND, STORE_KIND
+from holdgw.harness.fault_schedule import DATAGRAM_FAULTS, lines_of_routers, may_be_cut
 from holdgw.harness.scenario import Scenario, node_names, router_names
-from holdgw.harness.schedule import (
-    PEERS,
-    STORE,
-    lines,
-    lines_of_routers,
-    may_be_cut,
-    node_spec,
-    store_spec,
-    workload,
-    zone_of_server,
-)
+from holdgw.harness.schedule import ORIGIN, PEERS, Schedule
+from holdgw.harness.schedule_drawing import draw_schedule
+from holdgw.harness.topology import lines, node_spec, origin_spec, workload, zone_of_router, zone_of_server
 from holdgw.wire.address import Address
 
 BEAT_S = 0.005  # how often a worker looks at how late it is
@@ -136,7 +128,7 @@
         """Where a server of that name listens, and over which lines."""
         scenario = self.setup.scenario
         delays = lines(scenario, self.setup.seed, name, zone)
-        own = {line: delays[drawn.zone_of_router(scenario, router)] for router, line in self.line_of.items()}
+        own = {line: delays[zone_of_router(scenario, router)] for router, line in self.line_of.items()}
         return Host(self.setup.ip, delays | own, may_be_cut(scenario))
 
     def saw(self, record: Record) -> None:
@@ -271,15 +263,15 @@
         self._places: dict[str, dict[str, Address]] = {}
         routers = router_names(scenario.fleet)
         windows = {one.name: one.window_ms / 1000 for one in scenario.classes}
-        zone = zone_of_server(scenario, STORE)
-        spec = store_spec(scenario)
+        zone = zone_of_server(scenario, ORIGIN)
+        spec = origin_spec(scenario)
         self.store = OriginServer(
-            STORE, spec, workload(scenario, seed), windows, self.host(STORE, zone), self, self.clock
+            ORIGIN, spec, workload(scenario, seed), windows, self.host(ORIGIN, zone), self, self.clock
         )
         await self.store.start()
-        self._places[STORE] = self.store.addresses
+        self._places[ORIGIN] = self.store.addresses
         entries = [self._entry(name) for name in node_names(scenario.fleet)]
-        entries.append(Entry(STORE, State.UP, zone, STORE_KIND))
+        entries.append(Entry(ORIGIN, State.UP, zone, STORE_KIND))
 
         def notice(view: str, version: int) -> float:
             return between(unit(seed, "notice", view, version), scenario.discovery.notice_s)
@@ -308,7 +300,7 @@
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
         """Troubles of the package store and of discovery, and changes of the list."""
-        if target == STORE:
+        if target == ORIGIN:
             return await self._do_store(verb, args)
         if target == "discovery":
             self._do_discovery(verb, args)
@@ -366,9 +358,9 @@
 
     async def start(self) -> Any:
         """Draw the day."""
-        self.take_up(drawn.draw_schedule(self.setup.scenario, self.setup.seed))
+        self.take_up(draw_schedule(self.setup.scenario, self.setup.seed))
 
-    def take_up(self, day: drawn.Schedule) -> None:
+    def take_up(self, day: Schedule) -> None:
         """Have the clients of a day that is drawn."""
         self.clients = Clients(day, self.setup.index, self.setup.count, self, self.clock)
 
@@ -431,12 +423,12 @@
 
     def line(a: str, b: str) -> float:
         if (a, b) not in delays:
-            near = drawn.zone_of_router(scenario, a) == drawn.zone_of_router(scenario, b)
+            near = zone_of_router(scenario, a) == zone_of_router(scenario, b)
             span = fleet.same_ms if near else fleet.cross_ms
             delays[a, b] = between(unit(seed, "line", *sorted((a, b))), span) / 1000
         return delays[a, b]
 
-    weather = PeerWeather(table.jitter, *(getattr(table, name) for name in drawn.PEER_TROUBLES))
+    weather = PeerWeather(table.jitter, *(getattr(table, name) for name in DATAGRAM_FAULTS))
     return RelayModel(seed, line, weather)
 
 
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -33,14 +33,9 @@
 from holdgw.harness.report import judge_run
 from holdgw.harness.routers import Usage, until_ready
 from holdgw.harness.scenario import Scenario, node_names, router_names
-from holdgw.harness.schedule import (
-    STORE,
-    Schedule,
-    ScheduledFault,
-    draw_schedule,
-    zone_of_router,
-    zone_of_server,
-)
+from holdgw.harness.schedule import ORIGIN, Schedule, ScheduledFault
+from holdgw.harness.schedule_drawing import draw_schedule
+from holdgw.harness.topology import zone_of_router, zone_of_server
 from holdgw.harness.worker import ClientsPart, HubPart, NodesPart, Part, relay_model, relay_trouble
 from holdgw.router.config import ConfigError, load_config
 from holdgw.router.platform import Platform
@@ -412,7 +407,7 @@
         self._host("stage", "", "10.0.0.1").sheltered = True
         self._host(CLIENTS, "", "10.0.0.2").steady = True
         self._host(DISCOVERY, scenario.fleet.zones[0], "10.0.0.3").sheltered = True
-        self._host(STORE, zone_of_server(scenario, STORE), "10.0.0.4")
+        self._host(ORIGIN, zone_of_server(scenario, ORIGIN), "10.0.0.4")
         self.stage = Process(self.world, self.network, self.hosts["stage"], "stage")
         self.routers = {}
         for i, name in enumerate(router_names(scenario.fleet)):
@@ -540,7 +535,7 @@
             seconds,
             broken,
             self.failure,
-            len(self.day.asks),
+            len(self.day.requests),
             sum(one.answer == "served" for one in history.tries),
             self.begun,
             played,
@@ -602,7 +597,7 @@
         for addresses in told:
             for name, places in addresses.items():
                 self.add_place(name, places)
-        hub = self._part("hub", self.hosts[STORE], _Hub)
+        hub = self._part("hub", self.hosts[ORIGIN], _Hub)
         hub.process.homes.append(self.hosts[DISCOVERY])
         self.hub = hub
         for name, (ip, port) in (await hub.start()).items():
@@ -699,7 +694,7 @@
             names = (a.name, b.name)
             if CLIENTS in names:
                 return lines in ("clients", "all")
-            if STORE in names:
+            if ORIGIN in names:
                 return lines in ("store", "servers", "all")
             return lines in ("nodes", "servers", "all")
 
--- a/tests/processes/test_aggregation.py
+++ b/tests/processes/test_aggregation.py
@@ -14,7 +14,8 @@
 from holdgw.harness.orchestrator import Orchestrator
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.schedule import PEERS, draw_schedule
+from holdgw.harness.schedule import PEERS
+from holdgw.harness.schedule_drawing import draw_schedule
 from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
 from tests.processes.test_peers import figures
 
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -28,7 +28,8 @@
 from holdgw.harness.report import make_report
 from holdgw.harness.routers import RouterProcess
 from holdgw.harness.scenario import member_names, node_names, read_scenario
-from holdgw.harness.schedule import Schedule, ScheduledFault, draw_schedule
+from holdgw.harness.schedule import Schedule, ScheduledFault
+from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.peers import datagram, merged_view, sequenced_report
 from holdgw.peers.aggregated_exchange import AggregatedExchange, Role
 from holdgw.peers.aggregator import Outgoing
--- a/tests/processes/test_faults.py
+++ b/tests/processes/test_faults.py
@@ -18,7 +18,7 @@
 from holdgw.harness.orchestrator import RunResult, play
 from holdgw.harness.report import Report, make_report
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.schedule import draw_schedule
+from holdgw.harness.schedule_drawing import draw_schedule
 from tests.helpers import trouble
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("processes, faults")]
--- a/tests/processes/test_odd_peers.py
+++ b/tests/processes/test_odd_peers.py
@@ -14,7 +14,7 @@
 from holdgw.harness.orchestrator import Orchestrator
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import node_names, read_scenario
-from holdgw.harness.schedule import draw_schedule
+from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.peers import datagram, load_report
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
 from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, ServerSample, hash_server
--- a/tests/processes/test_peers.py
+++ b/tests/processes/test_peers.py
@@ -12,7 +12,7 @@
 from holdgw.harness.orchestrator import Orchestrator, play
 from holdgw.harness.report import make_report
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.schedule import draw_schedule
+from holdgw.harness.schedule_drawing import draw_schedule
 from tests.helpers import trouble
 from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
 
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -27,7 +27,8 @@
 from holdgw.harness.report import Report, make_report
 from holdgw.harness.routers import free_address
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.schedule import STORE, draw_schedule
+from holdgw.harness.schedule import ORIGIN
+from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.router.discovery import Clock
 from holdgw.simulation.search import play_seed
 from tests.helpers import trouble
@@ -69,7 +70,7 @@
     for name in ("asked", "served", "in_aim", "refused", "failed", "service", "rules", "p50_ms", "p99_ms",
                  "origin_fetches", "nodes", "routers"):  # fmt: skip
         assert name in body
-    assert body["asked"] == sum(ask.at >= 0 for ask in played.day.asks)
+    assert body["asked"] == sum(ask.at >= 0 for ask in played.day.requests)
     assert body["served"] + body["refused"] + body["failed"] == body["asked"]
     assert body["served"] > 0.8 * body["asked"]
     assert set(body["rules"]) == {"lost", "twice", "late_drain", "felled"}
@@ -181,7 +182,7 @@
     )
     spoilt = report.body["spoilt"]
     assert set(spoilt) == {"reset", "garble", "silence"}
-    reached = [(at, one) for at, one in at_node(played, STORE) if one.result not in ("gone", "open")]
+    reached = [(at, one) for at, one in at_node(played, ORIGIN) if one.result not in ("gone", "open")]
     assert not [at for at, _ in reached if 2.1 < at < 3.4]
     assert [at for at, _ in reached if at > 3.6]
     slow = [one.ended - one.at for at, one in reached if 0.6 < at < 1.3 and one.result == "served"]
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -13,8 +13,10 @@
 from holdgw.emulators.fault_proxy import FaultProxy, ProxiedListener
 from holdgw.emulators.relay import ALL, Relay
 from holdgw.emulators.relay_model import MOST_BYTES, PeerWeather, RelayModel
+from holdgw.harness.fault_schedule import lines_of_routers
 from holdgw.harness.scenario import read_scenario
-from holdgw.harness.schedule import PEERS, ScheduledFault, draw_schedule, lines_of_routers
+from holdgw.harness.schedule import PEERS, ScheduledFault
+from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.harness.worker import relay_model
 from holdgw.simulation.fleet_run import PEER_PORT, SimulatedFleet, SimulatedRouter
 from holdgw.simulation.process import Process
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -11,20 +11,15 @@
 
 from holdgw.emulators.records import Try
 from holdgw.harness import scenario as s
+from holdgw.harness.arrivals import load_at
 from holdgw.harness.channel import MOST_BYTES, Channel, Setup
 from holdgw.harness.checker import History
 from holdgw.harness.fault_types import kind_of
 from holdgw.harness.scenario import Scenario, ScenarioError, load_scenario, read_scenario, shipped
-from holdgw.harness.schedule import (
-    NETWORK,
-    ScheduledRequest,
-    draw_schedule,
-    idempotency_key,
-    load_at,
-    request_id,
-    store_spec,
-)
+from holdgw.harness.schedule import NETWORK, ScheduledRequest, idempotency_key, request_id
+from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.harness.scoring import Fate, count, fates, value, worst_window
+from holdgw.harness.topology import origin_spec
 
 BASE = 'name = "x"\nlength_s = 20.0\n[load]\nrate = 50.0\n'
 
@@ -112,14 +107,14 @@
 def test_the_same_seed_is_the_same_day_and_another_is_another() -> None:
     scenario = load_scenario("storm").cut(15.0)
     assert draw_schedule(scenario, 3) == draw_schedule(scenario, 3)
-    assert draw_schedule(scenario, 3).asks != draw_schedule(scenario, 4).asks
+    assert draw_schedule(scenario, 3).requests != draw_schedule(scenario, 4).requests
 
 
 def test_a_trouble_moves_no_arrival_of_the_day_without_it() -> None:
     plain = draw_schedule(day_of(), 1)
     scanned = draw_schedule(day_of('[[trouble]]\nkind = "scan"\nat = 5\nseconds = 5\nshare = 0.5'), 1)
-    assert [ask.at for ask in plain.asks] == [ask.at for ask in scanned.asks]
-    for a, b in zip(plain.asks, scanned.asks, strict=True):
+    assert [ask.at for ask in plain.requests] == [ask.at for ask in scanned.requests]
+    for a, b in zip(plain.requests, scanned.requests, strict=True):
         assert a == b or (b.source == "scan" and 5 <= b.at < 10)
 
 
@@ -130,7 +125,7 @@
         '[[trouble]]\nkind = "burst"\nat = 10\nseconds = 10\nfactor = 3\ntenant = "public"\n'
     )
     scenario = msgspec.structs.replace(day_of(text), load=s.Load(rate=400.0))
-    asks = [ask for ask in draw_schedule(scenario, 1).asks if ask.at >= 0]
+    asks = [ask for ask in draw_schedule(scenario, 1).requests if ask.at >= 0]
 
     def rate(a: float, b: float) -> float:
         return sum(a <= ask.at < b for ask in asks) / (b - a)
@@ -156,11 +151,11 @@
         '[[trouble]]\nkind = "false_report"\nat = 3\nseconds = 4\nnodes = ["node002"]\nsays = "full"\n'
     )
     day = draw_schedule(msgspec.structs.replace(day_of(text), load=s.Load(rate=200.0)), 1)
-    hot = [ask for ask in day.asks if ask.source == "hot_key"]
+    hot = [ask for ask in day.requests if ask.source == "hot_key"]
     assert {ask.zone for ask in hot} == {"mladost"}
-    there = [ask for ask in day.asks if 2 <= ask.at < 7 and ask.zone == "mladost"]
+    there = [ask for ask in day.requests if 2 <= ask.at < 7 and ask.zone == "mladost"]
     assert len(hot) / len(there) == pytest.approx(0.5 * 0.97, abs=0.06)
-    said = [(step.at, step.target, step.args["says"]) for step in day.steps if step.verb == "report"]
+    said = [(step.at, step.target, step.args["says"]) for step in day.faults if step.verb == "report"]
     assert said == [(3, "node002", "full"), (7, "node002", "")]
 
 
@@ -171,8 +166,8 @@
 
 def test_beyond_a_quota_worth_is_little() -> None:
     text = '[[tenants]]\nname = "a"\nshare = 1\nquota_per_s = 20'
-    asks = [ask for ask in draw_schedule(day_of(text), 1).asks if ask.at >= 0]
-    within = sum(not ask.over for ask in asks) / 20.0
+    asks = [ask for ask in draw_schedule(day_of(text), 1).requests if ask.at >= 0]
+    within = sum(not ask.over_quota for ask in asks) / 20.0
     assert 15 <= within <= 20.5
 
 
@@ -191,18 +186,18 @@
         '[[trouble]]\nkind = "kill"\nat = 10\nnodes = 9\n'
     )
     day = draw_schedule(day_of(text), 1)
-    killed = [step.target for step in day.steps if step.verb == "kill"]
+    killed = [step.target for step in day.faults if step.verb == "kill"]
     assert len(killed) == len(set(killed)) == 32
-    created = [step.target for step in day.steps if step.verb == "create"]
+    created = [step.target for step in day.faults if step.verb == "create"]
     assert created == ["node036", "node037", "node038", "node039", "node040"]
-    assert [step.args["instead"] for step in day.steps if step.verb == "create"][:3] == killed[:3]
-    assert [step.at for step in day.steps] == sorted(step.at for step in day.steps)
+    assert [step.args["instead"] for step in day.faults if step.verb == "create"][:3] == killed[:3]
+    assert [step.at for step in day.faults] == sorted(step.at for step in day.faults)
 
 
 def test_routers_restart_so_many_at_a_time() -> None:
     text = 'kind = "router_restart"\nat = 2\nrouters = 3\ntogether = 2\ngap_s = 1.5'
     steps = [
-        step for step in draw_schedule(day_of(f"[[trouble]]\n{text}"), 1).steps if step.verb == "restart"
+        step for step in draw_schedule(day_of(f"[[trouble]]\n{text}"), 1).faults if step.verb == "restart"
     ]
     assert [step.at for step in steps] == [2.0, 2.0, 3.5]
     assert len({step.target for step in steps}) == 3
@@ -210,7 +205,9 @@
 
 def test_a_zone_is_cut_off_from_the_others_and_not_from_itself() -> None:
     text = '[[trouble]]\nkind = "partition"\nat = 2\nseconds = 3\nzone = "mladost"\nstore = true'
-    steps = [s for s in draw_schedule(day_of(text), 1).steps if s.verb == "partition" and s.target == NETWORK]
+    steps = [
+        s for s in draw_schedule(day_of(text), 1).faults if s.verb == "partition" and s.target == NETWORK
+    ]
     parted = {(one, other) for s in steps for one in s.args["routers"] for other in s.args["servers"]}
     assert ("router01", "node000") in parted
     assert ("router00", "node001") in parted
@@ -222,12 +219,12 @@
     scenario = load_scenario("storm").cut(14.5)
     assert scenario.length_s == 14.5
     assert all(trouble.at < 14.5 for trouble in scenario.trouble)
-    assert all(step.at < 14.5 for step in draw_schedule(scenario, 1).steps)
+    assert all(step.at < 14.5 for step in draw_schedule(scenario, 1).faults)
 
 
 def test_the_store_does_what_its_rate_says() -> None:
     scenario = day_of("[store]\nper_s = 77.0\nread_ms = 40.0")
-    spec = store_spec(scenario)
+    spec = origin_spec(scenario)
     assert spec.slots / spec.read_s == pytest.approx(77.0)
 
 
--- a/tests/test_simulation_play.py
+++ b/tests/test_simulation_play.py
@@ -18,7 +18,7 @@
 from holdgw import cli
 from holdgw.harness.fault_types import KINDS
 from holdgw.harness.scenario import Scenario, ScenarioError, Storm, load_scenario, read_scenario
-from holdgw.harness.schedule import draw_schedule
+from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.simulation.fleet_run import (
     Outcome,
     RouterMain,
