--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -164,6 +164,8 @@
     run(test)
 
 
+@pytest.mark.usefixtures("built")
+@pytest.mark.xdist_group("compiled")  # a router that starts while an old copy is being replaced can't import
 def test_a_run_that_is_not_the_process_itself_is_seen(tmp_path: Path) -> None:
     async def test() -> None:
         router = Started(tmp_path, command=RUN.replace("exec ", "") + "; true")
