--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -237,8 +237,8 @@
     "hand-forgotten": Mutant(
         "a server out by hand is used again as soon as discovery says that it is up",
         "holdgw.operation.endpoint_overrides",
-        "        seen = tuple(map(self._seen, listing.change.endpoints))\n",
-        "        seen = listing.change.endpoints\n",
+        "        endpoints = tuple(map(self._effective, update.change.endpoints))\n",
+        "        endpoints = update.change.endpoints\n",
         scenario="bench/scenarios/by-hand.toml",
     ),
     "module-timers-left": Mutant(
--- a/holdgw/cli/fleet_log.py
+++ b/holdgw/cli/fleet_log.py
@@ -1,4 +1,4 @@
-"""`holdgw fleet-log`: what all routers of a play did, second by second, from their logs."""
+"""`holdgw fleet-log`: what all routers of a run did, interval by interval, from their logs."""
 
 from __future__ import annotations
 
@@ -10,9 +10,13 @@
 from rich.table import Table
 
 from holdgw.cli.common import UsageError
-from holdgw.operation.fleet_log import FleetLog, Second
+from holdgw.operation.fleet_log import FleetLog, Interval
 from holdgw.operation.interval_counters import LOG_LINE_PREFIX
 
+CONSOLE_COLUMNS = 220
+TABLE_COLUMNS = 14  # names a table
+BUSIEST_ENDPOINTS = 8
+
 
 def fleet_log(
     folder: Annotated[Path, typer.Argument(help="The folder with the routers' logs.")],
@@ -21,39 +25,50 @@
     everything: Annotated[bool, typer.Option("--all", help="Counts of any size.")] = False,
 ) -> int:
     """Merge the tallies that routers log where HOLDGW_TALLY is set."""
+    log = _read_logs(folder, step)
+    console = Console(width=CONSOLE_COLUMNS, highlight=False)
+    rows = [log.intervals[start_s] for start_s in sorted(log.intervals)]
+    names = [name for name, total in log.totals().items() if everything or total >= len(rows)]
+    for first in range(0, len(names), TABLE_COLUMNS):
+        console.print(_table(names[first : first + TABLE_COLUMNS], rows))
+    console.print(_table(log.state_names(), rows, states=True))
+    if servers:
+        for row in rows:
+            console.print(_busiest_line(row))
+    if log.malformed_lines:
+        console.print(f"{log.malformed_lines} lines could not be read")
+    return 0
+
+
+def _read_logs(folder: Path, interval_s: float) -> FleetLog:
+    """Read every file of the folder; raises UsageError where there is nothing to show."""
     paths = sorted(path for path in folder.glob("*") if path.is_file()) if folder.is_dir() else []
     if not paths:
         raise UsageError(f"{folder}: holds no logs")
-    log = FleetLog(step)
+    log = FleetLog(interval_s)
     for path in paths:
         log.read(path.name, path.read_text(errors="replace"))
-    if not log.seconds:
+    if not log.intervals:
         raise UsageError(
             f"{folder}: no line has a tally ({LOG_LINE_PREFIX.strip()!r}); set HOLDGW_TALLY for the routers"
         )
-    console = Console(width=220, highlight=False)
-    rows = [log.seconds[at] for at in sorted(log.seconds)]
-    names = [name for name, much in log.totals().items() if everything or much >= len(rows)]
-    for part in (names[i : i + 14] for i in range(0, len(names), 14)):
-        console.print(_table(part, rows))
-    console.print(_table(log.state_names(), rows, states=True))
-    if servers:
-        for row in rows:
-            most = ", ".join(f"{name} {a}/{b}/{c}" for name, (a, b, c) in row.busiest(8))
-            console.print(f"{row.at:6.1f} sent/late/unanswered: {most}")
-    if log.unread:
-        console.print(f"{log.unread} lines could not be read")
-    return 0
+    return log
+
+
+def _busiest_line(row: Interval) -> str:
+    busiest = row.busiest(BUSIEST_ENDPOINTS)
+    counts = ", ".join(f"{name} {sent}/{late}/{unanswered}" for name, (sent, late, unanswered) in busiest)
+    return f"{row.start_s:6.1f} sent/late/unanswered: {counts}"
 
 
-def _table(names: list[str], rows: list[Second], states: bool = False) -> Table:
+def _table(names: list[str], rows: list[Interval], states: bool = False) -> Table:
     table = Table(box=None, pad_edge=False)
     table.add_column("s", justify="right")
     table.add_column("routers", justify="right")
     for name in names:
         table.add_column(name, justify="right", overflow="fold")
     for row in rows:
-        held = row.states if states else row.counts
-        cells = (f"{held[name]:.4g}" if held.get(name) else "" for name in names)
-        table.add_row(f"{row.at:.1f}", str(len(row.routers)), *cells)
+        values = row.states if states else row.counts
+        cells = (f"{values[name]:.4g}" if values.get(name) else "" for name in names)
+        table.add_row(f"{row.start_s:.1f}", str(len(row.routers)), *cells)
     return table
--- a/holdgw/cores/__init__.py
+++ b/holdgw/cores/__init__.py
@@ -1,1 +1,1 @@
-"""Several cores behind one address: a supervisor that owns it and follows discovery, workers that serve."""
+"""One router on several cores: a supervisor accepts clients and follows discovery, worker processes serve."""
--- a/holdgw/cores/__main__.py
+++ b/holdgw/cores/__main__.py
@@ -2,12 +2,42 @@
 
 from __future__ import annotations
 
+import os
+import signal
 import sys
 
-from holdgw.cores.supervisor import main
+from holdgw.cores.supervisor import Supervisor
+from holdgw.cores.worker_pool import InsufficientResourcesError, check_resources
+from holdgw.router.config import ConfigError, load_config
+from holdgw.router.discovery import Clock, read_listing
+from holdgw.router.log import make_logger
+from holdgw.router.process import run_until_exit
+
+EXIT_USAGE = 2
+
+
+def main(workers: int) -> int:
+    """Run a router on so many cores; returns the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
+    signal.signal(signal.SIGUSR2, signal.SIG_IGN)
+    try:
+        config = load_config(os.environ)
+        check_resources(workers, config.memory, config.sockets)
+        if config.known is not None:
+            read_listing(config.known, Clock())
+    except (ConfigError, InsufficientResourcesError, ValueError) as error:
+        print(f"holdgw: {error}", file=sys.stderr)
+        return EXIT_USAGE
+    make_logger(config.name)
+
+    async def run() -> None:
+        await Supervisor(config, workers).run()
+
+    return run_until_exit(run)
+
 
 if __name__ == "__main__":
     if len(sys.argv) != 2 or not sys.argv[1].isdecimal():
         print("holdgw: usage: python -m holdgw.cores N", file=sys.stderr)
-        sys.exit(2)
+        sys.exit(EXIT_USAGE)
     sys.exit(main(int(sys.argv[1])))
--- /dev/null
+++ b/holdgw/cores/endpoint_feed.py
@@ -0,0 +1,103 @@
+"""The endpoint list of a router on several cores: followed once, by the supervisor, for all workers."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from holdgw.operation.endpoint_overrides import EndpointOverrides
+from holdgw.operation.endpoint_update import EndpointUpdate
+from holdgw.policy import (
+    NS_PER_S,
+    Action,
+    EndpointsChanged,
+    RoutingPolicy,
+    SetTimer,
+    Subscribe,
+    TimerFired,
+    UpdateKind,
+)
+from holdgw.router.config import Config
+from holdgw.router.discovery import Clock, Discovery, read_listing
+from holdgw.router.platform import Platform
+
+
+class EndpointFeed:
+    """Follows discovery, lays administrative overrides over its list, and passes on each update.
+
+    Where the settings have the policy ask for subscriptions, a policy of its own decides when: it is given
+    the events of the list alone.
+    """
+
+    def __init__(
+        self,
+        config: Config,
+        platform: Platform,
+        call_later: Callable[[float, Callable[[], None]], None],
+        on_update: Callable[[EndpointUpdate], None],
+    ) -> None:
+        """`call_later`: a delay in seconds, and what to call then; `on_update`: given each update."""
+        self._config = config
+        self._now = platform.monotonic_ns
+        self._clock = Clock(platform.monotonic_ns, platform.unix_ns)
+        self._call_later = call_later
+        self._on_update = on_update
+        self._policy = RoutingPolicy(config.settings, config.seed)
+        self._discovery = Discovery(
+            config.discovery, config.settings.subscription_required, self._clock, self._apply, self._failed
+        )
+        self.overrides = EndpointOverrides(config.settings.origin_kind)
+        self.has_list = False
+
+    def load_cached(self) -> None:
+        """Begin with the cached list of the configuration, if it names one."""
+        if self._config.known is None:
+            return
+        cached = read_listing(self._config.known, self._clock, UpdateKind.CACHED)
+        self._discovery.resume_from(cached.generation)
+        self._apply(cached)
+
+    def start(self) -> None:
+        """Follow discovery from now on."""
+        if not self._config.settings.subscription_required:
+            self._discovery.start()
+        elif self._config.known is None:
+            self._dispatch(EndpointsChanged(UpdateKind.CACHED))
+
+    def change_address(self, config: Config) -> None:
+        """Follow discovery at the address of another configuration."""
+        self._discovery.change_address(config.discovery)
+
+    def enter_maintenance(self, server_id: str) -> None:
+        """Set the override of a cache server; raises UnknownEndpointError."""
+        self._pass_on(self.overrides.enter_maintenance(server_id, self._now()))
+
+    def exit_maintenance(self, server_id: str) -> None:
+        """Clear the override; raises UnknownEndpointError."""
+        self._pass_on(self.overrides.exit_maintenance(server_id, self._now()))
+
+    def close(self) -> None:
+        """Stop following discovery."""
+        self._discovery.close()
+
+    def _apply(self, update: EndpointUpdate) -> None:
+        self._dispatch(update.change)
+        self.has_list = True
+        self._pass_on(self.overrides.apply(update))
+
+    def _pass_on(self, update: EndpointUpdate | None) -> None:
+        if update is not None:
+            self._on_update(update)
+
+    def _failed(self) -> None:
+        self._dispatch(EndpointsChanged(UpdateKind.FAILED))
+
+    def _dispatch(self, event: EndpointsChanged | TimerFired) -> None:
+        for action in self._policy.handle(event, self._now()):
+            self._carry_out(action)
+
+    def _carry_out(self, action: Action) -> None:
+        if isinstance(action, Subscribe):
+            self._discovery.subscribe()
+        elif isinstance(action, SetTimer):
+            self._call_later(action.delay_ns / NS_PER_S, partial(self._dispatch, TimerFired(action.token)))
--- a/holdgw/cores/host_system.py
+++ b/holdgw/cores/host_system.py
@@ -1,6 +1,7 @@
-"""What a supervisor and its workers take from the machine: processes, links, descriptors, shared memory.
+"""What a supervisor and its workers need of the operating system: processes, links, descriptors, memory.
 
-A simulated one is given to them in simulations. Descriptors are numbers; whoever has one `drop`s it.
+Here are the protocols and what Linux gives; a simulation gives them its own. Descriptors are numbers; whoever
+has one closes it.
 """
 
 from __future__ import annotations
@@ -11,30 +12,70 @@
 import secrets
 import socket
 from collections.abc import Callable, Mapping
-from typing import Any, Protocol
+from dataclasses import dataclass
+from typing import Any, NamedTuple, Protocol
 
 from holdgw.cores.shared_table import SharedTable, attach, create
-from holdgw.operation.process_link import ProcessLink
+from holdgw.operation.process_link import ClientHandover, ProcessLink
 from holdgw.router.client_connection import ClientListener, copy_of
-from holdgw.router.config import Config
+from holdgw.router.config import Config, ConfigError
 from holdgw.router.process import python_with
 from holdgw.router.program import passed_socket
 from holdgw.wire.address import Address
 
-PLACE, WORKERS, LINK, BOARD = "HOLDGW_PLACE", "HOLDGW_WORKERS", "HOLDGW_LINK", "HOLDGW_BOARD"
-BACKLOG = 1024
-ACCEPTS_MOST = 64  # connections taken in one turn of the loop
-AGAIN_S = 0.1  # after which accepting is tried again where it failed
-
-Decode = Callable[[bytes], Any]
-Take = Callable[[ProcessLink[Any], Any, int | None], None]
-"""Takes a message, and a descriptor that came with it."""
-Lost = Callable[[ProcessLink[Any]], None]
+INDEX_VARIABLE = "HOLDGW_PLACE"
+WORKERS_VARIABLE = "HOLDGW_WORKERS"
+LINK_VARIABLE = "HOLDGW_LINK"
+TABLE_VARIABLE = "HOLDGW_BOARD"
+LISTEN_BACKLOG = 1024
+MAX_ACCEPTS_PER_TURN = 64  # of the event loop
+ACCEPT_RETRY_S = 0.1  # after accepting has failed
+MAX_HASH_SEED = 4_000_000_000
 
 log = logging.getLogger("holdgw")
 
 
-class Running(Protocol):
+@dataclass(frozen=True, slots=True)
+class WorkerSlot:
+    """A worker's index among those of its router, and the descriptors that it is started with."""
+
+    index: int
+    worker_count: int
+    link_descriptor: int
+    table_descriptor: int
+
+    @classmethod
+    def read(cls, environ: Mapping[str, str]) -> WorkerSlot:
+        """Read what the supervisor has set; raises ConfigError."""
+        names = (INDEX_VARIABLE, WORKERS_VARIABLE, LINK_VARIABLE, TABLE_VARIABLE)
+        try:
+            return cls(*(int(environ[name]) for name in names))
+        except (KeyError, ValueError) as error:
+            raise ConfigError(f"a worker is started by its supervisor alone: {error}") from None
+
+    def variables(self) -> dict[str, str]:
+        """The environment variables that `read` reads."""
+        return {
+            INDEX_VARIABLE: str(self.index),
+            WORKERS_VARIABLE: str(self.worker_count),
+            LINK_VARIABLE: str(self.link_descriptor),
+            TABLE_VARIABLE: str(self.table_descriptor),
+        }
+
+
+def ignore_close(_: ProcessLink[Any]) -> None:
+    """For a link whose end is noticed by the end of its process."""
+
+
+class LinkHandlers(NamedTuple):
+    """What a ProcessLink is made with; see there."""
+
+    decode: Callable[[bytes], Any]
+    on_message: Callable[[ProcessLink[Any], Any, int | None], None]
+    on_closed: Callable[[ProcessLink[Any]], None] = ignore_close
+
+
+class RunningProcess(Protocol):
     """A worker's process."""
 
     @property
@@ -42,10 +83,10 @@
         """None while it runs."""
 
     async def wait(self) -> int:
-        """Wait for its end."""
+        """Wait for its end; returns its exit code."""
 
     def send_signal(self, number: int) -> None:
-        """Send it a signal; raises ProcessLookupError where it is gone."""
+        """Send it a signal; raises ProcessLookupError where it has ended."""
 
 
 class Acceptor(Protocol):
@@ -53,203 +94,185 @@
 
     address: Address
 
-    def hear(self, wanted: bool) -> None:
-        """Take connections, or leave them with the kernel."""
+    def set_accepting(self, wanted: bool) -> None:
+        """Accept connections, or leave them in the kernel's queue."""
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
+
+
+class DescriptorOwner(Protocol):
+    """Closes descriptors."""
+
+    def close_descriptor(self, descriptor: int) -> None:
+        """Close a descriptor."""
 
 
-class HostSystem(Protocol):
+class HostSystem(DescriptorOwner, Protocol):
     """What a supervisor needs."""
 
-    def board(self, workers: int) -> SharedTable:
-        """Make the shared memory; its owner closes it."""
+    def create_table(self, workers: int) -> SharedTable:
+        """Create the shared memory; the caller closes it."""
 
-    def listen(self, config: Config, take: Callable[[int], None]) -> Acceptor:
-        """Listen for clients; each connection is given on by its descriptor. Raises OSError."""
+    def listen(self, config: Config, on_connection: Callable[[int], None]) -> Acceptor:
+        """Listen for clients; each connection is passed on by its descriptor. Raises OSError."""
 
-    async def start(
-        self,
-        place: int,
-        workers: int,
-        environ: Mapping[str, str],
-        decode: Decode,
-        take: Take,
-    ) -> tuple[Running, ProcessLink[Any]]:
-        """Start a worker; raises OSError."""
+    async def start_worker(
+        self, index: int, workers: int, environ: Mapping[str, str], handlers: LinkHandlers
+    ) -> tuple[RunningProcess, ProcessLink[Any]]:
+        """Start a worker process and link to it; raises OSError."""
 
-    def dup(self, descriptor: int) -> int:
+    def duplicate(self, descriptor: int) -> int:
         """Another descriptor of the same connection."""
 
-    def drop(self, descriptor: int) -> None:
-        """Close a descriptor."""
-
     def close(self) -> None:
-        """Let go of what no worker will need any more."""
+        """Close what was kept for the start of workers."""
 
 
-class WorkerHostSystem(Protocol):
+class WorkerHostSystem(DescriptorOwner, Protocol):
     """What a worker needs."""
 
-    def board(self, workers: int, place: int) -> SharedTable:
-        """The shared memory as this worker sees it."""
+    def attach_table(self, slot: WorkerSlot) -> SharedTable:
+        """The shared memory as this worker sees it; the caller closes it."""
 
-    def link(
-        self,
-        decode: Decode,
-        take: Take,
-        lost: Lost,
-    ) -> ProcessLink[Any]:
-        """The link to the supervisor."""
+    def open_link(self, handlers: LinkHandlers) -> ProcessLink[Any]:
+        """Open the link to the supervisor."""
 
-    async def adopt(self, clients: ClientListener, told: Any, descriptor: int, late: int) -> None:
-        """Take a client's connection."""
-
-    def copy(self, transport: Any) -> int:
-        """A descriptor of a client's connection."""
+    async def adopt_client(
+        self, clients: ClientListener, handover: ClientHandover | None, descriptor: int, late_ns: int
+    ) -> None:
+        """Serve a client's connection; `late_ns`: how long its bytes may have waited unread."""
 
-    def drop(self, descriptor: int) -> None:
-        """Close a descriptor."""
+    def duplicate_client(self, transport: Any) -> int:
+        """A descriptor of a client's connection, to hand over."""
 
 
-class _Ear:
-    """A listening socket, accepted from by hand: a connection is never this process's to read."""
+class _SocketAcceptor:
+    """A listening socket, accepted from without asyncio: a connection is never this process's to read."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, take: Callable[[int], None]
+        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, on_connection: Callable[[int], None]
     ) -> None:
-        self._loop, self._sock, self._take = loop, sock, take
-        self._hearing = False
-        self._again: asyncio.TimerHandle | None = None
+        self._loop = loop
+        self._sock = sock
+        self._on_connection = on_connection
+        self._accepting = False
+        self._retry: asyncio.TimerHandle | None = None
         sock.setblocking(False)
         self.address: Address = sock.getsockname()[:2]
 
-    def hear(self, wanted: bool) -> None:
-        """Take connections, or leave them with the kernel."""
-        if self._again is not None:
-            self._again.cancel()
-            self._again = None
-        if wanted == self._hearing or self._sock.fileno() < 0:
+    def set_accepting(self, wanted: bool) -> None:
+        """Accept connections, or leave them in the kernel's queue."""
+        if self._retry is not None:
+            self._retry.cancel()
+            self._retry = None
+        if wanted == self._accepting or self._sock.fileno() < 0:
             return
-        self._hearing = wanted
+        self._accepting = wanted
         if wanted:
             self._loop.add_reader(self._sock, self._accept)
         else:
             self._loop.remove_reader(self._sock)
 
     def _accept(self) -> None:
-        for _ in range(ACCEPTS_MOST):
-            if not self._hearing:
+        for _ in range(MAX_ACCEPTS_PER_TURN):
+            if not self._accepting:
                 return
             try:
                 sock, _address = self._sock.accept()
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                # Danger: with no descriptor left this would be called again at once, and take the whole core.
-                log.warning("accepting: %s", error)
-                self.hear(False)
-                self._again = self._loop.call_later(AGAIN_S, self.hear, True)
+                # With no descriptor left the loop would call this again at once, and take the whole core.
+                log.warning("accepting failed error=%s retry_s=%g", error, ACCEPT_RETRY_S)
+                self.set_accepting(False)
+                self._retry = self._loop.call_later(ACCEPT_RETRY_S, self.set_accepting, True)
                 return
-            self._take(sock.detach())
+            self._on_connection(sock.detach())
 
     def close(self) -> None:
-        """Listen no more."""
-        self.hear(False)
+        """Stop listening."""
+        self.set_accepting(False)
         self._sock.close()
 
 
-class LinuxHostSystem:
-    """This machine, for a supervisor."""
+class _LinuxDescriptors:
+    """Descriptors of this process."""
+
+    def duplicate(self, descriptor: int) -> int:
+        """Another descriptor of the same connection."""
+        return os.dup(descriptor)
+
+    def close_descriptor(self, descriptor: int) -> None:
+        """Close a descriptor."""
+        os.close(descriptor)
+
+
+class LinuxHostSystem(_LinuxDescriptors):
+    """Linux, for a supervisor."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._descriptor = -1
-        self._hash_seed = str(secrets.randbelow(4_000_000_000) + 1)
-
-    def board(self, workers: int) -> SharedTable:
-        """Make the shared memory; its owner closes it."""
-        self._descriptor = create(workers)
-        return SharedTable(attach(self._descriptor, workers), workers)
-
-    def listen(self, config: Config, take: Callable[[int], None]) -> Acceptor:
-        """Listen for clients."""
-        sock = passed_socket(config.passed) or socket.create_server(config.listen, backlog=BACKLOG)
-        return _Ear(self._loop, sock, take)
-
-    async def start(
-        self,
-        place: int,
-        workers: int,
-        environ: Mapping[str, str],
-        decode: Decode,
-        take: Take,
-    ) -> tuple[Running, ProcessLink[Any]]:
-        """Start a worker."""
+        self._table_descriptor = -1
+        self._hash_seed = str(secrets.randbelow(MAX_HASH_SEED) + 1)
+
+    def create_table(self, workers: int) -> SharedTable:
+        """Create the shared memory; the caller closes it."""
+        self._table_descriptor = create(workers)
+        return SharedTable(attach(self._table_descriptor, workers), workers)
+
+    def listen(self, config: Config, on_connection: Callable[[int], None]) -> Acceptor:
+        """Listen for clients, on the passed socket if there is one."""
+        sock = passed_socket(config.passed) or socket.create_server(config.listen, backlog=LISTEN_BACKLOG)
+        return _SocketAcceptor(self._loop, sock, on_connection)
+
+    async def start_worker(
+        self, index: int, workers: int, environ: Mapping[str, str], handlers: LinkHandlers
+    ) -> tuple[RunningProcess, ProcessLink[Any]]:
+        """Start a worker process and link to it."""
         here, there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        told = {
-            PLACE: str(place),
-            WORKERS: str(workers),
-            LINK: str(there.fileno()),
-            BOARD: str(self._descriptor),
-            "PYTHONHASHSEED": self._hash_seed,
-        }
+        slot = WorkerSlot(index, workers, there.fileno(), self._table_descriptor)
         try:
             process = await asyncio.create_subprocess_exec(
                 *python_with("holdgw.cores.worker"),
-                env={**environ, **told},
-                pass_fds=(there.fileno(), self._descriptor),
+                env={**environ, **slot.variables(), "PYTHONHASHSEED": self._hash_seed},
+                pass_fds=(there.fileno(), self._table_descriptor),
             )
         except OSError:
             here.close()
             raise
         finally:
             there.close()
-        return process, ProcessLink(self._loop, here, decode, take, lambda _: None)
-
-    def dup(self, descriptor: int) -> int:
-        """Another descriptor of the same connection."""
-        return os.dup(descriptor)
-
-    def drop(self, descriptor: int) -> None:
-        """Close a descriptor."""
-        os.close(descriptor)
+        return process, ProcessLink(self._loop, here, *handlers)
 
     def close(self) -> None:
-        """Let go of the shared memory's descriptor."""
-        os.close(self._descriptor)
+        """Close the descriptor of the shared memory."""
+        os.close(self._table_descriptor)
 
 
-class LinuxWorkerHostSystem:
-    """This machine, for a worker that came with these descriptors."""
+class LinuxWorkerHostSystem(_LinuxDescriptors):
+    """Linux, for a worker that was started with these descriptors."""
 
-    def __init__(self, link: int, board: int) -> None:
-        self._link, self._board = link, board
+    def __init__(self, slot: WorkerSlot) -> None:
+        self._slot = slot
 
-    def board(self, workers: int, place: int) -> SharedTable:
-        """The shared memory as this worker sees it."""
-        memory = attach(self._board, workers)
-        os.close(self._board)
-        return SharedTable(memory, workers, place)
+    def attach_table(self, slot: WorkerSlot) -> SharedTable:
+        """The shared memory as this worker sees it; the caller closes it."""
+        memory = attach(slot.table_descriptor, slot.worker_count)
+        os.close(slot.table_descriptor)
+        return SharedTable(memory, slot.worker_count, slot.index)
 
-    def link(
-        self,
-        decode: Decode,
-        take: Take,
-        lost: Lost,
-    ) -> ProcessLink[Any]:
-        """The link to the supervisor."""
-        return ProcessLink(asyncio.get_running_loop(), socket.socket(fileno=self._link), decode, take, lost)
+    def open_link(self, handlers: LinkHandlers) -> ProcessLink[Any]:
+        """Open the link to the supervisor."""
+        sock = socket.socket(fileno=self._slot.link_descriptor)
+        return ProcessLink(asyncio.get_running_loop(), sock, *handlers)
 
-    async def adopt(self, clients: ClientListener, told: Any, descriptor: int, late: int) -> None:
-        """Take a client's connection."""
-        await clients.adopt(told, descriptor, late)
+    async def adopt_client(
+        self, clients: ClientListener, handover: ClientHandover | None, descriptor: int, late_ns: int
+    ) -> None:
+        """Serve a client's connection."""
+        await clients.adopt(handover, descriptor, late_ns)
 
-    def copy(self, transport: Any) -> int:
-        """A descriptor of a client's connection."""
+    def duplicate_client(self, transport: Any) -> int:
+        """A descriptor of a client's connection, to hand over."""
         return copy_of(transport)
-
-    def drop(self, descriptor: int) -> None:
-        """Close a descriptor."""
-        os.close(descriptor)
--- a/holdgw/cores/messages.py
+++ b/holdgw/cores/messages.py
@@ -1,4 +1,4 @@
-"""What a supervisor and its workers say to each other. Unknown fields of any message are ignored."""
+"""Messages between a supervisor and its worker processes. Unknown fields of any message are ignored."""
 
 from __future__ import annotations
 
@@ -12,53 +12,64 @@
 from holdgw.policy import EndpointsChanged
 
 
-class EndpointUpdatePart(msgspec.Struct, tag="listed", frozen=True):
-    """News of the list, or a part of it; it is taken once all parts are there."""
+class EndpointUpdatePart(msgspec.Struct, tag="listed", rename={"update": "listing"}, frozen=True):
+    """An endpoint update, or a part of it; it is applied once all parts are there."""
 
-    listing: EndpointUpdate
+    update: EndpointUpdate
     more: bool
+    """Whether another part follows."""
 
 
 class LimitShares(msgspec.Struct, tag="shares", frozen=True):
-    """The part of each tenant's limit that is the worker's from now on."""
+    """The worker's limit shares from now on."""
 
     number: int
+    """Counts the messages of this kind to one worker."""
     shares: dict[str, float]
+    """By tenant, 0 to 1; a tenant that is not named keeps its share."""
 
 
-class NewClient(msgspec.Struct, tag="fresh", frozen=True):
+class NewClient(msgspec.Struct, tag="fresh", rename={"accepted_ns": "since"}, frozen=True):
     """A new client's connection, whose descriptor comes along."""
 
-    since: int
-    """When it was accepted (monotonic ns, the machine's): what it asked since has waited so long."""
+    accepted_ns: int
+    """When it was accepted, on the machine's monotonic clock: its first request has waited since then."""
 
 
 class HandOver(msgspec.Struct, tag="handover", frozen=True):
-    """Give every client's connection back, each once nothing taken on it is unanswered, and end."""
+    """Hand every client's connection back, each once nothing is unanswered on it, and end."""
 
 
 class Serving(msgspec.Struct, tag="serving", frozen=True):
-    """The worker has the list of servers and can serve."""
+    """The worker has the endpoint list and can serve."""
 
 
-class ClientsAccepted(msgspec.Struct, tag="took", frozen=True):
-    """So many connections of those dealt are the worker's now; nothing was read of the last one yet."""
+class ClientsAccepted(msgspec.Struct, tag="took", rename={"accepted": "dealt"}, frozen=True):
+    """So many of the connections sent are the worker's now; nothing is read of the last one yet."""
 
-    dealt: int
+    accepted: int
+    """Since the worker's start."""
 
 
-class WorkerReport(msgspec.Struct, tag="account", frozen=True):
-    """How the worker stands."""
+class WorkerReport(
+    msgspec.Struct, tag="account", rename={"shares_number": "shares", "ejected": "avoided"}, frozen=True
+):
+    """A worker's load, demand and metrics."""
 
     connected: int
-    shares: int
-    """Number of the shares that it goes by."""
+    """Clients."""
+    shares_number: int
+    """Number of the last LimitShares that it applied."""
     demands: dict[str, float]
+    """Each tenant's calls for the origin a second."""
     results: dict[str, list[int]]
     """Final answers since its start, by class, in Disposition's order."""
     forwards: int
+    """Attempts since its start."""
     outstanding: int
-    avoided: list[str]
+    """Requests not answered yet."""
+    ejected: list[str]
+    """Ids of ejected endpoints."""
 
 
 ToWorker = EndpointUpdatePart | LimitShares | HandOver | HandoverPart | NewClient | ClientHandover
@@ -68,27 +79,28 @@
 decode_to_supervisor = msgspec.msgpack.Decoder(ToSupervisor).decode
 
 
-def split_update(listing: EndpointUpdate) -> Iterator[EndpointUpdatePart]:
-    """Cut news of the list into messages."""
-    batches = list(batched(listing.change.endpoints, MAX_PART_ITEMS)) or [[]]
+def split_update(update: EndpointUpdate) -> Iterator[EndpointUpdatePart]:
+    """Cut an endpoint update into messages."""
+    batches = list(batched(update.change.endpoints, MAX_PART_ITEMS)) or [[]]
     for i, batch in enumerate(batches):
-        change = EndpointsChanged(listing.change.kind, tuple(batch))
-        addresses = {one.id: listing.addresses[one.id] for one in batch if one.id in listing.addresses}
-        yield EndpointUpdatePart(replace(listing, change=change, addresses=addresses), i + 1 < len(batches))
+        change = EndpointsChanged(update.change.kind, tuple(batch))
+        addresses = {one.id: update.addresses[one.id] for one in batch if one.id in update.addresses}
+        yield EndpointUpdatePart(replace(update, change=change, addresses=addresses), i + 1 < len(batches))
 
 
 class UpdateAssembler:
-    """Puts news of the list together again."""
+    """Joins the parts of endpoint updates."""
 
     def __init__(self) -> None:
-        self._held: EndpointUpdate | None = None
-
-    def take(self, part: EndpointUpdatePart) -> EndpointUpdate | None:
-        """Take a part; returns the news once it is whole."""
-        listing = part.listing
-        if self._held is not None:
-            held = self._held
-            change = EndpointsChanged(held.change.kind, held.change.endpoints + listing.change.endpoints)
-            listing = replace(held, change=change, addresses=held.addresses | listing.addresses)
-        self._held = listing if part.more else None
-        return None if part.more else listing
+        self._incomplete: EndpointUpdate | None = None
+
+    def add(self, part: EndpointUpdatePart) -> EndpointUpdate | None:
+        """Add a part; returns the update once it is complete."""
+        update = part.update if self._incomplete is None else _joined(self._incomplete, part.update)
+        self._incomplete = update if part.more else None
+        return None if part.more else update
+
+
+def _joined(update: EndpointUpdate, more: EndpointUpdate) -> EndpointUpdate:
+    change = EndpointsChanged(update.change.kind, update.change.endpoints + more.change.endpoints)
+    return replace(update, change=change, addresses=update.addresses | more.addresses)
--- a/holdgw/cores/supervisor.py
+++ b/holdgw/cores/supervisor.py
@@ -1,72 +1,66 @@
-"""The supervisor's sockets and processes: `holdgw run --cores N`. What to do is decided in crew.py.
+"""The supervisor of `holdgw run --cores N`: its sockets and processes. Decisions are WorkerPool's.
 
-It owns the clients' listening socket and deals each new connection to a worker by its descriptor; it follows
-discovery, once for all, and passes the news on; it has the operators' door. It holds no client's bytes.
+It owns the clients' listening socket and sends each new connection to a worker by its descriptor; it follows
+discovery once, for all workers; it has the admin endpoint. It holds no client's bytes.
 """
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import os
 import signal
-import sys
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from contextlib import suppress
 from dataclasses import dataclass, field
 from functools import partial
-from typing import Any
+from typing import Any, NamedTuple
 
 from holdgw.cores import messages
-from holdgw.cores.host_system import Acceptor, HostSystem, LinuxHostSystem, Running
-from holdgw.cores.worker_pool import InsufficientResourcesError, WorkerPool, WorkerProcess, check
+from holdgw.cores.endpoint_feed import EndpointFeed
+from holdgw.cores.host_system import Acceptor, HostSystem, LinkHandlers, LinuxHostSystem, RunningProcess
+from holdgw.cores.worker_pool import WorkerPool, WorkerProcess, check_resources
 from holdgw.operation.admin_endpoint import AdminEndpoint
-from holdgw.operation.endpoint_overrides import EndpointOverrides
 from holdgw.operation.endpoint_update import EndpointUpdate
-from holdgw.operation.metrics import Metrics
+from holdgw.operation.metrics import Metrics, worker_count_text
 from holdgw.operation.process_link import ClientHandover, HandoverPart, ProcessLink
-from holdgw.policy import (
-    NS_PER_S,
-    Action,
-    EndpointsChanged,
-    RoutingPolicy,
-    SetTimer,
-    Subscribe,
-    TimerFired,
-    UpdateKind,
-    disabled_features,
-)
-from holdgw.router.config import Config, ConfigError, load_config
-from holdgw.router.discovery import Clock, Discovery, read_listing
+from holdgw.policy import NS_PER_S, disabled_features
+from holdgw.router.config import Config
 from holdgw.router.event_loop_lag import LagMonitor
-from holdgw.router.log import log_faults, make_logger
+from holdgw.router.log import log_faults
 from holdgw.router.platform import Platform
-from holdgw.router.process import run_until_exit
 from holdgw.router.program import ACCEPT_S, KILL_SLACK_S, READY_S, reload_config
 from holdgw.router.timer_wheel import TimerWheel
 
-LOOK_S = 0.02  # whether this process stood still: what it accepts then has waited
-BEAT_S = 0.1  # shares, starts that are overdue, replacements
-WAITING_MOST = 4096  # connections that no worker can take yet; more wait in the kernel
-
-Connected = messages.NewClient | ClientHandover
+LAG_CHECK_INTERVAL_S = 0.02
+TICK_S = 0.1  # limit shares, overdue starts, replacements
+DRAIN_CHECK_INTERVAL_S = 0.01
+MAX_WAITING_CLIENTS = 4096  # that no worker can take yet; more stay in the kernel's queue
+TASK_TIMEOUT_S = 1.0  # for each task that watches a worker's end
 
 log = logging.getLogger("holdgw")
 
 
+class Client(NamedTuple):
+    """A client's connection on its way to a worker."""
+
+    message: messages.NewClient | ClientHandover
+    descriptor: int
+    """The supervisor's own; a worker is sent a duplicate."""
+
+
 @dataclass(eq=False)
 class Worker:
-    """A worker's process as the supervisor holds it."""
+    """A worker process with its link, as the supervisor holds it."""
 
-    member: WorkerProcess
-    process: Running
+    state: WorkerProcess
+    process: RunningProcess
     link: ProcessLink[messages.ToSupervisor]
-    copies: deque[tuple[Connected, int]] = field(default_factory=deque)
-    """What was dealt and is not said to be there yet, with a copy of each descriptor."""
-    account: messages.WorkerReport | None = None
-    heir: Worker | None = None
-    """The one that its connections go to."""
+    unconfirmed: deque[Client] = field(default_factory=deque)
+    """What was sent and is not confirmed yet."""
+    report: messages.WorkerReport | None = None
+    replacement: Worker | None = None
+    """The new process that its connections go to."""
 
 
 class Supervisor:
@@ -77,324 +71,292 @@
         config: Config,
         workers: int,
         platform: Platform | None = None,
-        machine: HostSystem | None = None,
+        host_system: HostSystem | None = None,
     ) -> None:
-        """Raises CannotFeedError."""
-        check(workers, config.memory, config.sockets)
-        self.config, self.platform = config, platform or Platform()
-        self.loop = loop = asyncio.get_running_loop()
-        self.crew = WorkerPool(workers, tuple(tenant.name for tenant in config.settings.tenants))
+        """Raises InsufficientResourcesError."""
+        check_resources(workers, config.memory, config.sockets)
+        self.config = config
+        self.platform = platform or Platform()
+        self.loop = asyncio.get_running_loop()
+        self.pool = WorkerPool(workers, tuple(tenant.name for tenant in config.settings.tenants))
         self.workers: dict[WorkerProcess, Worker] = {}
-        self.roster = EndpointOverrides(config.settings.origin_kind)
-        self.door = AdminEndpoint(loop, self)
-        self._clock = Clock(self.platform.monotonic_ns, self.platform.unix_ns)
-        # Where lists are asked for, the module decides when; this one is told of lists alone.
-        self._lists = RoutingPolicy(config.settings, config.seed)
-        self.discovery = Discovery(
-            config.discovery, config.settings.subscription_required, self._clock, self._take, self._failed
-        )
-        self.machine = machine or LinuxHostSystem()
-        self.board = self.machine.board(workers)
-        self._ear: Acceptor | None = None
-        self._waiting: deque[tuple[Connected, int]] = deque()
-        self._known = False  # there is a list of servers
+        self._admin_endpoint = AdminEndpoint(self.loop, self)
+        self._feed = EndpointFeed(config, self.platform, self._call_later, self._send_update)
+        self._host_system = host_system or LinuxHostSystem()
+        self._shared_table = self._host_system.create_table(workers)
+        self._acceptor: Acceptor | None = None
+        self._waiting: deque[Client] = deque()
         classes = (cls.name for cls in config.settings.classes)
-        self._ended = Metrics(classes, disabled_features(config.settings))  # by workers that are gone
+        # Counts of workers that have ended.
+        self._ended_metrics = Metrics(classes, disabled_features(config.settings))
         self._terminated = asyncio.Event()
         self._tasks: dict[asyncio.Task[None], None] = {}
-        self._wheel = TimerWheel(loop, self.platform.monotonic_ns)
-        self._beats = LagMonitor(int(LOOK_S * NS_PER_S), self.platform.monotonic_ns())
+        self._timer_wheel = TimerWheel(self.loop, self.platform.monotonic_ns)
+        self._lag_monitor = LagMonitor(int(LAG_CHECK_INTERVAL_S * NS_PER_S), self.platform.monotonic_ns())
 
     async def run(self, listening: asyncio.Future[Any] | None = None) -> None:
-        """Serve until SIGTERM, and then until every worker has drained."""
-        config, loop = self.config, self.loop
-        log_faults(loop)
-        self._ear = self.machine.listen(config, self._fresh)
-        loop.add_signal_handler(signal.SIGTERM, self._terminated.set)
-        loop.add_signal_handler(signal.SIGHUP, self._reload)
-        loop.add_signal_handler(signal.SIGUSR2, self.replace)
-        if config.known is not None:
-            known = read_listing(config.known, self._clock, UpdateKind.CACHED)
-            self.discovery.resume_from(known.generation)
-            self._take(known)
-        if config.ops is not None:
-            await self.door.listen(config.ops)
-        for place in range(self.crew.workers):
-            await self._start(place)
-        self._ear.hear(True)
+        """Serve until SIGTERM, and then until every worker has drained; `listening`: given the address."""
+        log_faults(self.loop)
+        self._acceptor = self._host_system.listen(self.config, self._accept_client)
+        self.loop.add_signal_handler(signal.SIGTERM, self._terminated.set)
+        self.loop.add_signal_handler(signal.SIGHUP, self._reload)
+        self.loop.add_signal_handler(signal.SIGUSR2, self.replace_workers)
+        self._feed.load_cached()
+        if self.config.ops is not None:
+            await self._admin_endpoint.listen(self.config.ops)
+        for index in range(self.pool.workers):
+            await self._start_worker(index)
+        self._acceptor.set_accepting(True)
         if listening is not None:
-            listening.set_result(self._ear.address)
-        if not config.settings.subscription_required:
-            self.discovery.start()
-        elif config.known is None:
-            self._tell_module(EndpointsChanged(UpdateKind.CACHED))
-        self._later(READY_S, self._look_for_a_list)
-        self._later(BEAT_S, self._beat)
-        self._look()
+            listening.set_result(self._acceptor.address)
+        self._feed.start()
+        self._call_later(READY_S, self._check_for_list)
+        self._call_later(TICK_S, self._tick)
+        self._check_lag()
         await self._terminated.wait()
-        await self._end()
+        await self._drain()
+        await self._close()
 
-    async def _end(self) -> None:
-        """Drain: clients are sent here for a while yet, and every worker answers what it has taken."""
-        self.crew.ending = True
+    async def _drain(self) -> None:
+        """Accept for a while yet, as clients go on connecting; then wait for every worker's end."""
+        self.pool.ending = True
         begun = self.loop.time()
-        for one in list(self.workers.values()):
-            self._signal(one, signal.SIGTERM)
+        for worker in list(self.workers.values()):
+            self._signal(worker, signal.SIGTERM)
         await asyncio.sleep(ACCEPT_S)
-        if self._ear is not None:
-            self._ear.close()
-            self._ear = None
+        if self._acceptor is not None:
+            self._acceptor.close()
+            self._acceptor = None
         while self.workers and self.loop.time() < begun + self.config.longest_s + KILL_SLACK_S:
-            await asyncio.sleep(0.01)
-        for one in list(self.workers.values()):
-            log.error("worker %d does not end; killed", one.member.place)
-            self._signal(one, signal.SIGKILL)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
+        for worker in list(self.workers.values()):
+            log.error("worker does not end, killing it worker=%d", worker.state.index)
+            self._signal(worker, signal.SIGKILL)
         for task in list(self._tasks):
-            await asyncio.wait((task,), timeout=1.0)
-        self._wheel.close()
-        self.door.close()
-        self.discovery.close()
-        for _, descriptor in self._waiting:
-            self.machine.drop(descriptor)
-        self._waiting.clear()
-        self.board.close()
-        self.machine.close()
-        await asyncio.sleep(0)
-
-    def _later(self, delay: float, callback: Callable[[], None]) -> None:
-        self._wheel.call_at(self.platform.monotonic_ns() + int(delay * NS_PER_S), callback)
-
-    # Workers
-
-    async def _start(self, place: int) -> None:
-        if self.crew.ending:
+            await asyncio.wait((task,), timeout=TASK_TIMEOUT_S)
+
+    async def _close(self) -> None:
+        self._timer_wheel.close()
+        self._admin_endpoint.close()
+        self._feed.close()
+        self._close_clients(self._waiting)
+        self._shared_table.close()
+        self._host_system.close()
+        await asyncio.sleep(0)  # lets the transports close
+
+    def _call_later(self, delay_s: float, callback: Callable[[], None]) -> None:
+        self._timer_wheel.call_at(self.platform.monotonic_ns() + int(delay_s * NS_PER_S), callback)
+
+    # Worker processes
+
+    async def _start_worker(self, index: int) -> None:
+        if self.pool.ending:
             return
-        member = self.crew.started(place, self.loop.time())
+        state = self.pool.process_started(index, self.loop.time())
+        handlers = LinkHandlers(messages.decode_to_supervisor, partial(self._receive, state))
         try:
-            process, link = await self.machine.start(
-                place,
-                self.crew.workers,
-                self.platform.environ,
-                messages.decode_to_supervisor,
-                partial(self._word, member),
+            process, link = await self._host_system.start_worker(
+                index, self.pool.workers, self.platform.environ, handlers
             )
         except OSError as error:
-            log.error("worker %d can't be started: %s", place, error)
-            wait = self.crew.exited(member, self.loop.time())
-            if wait is not None:
-                self._later(wait, partial(self._start_soon, place))
+            log.error("worker can't be started worker=%d error=%s", index, error)
+            self._restart_after(index, self.pool.process_ended(state, self.loop.time()))
             return
-        one = self.workers[member] = Worker(member, process, link)
-        if self._known:
-            for part in messages.split_update(self.roster.full_update()):
+        worker = Worker(state, process, link)
+        self.workers[state] = worker
+        if self._feed.has_list:
+            for part in messages.split_update(self._feed.overrides.full_update()):
                 link.send(part)
-        self._spawn(self._watch(one))
-        if self.crew.ending:
-            self._signal(one, signal.SIGTERM)
+        self._create_task(self._await_end(worker))
+        if self.pool.ending:
+            self._signal(worker, signal.SIGTERM)
+
+    def _restart_after(self, index: int, delay_s: float | None) -> None:
+        if delay_s is not None:
+            self._call_later(delay_s, partial(self._start_soon, index))
 
-    def _start_soon(self, place: int) -> None:
-        self._spawn(self._start(place))
+    def _start_soon(self, index: int) -> None:
+        self._create_task(self._start_worker(index))
 
-    def _spawn(self, work: Any) -> None:
+    def _create_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(work)
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
-    async def _watch(self, one: Worker) -> None:
-        code = await one.process.wait()
-        one.link.read()  # what it said before its end
-        one.link.close()
-        del self.workers[one.member]
-        wait = self.crew.exited(one.member, self.loop.time())
-        if one.account is not None:
-            self._ended.add(one.account.results, one.account.forwards)
-        # Danger: what was dealt to it in its last instant would be lost unread; its client waits for nothing.
-        for client, descriptor in one.copies:
-            self._deal(client, descriptor)
-        one.copies.clear()
-        expected = one.heir is not None or self.crew.ending
+    async def _await_end(self, worker: Worker) -> None:
+        code = await worker.process.wait()
+        worker.link.read()  # what it sent before its end
+        worker.link.close()
+        del self.workers[worker.state]
+        delay_s = self.pool.process_ended(worker.state, self.loop.time())
+        if worker.report is not None:
+            self._ended_metrics.add(worker.report.results, worker.report.forwards)
+        # What it had not confirmed it has not read of: another worker gets it, and the client waits on.
+        for client in worker.unconfirmed:
+            self._assign(client)
+        worker.unconfirmed.clear()
+        self._note_end(worker, code)
+        self._restart_after(worker.state.index, delay_s)
+
+    def _note_end(self, worker: Worker, code: int) -> None:
+        index = worker.state.index
+        expected = worker.replacement is not None or self.pool.ending
         log.log(
-            logging.INFO if expected else logging.ERROR, "worker %d ended with %d", one.member.place, code
+            logging.INFO if expected else logging.ERROR, "worker ended worker=%d exit_code=%d", index, code
         )
-        if not expected and self.crew.not_replaced(one.member.place):
-            log.error("replacing: worker %d did not come up; the old ones go on", one.member.place)
-        if wait is not None:
-            self._later(wait, partial(self._start_soon, one.member.place))
-
-    def _signal(self, one: Worker, number: signal.Signals) -> None:
-        if one.process.returncode is None:
-            with suppress(ProcessLookupError):  # its end is about to be told
-                one.process.send_signal(number)
-
-    def replace(self) -> None:
-        """Replace every worker by a new process, one after the other; the sources are read anew."""
-        if self.crew.replace(self.loop.time()):
-            log.info("replacing %d workers", self.crew.workers)
-
-    def _look(self) -> None:
-        self._later(LOOK_S, self._look)
-        self._beats.beat(self.platform.monotonic_ns())
-
-    def _beat(self) -> None:
-        self._later(BEAT_S, self._beat)
-        now = self.loop.time()
-        for member in self.crew.overdue(now):
-            log.error("worker %d can't serve in time; killed", member.place)
-            self._signal(self.workers[member], signal.SIGKILL)
-        place = self.crew.next_to_replace()
-        if place is not None:
-            self._start_soon(place)
-        elif self.crew.all_replaced():
-            log.info("replaced %d workers", self.crew.workers)
-        self._tell_shares()
-
-    def _tell_shares(self) -> None:
-        for member, shares in self.crew.share_out().items():
-            self.workers[member].link.send(messages.LimitShares(member.told_number, shares))
-
-    def _word(
+        if not expected and self.pool.abort_replacement(index):
+            log.error("replacement of workers aborted, old processes go on worker=%d", index)
+
+    def _signal(self, worker: Worker, number: signal.Signals) -> None:
+        if worker.process.returncode is None:
+            with suppress(ProcessLookupError):  # it has just ended
+                worker.process.send_signal(number)
+
+    def replace_workers(self) -> None:
+        """Replace every worker process, one after the other; the sources are read anew."""
+        if self.pool.begin_replacement(self.loop.time()):
+            log.info("replacement of workers began workers=%d", self.pool.workers)
+
+    def _check_lag(self) -> None:
+        self._call_later(LAG_CHECK_INTERVAL_S, self._check_lag)
+        self._lag_monitor.beat(self.platform.monotonic_ns())
+
+    def _tick(self) -> None:
+        self._call_later(TICK_S, self._tick)
+        for state in self.pool.overdue(self.loop.time()):
+            log.error("worker not serving in time, killing it worker=%d", state.index)
+            self._signal(self.workers[state], signal.SIGKILL)
+        index = self.pool.next_to_replace()
+        if index is not None:
+            self._start_soon(index)
+        elif self.pool.finish_replacement():
+            log.info("replacement of workers done workers=%d", self.pool.workers)
+        self._send_shares()
+
+    def _send_shares(self) -> None:
+        for state, shares in self.pool.rebalance_shares().items():
+            self.workers[state].link.send(messages.LimitShares(state.shares_number, shares))
+
+    def _receive(
         self,
-        member: WorkerProcess,
+        state: WorkerProcess,
         _: ProcessLink[messages.ToSupervisor],
-        word: messages.ToSupervisor,
+        message: messages.ToSupervisor,
         descriptor: int | None,
     ) -> None:
-        one = self.workers[member]
-        match word:
+        worker = self.workers[state]
+        match message:
             case messages.Serving():
-                self._serves(one)
+                self._worker_serving(worker)
             case messages.ClientsAccepted():
-                self.crew.took(member, word.dealt, self.loop.time())
-                while len(one.copies) > member.dealt - word.dealt:
-                    self.machine.drop(one.copies.popleft()[1])
+                self._clients_accepted(worker, message.accepted)
             case messages.WorkerReport():
-                one.account = word
-                self.crew.account(member, word.connected, word.shares, word.demands)
-            case HandoverPart() if one.heir is not None:
-                one.heir.link.send(word)
+                worker.report = message
+                self.pool.apply_report(state, message.connected, message.shares_number, message.demands)
+            case HandoverPart() if worker.replacement is not None:
+                worker.replacement.link.send(message)
             case ClientHandover() if descriptor is not None:
-                self._deal(word, descriptor)
+                self._assign(Client(message, descriptor))
                 descriptor = None
         if descriptor is not None:
-            self.machine.drop(descriptor)
-
-    def _serves(self, one: Worker) -> None:
-        before = self.crew.serving(one.member)
-        self._tell_shares()
-        if before is not None:
-            elder = self.workers[before]
-            elder.heir = one
-            elder.link.send(messages.HandOver())
-        waiting, self._waiting = self._waiting, deque()
-        for client, descriptor in waiting:
-            self._deal(client, descriptor)
-        if self._ear is not None:
-            self._ear.hear(True)
+            self._host_system.close_descriptor(descriptor)
+
+    def _worker_serving(self, worker: Worker) -> None:
+        replaced = self.pool.process_serving(worker.state)
+        self._send_shares()
+        if replaced is not None:
+            old_worker = self.workers[replaced]
+            old_worker.replacement = worker
+            old_worker.link.send(messages.HandOver())
+        waiting = self._waiting
+        self._waiting = deque()
+        for client in waiting:
+            self._assign(client)
+        if self._acceptor is not None:
+            self._acceptor.set_accepting(True)
 
     # Clients
 
-    def _fresh(self, descriptor: int) -> None:
+    def _accept_client(self, descriptor: int) -> None:
         now = self.platform.monotonic_ns()
-        self._deal(messages.NewClient(now - self._beats.possible_lag_ns(now)), descriptor)
-        if len(self._waiting) >= WAITING_MOST and self._ear is not None:
-            self._ear.hear(False)
-
-    def _deal(self, client: Connected, descriptor: int) -> None:
-        member = self.crew.deal(self.loop.time())
-        if member is None:
-            if self.crew.ending and not self.workers:
-                self.machine.drop(descriptor)
-            else:
-                self._waiting.append((client, descriptor))
-            return
-        one = self.workers[member]
-        one.copies.append((client, descriptor))
-        one.link.send(client, self.machine.dup(descriptor))
-
-    # The list of servers
-
-    def _take(self, listing: EndpointUpdate) -> None:
-        self._tell_module(listing.change)
-        self._known = True
-        self._tell_list(self.roster.apply(listing))
-
-    def _tell_list(self, listing: EndpointUpdate | None) -> None:
-        if listing is None:
-            return
-        for part in messages.split_update(listing):
-            for one in self.workers.values():
-                one.link.send(part)
-        self.board.advance()
-
-    def _look_for_a_list(self) -> None:
-        if not self._known:
-            log.warning("no list of servers yet")
-
-    def _failed(self) -> None:
-        self._tell_module(EndpointsChanged(UpdateKind.FAILED))
-
-    def _tell_module(self, event: EndpointsChanged | TimerFired) -> None:
-        for action in self._lists.handle(event, self.platform.monotonic_ns()):
-            self._carry_out(action)
-
-    def _carry_out(self, action: Action) -> None:
-        if isinstance(action, Subscribe):
-            self.discovery.subscribe()
-        elif isinstance(action, SetTimer):
-            self._later(action.delay_ns / NS_PER_S, partial(self._tell_module, TimerFired(action.token)))
+        accepted_ns = now - self._lag_monitor.possible_lag_ns(now)
+        self._assign(Client(messages.NewClient(accepted_ns), descriptor))
+        if len(self._waiting) >= MAX_WAITING_CLIENTS and self._acceptor is not None:
+            self._acceptor.set_accepting(False)
+
+    def _assign(self, client: Client) -> None:
+        """Send a connection to a worker; it waits where none can serve, and is closed where none will."""
+        state = self.pool.assign_client(self.loop.time())
+        if state is not None:
+            worker = self.workers[state]
+            worker.unconfirmed.append(client)
+            worker.link.send(client.message, self._host_system.duplicate(client.descriptor))
+        elif self.pool.ending and not self.workers:
+            self._host_system.close_descriptor(client.descriptor)
+        else:
+            self._waiting.append(client)
+
+    def _clients_accepted(self, worker: Worker, accepted: int) -> None:
+        self.pool.clients_accepted(worker.state, accepted, self.loop.time())
+        while len(worker.unconfirmed) > worker.state.assigned - accepted:
+            self._host_system.close_descriptor(worker.unconfirmed.popleft().descriptor)
+
+    def close_all_clients(self) -> None:
+        """Close every connection that this process holds, as the kernel does at its end."""
+        for worker in self.workers.values():
+            self._close_clients(worker.unconfirmed)
+        self._close_clients(self._waiting)
+
+    def _close_clients(self, clients: deque[Client]) -> None:
+        while clients:
+            self._host_system.close_descriptor(clients.popleft().descriptor)
+
+    # Endpoint list
+
+    def _send_update(self, update: EndpointUpdate) -> None:
+        for part in messages.split_update(update):
+            for worker in self.workers.values():
+                worker.link.send(part)
+        self._shared_table.advance_revision()
+
+    def _check_for_list(self) -> None:
+        if not self._feed.has_list:
+            log.warning("no endpoint list yet")
 
     def _reload(self) -> None:
-        new = reload_config(self.platform, self._ended)
-        if new is None:
+        config = reload_config(self.platform, self._ended_metrics)
+        if config is None:
             return
-        self.discovery.change_address(new.discovery)
-        for one in self.workers.values():
-            self._signal(one, signal.SIGHUP)
+        self._feed.change_address(config)
+        for worker in self.workers.values():
+            self._signal(worker, signal.SIGHUP)
 
-    # What operators call for at the door
+    # Calls of the admin endpoint
 
     def can_serve(self) -> bool:
         """Whether some worker can serve clients now."""
-        return self.crew.can_serve and not self.crew.ending
+        return self.pool.can_serve and not self.pool.ending
 
     def metrics_text(self) -> bytes:
-        """The figures of all workers together, as of their last accounts."""
-        accounts = [one.account for one in self.workers.values() if one.account is not None]
-        total = Metrics((name for name, _ in self._ended.results), self._ended.off)
-        total.add(self._ended.counts(), self._ended.forwards)
-        total.reloads_applied = self._ended.reloads_applied
-        total.reloads_rejected = self._ended.reloads_rejected
-        for one in accounts:
-            total.add(one.results, one.forwards)
-        avoided = list(dict.fromkeys(name for one in accounts for name in one.avoided))
-        outstanding = sum(one.outstanding for one in accounts)
-        text = total.text(outstanding, self.roster.discovered_count, self.roster.excluded_count(avoided))
-        return text + b"# TYPE lb_workers gauge\nlb_workers %d\n" % self.crew.serving_count
+        """The metrics of all workers together, as of their last reports."""
+        reports = [worker.report for worker in self.workers.values() if worker.report is not None]
+        ended = self._ended_metrics
+        total = Metrics((name for name, _ in ended.results), ended.disabled_features)
+        total.add(ended.counts(), ended.forwards)
+        total.reloads_applied = ended.reloads_applied
+        total.reloads_rejected = ended.reloads_rejected
+        for report in reports:
+            total.add(report.results, report.forwards)
+        ejected = list(dict.fromkeys(name for report in reports for name in report.ejected))
+        outstanding = sum(report.outstanding for report in reports)
+        overrides = self._feed.overrides
+        text = total.text(outstanding, overrides.discovered_count, overrides.excluded_count(ejected))
+        return text + worker_count_text(self.pool.serving_count)
 
     def enter_maintenance(self, server_id: str) -> None:
-        """Take a cache server out by hand; raises UnknownServerError."""
-        self._tell_list(self.roster.enter_maintenance(server_id, self.platform.monotonic_ns()))
+        """Set the administrative override of a cache server; raises UnknownEndpointError."""
+        self._feed.enter_maintenance(server_id)
 
     def exit_maintenance(self, server_id: str) -> None:
-        """Use a cache server again; raises UnknownServerError."""
-        self._tell_list(self.roster.exit_maintenance(server_id, self.platform.monotonic_ns()))
-
-
-def main(workers: int) -> int:
-    """Run a router on so many cores; returns the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    signal.signal(signal.SIGUSR2, signal.SIG_IGN)
-    try:
-        config = load_config(os.environ)
-        check(workers, config.memory, config.sockets)
-        if config.known is not None:
-            read_listing(config.known, Clock())
-    except (ConfigError, InsufficientResourcesError, ValueError) as error:
-        print(f"holdgw: {error}", file=sys.stderr)
-        return 2
-    make_logger(config.name)
-
-    async def work() -> None:
-        await Supervisor(config, workers).run()
-
-    return run_until_exit(work)
+        """Clear the administrative override; raises UnknownEndpointError."""
+        self._feed.exit_maintenance(server_id)
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -1,6 +1,6 @@
-"""One worker: a router that gets its clients and its list of servers from a supervisor.
+"""One worker process: a router that gets its clients and its endpoint list from a supervisor.
 
-Started by the supervisor alone, which tells it in the environment who it is.
+Started by the supervisor alone, which sets the environment variables of WorkerSlot.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 import os
 import signal
 import sys
-from collections.abc import Coroutine, Mapping
-from dataclasses import dataclass, replace
+from collections.abc import Coroutine
+from dataclasses import replace
 from typing import Any
 
-from holdgw.cores.host_system import BOARD, LINK, PLACE, WORKERS, LinuxWorkerHostSystem, WorkerHostSystem
+from holdgw.cores.host_system import LinkHandlers, LinuxWorkerHostSystem, WorkerHostSystem, WorkerSlot
 from holdgw.cores.messages import (
     ClientsAccepted,
     EndpointUpdatePart,
@@ -27,7 +27,7 @@
     WorkerReport,
     decode_to_worker,
 )
-from holdgw.cores.worker_pool import EPSILON
+from holdgw.cores.worker_pool import MIN_SHARE
 from holdgw.operation.process_link import ClientHandover, HandoverPart, ProcessLink, split_handover
 from holdgw.policy import LimitSharesChanged
 from holdgw.router.config import Config, ConfigError, load_config
@@ -37,45 +37,27 @@
 from holdgw.router.process import run_until_exit
 from holdgw.router.program import Program
 
-ACCOUNT_S = 0.05
-WORKERS_APART = 1009  # so that no two workers of any two routers draw the same
-PER_SERVER_LEAST = 2  # connections to one server: less, and one that is slow to close keeps a node unreached
+REPORT_INTERVAL_S = 0.05
+SEED_STRIDE = 1009  # no two workers of any two routers draw from one seed
+MIN_CONNECTIONS_PER_ENDPOINT = 2  # with one, a connection that is slow to close leaves the endpoint unreached
+EXIT_USAGE = 2
 
 log = logging.getLogger("holdgw")
 
 
-@dataclass(frozen=True, slots=True)
-class WorkerSlot:
-    """Where a worker stands among those of its router, and the descriptors that it came with."""
-
-    place: int
-    workers: int
-    link: int
-    board: int
-
-    @classmethod
-    def read(cls, environ: Mapping[str, str]) -> WorkerSlot:
-        """Read what the supervisor told; raises ConfigError."""
-        try:
-            told = [int(environ[name]) for name in (PLACE, WORKERS, LINK, BOARD)]
-        except (KeyError, ValueError) as error:
-            raise ConfigError(f"a worker is started by its supervisor alone: {error}") from None
-        return cls(*told)
-
-
-def share_of(config: Config, place: WorkerSlot) -> Config:
-    """A worker's part of its router's configuration; the supervisor counts as one more."""
-    shares = place.workers + 1
+def worker_config(config: Config, slot: WorkerSlot) -> Config:
+    """A worker's part of its router's configuration; the supervisor counts as one more process."""
+    processes = slot.worker_count + 1
     settings = replace(
-        config.settings, workers=place.workers, worker_index=place.place, subscription_required=False
+        config.settings, workers=slot.worker_count, worker_index=slot.index, subscription_required=False
     )
     return replace(
         config,
         settings=settings,
-        seed=config.seed * WORKERS_APART + place.place,
-        max_open=max(config.max_open // place.workers, 1),
-        memory=config.memory // shares,
-        sockets=config.sockets // shares,
+        seed=config.seed * SEED_STRIDE + slot.index,
+        max_open=max(config.max_open // slot.worker_count, 1),
+        memory=config.memory // processes,
+        sockets=config.sockets // processes,
         ops=None,
         passed=None,
         peers=None,
@@ -84,145 +66,175 @@
 
 
 class Worker(Program):
-    """A router's parts, led by a supervisor."""
+    """A router's parts, directed by a supervisor."""
 
     def __init__(
-        self, config: Config, place: WorkerSlot, machine: WorkerHostSystem, platform: Platform | None = None
+        self,
+        config: Config,
+        slot: WorkerSlot,
+        host_system: WorkerHostSystem,
+        platform: Platform | None = None,
     ) -> None:
-        super().__init__(share_of(config, place), platform)
-        self.pool.per_server = max(MAX_CONNECTIONS_PER_ENDPOINT // place.workers, PER_SERVER_LEAST)
-        self._machine = machine
-        self._board = machine.board(place.workers, place.place)
-        self.clients.copy = machine.copy
-        self._joiner = UpdateAssembler()
-        self._dealt = self._shares = self._seen = 0
-        self._serving_is_due = True  # the supervisor is to hear that there is a list
-        self._handing = False  # connections go back to the supervisor
-        self._account_timer: asyncio.TimerHandle | None = None
-        # Danger: until it is told its share it would use one that others still have.
+        super().__init__(worker_config(config, slot), platform)
+        self.pool.per_server = max(
+            MAX_CONNECTIONS_PER_ENDPOINT // slot.worker_count, MIN_CONNECTIONS_PER_ENDPOINT
+        )
+        self._host_system = host_system
+        self._shared_table = host_system.attach_table(slot)
+        self.clients.copy = host_system.duplicate_client
+        self._update_assembler = UpdateAssembler()
+        self._accepted_clients = 0
+        self._shares_number = 0
+        self._seen_revision = 0
+        self._announced_serving = False
+        self._handing_over = False
+        self._report_timer: asyncio.TimerHandle | None = None
+        # Until it is sent its shares it would use some that others still have.
         tenants = (*(tenant.name for tenant in config.settings.tenants), "")
-        self.host.dispatch(LimitSharesChanged(dict.fromkeys(tenants, EPSILON)))
+        self.host.dispatch(LimitSharesChanged(dict.fromkeys(tenants, MIN_SHARE)))
         self.host.shared = self
-        self.link: ProcessLink[ToWorker] = machine.link(decode_to_worker, self._word, self._link_lost)
+        self.link: ProcessLink[ToWorker] = host_system.open_link(
+            LinkHandlers(decode_to_worker, self._receive, self._link_closed)
+        )
 
-    # What the host asks
+    # What the dispatcher asks
 
     def claim(self, request_id: bytes) -> bool:
-        """Have the id for a request of this worker; returns whether no worker had it lately."""
-        return self._board.claim(request_id)
+        """Remember an id as this worker's; returns whether no worker had it lately."""
+        return self._shared_table.insert_if_absent(request_id)
 
     def catch_up(self) -> None:
-        """Take the news of the list that is on its way to this worker."""
-        if self._board.revision != self._seen:
-            self._seen = self._board.revision
+        """Apply endpoint updates that are on their way to this worker."""
+        revision = self._shared_table.revision
+        if revision != self._seen_revision:
+            self._seen_revision = revision
             if self.link.open:
                 self.link.read()
 
-    # What the supervisor says
+    # Messages of the supervisor
 
-    def _word(self, _: ProcessLink[ToWorker], word: ToWorker, descriptor: int | None) -> None:
-        match word:
-            case NewClient() | ClientHandover() if descriptor is not None:
-                # Danger: what is read of a connection before the supervisor knows that it is here would be
-                # lost with this process, and the supervisor's copy be dealt to another from its middle.
-                self._dealt += 1
-                self.link.send(ClientsAccepted(self._dealt))
-                self._adopt(word if isinstance(word, ClientHandover) else None, descriptor, word.since)
+    def _receive(self, _: ProcessLink[ToWorker], message: ToWorker, descriptor: int | None) -> None:
+        match message:
+            case NewClient() if descriptor is not None:
+                self._confirm_client()
+                self.adopt_client(None, descriptor, message.accepted_ns)
+                descriptor = None
+            case ClientHandover() if descriptor is not None:
+                self._confirm_client()
+                self.adopt_client(message, descriptor)
                 descriptor = None
             case EndpointUpdatePart():
-                listing = self._joiner.take(word)
-                if listing is not None:
-                    self._take(listing)
-                    if self._serving_is_due:
-                        self._serving_is_due = False
-                        self.link.send(Serving())
+                self._apply_update_part(message)
             case LimitShares():
-                self.host.dispatch(LimitSharesChanged(word.shares))
-                self._shares = word.number
-                self._tell_account()
+                self.host.dispatch(LimitSharesChanged(message.shares))
+                self._shares_number = message.number
+                self._report()
             case HandoverPart():
-                self._learn(word.learnt)
+                self.restore_state(message.state)
             case HandOver():
-                for part in split_handover(self.host.handover_state()):
-                    self.link.send(HandoverPart(part))
-                self._handing = True
-                self._terminated.set()
+                self._begin_handover()
         if descriptor is not None:
-            self._machine.drop(descriptor)
+            self._host_system.close_descriptor(descriptor)
+
+    def _confirm_client(self) -> None:
+        """Confirm a client's connection, before anything of it is read.
+
+        Until then the supervisor keeps a copy of it. Were it read of first and this process to end, what was
+        read would be lost, and the copy be sent to another worker from amid a command.
+        """
+        self._accepted_clients += 1
+        self.link.send(ClientsAccepted(self._accepted_clients))
+
+    def _apply_update_part(self, part: EndpointUpdatePart) -> None:
+        update = self._update_assembler.add(part)
+        if update is None:
+            return
+        self._take(update)
+        if not self._announced_serving:
+            self._announced_serving = True
+            self.link.send(Serving())
+
+    def _begin_handover(self) -> None:
+        for part in split_handover(self.host.handover_state()):
+            self.link.send(HandoverPart(part))
+        self._handing_over = True
+        self._terminated.set()
 
-    def _link_lost(self, _: ProcessLink[ToWorker]) -> None:
-        # Danger: without a supervisor nobody would tell this worker of drains, or end it.
+    def _link_closed(self, _: ProcessLink[ToWorker]) -> None:
+        """Drain: without a supervisor nothing would notify this worker of drains, or end it."""
         if not self._terminated.is_set():
-            log.error("worker: the supervisor is gone; draining")
+            log.error("worker: the supervisor has ended, draining")
         self._terminated.set()
 
-    def _tell_account(self) -> None:
+    # Reports to the supervisor
+
+    def _report(self) -> None:
         host = self.host
         self.link.send(
             WorkerReport(
-                self.clients.connected,
-                self._shares,
-                host.origin_demand(),
-                host.metrics.counts(),
-                host.metrics.forwards,
-                host.outstanding,
-                host.ejected(),
+                connected=self.clients.connected,
+                shares_number=self._shares_number,
+                demands=host.origin_demand(),
+                results=host.metrics.counts(),
+                forwards=host.metrics.forwards,
+                outstanding=host.outstanding,
+                ejected=host.ejected(),
             )
         )
 
-    def _account_often(self) -> None:
-        self._account_timer = self.loop.call_later(ACCOUNT_S, self._account_often)
-        self._tell_account()
+    def _report_periodically(self) -> None:
+        self._report_timer = self.loop.call_later(REPORT_INTERVAL_S, self._report_periodically)
+        self._report()
 
     # A router's life, where it differs
 
     def _take_client(
         self, told: ClientHandover | None, descriptor: int, late: int
     ) -> Coroutine[Any, Any, None]:
-        return self._machine.adopt(self.clients, told, descriptor, late)
+        return self._host_system.adopt_client(self.clients, told, descriptor, late)
 
     def _reload(self) -> None:
-        """Discovery is the supervisor's to move; there is nothing else that a reload takes over."""
+        """Count the reload: the supervisor moves discovery, and nothing else of it is applied."""
         self.host.metrics.reloads_applied += 1
 
-    async def _open(self, listening: asyncio.Future[Any] | None) -> None:
+    async def _open(self, _: asyncio.Future[Any] | None) -> None:
         self.link.read()
-        self._account_often()
+        self._report_periodically()
 
     @property
     def _successor(self) -> ProcessLink[Any] | None:
-        return self.link if self._handing and self.link.open else None
+        return self.link if self._handing_over and self.link.open else None
 
     async def run(self, listening: asyncio.Future[Any] | None = None) -> None:
-        """Serve until told to end."""
+        """Serve until the supervisor ends this worker."""
         try:
             await super().run(listening)
         finally:
-            if self._account_timer is not None:
-                self._account_timer.cancel()
+            if self._report_timer is not None:
+                self._report_timer.cancel()
             if self.link.open:
-                self._tell_account()
+                self._report()
             self.link.close()
-            self._board.close()
+            self._shared_table.close()
 
 
 def main() -> int:
     """Run one worker; returns the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        place = WorkerSlot.read(os.environ)
+        slot = WorkerSlot.read(os.environ)
         config = load_config(os.environ)
         if os.environ.get("PYTHONHASHSEED", "random") in ("", "random", "0"):
             raise ConfigError("workers need one PYTHONHASHSEED")
     except ConfigError as error:
         print(f"holdgw: {error}", file=sys.stderr)
-        return 2
-    make_logger(f"{config.name}.{place.place}")
+        return EXIT_USAGE
+    make_logger(f"{config.name}.{slot.index}")
 
-    async def work() -> None:
-        await Worker(config, place, LinuxWorkerHostSystem(place.link, place.board)).run()
+    async def run() -> None:
+        await Worker(config, slot, LinuxWorkerHostSystem(slot)).run()
 
-    return run_until_exit(work)
+    return run_until_exit(run)
 
 
 if __name__ == "__main__":
--- a/holdgw/cores/worker_pool.py
+++ b/holdgw/cores/worker_pool.py
@@ -1,6 +1,6 @@
-"""The supervisor's decisions: who serves, who gets the next client, who may use how much. No I/O, no clock.
+"""The supervisor's decisions: which workers run, who gets the next client, and the limit shares.
 
-All times are seconds on the caller's own monotonic clock.
+No I/O, no clock. All times are seconds of the caller's monotonic clock.
 """
 
 from __future__ import annotations
@@ -8,247 +8,291 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-STEADY_S = 10.0  # a worker that lived so long has not failed at its start
-BACK_OFF_S, BACK_OFF_MOST_S = 0.1, 5.0
-STUCK_S = 0.1  # in which a worker takes what is dealt to it, or is passed over
-START_S = 10.0  # in which a worker must be able to serve
-FLOOR = 0.25  # part of a tenant's limit that is shared out evenly; the rest goes by demand
-MOVE_LEAST = 0.02  # a share is moved by no less: words are not free
-MEMORY_LEAST = 24 << 20  # bytes for one process
-SOCKETS_LEAST = 64
-WORKERS_MOST = 64
-EPSILON = 1e-9  # the share of one that may use nothing
+STABLE_AFTER_S = 10.0  # a worker that ends sooner has failed at its start
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 5.0
+UNRESPONSIVE_AFTER_S = 0.1  # without accepting what was assigned, a worker gets no more clients
+START_TIMEOUT_S = 10.0  # within which a worker must be able to serve
+EVEN_PART = 0.25  # of a tenant's limit, divided evenly; the rest is divided by demand
+MIN_SHARE_CHANGE = 0.02  # smaller changes are not worth a message
+MIN_SHARE = 1e-9  # of a worker that may use nothing
+MIN_PROCESS_MEMORY_BYTES = 24 << 20
+MIN_PROCESS_SOCKETS = 64
+MAX_WORKERS = 64
 
 
 class InsufficientResourcesError(Exception):
-    """So many workers can't be fed; the text is one plain line."""
+    """The router's limits don't suffice for so many workers; the text is one plain line."""
 
 
-def check(workers: int, memory: int, sockets: int) -> None:
-    """Raise CannotFeedError where the router's limits don't do for so many workers and their supervisor."""
-    if not 1 <= workers <= WORKERS_MOST:
-        raise InsufficientResourcesError(f"--cores: expected 1 to {WORKERS_MOST}, got {workers}")
-    if memory // (workers + 1) < MEMORY_LEAST:
-        need = (workers + 1) * MEMORY_LEAST >> 20
+def check_resources(workers: int, memory_bytes: int, sockets: int) -> None:
+    """Check the router's limits for so many workers and their supervisor.
+
+    Raises InsufficientResourcesError.
+    """
+    processes = workers + 1
+    if not 1 <= workers <= MAX_WORKERS:
+        raise InsufficientResourcesError(f"--cores: expected 1 to {MAX_WORKERS}, got {workers}")
+    if memory_bytes // processes < MIN_PROCESS_MEMORY_BYTES:
+        need_mb = processes * MIN_PROCESS_MEMORY_BYTES >> 20
         raise InsufficientResourcesError(
-            f"{workers} workers need {need} MB of memory; limits.memory_mb is {memory >> 20}"
+            f"{workers} workers need {need_mb} MB of memory; limits.memory_mb is {memory_bytes >> 20}"
         )
-    if sockets // (workers + 1) < SOCKETS_LEAST:
-        need = (workers + 1) * SOCKETS_LEAST
+    if sockets // processes < MIN_PROCESS_SOCKETS:
+        need = processes * MIN_PROCESS_SOCKETS
         raise InsufficientResourcesError(
             f"{workers} workers need {need} descriptors; limits.sockets is {sockets}"
         )
 
 
 class WorkerState(Enum):
-    """Where a worker's process stands in its life."""
+    """Where a worker process stands in its life."""
 
     STARTING = "starting"
     SERVING = "serving"
-    LEAVING = "leaving"  # gives its connections back, or drains
-    GONE = "gone"
+    DRAINING = "draining"
+    """Hands its connections back."""
+    ENDED = "ended"
 
 
 @dataclass(eq=False)
 class WorkerProcess:
-    """One worker's process; `place` is what it takes over from the one before it there."""
+    """One worker process, as the supervisor knows it."""
 
-    place: int
-    began: float
+    index: int
+    """Of its worker; the process that replaces it has the same."""
+    started_s: float
     state: WorkerState = WorkerState.STARTING
     connected: int = 0
-    dealt: int = 0
-    """Connections dealt to it so far."""
-    taken: int = 0
-    """Those of them that it has taken."""
-    counted: int = 0
-    """Those of them that were taken when it gave its last account, and so stand in `connected`."""
-    told: dict[str, float] = field(default_factory=dict)
-    """The shares it was told last."""
-    told_number: int = 0
-    peak: dict[str, float] = field(default_factory=dict)
-    """The most it was told since the shares that it is known to go by."""
+    """Clients by its last report."""
+    assigned: int = 0
+    """Connections sent to it so far."""
+    accepted: int = 0
+    """Those of them that it has accepted."""
+    reported: int = 0
+    """Those of them that it had accepted at its last report, and so are counted in `connected`."""
+    shares: dict[str, float] = field(default_factory=dict)
+    """The limit shares that it was sent last."""
+    shares_number: int = 0
+    """Of the message with them."""
+    peak_shares: dict[str, float] = field(default_factory=dict)
+    """The largest shares that it was sent since those that it is known to apply."""
     demands: dict[str, float] = field(default_factory=dict)
+    """Each tenant's calls for the origin a second."""
+    unanswered_since: float | None = None
+    """Since when it has accepted nothing of what was sent; None: it has accepted all."""
+
+    @property
+    def load(self) -> int:
+        """Its clients, as far as is known, those on their way among them."""
+        return self.connected + self.assigned - self.reported
+
+    def peak_share(self, tenant: str) -> float:
+        """The largest share of a tenant's limit that it may be using now."""
+        return self.peak_shares.get(tenant, 0.0)
+
+    def share(self, tenant: str) -> float:
+        """The share that it was sent last."""
+        return self.shares.get(tenant, 0.0)
 
-    waits_since: float | None = None
-    """Since when it has said nothing though connections were dealt to it; None: it has taken all."""
+    def set_share(self, tenant: str, share: float) -> None:
+        """Note a share that it is sent."""
+        self.shares[tenant] = share
+        self.peak_shares[tenant] = max(self.peak_share(tenant), share)
 
-    def may_use(self, tenant: str) -> float:
-        """The most of a tenant's limit that it may be using now."""
-        return self.peak.get(tenant, 0.0)
+    def unresponsive_s(self, now: float) -> float:
+        """How long it has accepted nothing, 0 where that is within UNRESPONSIVE_AFTER_S."""
+        unanswered = now - self.unanswered_since if self.unanswered_since is not None else 0.0
+        return unanswered if unanswered > UNRESPONSIVE_AFTER_S else 0.0
 
-    def tell(self, tenant: str, share: float) -> float:
-        """Note what it is told."""
-        self.told[tenant] = share
-        self.peak[tenant] = max(self.peak.get(tenant, 0.0), share)
-        return share
+
+Shares = dict[WorkerProcess, dict[str, float]]
+"""Limit shares by worker process and tenant, 0 to 1."""
 
 
 class WorkerPool:
-    """The workers of one router."""
+    """The worker processes of one router."""
 
     def __init__(self, workers: int, tenants: tuple[str, ...]) -> None:
-        self.workers, self._tenants = workers, (*tenants, "")
-        self.members: list[WorkerProcess] = []
-        self._failures = [0] * workers  # starts that failed in a row, by place
+        """`tenants`: their names; requests without a tenant are one more, under an empty name."""
+        self.workers = workers
+        self._tenants = (*tenants, "")
+        self.processes: list[WorkerProcess] = []
+        self._failed_starts = [0] * workers  # in a row, by index
         self.ending = False
-        self.replaced: set[int] | None = None
-        """Places done, while all workers are being replaced; None: they are not."""
-        self._asked = 0.0  # when that was
-
-    # Lives
-
-    def started(self, place: int, now: float) -> WorkerProcess:
-        """A process was started at this place."""
-        assert 0 <= place < self.workers
-        member = WorkerProcess(place, now)
-        self.members.append(member)
-        return member
-
-    def serving(self, member: WorkerProcess) -> WorkerProcess | None:
-        """A worker can serve; returns the one that it takes the place of, which is to hand over."""
-        if member.state is not WorkerState.STARTING:
+        """No worker is started any more."""
+        self._replaced: set[int] | None = None  # indices done, while all workers are being replaced
+        self._replacement_began = 0.0
+
+    # Starts and ends
+
+    def process_started(self, index: int, now: float) -> WorkerProcess:
+        """A process was started."""
+        assert 0 <= index < self.workers
+        process = WorkerProcess(index, now)
+        self.processes.append(process)
+        return process
+
+    def process_serving(self, process: WorkerProcess) -> WorkerProcess | None:
+        """A process can serve; returns the one that it replaces, which is to hand over."""
+        if process.state is not WorkerState.STARTING:
             return None
-        member.state = WorkerState.SERVING
-        # Danger: one that was still starting when its replacement was asked for runs the old version, and
-        # would be left at it.
-        if self.replaced is not None and member.began >= self._asked:
-            self.replaced.add(member.place)
-        before = self._at(member.place, but=member)
-        if before is not None:
-            before.state = WorkerState.LEAVING
-        return before
-
-    def _at(self, place: int, but: WorkerProcess | None = None) -> WorkerProcess | None:
-        return next(
-            (m for m in self.members if m.place == place and m.state is WorkerState.SERVING and m is not but),
-            None,
-        )
-
-    def exited(self, member: WorkerProcess, now: float) -> float | None:
-        """A process has ended; returns after how long another is to be started at its place, if any."""
-        was, member.state = member.state, WorkerState.GONE
-        self.members.remove(member)
-        if was is WorkerState.LEAVING or self.ending:
+        process.state = WorkerState.SERVING
+        # One that was still starting when the replacement began may run the old version: it is replaced too.
+        if self._replaced is not None and process.started_s >= self._replacement_began:
+            self._replaced.add(process.index)
+        old_process = self._serving_at(process.index, but=process)
+        if old_process is not None:
+            old_process.state = WorkerState.DRAINING
+        return old_process
+
+    def _serving(self) -> list[WorkerProcess]:
+        return [process for process in self.processes if process.state is WorkerState.SERVING]
+
+    def _serving_at(self, index: int, but: WorkerProcess | None = None) -> WorkerProcess | None:
+        found = (one for one in self._serving() if one.index == index and one is not but)
+        return next(found, None)
+
+    def process_ended(self, process: WorkerProcess, now: float) -> float | None:
+        """A process has ended; returns after how many seconds to start another, None: not at all."""
+        before = process.state
+        process.state = WorkerState.ENDED
+        self.processes.remove(process)
+        if before is WorkerState.DRAINING or self.ending:
             return None
-        failed = was is WorkerState.STARTING or now - member.began < STEADY_S
-        self._failures[member.place] = self._failures[member.place] + 1 if failed else 0
-        if self._at(member.place) is not None:
-            return None  # a new version that did not come up: the old one goes on
-        if not self._failures[member.place]:
+        failed = before is WorkerState.STARTING or now - process.started_s < STABLE_AFTER_S
+        failures = self._failed_starts[process.index] + 1 if failed else 0
+        self._failed_starts[process.index] = failures
+        if self._serving_at(process.index) is not None:
+            return None  # a new version that does not start: the old process goes on
+        if not failures:
             return 0.0
-        return float(min(BACK_OFF_S * 2 ** (self._failures[member.place] - 1), BACK_OFF_MOST_S))
+        return float(min(INITIAL_BACKOFF_S * 2 ** (failures - 1), MAX_BACKOFF_S))
 
     def overdue(self, now: float) -> list[WorkerProcess]:
-        """Those that should be able to serve by now, and are to be killed."""
-        return [m for m in self.members if m.state is WorkerState.STARTING and now - m.began > START_S]
+        """Processes that could not serve within START_TIMEOUT_S, and are to be killed."""
+        starting = (process for process in self.processes if process.state is WorkerState.STARTING)
+        return [process for process in starting if now - process.started_s > START_TIMEOUT_S]
 
-    def replace(self, now: float) -> bool:
-        """Have every worker replaced by a new process; False where that is under way, or the end is."""
-        if self.replaced is not None or self.ending:
+    # Replacement of all workers
+
+    def begin_replacement(self, now: float) -> bool:
+        """Begin to replace every process; False where that is under way, or the router ends."""
+        if self._replaced is not None or self.ending:
             return False
-        self.replaced, self._asked = set(), now
+        self._replaced = set()
+        self._replacement_began = now
         return True
 
     def next_to_replace(self) -> int | None:
-        """The next place whose worker is to be replaced, one at a time; None while one is on its way."""
-        if self.replaced is None or any(
-            m.state in (WorkerState.STARTING, WorkerState.LEAVING) for m in self.members
-        ):
+        """The next index to start a new process for, one at a time; None while one is under way."""
+        if self._replaced is None:
+            return None
+        if any(one.state in (WorkerState.STARTING, WorkerState.DRAINING) for one in self.processes):
             return None
-        return next((place for place in range(self.workers) if place not in self.replaced), None)
-
-    def not_replaced(self, place: int) -> bool:
-        """A worker ended by itself: whether that ends the replacement, as its place was still to be done."""
-        ends = self.replaced is not None and place not in self.replaced
-        if ends:
-            self.replaced = None
-        return ends
-
-    def all_replaced(self) -> bool:
-        """Whether the last one has just been replaced; tells it once."""
-        done = self.replaced is not None and len(self.replaced) == self.workers
+        return next((index for index in range(self.workers) if index not in self._replaced), None)
+
+    def abort_replacement(self, index: int) -> bool:
+        """A process has ended unexpectedly; returns whether that aborts the replacement.
+
+        It does where that worker was still to be replaced.
+        """
+        aborts = self._replaced is not None and index not in self._replaced
+        if aborts:
+            self._replaced = None
+        return aborts
+
+    def finish_replacement(self) -> bool:
+        """Whether the last worker is replaced; True once."""
+        done = self._replaced is not None and len(self._replaced) == self.workers
         if done:
-            self.replaced = None
+            self._replaced = None
         return done
 
     @property
     def serving_count(self) -> int:
-        """How many workers can."""
-        return sum(m.state is WorkerState.SERVING for m in self.members)
+        """How many processes can serve."""
+        return len(self._serving())
 
     @property
     def can_serve(self) -> bool:
-        """Whether some worker can."""
+        """Whether any process can serve."""
         return self.serving_count > 0
 
     # Clients
 
-    def deal(self, now: float) -> WorkerProcess | None:
-        """Who gets the next connection: the worker with the fewest, as far as is known; None: nobody can."""
-        serving = [m for m in self.members if m.state is WorkerState.SERVING]
+    def assign_client(self, now: float) -> WorkerProcess | None:
+        """Choose who gets the next connection: the process with the fewest; None: none can serve.
+
+        A process whose core is taken away accepts nothing, and what is sent to it can't be taken back, as it
+        may read of it at any time: unresponsive ones come last, the longest unresponsive last of all. Reports
+        come one after the other, so what was accepted since a process's last one counts beside it: it would
+        otherwise get all clients until its next.
+        """
+        serving = self._serving()
         if not serving:
             return None
-
-        def stuck(member: WorkerProcess) -> float:
-            waits = now - member.waits_since if member.waits_since is not None else 0.0
-            return waits if waits > STUCK_S else 0.0
-
-        # Danger: a worker whose CPU is taken away would be dealt its part of the clients, who would wait for
-        # it; what it was dealt already can't be taken back, for it may read of it at any time. Where all are
-        # late, on a busy machine, the one that has said nothing for the longest is the last.
-        # And accounts come one after the other: what one has taken since its last would count as nothing, and
-        # it would be dealt all clients until its next.
-        chosen = min(serving, key=lambda m: (stuck(m), m.connected + m.dealt - m.counted, m.dealt))
-        if chosen.waits_since is None:
-            chosen.waits_since = now
-        chosen.dealt += 1
+        chosen = min(serving, key=lambda one: (one.unresponsive_s(now), one.load, one.assigned))
+        if chosen.unanswered_since is None:
+            chosen.unanswered_since = now
+        chosen.assigned += 1
         return chosen
 
-    def took(self, member: WorkerProcess, dealt: int, now: float) -> None:
-        """A worker has taken so many of the connections dealt to it."""
-        member.taken = dealt
-        member.waits_since = None if member.taken == member.dealt else now
-
-    def account(self, member: WorkerProcess, connected: int, shares: int, demands: dict[str, float]) -> None:
-        """Take a worker's account; `shares`: the number of those that it goes by."""
-        member.connected, member.demands = connected, demands
-        member.counted = member.taken
-        if shares == member.told_number:
-            member.peak = dict(member.told)
-
-    # Shares of the tenants' limits
-
-    def wanted(self) -> dict[WorkerProcess, dict[str, float]]:
-        """The shares by demand, with a floor for each worker that serves."""
-        serving = [m for m in self.members if m.state is WorkerState.SERVING]
-        found: dict[WorkerProcess, dict[str, float]] = {m: {} for m in serving}
+    def clients_accepted(self, process: WorkerProcess, accepted: int, now: float) -> None:
+        """A process has accepted so many of the connections sent to it."""
+        process.accepted = accepted
+        process.unanswered_since = None if accepted == process.assigned else now
+
+    def apply_report(
+        self, process: WorkerProcess, connected: int, shares_number: int, demands: dict[str, float]
+    ) -> None:
+        """Apply a process's report; `shares_number`: of the limit shares that it applies."""
+        process.connected = connected
+        process.demands = demands
+        process.reported = process.accepted
+        if shares_number == process.shares_number:
+            process.peak_shares = dict(process.shares)
+
+    # Limit shares
+
+    def target_shares(self) -> Shares:
+        """The shares by demand, with an even part for each process that serves."""
+        serving = self._serving()
+        targets: Shares = {process: {} for process in serving}
         for tenant in self._tenants:
-            total = sum(m.demands.get(tenant, 0.0) for m in serving)
-            for m in serving:
-                part = m.demands.get(tenant, 0.0) / total if total > 0 else 1 / len(serving)
-                found[m][tenant] = FLOOR / len(serving) + (1 - FLOOR) * part
-        return found
+            total = sum(one.demands.get(tenant, 0.0) for one in serving)
+            for one in serving:
+                by_demand = one.demands.get(tenant, 0.0) / total if total > 0 else 1 / len(serving)
+                targets[one][tenant] = EVEN_PART / len(serving) + (1 - EVEN_PART) * by_demand
+        return targets
 
-    def share_out(self) -> dict[WorkerProcess, dict[str, float]]:
-        """What to tell whom, so that all shares together never pass the whole.
+    def rebalance_shares(self) -> Shares:
+        """The shares to send now, such that all shares in use never sum to more than 1.
 
-        What a worker is to lose counts as its own until it says that it goes by less; only what is free by
-        then is given to others. One that is killed keeps what it had until its process is gone.
+        A share that is reduced counts in full until the process reports that it applies less; only what is
+        free by then is given to others. A process that is killed keeps its shares until it has ended.
         """
-        news: dict[WorkerProcess, dict[str, float]] = {}
-        wanted = self.wanted()
+        changes: Shares = {}
+        targets = self.target_shares()
         for tenant in self._tenants:
-            for m in self.members:
-                want = wanted[m][tenant] if m in wanted else 0.0
-                if m.state is not WorkerState.STARTING and m.told.get(tenant, 0.0) - want > MOVE_LEAST:
-                    news.setdefault(m, {})[tenant] = m.tell(tenant, max(want, EPSILON))
-            free = 1.0 - sum(m.may_use(tenant) for m in self.members)
-            for m in sorted(wanted, key=lambda m: m.told.get(tenant, 0.0)):
-                more = min(wanted[m][tenant] - m.told.get(tenant, 0.0), free)
-                if more > MOVE_LEAST:
-                    news.setdefault(m, {})[tenant] = m.tell(tenant, m.told.get(tenant, 0.0) + more)
-                    free -= more
-        for m in news:
-            m.told_number += 1
-        return news
+            self._reduce_shares(tenant, targets, changes)
+            self._raise_shares(tenant, targets, changes)
+        for process in changes:
+            process.shares_number += 1
+        return changes
+
+    def _reduce_shares(self, tenant: str, targets: Shares, changes: Shares) -> None:
+        for one in self.processes:
+            target = targets[one][tenant] if one in targets else 0.0
+            if one.state is not WorkerState.STARTING and one.share(tenant) - target > MIN_SHARE_CHANGE:
+                one.set_share(tenant, max(target, MIN_SHARE))
+                changes.setdefault(one, {})[tenant] = one.share(tenant)
+
+    def _raise_shares(self, tenant: str, targets: Shares, changes: Shares) -> None:
+        free = 1.0 - sum(one.peak_share(tenant) for one in self.processes)
+        for one in sorted(targets, key=lambda one: one.share(tenant)):
+            raised_by = min(targets[one][tenant] - one.share(tenant), free)
+            if raised_by > MIN_SHARE_CHANGE:
+                one.set_share(tenant, one.share(tenant) + raised_by)
+                changes.setdefault(one, {})[tenant] = one.share(tenant)
+                free -= raised_by
--- a/holdgw/operation/admin_endpoint.py
+++ b/holdgw/operation/admin_endpoint.py
@@ -1,4 +1,4 @@
-"""The operators' door: a second address that speaks HTTP/1.1, with one call to a connection."""
+"""The admin endpoint: a second address that speaks HTTP/1.1, one call to a connection."""
 
 from __future__ import annotations
 
@@ -12,113 +12,127 @@
 from holdgw.wire import http
 from holdgw.wire.address import Address
 
-MAX_CONNECTIONS = 12  # connections at a time: a scraper, some staff, and a few that finish nothing
-MAX_BODY = 1 << 10  # an id
-MAX_CALL = 16 << 10  # bytes of a whole call
-CALL_S = 3.0  # in which a call must be whole; callers wait for 1 s
+MAX_CONNECTIONS = 12  # a scraper, some operators, and a few callers that never finish a call
+MAX_BODY_BYTES = 1 << 10  # the body is one endpoint id
+MAX_CALL_BYTES = 16 << 10
+CALL_TIMEOUT_S = 3.0  # callers wait for 1 s
 
 log = logging.getLogger("holdgw")
 
 
 class AdminOperations(Protocol):
-    """What the door opens on."""
+    """What the admin endpoint calls for its callers."""
 
     def can_serve(self) -> bool:
         """Whether this process can serve clients now."""
 
     def metrics_text(self) -> bytes:
-        """The figures as text."""
+        """The metrics in the exposition format of `holdgw.operation.metrics`."""
 
     def enter_maintenance(self, server_id: str) -> None:
-        """Take a cache server out by hand; raises UnknownServerError."""
+        """Set the administrative override of a cache server; raises UnknownEndpointError."""
 
     def exit_maintenance(self, server_id: str) -> None:
-        """Use it again; raises UnknownServerError."""
+        """Clear the administrative override; raises UnknownEndpointError."""
 
 
-def answer(router: AdminOperations, call: http.HttpRequest) -> bytes:
-    """Carry one call out; returns the whole HTTP answer."""
+def handle_call(operations: AdminOperations, call: http.HttpRequest) -> bytes:
+    """Carry out one call; returns the encoded HTTP response."""
     path = call.target.partition(b"?")[0]
-    gets: dict[bytes, Callable[[], bytes]] = {
-        b"/status": lambda: _answer(*((200, b"ok\n") if router.can_serve() else (503, b"not yet\n"))),
-        b"/status/metrics": lambda: _answer(200, router.metrics_text(), CONTENT_TYPE),
+    queries: dict[bytes, Callable[[], bytes]] = {
+        b"/status": lambda: _status_response(operations.can_serve()),
+        b"/status/metrics": lambda: _response(200, operations.metrics_text(), CONTENT_TYPE),
     }
-    puts: dict[bytes, Callable[[str], None]] = {
-        b"/maintenance/enter": router.enter_maintenance,
-        b"/maintenance/exit": router.exit_maintenance,
+    commands: dict[bytes, Callable[[str], None]] = {
+        b"/maintenance/enter": operations.enter_maintenance,
+        b"/maintenance/exit": operations.exit_maintenance,
     }
-    if path in gets:
-        return gets[path]() if call.method == b"GET" else _answer(405, b"use GET\n", allow=b"GET")
-    if path not in puts:
-        return _answer(404, b"no such call\n")
-    if call.method != b"PUT":
-        return _answer(405, b"use PUT with the server's id as the body\n", allow=b"PUT")
+    if path in queries:
+        if call.method != b"GET":
+            return _response(405, b"use GET\n", allow=b"GET")
+        return queries[path]()
+    if path in commands:
+        if call.method != b"PUT":
+            return _response(405, b"use PUT with the server's id as the body\n", allow=b"PUT")
+        return _run_command(path.decode(), commands[path], call.body)
+    return _response(404, b"no such call\n")
+
+
+def _run_command(path: str, command: Callable[[str], None], body: bytes) -> bytes:
     try:
-        server_id = call.body.decode().strip()
+        server_id = body.decode().strip()
     except UnicodeDecodeError:
         server_id = ""
     if not server_id:
-        return _answer(400, b"the body must be a server's id\n")
+        return _response(400, b"the body must be a server's id\n")
     try:
-        puts[path](server_id)
+        command(server_id)
     except UnknownEndpointError as error:
-        return _answer(404, f"{error}\n".encode())
-    log.info("%s %s", path.decode(), server_id)
-    return _answer(200, b"ok\n")
+        return _response(404, f"{error}\n".encode())
+    log.info("admin endpoint: call carried out path=%s endpoint=%s", path, server_id)
+    return _response(200, b"ok\n")
 
 
-def _answer(
+def _status_response(can_serve: bool) -> bytes:
+    return _response(200, b"ok\n") if can_serve else _response(503, b"not yet\n")
+
+
+def _response(
     status: int, body: bytes, content_type: bytes = b"text/plain; charset=utf-8", allow: bytes = b""
 ) -> bytes:
     headers = b"Content-Type: %b\r\nConnection: close\r\n" % content_type
-    return http.response(status, body, headers + (b"Allow: %b\r\n" % allow if allow else b""))
+    if allow:
+        headers += b"Allow: %b\r\n" % allow
+    return http.response(status, body, headers)
 
 
-class _Caller(asyncio.Protocol):
+class _AdminConnection(asyncio.Protocol):
     """One connection, and the one call on it."""
 
-    def __init__(self, door: AdminEndpoint) -> None:
-        self._door = door
-        self._reader = http.RequestReader(MAX_BODY)
-        self._came = 0
-        self._done = False
-        self._timer: asyncio.TimerHandle | None = None
+    def __init__(self, endpoint: AdminEndpoint) -> None:
+        self._endpoint = endpoint
+        self._reader = http.RequestReader(MAX_BODY_BYTES)
+        self._received_bytes = 0
+        self._answered = False
+        self._timeout: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's own class is no subclass
-        self._timer = self._door.loop.call_later(CALL_S, self.abort)
-        self._door.opened(self)
+        self._timeout = self._endpoint.loop.call_later(CALL_TIMEOUT_S, self.abort)
+        self._endpoint.add_connection(self)
 
     def data_received(self, data: bytes) -> None:
-        if self._done:
+        if self._answered:
             return
-        self._came += len(data)
+        self._received_bytes += len(data)
         try:
             calls = self._reader.read(data)
-            if not calls and self._came > MAX_CALL:
+            if not calls and self._received_bytes > MAX_CALL_BYTES:
                 raise http.HttpError("too long")
         except http.HttpError as error:
-            self._finish(_answer(400, f"{error}\n".encode()))
+            self._respond(_response(400, f"{error}\n".encode()))
             return
         if calls:
-            try:
-                told = answer(self._door.router, calls[0])
-            except Exception:
-                log.exception("a call at the door failed")
-                told = _answer(500, b"failed\n")
-            self._finish(told)
-
-    def _finish(self, told: bytes) -> None:
+            self._respond(self._handle(calls[0]))
+
+    def _handle(self, call: http.HttpRequest) -> bytes:
+        try:
+            return handle_call(self._endpoint.operations, call)
+        except Exception:
+            log.exception("admin endpoint: call failed")
+            return _response(500, b"failed\n")
+
+    def _respond(self, response: bytes) -> None:
         assert self._transport is not None
-        self._done = True
-        self._transport.write(told)
+        self._answered = True
+        self._transport.write(response)
         self._transport.close()
 
-    def connection_lost(self, exc: Exception | None) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        self._door.closed(self)
+    def connection_lost(self, _: Exception | None) -> None:
+        if self._timeout is not None:
+            self._timeout.cancel()
+        self._endpoint.remove_connection(self)
 
     def abort(self) -> None:
         if self._transport is not None:
@@ -126,41 +140,44 @@
 
 
 class AdminEndpoint:
-    """The listener and its callers; `router` is what they ask."""
+    """The listening socket and its connections; calls are carried out by `operations`."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, router: AdminOperations) -> None:
-        self.loop, self.router = loop, router
-        self._callers: dict[_Caller, None] = {}  # the one that stands longest first
+    def __init__(self, loop: asyncio.AbstractEventLoop, operations: AdminOperations) -> None:
+        self.loop = loop
+        self.operations = operations
+        self._connections: dict[_AdminConnection, None] = {}  # the oldest first
         self._listener: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
-        """Open the door at this address; returns it, with the port that was got. Raises OSError."""
-        self._listener = await self.loop.create_server(lambda: _Caller(self), *address)
+        """Listen at this address; returns it, with the port that was bound. Raises OSError."""
+        self._listener = await self.loop.create_server(lambda: _AdminConnection(self), *address)
         host, port = self._listener.sockets[0].getsockname()[:2]
         return str(host), int(port)
 
-    def opened(self, caller: _Caller) -> None:
-        """Take a caller in."""
-        # Danger: callers that connect and finish no call would keep out the one who takes a server out by
-        # hand, and hold descriptors that clients need. It could do harm past MOST honest calls at once.
-        if len(self._callers) >= MAX_CONNECTIONS:
-            oldest = next(iter(self._callers))
-            del self._callers[oldest]
+    def add_connection(self, connection: _AdminConnection) -> None:
+        """Note a new connection; beyond MAX_CONNECTIONS the oldest one is aborted.
+
+        Callers that never finish a call would otherwise keep operators out, and hold descriptors that
+        clients need.
+        """
+        if len(self._connections) >= MAX_CONNECTIONS:
+            oldest = next(iter(self._connections))
+            del self._connections[oldest]
             oldest.abort()
-        self._callers[caller] = None
+        self._connections[connection] = None
 
-    def closed(self, caller: _Caller) -> None:
-        """A caller is gone."""
-        self._callers.pop(caller, None)
+    def remove_connection(self, connection: _AdminConnection) -> None:
+        """Forget a connection that is closed."""
+        self._connections.pop(connection, None)
 
     @property
-    def callers(self) -> int:
+    def connection_count(self) -> int:
         """Connections now."""
-        return len(self._callers)
+        return len(self._connections)
 
     def close(self) -> None:
-        """Close the door and every connection."""
+        """Stop listening and abort every connection."""
         if self._listener is not None:
             self._listener.close()
-        for caller in list(self._callers):
-            caller.abort()
+        for connection in list(self._connections):
+            connection.abort()
--- a/holdgw/operation/endpoint_update.py
+++ b/holdgw/operation/endpoint_update.py
@@ -1,4 +1,4 @@
-"""News of the server list in the router's own terms, whoever it comes from."""
+"""One change of the endpoint list, in the router's own terms, whatever it was learnt from."""
 
 from __future__ import annotations
 
@@ -9,8 +9,10 @@
 
 
 class EndpointUpdate(Struct, frozen=True):
-    """One piece of news: the module's event, and the address of each server in it that is not gone."""
+    """An endpoint update: the policy's event, and the addresses of the endpoints in it that are not gone."""
 
     generation: int
+    """Discovery's number of the list, from which a watch goes on."""
     change: EndpointsChanged
     addresses: dict[str, Address]
+    """By endpoint id."""
--- a/holdgw/operation/fleet_log.py
+++ b/holdgw/operation/fleet_log.py
@@ -1,4 +1,4 @@
-"""Routers' tallies, merged by time over a whole fleet. No I/O: text goes in."""
+"""Interval counters of many routers, merged by time over a whole fleet. No I/O: text goes in."""
 
 from __future__ import annotations
 
@@ -6,98 +6,111 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from heapq import nlargest
-from typing import Any
+from typing import NamedTuple
 
-import orjson
+import msgspec
 
-from holdgw.operation.interval_counters import LOG_LINE_PREFIX
+from holdgw.operation.interval_counters import IntervalRecord, parse_log_line
 
 
 def _add(sums: dict[str, float], more: Mapping[str, float]) -> None:
-    for name, much in more.items():
-        sums[name] += much
+    for name, amount in more.items():
+        sums[name] += amount
 
 
 @dataclass
-class Second:
-    """What all routers together did in one step; `at` seconds after the first tally of all."""
+class Interval:
+    """What all routers together did in one interval."""
 
-    at: float
+    start_s: float
+    """Seconds after the first record of all."""
     routers: set[str] = field(default_factory=set)
     counts: dict[str, float] = field(default_factory=lambda: defaultdict(float))
     states: dict[str, float] = field(default_factory=lambda: defaultdict(float))
-    servers: dict[str, list[int]] = field(default_factory=dict)
-    fetched: Counter[int] = field(default_factory=Counter)
+    endpoints: dict[str, list[int]] = field(default_factory=dict)
+    """By endpoint id: attempts, those answered late, those without a usable answer."""
+    fetched_keys: Counter[int] = field(default_factory=Counter)
+    last_states: dict[str, Mapping[str, float]] = field(default_factory=dict)
+    """The last states that each router logged in the interval."""
 
     def busiest(self, count: int) -> list[tuple[str, list[int]]]:
-        """The servers that were sent most: attempts, those late, those without an answer."""
-        return nlargest(count, self.servers.items(), key=lambda item: item[1][0])
+        """The endpoints with the most attempts."""
+        return nlargest(count, self.endpoints.items(), key=lambda item: item[1][0])
+
+    def add(self, router: str, record: IntervalRecord) -> None:
+        """Add a router's record."""
+        self.routers.add(router)
+        _add(self.counts, record.counts)
+        self.last_states[router] = record.states
+        for name, row in record.endpoints.items():
+            sums = self.endpoints.setdefault(name, [0] * len(row))
+            self.endpoints[name] = [a + b for a, b in zip(sums, row, strict=True)]
+        self.fetched_keys.update(record.fetched_keys)
+
+    def derive(self) -> None:
+        """Once all records are added: sum the states, and add the figures that only a fleet has."""
+        for states in self.last_states.values():
+            _add(self.states, states)
+        # Fetches of a key that some router had fetched in the same interval already.
+        self.counts["fetched twice"] = self.fetched_keys.total() - len(self.fetched_keys)
+        attempts = [row[0] for row in self.endpoints.values()]
+        if attempts:
+            self.states["busiest server / mean"] = max(attempts) * len(attempts) / max(sum(attempts), 1)
+
+
+class _RouterRecord(NamedTuple):
+    router: str
+    record: IntervalRecord
 
 
 class FleetLog:
-    """Takes logs in, any order of routers; a line that can't be read is counted and passed over."""
+    """The logs of a fleet, read in any order of routers."""
 
-    def __init__(self, step: float) -> None:
-        """`step`: seconds to a row."""
-        self._step = step
-        self._lines: list[tuple[str, dict[str, Any]]] = []
-        self._seconds: dict[float, Second] | None = None
-        self.unread = 0
+    def __init__(self, interval_s: float) -> None:
+        """`interval_s`: seconds to an interval."""
+        self._interval_s = interval_s
+        self._records: list[_RouterRecord] = []
+        self._intervals: dict[float, Interval] | None = None
+        self.malformed_lines = 0
+        """Lines that begin like a record and can't be decoded."""
 
     def read(self, router: str, text: str) -> None:
-        """Take the log of one router."""
+        """Read the log of one router; other lines are ignored."""
         for line in text.splitlines():
-            _, mark, told = line.partition(LOG_LINE_PREFIX)
-            if not mark:
-                continue
             try:
-                tally = orjson.loads(told)
-                float(tally["t"]), tally["counts"].items(), tally["states"].items()
-            except (ValueError, KeyError, TypeError, AttributeError):
-                self.unread += 1
+                record = parse_log_line(line)
+            except msgspec.DecodeError:
+                self.malformed_lines += 1
                 continue
-            self._lines.append((router, tally))
-        self._seconds = None
+            if record is not None:
+                self._records.append(_RouterRecord(router, record))
+        self._intervals = None
 
     @property
-    def seconds(self) -> dict[float, Second]:
-        """The steps, by their beginnings."""
-        if self._seconds is None:
-            self._seconds = self._merge()
-        return self._seconds
-
-    def _merge(self) -> dict[float, Second]:
-        first = min((tally["t"] for _, tally in self._lines), default=0.0)
-        merged: dict[float, Second] = {}
-        told: dict[float, dict[str, dict[str, float]]] = {}
-        for router, tally in self._lines:
-            at = (tally["t"] - first) // self._step * self._step
-            second = merged.setdefault(at, Second(at))
-            second.routers.add(router)
-            _add(second.counts, tally["counts"])
-            told.setdefault(at, {})[router] = tally["states"]  # the last one of a step stands
-            for name, met in tally.get("servers", {}).items():
-                held = second.servers.setdefault(name, [0] * len(met))
-                second.servers[name] = [a + b for a, b in zip(held, met, strict=True)]
-            second.fetched.update(tally.get("fetched", ()))
-        for at, second in merged.items():
-            for states in told[at].values():
-                _add(second.states, states)
-            # Fetches of a key that some router fetched in the same step already.
-            second.counts["fetched twice"] = second.fetched.total() - len(second.fetched)
-            loads = [met[0] for met in second.servers.values()]
-            if loads:
-                second.states["busiest server / mean"] = max(loads) * len(loads) / max(sum(loads), 1)
+    def intervals(self) -> dict[float, Interval]:
+        """The intervals by their starts, seconds."""
+        if self._intervals is None:
+            self._intervals = self._merge()
+        return self._intervals
+
+    def _merge(self) -> dict[float, Interval]:
+        first = min((one.record.time_s for one in self._records), default=0.0)
+        merged: dict[float, Interval] = {}
+        for router, record in self._records:
+            start_s = (record.time_s - first) // self._interval_s * self._interval_s
+            merged.setdefault(start_s, Interval(start_s)).add(router, record)
+        for interval in merged.values():
+            interval.derive()
         return merged
 
     def totals(self) -> dict[str, float]:
-        """All counts of the whole play, by name."""
+        """All counts of the whole time, by name."""
         sums: dict[str, float] = defaultdict(float)
-        for second in self.seconds.values():
-            _add(sums, second.counts)
+        for interval in self.intervals.values():
+            _add(sums, interval.counts)
         return dict(sorted(sums.items()))
 
     def state_names(self) -> list[str]:
         """The states that were ever other than 0."""
-        seconds = self.seconds.values()
-        return sorted({name for second in seconds for name, value in second.states.items() if value})
+        intervals = self.intervals.values()
+        return sorted({name for one in intervals for name, value in one.states.items() if value})
--- a/holdgw/operation/interval_counters.py
+++ b/holdgw/operation/interval_counters.py
@@ -1,70 +1,98 @@
-"""What a router did in each second, as a line of JSON, for counting across a fleet (`holdgw fleet-log`).
+"""What a router did in each second, as a line of JSON in its log, for `holdgw fleet-log`.
 
-Off unless HOLDGW_TALLY is set: a line is a kilobyte or two a second. What is counted under a name is bounded
-by what there is to count: outcomes, reasons, listed servers. A key is told as a short hash, KEYS a second.
+Off unless HOLDGW_TALLY is set: a line is a kilobyte or two. The names that are counted are bounded: outcomes,
+reasons, listed endpoints. A key is logged as a short hash, at most MAX_KEYS a line.
 """
 
 from __future__ import annotations
 
 from zlib import crc32
 
+import msgspec
 import orjson
 
 LOG_LINE_PREFIX = "tally "
-"""What such a line begins with, behind whatever the platform puts before it."""
+"""Begins the line, behind whatever the platform puts before it."""
 MAX_KEYS = 64
 
 
+class IntervalRecord(msgspec.Struct, frozen=True):
+    """One line: what was counted since the line before, and states as of the line's time."""
+
+    time_s: float = msgspec.field(name="t")
+    """Unix time, seconds."""
+    counts: dict[str, float]
+    states: dict[str, float | bool]
+    endpoints: dict[str, list[int]] = msgspec.field(name="servers", default_factory=dict)
+    """By endpoint id: attempts, those answered late, those without a usable answer."""
+    fetched_keys: list[int] = msgspec.field(name="fetched", default_factory=list)
+    """CRC-32 of keys fetched from the origin."""
+
+
+def parse_log_line(line: str) -> IntervalRecord | None:
+    """The record of a log line; None where the line has none. Raises msgspec.DecodeError."""
+    _, prefix, record = line.partition(LOG_LINE_PREFIX)
+    return msgspec.json.decode(record, type=IntervalRecord) if prefix else None
+
+
 class IntervalCounters:
     """Counts since the last line."""
 
     def __init__(self) -> None:
         self._counts: dict[str, float] = {}
-        self._servers: dict[str, list[int]] = {}
-        self._fetched: list[int] = []
-        self._before: dict[str, float] = {}
+        self._endpoints: dict[str, list[int]] = {}
+        self._fetched_keys: list[int] = []
+        self._running_totals: dict[str, float] = {}
 
-    def add(self, name: str, much: float = 1) -> None:
-        """Count something."""
-        self._counts[name] = self._counts.get(name, 0) + much
+    def add(self, name: str, amount: float = 1) -> None:
+        """Add to a count."""
+        self._counts[name] = self._counts.get(name, 0) + amount
 
-    def add_growth(self, name: str, value: float) -> None:
-        """Count what a running total has grown by since it was last told of."""
-        self.add(name, value - self._before.get(name, 0))
-        self._before[name] = value
+    def add_growth(self, name: str, total: float) -> None:
+        """Add what a running total has grown by since the last call for this name."""
+        self.add(name, total - self._running_totals.get(name, 0))
+        self._running_totals[name] = total
 
     def count_client_request(self, again: bool, hasty: bool) -> None:
-        """Count a client's try. `again`: marked as a retry; `hasty`: it waits less than its aim."""
+        """Count a client's request.
+
+        `again`: marked as a retry; `hasty`: its deadline is nearer than its class's latency objective.
+        """
         self.add(f"tries{' again' if again else ''}{', hasty' if hasty else ''}")
 
     def count_attempt(
-        self, server: str, word: str, fresh: bool, late: bool, fetched: str | None, why: str = ""
+        self, server: str, outcome: str, fresh: bool, late: bool, fetched: str | None, why: str = ""
     ) -> None:
-        """Count an attempt's end: `word` is its outcome, `fetched` the key where it went to the origin.
+        """Count an attempt's end.
 
-        `late`: after its class's aim. `fresh`: the first on its connection. `why`: what it was made for.
+        `fresh`: the first on its connection; `late`: after its class's latency objective; `fetched`: the key,
+        where the attempt went to the origin; `why`: the reason of the attempt.
         """
         if why:
-            self.add(f"why {why}.{word}")
+            self.add(f"why {why}.{outcome}")
         where = "origin" if fetched is not None else "cache"
-        self.add(f"{where}.{word}{'.fresh' if fresh else ''}{'.late' if late else ''}")
-        if fetched is not None:
-            if len(self._fetched) < MAX_KEYS:
-                self._fetched.append(crc32(fetched.encode()))
-        else:
-            met = self._servers.setdefault(server, [0, 0, 0])
-            met[0] += 1
-            met[1] += late
-            met[2] += word not in ("ok", "miss")
-
-    def log_line(self, second: float, states: dict[str, float]) -> str:
-        """The line for what was counted since the last one; `states` are of now."""
-        told = {
-            "t": round(second, 3),
-            "counts": {name: round(much, 6) for name, much in self._counts.items() if much},
+        self.add(f"{where}.{outcome}{'.fresh' if fresh else ''}{'.late' if late else ''}")
+        if fetched is None:
+            self._count_endpoint(server, late, answered=outcome in ("ok", "miss"))
+        elif len(self._fetched_keys) < MAX_KEYS:
+            self._fetched_keys.append(crc32(fetched.encode()))
+
+    def _count_endpoint(self, server: str, late: bool, answered: bool) -> None:
+        row = self._endpoints.setdefault(server, [0, 0, 0])
+        row[0] += 1
+        row[1] += late
+        row[2] += not answered
+
+    def log_line(self, time_s: float, states: dict[str, float]) -> str:
+        """The line for what was counted since the last one. `time_s`: Unix time; `states`: as of now."""
+        line = {
+            "t": round(time_s, 3),
+            "counts": {name: round(amount, 6) for name, amount in self._counts.items() if amount},
             "states": states,
-            "servers": self._servers,
-            "fetched": self._fetched,
+            "servers": self._endpoints,
+            "fetched": self._fetched_keys,
         }
-        self._counts, self._servers, self._fetched = {}, {}, []
-        return LOG_LINE_PREFIX + orjson.dumps(told).decode()
+        self._counts = {}
+        self._endpoints = {}
+        self._fetched_keys = []
+        return LOG_LINE_PREFIX + orjson.dumps(line).decode()
--- a/holdgw/operation/metrics.py
+++ b/holdgw/operation/metrics.py
@@ -1,34 +1,53 @@
-"""What a router reports of itself: counts since its start and states of now, as text for a scraper.
+"""What a router reports of itself: counts since its start and states as of now, as text for a scraper.
 
-The text is Prometheus' exposition format, version 0.0.4.
+The text is Prometheus' exposition format, version 0.0.4. Only this module knows the `lb_...` names.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from enum import Enum
+from typing import NamedTuple
 
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 class Disposition(Enum):
-    """How a request ended: served, refused or failed."""
+    """How a request ended."""
 
     SUCCEEDED = "succeeded"
     DECLINED = "declined"
+    """Rejected, without effect."""
     ABORTED = "aborted"
+    """Failed."""
+
+
+class PeerMetrics(NamedTuple):
+    """What a router reports of itself as a member of the membership."""
+
+    members: Mapping[str, int]
+    """Routers by membership state."""
+    load_view: Mapping[str, int]
+    """Routers and requests that the load view rests on, and endpoints that it knows of."""
+    dropped: Mapping[str, int]
+    """Datagrams that were not read, or not sent, by reason."""
+    aggregation: Mapping[str, int]
+    """The state of aggregation at this member."""
+    payload_bytes: Mapping[str, int]
+    """Payload of datagrams by direction."""
 
 
 class Metrics:
     """The counts; whoever gives an answer or makes an attempt counts it there and then."""
 
-    def __init__(self, classes: Iterable[str], off: Iterable[str] = ()) -> None:
+    def __init__(self, classes: Iterable[str], disabled_features: Iterable[str] = ()) -> None:
+        """`classes`: names of the request classes; `disabled_features`: what the settings switch off."""
         self.results = {(name, disposition): 0 for name in classes for disposition in Disposition}
         self.forwards = 0
-        """Attempts written whole to servers, the origin among them."""
-        self.reloads_applied = self.reloads_rejected = 0
-        self.off = tuple(off)
-        """Parts of the decisions that the settings switch off."""
+        """Attempts written completely to endpoints, the origin among them."""
+        self.reloads_applied = 0
+        self.reloads_rejected = 0
+        self.disabled_features = tuple(disabled_features)
 
     def count_answer(self, request_class: str, disposition: Disposition) -> None:
         """Count a request's final answer; a class that the settings don't name is not counted."""
@@ -38,10 +57,10 @@
 
     def counts(self) -> dict[str, list[int]]:
         """The final answers of each class, in Disposition's order, for another process."""
-        told: dict[str, list[int]] = {}
+        rows: dict[str, list[int]] = {}
         for (name, _), count in self.results.items():
-            told.setdefault(name, []).append(count)
-        return told
+            rows.setdefault(name, []).append(count)
+        return rows
 
     def add(self, counts: dict[str, list[int]], forwards: int) -> None:
         """Add what another process of the router has counted."""
@@ -55,44 +74,53 @@
         outstanding: int,
         discovered: int,
         ejected: int,
-        peers: Mapping[str, int] | None = None,
-        picture: Mapping[str, int] | None = None,
-        levels: Mapping[str, float] | None = None,
-        dropped: Mapping[str, int] | None = None,
-        view: Mapping[str, int] | None = None,
-        peer_bytes: Mapping[str, int] | None = None,
+        peers: PeerMetrics | None = None,
+        rebalancing: Mapping[str, float] | None = None,
     ) -> bytes:
-        """Write all figures down; `peers`: how many routers of the tier are held to be what; `picture`: how
-        many routers and requests were heard of lately, and servers that there is word of; `levels`: how many
-        servers give slots up and take some, and the least part that one keeps; `dropped`: datagrams of
-        others that were not read, or own ones not sent, by why; `view`: the state of aggregation;
-        `peer_bytes`: payload of datagrams among peers, by way.
+        """Write all metrics in the exposition format.
+
+        `outstanding`: requests not answered yet; `discovered`, `ejected`: cache servers; `rebalancing`:
+        donors, receivers and the least slot retention.
         """
+        lines = self._result_lines()
+        lines += _metric("forwards", "counter", self.forwards)
+        lines += _metric("outstanding", "gauge", outstanding)
+        lines += _metric("discovered", "gauge", discovered)
+        lines += _metric("ejected", "gauge", ejected)
+        lines += _metric("sighup_applied", "counter", self.reloads_applied)
+        lines += _metric("sighup_rejected", "counter", self.reloads_rejected)
+        if peers is not None:
+            lines += _labelled("peers", "gauge", "state", peers.members)
+            lines += _labelled("peers_dropped", "counter", "why", peers.dropped)
+            lines += _labelled("picture", "gauge", "of", peers.load_view)
+        if rebalancing is not None:
+            lines += _labelled("levels", "gauge", "of", rebalancing)
+        if peers is not None:
+            lines += _labelled("view", "gauge", "of", peers.aggregation)
+            lines += _labelled("peer_bytes", "counter", "way", peers.payload_bytes)
+        lines += _labelled("off", "gauge", "part", dict.fromkeys(self.disabled_features, 1))
+        return "\n".join([*lines, ""]).encode()
+
+    def _result_lines(self) -> list[str]:
         lines = ["# TYPE lb_results counter"]
         for (name, disposition), count in self.results.items():
             escaped = name.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
             lines.append(f'lb_results{{service="{escaped}",disposition="{disposition.value}"}} {count}')
-        for name, kind, value in (
-            ("forwards", "counter", self.forwards),
-            ("outstanding", "gauge", outstanding),
-            ("discovered", "gauge", discovered),
-            ("ejected", "gauge", ejected),
-            ("sighup_applied", "counter", self.reloads_applied),
-            ("sighup_rejected", "counter", self.reloads_rejected),
-        ):
-            lines += [f"# TYPE lb_{name} {kind}", f"lb_{name} {value}"]
-        several: tuple[tuple[str, str, str, Mapping[str, float] | None], ...] = (
-            ("peers", "gauge", "state", peers),
-            ("peers_dropped", "counter", "why", dropped),
-            ("picture", "gauge", "of", picture),
-            ("levels", "gauge", "of", levels),
-            ("view", "gauge", "of", view),
-            ("peer_bytes", "counter", "way", peer_bytes),
-        )
-        for name, kind, label, counts in several:
-            if counts:
-                lines += [f"# TYPE lb_{name} {kind}"]
-                lines += [f'lb_{name}{{{label}="{word}"}} {count}' for word, count in counts.items()]
-        if self.off:
-            lines += ["# TYPE lb_off gauge", *(f'lb_off{{part="{part}"}} 1' for part in self.off)]
-        return "\n".join([*lines, ""]).encode()
+        return lines
+
+
+def worker_count_text(serving: int) -> bytes:
+    """How many worker processes can serve, to be added to a supervisor's text."""
+    return "\n".join([*_metric("workers", "gauge", serving), ""]).encode()
+
+
+def _metric(name: str, kind: str, value: int) -> list[str]:
+    return [f"# TYPE lb_{name} {kind}", f"lb_{name} {value}"]
+
+
+def _labelled(name: str, kind: str, label: str, values: Mapping[str, float]) -> list[str]:
+    """One metric with a value for each value of a label; nothing where there are none."""
+    if not values:
+        return []
+    rows = [f'lb_{name}{{{label}="{word}"}} {value}' for word, value in values.items()]
+    return [f"# TYPE lb_{name} {kind}", *rows]
--- a/holdgw/operation/process_link.py
+++ b/holdgw/operation/process_link.py
@@ -1,6 +1,6 @@
 """A link between processes of one router: messages in order, and descriptors with them.
 
-A Unix socket of whole messages; a descriptor is copied into the other process (unix(7), SCM_RIGHTS).
+A Unix socket of type SOCK_SEQPACKET; a descriptor is copied into the other process (unix(7), SCM_RIGHTS).
 """
 
 from __future__ import annotations
@@ -12,67 +12,88 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
 from itertools import islice
-from typing import Generic, TypeVar
+from typing import Generic, NamedTuple, TypeVar
 
 import msgspec
 from msgspec.structs import replace
 
 from holdgw.policy import HandoverState
 
-MAX_PENDING_COMMAND_BYTES = (
-    32 << 10
-)  # bytes of a command under way that go with a connection; a longer one is waited for
-MAX_MESSAGE_BYTES = MAX_PENDING_COMMAND_BYTES + (64 << 10)  # a word of another kind: thousands of ids
-MAX_PART_ITEMS = 500  # servers, slots or calls in one message, of some 110 bytes each at most
-MAX_UNSENT_MESSAGES = 4096  # messages that the other side has not taken, past which it is taken for stuck
+MAX_PENDING_COMMAND_BYTES = 32 << 10  # a connection amid a longer command stays until it is complete
+MAX_MESSAGE_BYTES = MAX_PENDING_COMMAND_BYTES + (64 << 10)  # a message of another kind has thousands of ids
+MAX_PART_ITEMS = 500  # endpoints, slots or calls in one message, of some 110 bytes each at most
+MAX_UNSENT_MESSAGES = 4096  # beyond this the other process counts as stuck
 
 Message = TypeVar("Message")
-T = TypeVar("T")
+Item = TypeVar("Item")
 
 log = logging.getLogger("holdgw")
 
 
-class HandoverPart(msgspec.Struct, tag="knowledge", frozen=True):
-    """A part of what a process's decisions have learnt, so that another need not begin anew."""
+class HandoverPart(msgspec.Struct, tag="knowledge", rename={"state": "learnt"}, frozen=True):
+    """A part of a process's handover state."""
 
-    learnt: HandoverState
+    state: HandoverState
 
 
-class ClientHandover(msgspec.Struct, tag="client", frozen=True):
-    """A client's connection, whose descriptor comes along, and what has come of a command under way."""
+class ClientHandover(
+    msgspec.Struct,
+    tag="client",
+    rename={
+        "pending_bytes": "held",
+        "has_sent_command": "asked",
+        "waited_s": "waited",
+        "unread_since_ns": "since",
+    },
+    frozen=True,
+):
+    """A client's connection, whose descriptor comes along."""
 
-    held: bytes
-    asked: bool
-    waited: float
-    """Seconds since that command began, or since the connection's last."""
-    since: int = 0
-    """Since when what has not been read may lie there, nanoseconds of the machine's monotonic clock; 0: an
-    elder of another version did not say."""
+    pending_bytes: bytes
+    """What was read of a command that is not complete."""
+    has_sent_command: bool
+    """Whether a complete command came on the connection."""
+    waited_s: float
+    """Seconds since the pending command began, or else since the connection's last one."""
+    unread_since_ns: int = 0
+    """Since when bytes may lie unread there, on the machine's monotonic clock; 0: not known, as an earlier
+    version does not send it."""
 
 
 encode = msgspec.msgpack.Encoder().encode
 
 
-def split_handover(learnt: HandoverState) -> Iterator[HandoverState]:
-    """Cut what was learnt into parts that fit a message each."""
-    yield replace(learnt, endpoints={}, tenants={}, slot_popularity={}, tenant_usage={})
-    for names in batched(learnt.endpoints, MAX_PART_ITEMS):
-        yield HandoverState(endpoints={name: learnt.endpoints[name] for name in names})
-    for name, tenant in learnt.tenants.items():
+def split_handover(state: HandoverState) -> Iterator[HandoverState]:
+    """Cut handover state into parts that fit a message each."""
+    yield replace(state, endpoints={}, tenants={}, slot_popularity={}, tenant_usage={})
+    for names in batched(state.endpoints, MAX_PART_ITEMS):
+        yield HandoverState(endpoints={name: state.endpoints[name] for name in names})
+    for name, tenant in state.tenants.items():
         yield HandoverState(tenants={name: replace(tenant, calls=tenant.calls[-MAX_PART_ITEMS:])})
-    for slots in batched(learnt.slot_popularity, MAX_PART_ITEMS):
-        yield HandoverState(slot_popularity={slot: learnt.slot_popularity[slot] for slot in slots})
-    for tenants in batched(learnt.tenant_usage, MAX_PART_ITEMS):
-        yield HandoverState(tenant_usage={name: learnt.tenant_usage[name] for name in tenants})
+    for slots in batched(state.slot_popularity, MAX_PART_ITEMS):
+        yield HandoverState(slot_popularity={slot: state.slot_popularity[slot] for slot in slots})
+    for tenants in batched(state.tenant_usage, MAX_PART_ITEMS):
+        yield HandoverState(tenant_usage={name: state.tenant_usage[name] for name in tenants})
 
 
-def batched(items: Iterable[T], size: int) -> Iterator[list[T]]:
+def batched(items: Iterable[Item], size: int) -> Iterator[list[Item]]:
     """Lists of at most so many items, in order."""
-    held = iter(items)
-    while batch := list(islice(held, size)):
+    remaining = iter(items)
+    while batch := list(islice(remaining, size)):
         yield batch
 
 
+class _Unsent(NamedTuple):
+    """An encoded message, and the descriptor that goes with it, which is the link's to close."""
+
+    data: bytes
+    descriptor: int | None
+
+    def close_descriptor(self) -> None:
+        if self.descriptor is not None:
+            os.close(self.descriptor)
+
+
 class ProcessLink(Generic[Message]):
     """One connection between two processes of a router; owns it and every descriptor on the way."""
 
@@ -81,14 +102,22 @@
         loop: asyncio.AbstractEventLoop,
         sock: socket.socket,
         decode: Callable[[bytes], Message],
-        take: Callable[[ProcessLink[Message], Message, int | None], None],
-        lost: Callable[[ProcessLink[Message]], None],
+        on_message: Callable[[ProcessLink[Message], Message, int | None], None],
+        on_closed: Callable[[ProcessLink[Message]], None],
     ) -> None:
-        self._loop, self._sock, self._decode, self._take, self._lost = loop, sock, decode, take, lost
-        self._unsent: deque[tuple[bytes, int | None]] = deque()
+        """`on_message`: given each message, and a descriptor that came along, which is then the callee's.
+
+        `decode` may raise msgspec.DecodeError. `on_closed`: called once, whichever side has closed the link.
+        """
+        self._loop = loop
+        self._sock = sock
+        self._decode = decode
+        self._on_message = on_message
+        self._on_closed = on_closed
+        self._unsent: deque[_Unsent] = deque()
         self.open = True
         self.ready = False
-        """Whether the other side is a successor that can serve."""
+        """Whether the other side is a new process that can serve."""
         sock.setblocking(False)
         loop.add_reader(sock, self.read)
 
@@ -98,28 +127,28 @@
             if descriptor is not None:
                 os.close(descriptor)
             return
-        self._unsent.append((encode(message), descriptor))
+        self._unsent.append(_Unsent(encode(message), descriptor))
         if len(self._unsent) == 1:
             self._write()
         elif len(self._unsent) > MAX_UNSENT_MESSAGES:
-            log.error("link: the other process takes nothing")
+            log.error("link: closed, the other process reads nothing unsent=%d", len(self._unsent))
             self.close()
 
     def _write(self) -> None:
         while self._unsent:
-            data, descriptor = self._unsent[0]
+            unsent = self._unsent[0]
+            descriptors = [] if unsent.descriptor is None else [unsent.descriptor]
             try:
-                socket.send_fds(self._sock, [data], [] if descriptor is None else [descriptor])
+                socket.send_fds(self._sock, [unsent.data], descriptors)
             except (BlockingIOError, InterruptedError):
                 self._loop.add_writer(self._sock, self._write)
                 return
             except OSError as error:
-                log.warning("link: %s", error)
+                log.warning("link: closed, sending failed error=%s", error)
                 self.close()
                 return
             self._unsent.popleft()
-            if descriptor is not None:
-                os.close(descriptor)
+            unsent.close_descriptor()
         self._loop.remove_writer(self._sock)
 
     @property
@@ -128,41 +157,43 @@
         return not self._unsent
 
     def read(self) -> None:
-        """Take all that has come."""
-        # Danger: one message a turn would let a hundred connections wait for as many turns of a busy loop.
+        """Read all that has arrived.
+
+        One message a turn of the loop would let a hundred connections wait for as many turns of a busy one.
+        """
         while self.open:
             try:
                 data, descriptors, _, _ = socket.recv_fds(self._sock, MAX_MESSAGE_BYTES, 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                log.warning("link: %s", error)
+                log.warning("link: closed, reading failed error=%s", error)
                 self.close()
                 return
-            descriptor = descriptors[0] if descriptors else None
             if not data:
                 self.close()
                 return
-            try:
-                message = self._decode(data)
-            except msgspec.DecodeError as error:
-                log.error("link: a message can't be read: %s", error)
-                if descriptor is not None:
-                    os.close(descriptor)
-                self.close()
-                return
-            self._take(self, message, descriptor)
+            self._receive(data, descriptors[0] if descriptors else None)
+
+    def _receive(self, data: bytes, descriptor: int | None) -> None:
+        try:
+            message = self._decode(data)
+        except msgspec.DecodeError as error:
+            log.error("link: closed, a message can't be decoded error=%s", error)
+            if descriptor is not None:
+                os.close(descriptor)
+            self.close()
+            return
+        self._on_message(self, message, descriptor)
 
     def close(self) -> None:
-        """End the link; what is not sent yet is dropped with its descriptors."""
+        """Close the link; what is not sent yet is dropped with its descriptors."""
         if not self.open:
             return
         self.open = False
         self._loop.remove_reader(self._sock)
         self._loop.remove_writer(self._sock)
         self._sock.close()
-        unsent, self._unsent = self._unsent, deque()
-        for _, descriptor in unsent:
-            if descriptor is not None:
-                os.close(descriptor)
-        self._lost(self)
+        while self._unsent:
+            self._unsent.popleft().close_descriptor()
+        self._on_closed(self)
--- a/holdgw/operation/takeover.py
+++ b/holdgw/operation/takeover.py
@@ -1,9 +1,9 @@
-"""The link between a router's process and the one that takes its place: words, and clients' descriptors.
+"""The takeover: the old process of a router passes its clients' connections to a new one.
 
-The one who serves listens on a Unix socket in a private folder; a successor that starts beside it connects
-there. Both then belong to one router: each is told of every server that is taken out by hand at the other,
-and on SIGTERM the elder hands its clients' connections over, a message and a descriptor each (unix(7),
-SCM_RIGHTS).
+The old process listens on a Unix socket in a private folder; a new process that starts beside it connects
+there. Both then belong to one router: each is notified of every administrative override that is set at the
+other, and on SIGTERM the old process sends its clients' connections over, a message and a descriptor each
+(unix(7), SCM_RIGHTS).
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 import logging
 import os
 import socket
-from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
+from typing import NamedTuple, Protocol
 
 import msgspec
 
@@ -22,36 +22,43 @@
 from holdgw.policy import HandoverState
 
 VERSION = 1
-NAME = "holdgw.link"
-HELLO_TIMEOUT_S = 1.0  # the elder tells what it has in so long, or is taken for stuck
+SOCKET_NAME = "holdgw.link"
+HELLO_TIMEOUT_S = 1.0  # without an answer by then the old process counts as stuck
 MAX_LINKS = 4  # processes of one router beside this one
 
 log = logging.getLogger("holdgw")
 
 
 class Hello(msgspec.Struct, tag="hello", frozen=True):
-    """The successor's first word. Unknown fields of any message are ignored."""
+    """The new process's first message. Unknown fields of any message are ignored."""
 
     version: int
 
 
-class OverrideList(msgspec.Struct, tag="outs", frozen=True):
-    """The elder's answer: the servers out by hand, and since when (monotonic ns, the machine's)."""
+class OverrideList(msgspec.Struct, tag="outs", rename={"since_ns": "since"}, frozen=True):
+    """The old process's answer, after its handover state: the administrative overrides."""
 
     version: int
-    since: dict[str, int]
+    since_ns: dict[str, int]
+    """By endpoint id: when the override was set, on the machine's monotonic clock."""
 
 
-class OverrideChanged(msgspec.Struct, tag="hand", frozen=True):
-    """A server was taken out by hand at this time, or is used again from then on."""
+class OverrideChanged(
+    msgspec.Struct,
+    tag="hand",
+    rename={"endpoint_id": "server", "overridden": "out", "at_ns": "at"},
+    frozen=True,
+):
+    """An administrative override was set or cleared."""
 
-    server: str
-    out: bool
-    at: int
+    endpoint_id: str
+    overridden: bool
+    at_ns: int
+    """When, on the machine's monotonic clock."""
 
 
 class Ready(msgspec.Struct, tag="ready", frozen=True):
-    """The successor can serve."""
+    """The new process can serve."""
 
 
 Message = Hello | OverrideList | OverrideChanged | HandoverPart | Ready | ClientHandover
@@ -59,133 +66,151 @@
 decode = msgspec.msgpack.Decoder(Message).decode
 
 
+class TakeoverOwner(Protocol):
+    """What a Takeover calls of the process that it belongs to."""
+
+    def overridden_endpoints(self) -> dict[str, int]:
+        """The administrative overrides, by endpoint id: since when, monotonic ns. Asked by a new process."""
+
+    def handover_state(self) -> HandoverState:
+        """What the routing policy passes on. Asked by a new process."""
+
+    def apply_override(self, change: OverrideChanged) -> None:
+        """An override was set or cleared at another process of this router."""
+
+    def restore_state(self, state: HandoverState) -> None:
+        """A part of the old process's handover state has come."""
+
+    def adopt_client(self, handover: ClientHandover, descriptor: int) -> None:
+        """A client's connection has come; the descriptor is the owner's from here on."""
+
+    def links_changed(self) -> None:
+        """Another process has connected, or a link to one is closed."""
+
+
+class _Listener(NamedTuple):
+    """The socket on which a new process is awaited."""
+
+    sock: socket.socket
+    path: Path
+    inode: int
+
+
 class Takeover:
-    """This process among those of its router: at most an elder before it and a successor after it."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        outs: Callable[[], dict[str, int]],
-        learnt: Callable[[], HandoverState],
-        hand: Callable[[OverrideChanged], None],
-        learn: Callable[[HandoverState], None],
-        adopt: Callable[[ClientHandover, int], None],
-        changed: Callable[[], None],
-    ) -> None:
-        """`outs`, `learnt`: what this process knows; `hand`, `learn`, `adopt`: take what another sends.
-
-        `changed`: links have come or gone.
-        """
-        self._loop, self._outs, self._learnt, self._changed = loop, outs, learnt, changed
-        self._hand, self._learn, self._adopt = hand, learn, adopt
+    """The links of this process: at most one to an old process, and one to each new process."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, owner: TakeoverOwner) -> None:
+        self._loop = loop
+        self._owner = owner
         self._links: dict[ProcessLink[Message], None] = {}
-        self._elder: ProcessLink[Message] | None = None
-        self._met = asyncio.Event()  # the elder has told what it has, or is gone
-        self._door: socket.socket | None = None
-        self._path: Path | None = None
-        self._inode = 0
+        self._old_process: ProcessLink[Message] | None = None
+        self._old_process_answered = asyncio.Event()  # or its link is closed
+        self._listener: _Listener | None = None
 
     async def begin(self, folder: Path) -> None:
-        """Meet the elder in this folder, if there is one, and then wait for a successor there.
+        """Connect to the old process in this folder, if there is one, and then await a new one there.
 
         Never fails: without a link an upgrade is a plain restart, and the log says why.
         """
-        path = folder / NAME
+        path = folder / SOCKET_NAME
         try:
-            await self._meet(path)
-            self._wait_at(path)
+            await self._connect(path)
+            self._listen(path)
         except OSError as error:
-            log.warning("takeover: none is possible: %s", error)
+            log.warning("takeover: not possible error=%s", error)
 
-    async def _meet(self, path: Path) -> None:
+    async def _connect(self, path: Path) -> None:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            sock.connect(os.fspath(path))  # local: it is there at once, or not at all
+            sock.connect(os.fspath(path))  # local: it succeeds or fails at once
         except (FileNotFoundError, ConnectionRefusedError):
             sock.close()
             return
         except OSError:
             sock.close()
             raise
-        self._elder = self._add(sock)
-        self._elder.send(Hello(VERSION))
-        # Danger: to serve before the elder has told which servers are out by hand would send to one of them.
+        self._old_process = self._add_link(sock)
+        self._old_process.send(Hello(VERSION))
+        # A process that served before it knows the overrides would send requests to overridden endpoints.
         try:
-            await asyncio.wait_for(self._met.wait(), HELLO_TIMEOUT_S)
+            await asyncio.wait_for(self._old_process_answered.wait(), HELLO_TIMEOUT_S)
         except TimeoutError:
-            log.error("takeover: the elder says nothing; going on without its word")
+            log.error("takeover: no answer of the old process, going on timeout_s=%g", HELLO_TIMEOUT_S)
 
-    def _wait_at(self, path: Path) -> None:
+    def _listen(self, path: Path) -> None:
         with suppress(FileNotFoundError):
-            path.unlink()  # the elder's: it goes on by its link, or its owner is dead
-        door = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+            path.unlink()  # the old process's: its link goes on, or it is dead
+        sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            door.bind(os.fspath(path))
-            door.listen(MAX_LINKS)
+            sock.bind(os.fspath(path))
+            sock.listen(MAX_LINKS)
         except OSError:
-            door.close()
+            sock.close()
             raise
-        door.setblocking(False)
-        self._door, self._path, self._inode = door, path, path.stat().st_ino
-        self._loop.add_reader(door, self._accept)
+        sock.setblocking(False)
+        self._listener = _Listener(sock, path, path.stat().st_ino)
+        self._loop.add_reader(sock, self._accept)
 
     def _accept(self) -> None:
-        assert self._door is not None
+        assert self._listener is not None
         try:
-            sock, _ = self._door.accept()
+            sock, _ = self._listener.sock.accept()
         except OSError:
             return
         if len(self._links) >= MAX_LINKS:
             sock.close()
             return
-        self._add(sock)
+        self._add_link(sock)
 
-    def _add(self, sock: socket.socket) -> ProcessLink[Message]:
-        link = ProcessLink(self._loop, sock, decode, self._take, self._lost)
+    def _add_link(self, sock: socket.socket) -> ProcessLink[Message]:
+        link = ProcessLink(self._loop, sock, decode, self._receive, self._link_closed)
         self._links[link] = None
-        self._changed()
+        self._owner.links_changed()
         return link
 
-    def _lost(self, link: ProcessLink[Message]) -> None:
+    def _link_closed(self, link: ProcessLink[Message]) -> None:
         self._links.pop(link, None)
-        if link is self._elder:
-            self._elder = None
-            self._met.set()
-        self._changed()
+        if link is self._old_process:
+            self._old_process = None
+            self._old_process_answered.set()
+        self._owner.links_changed()
 
-    def _take(self, link: ProcessLink[Message], message: Message, descriptor: int | None) -> None:
+    def _receive(self, link: ProcessLink[Message], message: Message, descriptor: int | None) -> None:
         match message:
             case Hello():
-                for part in split_handover(self._learnt()):
-                    link.send(HandoverPart(part))
-                link.send(OverrideList(VERSION, self._outs()))
+                self._answer_hello(link)
             case OverrideList():
-                for server, since in message.since.items():
-                    self._hand(OverrideChanged(server, True, since))
-                self._met.set()
+                for endpoint_id, since_ns in message.since_ns.items():
+                    self._owner.apply_override(OverrideChanged(endpoint_id, True, since_ns))
+                self._old_process_answered.set()
             case OverrideChanged():
-                self._hand(message)
+                self._owner.apply_override(message)
                 self.broadcast(message, but=link)
             case HandoverPart():
-                self._learn(message.learnt)
+                self._owner.restore_state(message.state)
             case Ready():
                 link.ready = True
             case ClientHandover() if descriptor is not None:
-                self._adopt(message, descriptor)
+                self._owner.adopt_client(message, descriptor)
                 descriptor = None
         if descriptor is not None:
             os.close(descriptor)
 
+    def _answer_hello(self, link: ProcessLink[Message]) -> None:
+        for part in split_handover(self._owner.handover_state()):
+            link.send(HandoverPart(part))
+        link.send(OverrideList(VERSION, self._owner.overridden_endpoints()))
+
     def broadcast(self, message: Message, but: ProcessLink[Message] | None = None) -> None:
-        """Tell the other processes."""
+        """Send to all other processes, except by the link `but`."""
         for link in list(self._links):
             if link is not but:
                 link.send(message)
 
     def announce_ready(self) -> None:
-        """Tell the elder that this process can serve."""
-        if self._elder is not None:
-            self._elder.send(Ready())
+        """Notify the old process that this one can serve."""
+        if self._old_process is not None:
+            self._old_process.send(Ready())
 
     @property
     def linked(self) -> bool:
@@ -193,18 +218,21 @@
         return bool(self._links)
 
     @property
-    def successor(self) -> ProcessLink[Message] | None:
-        """The process that takes over, once it can serve; the newest of several."""
+    def new_process(self) -> ProcessLink[Message] | None:
+        """The link to the process that takes over, once it can serve; the newest of several."""
         ready = [link for link in self._links if link.ready and link.open]
         return ready[-1] if ready else None
 
     def close(self) -> None:
-        """Leave; the path stays if it is a successor's by now."""
-        if self._door is not None and self._path is not None:
-            self._loop.remove_reader(self._door)
-            self._door.close()
-            with suppress(OSError):
-                if self._path.stat().st_ino == self._inode:
-                    self._path.unlink()
+        """Close all links and stop listening; the path stays if a new process has bound it by now."""
+        if self._listener is not None:
+            self._close_listener(self._listener)
         for link in list(self._links):
             link.close()
+
+    def _close_listener(self, listener: _Listener) -> None:
+        self._loop.remove_reader(listener.sock)
+        listener.sock.close()
+        with suppress(OSError):
+            if listener.path.stat().st_ino == listener.inode:
+                listener.path.unlink()
--- a/holdgw/router/aggregate.py
+++ b/holdgw/router/aggregate.py
@@ -70,7 +70,7 @@
 
     def metrics_text(self) -> bytes:
         """The figures as text."""
-        return Metrics(()).text(0, 0, 0, **peer_metrics(self.peers))
+        return Metrics(()).text(0, 0, 0, peer_metrics(self.peers))
 
     def enter_maintenance(self, server_id: str) -> None:
         """It knows of no servers; raises UnknownServerError."""
--- a/holdgw/router/client_connection.py
+++ b/holdgw/router/client_connection.py
@@ -184,10 +184,10 @@
         self.server.opened(self)
         if self._taken_over is not None:
             handed, self._taken_over = self._taken_over, None
-            self.asked = handed.asked
-            self.used_at = self.begun_at = self.server.loop.time() - handed.waited
-            if handed.held:
-                self._reader.feed(handed.held)
+            self.asked = handed.has_sent_command
+            self.used_at = self.begun_at = self.server.loop.time() - handed.waited_s
+            if handed.pending_bytes:
+                self._reader.feed(handed.pending_bytes)
                 self._take_commands()
 
     @property
--- a/holdgw/router/program.py
+++ b/holdgw/router/program.py
@@ -15,7 +15,7 @@
 from holdgw.operation.endpoint_overrides import EndpointOverrides
 from holdgw.operation.endpoint_update import EndpointUpdate
 from holdgw.operation.interval_counters import IntervalCounters
-from holdgw.operation.metrics import Metrics
+from holdgw.operation.metrics import Metrics, PeerMetrics
 from holdgw.operation.process_link import ClientHandover, ProcessLink
 from holdgw.operation.takeover import OverrideChanged, Takeover
 from holdgw.peers.gossip import PeerNode
@@ -73,15 +73,7 @@
         self.roster = EndpointOverrides(config.settings.origin_kind)
         self.door = AdminEndpoint(loop, self)
         self._learnt: list[HandoverState] = []  # by the elder, for as long as there is no list of servers
-        self.takeover = Takeover(
-            loop,
-            lambda: self.roster.overridden,
-            self.host.handover_state,
-            self._hand,
-            self._learn,
-            self._adopt,
-            self._processes_changed,
-        )
+        self.takeover = Takeover(loop, self)
         self.peers: PeerNode | None = None
         """This router among its peers, where it has any."""
         if config.peers is not None:
@@ -111,7 +103,8 @@
         for_clients = int(descriptors * CLIENT_SHARE)
         return for_clients, descriptors - for_clients
 
-    def _processes_changed(self) -> None:
+    def links_changed(self) -> None:
+        """Divide the descriptors anew: another process of this router has come or gone."""
         for_clients, for_servers = self._descriptors(2 if self.takeover.linked else 1)
         self.clients.set_limit(for_clients)
         self.pool.set_limit(for_servers)
@@ -182,7 +175,7 @@
         own = {
             "adopting": len(self._adopting),
             "clients": self.clients.connected,
-            "callers": self.door.callers,
+            "callers": self.door.connection_count,
         }
         return {**own, **self.host.tables(), **self.pool.tables()}
 
@@ -215,9 +208,12 @@
     def metrics_text(self) -> bytes:
         """The figures as text."""
         host, roster, peers = self.host, self.roster, self.peers
-        among = {} if peers is None else peer_metrics(peers) | {"levels": host.rebalancing_metrics()}
         return host.metrics.text(
-            host.outstanding, roster.discovered_count, roster.excluded_count(host.ejected()), **among
+            host.outstanding,
+            roster.discovered_count,
+            roster.excluded_count(host.ejected()),
+            peer_metrics(peers) if peers is not None else None,
+            host.rebalancing_metrics() if peers is not None else None,
         )
 
     def enter_maintenance(self, server_id: str) -> None:
@@ -238,22 +234,33 @@
             if self.peers is not None:
                 self.peers.load_view.set_servers(self.pool.endpoints())
 
-    # What another process of this router says
+    # The owner's side of Takeover
+
+    def overridden_endpoints(self) -> dict[str, int]:
+        """The administrative overrides, by endpoint id: since when, monotonic ns."""
+        return self.roster.overridden
+
+    def handover_state(self) -> HandoverState:
+        """What the policy passes to another process."""
+        return self.host.handover_state()
 
-    def _hand(self, word: OverrideChanged) -> None:
-        if word.out:
-            self._show(self.roster.restore_override(word.server, word.at))
-        elif word.server in self.roster.overridden:
-            self._show(self.roster.exit_maintenance(word.server, word.at))
+    def apply_override(self, change: OverrideChanged) -> None:
+        """Apply an override that was set or cleared at another process of this router."""
+        if change.overridden:
+            self._show(self.roster.restore_override(change.endpoint_id, change.at_ns))
+        elif change.endpoint_id in self.roster.overridden:
+            self._show(self.roster.exit_maintenance(change.endpoint_id, change.at_ns))
 
-    def _learn(self, learnt: HandoverState) -> None:
+    def restore_state(self, state: HandoverState) -> None:
+        """Restore a part of another process's state, once there is an endpoint list."""
         if self.host.ready:
-            self.host.restore(learnt)
+            self.host.restore(state)
         else:
-            self._learnt.append(learnt)
+            self._learnt.append(state)
 
-    def _adopt(self, told: ClientHandover | None, descriptor: int, since: int = 0) -> None:
-        since = told.since if told is not None else since
+    def adopt_client(self, told: ClientHandover | None, descriptor: int, since: int = 0) -> None:
+        """Take over a client's connection; `since`: where it was not handed over, as `unread_since_ns`."""
+        since = told.unread_since_ns if told is not None else since
         late = max(self.platform.monotonic_ns() - since, 0) if since else 0
         task = self.loop.create_task(self._take_client(told, descriptor, late))
         self._adopting[task] = None
@@ -285,7 +292,7 @@
     @property
     def _successor(self) -> ProcessLink[Any] | None:
         """Where clients' connections go when this process ends."""
-        return self.takeover.successor
+        return self.takeover.new_process
 
     async def _drain(self) -> None:
         """Answer all that is taken, close clients' connections between requests, be done before the kill."""
@@ -299,7 +306,7 @@
         queued = clients.take_queued()
         clients.stop_accepting()
         for descriptor in queued:
-            self._adopt(None, descriptor)
+            self.adopt_client(None, descriptor)
         while clients.connected and loop.time() < begun + self.config.longest_s + KILL_SLACK_S:
             clients.finish(even_midway=loop.time() >= begun + MIDWAY_S)
             await asyncio.sleep(DRAIN_STEP_S)
@@ -322,15 +329,15 @@
         log.info("takeover: %d connections handed over, %d left", given, clients.connected)
 
 
-def peer_metrics(peers: PeerNode) -> dict[str, Any]:
-    """What a member's figures say of it among its peers, as `Figures.text` takes it."""
-    return {
-        "peers": peers.state_counts(),
-        "picture": peers.view_counts(),
-        "dropped": peers.drop_counts(),
-        "view": peers.aggregation_counts(),
-        "peer_bytes": {"sent": peers.bytes_sent, "received": peers.bytes_received},
-    }
+def peer_metrics(peers: PeerNode) -> PeerMetrics:
+    """What the metrics say of a router as a member among its peers."""
+    return PeerMetrics(
+        members=peers.state_counts(),
+        load_view=peers.view_counts(),
+        dropped=peers.drop_counts(),
+        aggregation=peers.aggregation_counts(),
+        payload_bytes={"sent": peers.bytes_sent, "received": peers.bytes_received},
+    )
 
 
 def reload_config(platform: Platform, figures: Metrics) -> Config | None:
--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -14,11 +14,11 @@
 from typing import Any, cast
 
 from holdgw.cores import shared_table
-from holdgw.cores.host_system import BACKLOG, Acceptor, Decode, Lost, Take
+from holdgw.cores.host_system import LISTEN_BACKLOG, Acceptor, LinkHandlers, WorkerSlot
 from holdgw.cores.supervisor import Supervisor
-from holdgw.cores.worker import Worker, WorkerSlot
+from holdgw.cores.worker import Worker
 from holdgw.cores.worker_pool import InsufficientResourcesError, WorkerState
-from holdgw.operation.process_link import ProcessLink, encode
+from holdgw.operation.process_link import ClientHandover, ProcessLink, encode
 from holdgw.router.client_connection import ClientConnection, ClientListener
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.platform import Platform
@@ -33,49 +33,44 @@
 
 
 class Descriptors:
-    """The kernel's table of connections that are held by number, for a host."""
+    """The kernel's table of connections by descriptor, for the processes of a host."""
 
     def __init__(self) -> None:
         self._ends: dict[int, TcpEnd] = {}
         self._next = 1000
 
-    def hold(self, end: TcpEnd) -> int:
-        """A number for a connection, whoever else has it."""
+    def open(self, end: TcpEnd) -> int:
+        """A new descriptor of a connection, whichever others it has."""
         self._next += 1
         self._ends[self._next] = end
         end.copies += 1
         return self._next
 
-    def dup(self, number: int) -> int:
-        """Another number of the same connection."""
-        return self.hold(self._ends[number])
+    def duplicate(self, descriptor: int) -> int:
+        """Another descriptor of the same connection."""
+        return self.open(self._ends[descriptor])
 
-    def drop(self, number: int) -> None:
-        """Close a number; the connection is closed with the last one."""
-        self._ends.pop(number).copy_dropped()
+    def close_descriptor(self, descriptor: int) -> None:
+        """Close a descriptor; the connection is closed with its last one."""
+        self._ends.pop(descriptor).copy_dropped()
 
-    def end_of(self, number: int) -> TcpEnd:
+    def end_of(self, descriptor: int) -> TcpEnd:
         """The connection."""
-        return self._ends[number]
+        return self._ends[descriptor]
 
     def __len__(self) -> int:
         return len(self._ends)
 
 
-class _InHand:
-    """The connections that a supervisor holds by number; the kernel closes them with its process."""
+class _SupervisorDescriptors:
+    """The connections that a supervisor holds by descriptor; the kernel closes them with its process."""
 
-    def __init__(self, supervisor: Supervisor, descriptors: Descriptors) -> None:
-        self._supervisor, self._descriptors = supervisor, descriptors
+    def __init__(self, supervisor: Supervisor) -> None:
+        self._supervisor = supervisor
 
     def process_died(self) -> None:
-        """Drop them: a copy that stayed would keep a connection open whose worker has closed it."""
-        for one in self._supervisor.workers.values():
-            while one.copies:
-                self._descriptors.drop(one.copies.popleft()[1])
-        waiting = self._supervisor._waiting
-        while waiting:
-            self._descriptors.drop(waiting.popleft()[1])
+        """Close them: a copy left open would keep a connection open that its worker has closed."""
+        self._supervisor.close_all_clients()
 
 
 class SimulatedLink:
@@ -83,18 +78,20 @@
 
     def __init__(self, process: Process, descriptors: Descriptors) -> None:
         self.process, self._descriptors = process, descriptors
-        self._decode: Decode | None = None  # None: its process has not come to it yet
-        self._take: Callable[[Any, Any, int | None], None] = lambda *_: None
-        self._lost: Callable[[Any], None] = lambda _: None
+        self._handlers: LinkHandlers | None = None  # None: its process has not opened it yet
         self._inbox: deque[tuple[bytes, int | None]] = deque()
         self.peer: SimulatedLink | None = None
         self.open, self.ready, self.sent = True, False, True
         process.take_descriptor(self)
 
-    def begin(self, decode: Decode, take: Take, lost: Lost) -> ProcessLink[Any]:
-        """Read from now on, and what is there already."""
-        self._decode, self._take, self._lost = decode, take, lost
+    def begin(self, handlers: LinkHandlers) -> ProcessLink[Any]:
+        """Read from now on, and what has arrived already."""
+        self._handlers = handlers
         self.process.world.soon(self.process, self.read)
+        return self.as_process_link()
+
+    def as_process_link(self) -> ProcessLink[Any]:
+        """This link under the type that it stands for."""
         return cast("ProcessLink[Any]", self)
 
     def send(self, message: object, descriptor: int | None = None) -> None:
@@ -102,7 +99,7 @@
         peer = self.peer
         if not self.open or peer is None or not peer.open:
             if descriptor is not None:
-                self._descriptors.drop(descriptor)
+                self._descriptors.close_descriptor(descriptor)
             return
         peer.arrives(encode(message), descriptor)
 
@@ -113,12 +110,13 @@
             self.process.world.soon(self.process, self.read)
 
     def read(self) -> None:
-        """Take all that has come."""
-        if self._decode is None:
+        """Read all that has arrived."""
+        if self._handlers is None:
             return
         while self.open and self._inbox:
             data, descriptor = self._inbox.popleft()
-            self._take(self, self._decode(data), descriptor)
+            message = self._handlers.decode(data)
+            self._handlers.on_message(self.as_process_link(), message, descriptor)
         if self.open and self.peer is None:
             self.close()
 
@@ -127,7 +125,8 @@
         if self.open:
             self._end()
             self.process.free_descriptor(self)
-            self._lost(self)
+            if self._handlers is not None:
+                self._handlers.on_closed(self.as_process_link())
 
     def process_died(self) -> None:
         """The kernel closes it."""
@@ -138,7 +137,7 @@
         self.open = False
         for _, descriptor in self._inbox:
             if descriptor is not None:
-                self._descriptors.drop(descriptor)
+                self._descriptors.close_descriptor(descriptor)
         self._inbox.clear()
         peer, self.peer = self.peer, None
         if peer is not None:
@@ -147,32 +146,33 @@
                 peer.process.world.soon(peer.process, peer.read)
 
 
-class _Porter(asyncio.Protocol):
-    """Has an accepted connection for as long as it takes to give it on."""
+class _AcceptedConnection(asyncio.Protocol):
+    """Has an accepted connection for as long as it takes to pass it on."""
 
-    def __init__(self, descriptors: Descriptors, take: Callable[[int], None]) -> None:
-        self._descriptors, self._take = descriptors, take
+    def __init__(self, descriptors: Descriptors, on_connection: Callable[[int], None]) -> None:
+        self._descriptors = descriptors
+        self._on_connection = on_connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Give it on unread."""
+        """Pass it on unread."""
         end = cast(TcpEnd, transport)
-        number = self._descriptors.hold(end)
+        descriptor = self._descriptors.open(end)
         end.let_go()
-        self._take(number)
+        self._on_connection(descriptor)
 
 
-class _Ear:
-    """The clients' listening socket. It always hears: the simulation's waiting room is the supervisor's."""
+class _SimulatedAcceptor:
+    """The clients' listening socket. It always accepts: connections wait at the supervisor alone."""
 
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
         self.address = listener.address
 
-    def hear(self, wanted: bool) -> None:
+    def set_accepting(self, wanted: bool) -> None:
         """Nothing to do."""
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self._listener.close()
 
 
@@ -210,38 +210,37 @@
         self.process.tell(signal.Signals(number))
 
 
-class _WorkerMachine:
-    """What a worker takes from its machine."""
+class _SimulatedWorkerHostSystem:
+    """What a worker needs of the operating system."""
 
-    def __init__(self, process: Process, machine: SimulatedMachine, link: SimulatedLink) -> None:
-        self._process, self._machine, self._link = process, machine, link
+    def __init__(self, process: Process, host_system: SimulatedHostSystem, link: SimulatedLink) -> None:
+        self._process = process
+        self._memory = host_system.memory
+        self._descriptors = host_system.descriptors
+        self._link = link
+        self.duplicate_client: Callable[[Any], int] = self._descriptors.open
+        self.close_descriptor = self._descriptors.close_descriptor
 
-    def board(self, workers: int, place: int) -> shared_table.SharedTable:
+    def attach_table(self, slot: WorkerSlot) -> shared_table.SharedTable:
         """The shared memory as this worker sees it."""
-        return shared_table.SharedTable(self._machine.memory, workers, place)
+        return shared_table.SharedTable(self._memory, slot.worker_count, slot.index)
 
-    def link(self, decode: Decode, take: Take, lost: Lost) -> ProcessLink[Any]:
-        """The link to the supervisor."""
-        return self._link.begin(decode, take, lost)
+    def open_link(self, handlers: LinkHandlers) -> ProcessLink[Any]:
+        """Open the link to the supervisor."""
+        return self._link.begin(handlers)
 
-    async def adopt(self, clients: ClientListener, told: Any, descriptor: int, late: int) -> None:
-        """Take a client's connection."""
-        end = self._machine.descriptors.end_of(descriptor)
+    async def adopt_client(
+        self, clients: ClientListener, handover: ClientHandover | None, descriptor: int, late_ns: int
+    ) -> None:
+        """Serve a client's connection."""
+        end = self._descriptors.end_of(descriptor)
         self._process.take_descriptor(end)
-        end.taken(self._process, cast(Any, ClientConnection(clients, told, late)))
-        self._machine.descriptors.drop(descriptor)
-
-    def copy(self, transport: Any) -> int:
-        """A descriptor of a client's connection."""
-        return self._machine.descriptors.hold(transport)
-
-    def drop(self, descriptor: int) -> None:
-        """Close a descriptor."""
-        self._machine.descriptors.drop(descriptor)
+        end.taken(self._process, cast(Any, ClientConnection(clients, handover, late_ns)))
+        self._descriptors.close_descriptor(descriptor)
 
 
-class SimulatedMachine:
-    """What a supervisor takes from its machine."""
+class SimulatedHostSystem:
+    """What a supervisor needs of the operating system."""
 
     def __init__(self, router: SimulatedRouter, process: Process, config: Config) -> None:
         self.router, self.process, self.config = router, process, config
@@ -250,29 +249,27 @@
         self.workers: list[Process] = []
         self._random = random.Random(f"{router.theatre.day.seed}/{router.name}/{router.starts}/cores")
 
-    def board(self, workers: int) -> shared_table.SharedTable:
-        """Make the shared memory."""
-        self.memory = bytearray(shared_table.size(workers))
+    def create_table(self, workers: int) -> shared_table.SharedTable:
+        """Create the shared memory."""
+        self.memory = bytearray(shared_table.size_bytes(workers))
         return shared_table.SharedTable(self.memory, workers)
 
-    def listen(self, config: Config, take: Callable[[int], None]) -> Acceptor:
+    def listen(self, config: Config, on_connection: Callable[[int], None]) -> Acceptor:
         """Listen for clients."""
         listener = self.process.network.listen(
-            self.process, lambda: _Porter(self.descriptors, take), config.listen, BACKLOG
+            self.process,
+            lambda: _AcceptedConnection(self.descriptors, on_connection),
+            config.listen,
+            LISTEN_BACKLOG,
         )
-        return _Ear(listener)
-
-    async def start(
-        self,
-        place: int,
-        workers: int,
-        environ: Mapping[str, str],
-        decode: Decode,
-        take: Take,
+        return _SimulatedAcceptor(listener)
+
+    async def start_worker(
+        self, index: int, workers: int, environ: Mapping[str, str], handlers: LinkHandlers
     ) -> tuple[_Running, ProcessLink[Any]]:
-        """Start a worker."""
+        """Start a worker process and link to it."""
         theatre, parent = self.router.theatre, self.process
-        name = f"{self.router.name}.{place}"
+        name = f"{self.router.name}.{index}"
         child = Process(theatre.world, theatre.network, parent.host, name, 0, False, self.config.sockets)
         child.share_clock(parent)
         here, there = SimulatedLink(parent, self.descriptors), SimulatedLink(child, self.descriptors)
@@ -288,28 +285,28 @@
             platform = Platform(
                 child.monotonic_ns, child.unix_ns, environ, self.router.read, has_left=has_left
             )
-            machine = _WorkerMachine(child, self, there)
-            await Worker(config, WorkerSlot(place, workers, -1, -1), machine, platform).run()
+            host_system = _SimulatedWorkerHostSystem(child, self, there)
+            await Worker(config, WorkerSlot(index, workers, -1, -1), host_system, platform).run()
             return 0
 
         child.on_signal(signal.SIGHUP, lambda: None)
         running = _Running(child, parent, self._exited)
         self.workers.append(child)
         child.start(main())
-        return running, here.begin(decode, take, lambda _: None)
+        return running, here.begin(handlers)
 
     def _exited(self, process: Process) -> None:
         self.workers.remove(process)
         for text in process.faults:
             self.router.theatre.watch.broke("fault", f"{process.name}: {text}")
 
-    def dup(self, descriptor: int) -> int:
+    def duplicate(self, descriptor: int) -> int:
         """Another descriptor of the same connection."""
-        return self.descriptors.dup(descriptor)
+        return self.descriptors.duplicate(descriptor)
 
-    def drop(self, descriptor: int) -> None:
+    def close_descriptor(self, descriptor: int) -> None:
         """Close a descriptor."""
-        self.descriptors.drop(descriptor)
+        self.descriptors.close_descriptor(descriptor)
 
     def close(self) -> None:
         """Nothing is held that the process's end does not free."""
@@ -322,7 +319,7 @@
         world.at(world.now + self._random.randint(*HARM_NS), None, self._harm, (supervisor,))
 
     def _harm(self, supervisor: Supervisor) -> None:
-        if not self.process.alive or supervisor.crew.ending:
+        if not self.process.alive or supervisor.pool.ending:
             return
         self.harm_soon(supervisor)
         theatre = self.router.theatre
@@ -362,24 +359,25 @@
         platform = Platform(process.monotonic_ns, process.unix_ns, environ, router.read, has_left=has_left)
         try:
             config = load_config(environ, read=router.read)
-            machine = SimulatedMachine(router, process, config)
-            supervisor = Supervisor(config, workers, platform, cast(Any, machine))
+            host_system = SimulatedHostSystem(router, process, config)
+            supervisor = Supervisor(config, workers, platform, host_system)
         except (ConfigError, InsufficientResourcesError) as error:
             process.faults.append(str(error))
             return 2
-        in_hand = _InHand(supervisor, machine.descriptors)
-        process.open[in_hand] = None
+        held = _SupervisorDescriptors(supervisor)
+        process.open[held] = None
         if harm:
-            machine.harm_soon(supervisor)
+            host_system.harm_soon(supervisor)
         try:
             await supervisor.run()
         except OSError as error:
             process.faults.append(str(error))
             return 1
-        process.open.pop(in_hand, None)
-        if len(machine.descriptors):
+        process.open.pop(held, None)
+        if len(host_system.descriptors):
             router.theatre.watch.broke(
-                "left_over", f"{router.name} ended with {len(machine.descriptors)} connections in its hands"
+                "left_over",
+                f"{router.name} ended with {len(host_system.descriptors)} connections in its hands",
             )
         return 0
 
--- a/tests/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -16,9 +16,9 @@
 
 from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, entry, read, run, unused_address
 from tests.helpers import S
-from tests.test_operation import call, get, put, until_serving
+from tests.operation.admin_calls import call, get, put, until_serving
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 Line = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
