--- a/tests/test_takeover.py
+++ b/tests/operation/test_takeover.py
@@ -27,19 +27,19 @@
 from holdgw.router.program import Program
 from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 from tests.helpers import MS, S, ended, fleet, only_send, request, sends, settings, started
-from tests.test_operation import call, config, get, put, until_serving
+from tests.operation.admin_calls import call, config, get, put, until_serving
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 class Process:
-    """One process of the router, and the address of its door."""
+    """One process of the router, and the address of its admin endpoint."""
 
     def __init__(self, process: asyncio.subprocess.Process, ops: tuple[str, int]) -> None:
         self.process, self.ops = process, ops
 
     async def serving(self) -> None:
-        """Wait for the yes at the door."""
+        """Wait until the admin endpoint says that it can serve."""
         await until_serving(self.ops, self.process)
 
     async def ask(self, data: bytes) -> bytes:
@@ -161,7 +161,7 @@
     run(test)
 
 
-def test_servers_out_by_hand_are_out_at_both_processes_and_after(tmp_path: Path) -> None:
+def test_overrides_hold_at_both_processes_and_after_the_takeover(tmp_path: Path) -> None:
     async def test() -> None:
         async with stage(tmp_path) as play:
             old = await play.start()
@@ -186,7 +186,7 @@
     run(test)
 
 
-def test_a_successor_that_dies_costs_the_old_process_nothing(tmp_path: Path) -> None:
+def test_a_new_process_that_dies_does_not_disturb_the_old_one(tmp_path: Path) -> None:
     async def test() -> None:
         async with stage(tmp_path) as play:
             old = await play.start()
@@ -212,7 +212,7 @@
     run(test)
 
 
-def test_with_no_successor_connections_end_as_at_any_restart(tmp_path: Path) -> None:
+def test_without_a_new_process_connections_are_closed_as_at_any_restart(tmp_path: Path) -> None:
     async def test() -> None:
         async with stage(tmp_path) as play:
             old = await play.start()
@@ -237,12 +237,12 @@
         loop = asyncio.get_running_loop()
         self.here, self.there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         self.there.setblocking(False)
-        self.taken: list[tuple[Message, int | None]] = []
-        self.lost = asyncio.Event()
-        self.link = ProcessLink(loop, self.here, decode, self._take, lambda _: self.lost.set())
+        self.received: list[tuple[Message, int | None]] = []
+        self.closed = asyncio.Event()
+        self.link = ProcessLink(loop, self.here, decode, self._receive, lambda _: self.closed.set())
 
-    def _take(self, _: ProcessLink[Message], message: Message, descriptor: int | None) -> None:
-        self.taken.append((message, descriptor))
+    def _receive(self, _: ProcessLink[Message], message: Message, descriptor: int | None) -> None:
+        self.received.append((message, descriptor))
 
 
 def descriptors() -> int:
@@ -250,21 +250,21 @@
 
 
 @pytest.mark.parametrize("data", [b"noise", b"\x80", b"\x81\xa4type\xa7unknown"])
-def test_a_message_that_cannot_be_read_ends_the_link_and_keeps_no_descriptor(data: bytes) -> None:
+def test_a_message_that_cannot_be_decoded_closes_the_link_and_its_descriptor(data: bytes) -> None:
     async def test() -> None:
         ends = Ends()
         before = descriptors()
         with open(os.devnull) as passed:
             socket.send_fds(ends.there, [data], [passed.fileno()])
-        await asyncio.wait_for(ends.lost.wait(), LIMIT_S)
-        assert not ends.taken
+        await asyncio.wait_for(ends.closed.wait(), LIMIT_S)
+        assert not ends.received
         assert descriptors() == before - 1  # the link's own
         ends.there.close()
 
     run(test)
 
 
-def test_connections_that_the_other_side_never_takes_are_closed_with_the_link() -> None:
+def test_connections_that_the_other_process_never_reads_are_closed_with_the_link() -> None:
     async def test() -> None:
         ends = Ends()
         before = descriptors()
@@ -279,40 +279,58 @@
     run(test)
 
 
-def test_words_go_on_from_one_process_to_the_others_but_not_back(tmp_path: Path) -> None:
+class RecordingOwner:
+    """A process that has one override and some usage under its name, and ignores what others send."""
+
+    def __init__(self, name: str) -> None:
+        self.name = name
+
+    def overridden_endpoints(self) -> dict[str, int]:
+        return {f"out-{self.name}": 1}
+
+    def handover_state(self) -> HandoverState:
+        return HandoverState(tenant_usage={self.name: 1.0})
+
+    def apply_override(self, change: OverrideChanged) -> None:
+        pass
+
+    def restore_state(self, state: HandoverState) -> None:
+        pass
+
+    def adopt_client(self, handover: ClientHandover, descriptor: int) -> None:
+        os.close(descriptor)
+
+    def links_changed(self) -> None:
+        pass
+
+
+def test_an_override_is_passed_on_to_the_other_processes_but_not_back(tmp_path: Path) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
-        heard: dict[str, list[str]] = {name: [] for name in "abc"}
-        known: dict[str, list[HandoverState]] = {name: [] for name in "abc"}
+        overrides: dict[str, list[str]] = {name: [] for name in "abc"}
+        states: dict[str, list[HandoverState]] = {name: [] for name in "abc"}
         changed = asyncio.Event()
 
-        def takeover(name: str) -> Takeover:
-            def hand(word: OverrideChanged) -> None:
-                heard[name].append(word.server)
+        class Owner(RecordingOwner):
+            def apply_override(self, change: OverrideChanged) -> None:
+                overrides[self.name].append(change.endpoint_id)
                 changed.set()
 
-            return Takeover(
-                loop,
-                lambda: {f"out-{name}": 1},
-                lambda: HandoverState(tenant_usage={name: 1.0}),
-                hand,
-                lambda learnt: known[name].append(learnt),
-                lambda told, fd: os.close(fd),
-                lambda: None,
-            )
+            def restore_state(self, state: HandoverState) -> None:
+                states[self.name].append(state)
 
-        first, second, third = (takeover(name) for name in "abc")
+        first, second, third = (Takeover(loop, Owner(name)) for name in "abc")
         for process in (first, second, third):
             await process.begin(tmp_path)
-        assert heard["b"] == ["out-a"]
-        assert heard["c"] == ["out-b"]
-        assert [part.tenant_usage for part in known["c"] if part.tenant_usage] == [{"b": 1.0}]
-        assert not known["a"]
+        assert overrides["b"] == ["out-a"]
+        assert overrides["c"] == ["out-b"]
+        assert [part.tenant_usage for part in states["c"] if part.tenant_usage] == [{"b": 1.0}]
+        assert not states["a"]
         third.broadcast(OverrideChanged("s", True, 5))
-        while "s" not in heard["a"]:
+        while "s" not in overrides["a"]:
             changed.clear()
             await asyncio.wait_for(changed.wait(), LIMIT_S)
-        assert (heard["a"], heard["b"], heard["c"]) == (["s"], ["out-a", "s"], ["out-b"])
+        assert (overrides["a"], overrides["b"], overrides["c"]) == (["s"], ["out-a", "s"], ["out-b"])
         for process in (first, second, third):
             process.close()
         assert not list(tmp_path.iterdir())
@@ -320,7 +338,7 @@
     run(test)
 
 
-def test_an_elder_that_says_nothing_is_not_waited_for_for_ever(
+def test_an_old_process_that_does_not_answer_is_given_up_after_the_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("holdgw.operation.takeover.HELLO_TIMEOUT_S", 0.05)
@@ -329,18 +347,10 @@
         stuck = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         stuck.bind(str(tmp_path / "holdgw.link"))
         stuck.listen()
-        process = Takeover(
-            asyncio.get_running_loop(),
-            dict,
-            HandoverState,
-            lambda word: None,
-            lambda learnt: None,
-            lambda told, fd: None,
-            lambda: None,
-        )
+        process = Takeover(asyncio.get_running_loop(), RecordingOwner("new"))
         await process.begin(tmp_path)
         assert process.linked
-        assert process.successor is None
+        assert process.new_process is None
         assert msg(stuck) == Hello(1)
         process.close()
         stuck.close()
@@ -353,42 +363,42 @@
     run(test)
 
 
-# What is learnt
+# Handover state
 
 
-def test_a_successor_goes_on_from_what_the_elder_has_learnt() -> None:
-    elder = started(settings(), fleet(3))
-    # An origin that answers badly has taught it low limits, and a dead server to leave it out.
+def test_a_new_process_restores_the_handover_state_of_the_old_one() -> None:
+    old = started(settings(), fleet(3))
+    # An origin that answers badly has led to low limits, and a dead endpoint to its ejection.
     for number in range(40):
         now = number * 100 * MS
-        send = only_send(elder.handle(request(f"r{number}", now, key=f"k{number}"), now))
-        (fetch, *_) = sends(elder.handle(ended(send, Outcome.MISS), now)) or (None,)
+        send = only_send(old.handle(request(f"r{number}", now, key=f"k{number}"), now))
+        (fetch, *_) = sends(old.handle(ended(send, Outcome.MISS), now)) or (None,)
         if fetch is not None:
-            elder.handle(ended(fetch, Outcome.ERROR, attempt=1, closed=True), now + MS)
-    dead = next(iter(elder._caches.nodes.values()))
+            old.handle(ended(fetch, Outcome.ERROR, attempt=1, closed=True), now + MS)
+    dead = next(iter(old._caches.nodes.values()))
     for _ in range(4):
         dead.judge(Outcome.CONNECT_FAILED, False, 4 * S)
-    assert elder.ejected() == [dead.entry.id]
-    successor = started(settings(), fleet(3), now=4 * S)
-    fresh = successor._guards["a"].limit
-    for part in split_handover(elder.handover_state(4 * S)):
-        successor.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=HandoverState), 4 * S)
-    assert successor.ejected() == elder.ejected()
-    assert successor._guards["a"].limit == elder._guards["a"].limit < fresh / 2
-    assert successor._guards["a"].accepted(4 * S) == elder._guards["a"].accepted(4 * S) > 0
-    assert successor._guards["a"].declined == elder._guards["a"].declined
-    assert successor.handover_state(4 * S) == elder.handover_state(4 * S)
-
-
-def test_what_an_elder_tells_late_is_learnt_too(tmp_path: Path) -> None:
-    # Found on reading: parts that came once there was a list of servers were kept, and never used.
+    assert old.ejected() == [dead.entry.id]
+    new = started(settings(), fleet(3), now=4 * S)
+    fresh = new._guards["a"].limit
+    for part in split_handover(old.handover_state(4 * S)):
+        new.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=HandoverState), 4 * S)
+    assert new.ejected() == old.ejected()
+    assert new._guards["a"].limit == old._guards["a"].limit < fresh / 2
+    assert new._guards["a"].accepted(4 * S) == old._guards["a"].accepted(4 * S) > 0
+    assert new._guards["a"].declined == old._guards["a"].declined
+    assert new.handover_state(4 * S) == old.handover_state(4 * S)
+
+
+def test_handover_state_that_comes_late_is_restored_too(tmp_path: Path) -> None:
+    # Found on reading: parts that came once there was an endpoint list were kept, and never restored.
     async def test() -> None:
         program = Program(config(tmp_path, 9))
         early, late = (HandoverState(tenant_usage={name: 2.0}) for name in ("early", "late"))
-        program._learn(early)
+        program.restore_state(early)
         assert not program.host.handover_state().tenant_usage
         program._make_do()
-        program._learn(late)
+        program.restore_state(late)
         assert program.host.handover_state().tenant_usage == {"early": 2.0, "late": 2.0}
         assert not program._learnt
         program.host.close()
@@ -398,7 +408,7 @@
     run(test)
 
 
-def test_what_is_learnt_of_unknown_servers_and_tenants_is_passed_over() -> None:
+def test_handover_state_of_unknown_endpoints_and_tenants_is_ignored() -> None:
     router = started(settings(), fleet(1))
     before = router.handover_state(0)
     gone = EndpointHandover(0.1, True, 0.1, 1.0, 1.0, 1.0)
@@ -406,16 +416,16 @@
     assert router.handover_state(0) == before
 
 
-def test_what_a_large_router_has_learnt_comes_in_messages_of_bounded_size() -> None:
+def test_handover_state_of_a_large_router_comes_in_messages_of_bounded_size() -> None:
     server = EndpointHandover(0.123456789, True, 0.987654321, 0.111111111, 1e9, 7.7777777)
     calls = tuple((1 << 60, True) for _ in range(50_000))
-    learnt = HandoverState(
+    state = HandoverState(
         endpoints={f"server-with-a-long-id-{i:06}": server for i in range(5000)},
         tenants={f"tenant-{i}": TenantHandover(1.0, calls) for i in range(3)},
         slot_popularity=dict.fromkeys(range(8192), 1.0),
         tenant_usage={f"tenant-{i}": 1.0 for i in range(3)},
     )
-    cut = list(split_handover(learnt))
+    cut = list(split_handover(state))
     assert max(len(msgspec.msgpack.encode(HandoverPart(part))) for part in cut) < MAX_MESSAGE_BYTES
     assert sum(len(part.endpoints) for part in cut) == 5000
     assert sum(len(part.slot_popularity) for part in cut) == 8192
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -150,7 +150,7 @@
         tally.count_attempt("origin", "ok", fresh=False, late=True, fetched="left-pad")
         tally.add_growth("dials", 3)
         log.read(router, f"12:00 n0 INFO {tally.log_line(at, {'shy': 1.0})}\nsomething else\ntally {{}}\n")
-    first, second = (log.seconds[at] for at in sorted(log.seconds))
+    first, second = (log.intervals[at] for at in sorted(log.intervals))
     assert first.routers == {"n0", "n1"}
     assert second.routers == {"n1"}
     assert first.counts["cache.ok.fresh"] == 2
@@ -158,7 +158,7 @@
     assert first.counts["fetched twice"] == 1  # the same key by two routers in one second
     assert first.busiest(1) == [("s-1", [2, 0, 0])]
     assert log.totals()["origin.ok.late"] == 3
-    assert log.unread == 3
+    assert log.malformed_lines == 3
 
 
 def test_each_attempt_says_what_it_was_made_for() -> None:
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -31,8 +31,8 @@
     "test_sockets",
     "test_long_values",
     "test_suppressor",
-    "test_worker_pool",
-    "test_takeover",
+    "cores/test_worker_pool",
+    "operation/test_takeover",
 )
 
 
