--- a/tests/operation/test_takeover.py
+++ b/tests/operation/test_takeover.py
@@ -375,9 +375,9 @@
         (fetch, *_) = sends(old.handle(ended(send, Outcome.MISS), now)) or (None,)
         if fetch is not None:
             old.handle(ended(fetch, Outcome.ERROR, attempt=1, closed=True), now + MS)
-    dead = next(iter(old._caches.nodes.values()))
+    dead = next(iter(old._caches.endpoints.values()))
     for _ in range(4):
-        dead.judge(Outcome.CONNECT_FAILED, False, 4 * S)
+        dead.record_attempt(Outcome.CONNECT_FAILED, False, 4 * S)
     assert old.ejected() == [dead.entry.id]
     new = started(settings(), fleet(3), now=4 * S)
     fresh = new._guards["a"].limit
