--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -157,6 +157,14 @@
             "lean": sum(node.share < 1.0 for node in nodes),
         }
 
+    def table_sizes(self) -> dict[str, int]:
+        """The number of entries in each table: open requests, coalesced fetches, queued writes."""
+        return {
+            "requests": len(self._requests),
+            "coalesced_fetches": len(self._flights),
+            "queued_writes": len(self._held),
+        }
+
     def origin_demand(self, now: int) -> dict[str, float]:
         """Each tenant's calls for the origin a second, admitted or not."""
         for guard in self._guards.values():
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -386,7 +386,7 @@
         self.timer_wheel.close()
 
     def tables(self) -> dict[str, int]:
-        """How much each table holds: requests, those past their deadline, and the module's own."""
+        """How much each table holds: requests, those past their deadline, and the policy's own."""
         now = self.now()
         late = [request for request in self._requests.values() if now > request.deadline_ns + OVERDUE_NS]
         return {
@@ -396,9 +396,7 @@
             "recent": len(self._recent),
             "time_outs": len(self.timer_wheel),
             "events": len(self._events),
-            "module_requests": len(self._policy._requests),
-            "module_flights": len(self._policy._flights),
-            "module_held": len(self._policy._held),
+            **{f"policy_{name}": size for name, size in self._policy.table_sizes().items()},
         }
 
     def _sweep(self) -> None:
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -89,7 +89,14 @@
         """Wait until nothing of a request or a long value is left in any table."""
         while True:
             tables = {**self.node.host.tables(), **self.node.pool.tables()}
-            kept = ("requests", "module_requests", "module_flights", "streams", "bytes_held", "waiting")
+            kept = (
+                "requests",
+                "policy_requests",
+                "policy_coalesced_fetches",
+                "streams",
+                "bytes_held",
+                "waiting",
+            )
             if not any(tables[name] for name in kept):
                 return
             await asyncio.sleep(0.01)
