--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -66,11 +66,11 @@
     ),
     "doubled-answer": Mutant(
         "an answer is given twice after a late reset",
-        "holdgw.router.dispatcher",
-        "        now = self._host.now()\n        event = AttemptEnded(",
-        "        if outcome is Outcome.RESET and request.answered and reply._connection.transport:\n"
-        '            reply._connection.transport.write(b"-ERR failed\\r\\n")\n'
-        "        now = self._host.now()\n        event = AttemptEnded(",
+        "holdgw.router.attempt",
+        "        event = self._end_event(outcome, note, report)\n",
+        "        if outcome is Outcome.RESET and request.answered and request.reply._connection.transport:\n"
+        '            request.reply._connection.transport.write(b"-ERR failed\\r\\n")\n'
+        "        event = self._end_event(outcome, note, report)\n",
         (
             (
                 "holdgw.router.connection_pool",
@@ -85,12 +85,12 @@
         "holdgw.policy.pending_request",
         "if self.cls.idempotency is Idempotency.NOT_IDEMPOTENT or self.write_within(now) <= 0:",
         "if self.cls.idempotency is Idempotency.NOT_IDEMPOTENT:",
-        (("holdgw.router.dispatcher", "if self._write_by and now >= self._write_by:", "if False:"),),
+        (("holdgw.router.attempt", "if self._write_by_ns and now_ns >= self._write_by_ns:", "if False:"),),
     ),
     "slow-repeat": Mutant(
         "a repeat waits for its connection beyond its window",
         "holdgw.router.dispatcher",
-        "        if action.write_within_ns:\n            attempt.write_by(now + action.write_within_ns)\n",
+        "        if action.write_within_ns:\n            attempt.write_by(now_ns + action.write_within_ns)\n",
         "",
         scenario="bench/scenarios/short-window.toml",
     ),
@@ -191,14 +191,14 @@
     "request-kept": Mutant(
         "a request that its client left is never forgotten",
         "holdgw.router.dispatcher",
-        "        request.answered = True\n        self.release_if_done(request)\n"
+        "        request.answered = True\n        self.open_requests.release_if_done(request)\n"
         "        self.dispatch(RequestCancelled(request.id))",
         "        request.answered = True\n        self.dispatch(RequestCancelled(request.id))",
     ),
     "deadline-unwatched": Mutant(
         "an attempt has no end of its own",
         "holdgw.router.dispatcher",
-        "        attempt.wait_until(due)\n",
+        "        attempt.time_out_at(due_ns)\n",
         "",
     ),
     "drain-cuts": Mutant(
@@ -209,16 +209,16 @@
     ),
     "recent-unbounded": Mutant(
         "ids of requests that are over are kept without a bound",
-        "holdgw.router.dispatcher",
-        "            if len(self._recent) > MAX_RECENT_IDS:\n",
-        "            if len(self._recent) > MAX_RECENT_IDS**3:\n",
+        "holdgw.router.open_request",
+        "            if len(self._recent_ids) > MAX_RECENT_IDS:\n",
+        "            if len(self._recent_ids) > MAX_RECENT_IDS**3:\n",
         scenario="storm",
     ),
     "timer-left": Mutant(
         "the sweep goes on when the router has ended",
         "holdgw.router.dispatcher",
-        "        self._sweep_timer.cancel()\n        if self._sweep_soon",
-        "        if self._sweep_soon",
+        "        self._sweep_timer.cancel()\n        if self._overdue_check",
+        "        if self._overdue_check",
     ),
     "cold-unbounded": Mutant(
         "a cold server has its share of slots, whatever the load on them",
@@ -384,7 +384,7 @@
         "",
         (
             (
-                "holdgw.router.dispatcher",
+                "holdgw.router.attempt",
                 "        if request.answered:\n            return Outcome.CANCELLED\n",
                 "",
             ),
--- a/holdgw/router/client_connection.py
+++ b/holdgw/router/client_connection.py
@@ -32,7 +32,6 @@
 LINGER_S = 0.5  # in which a client may end its side after ours: then nothing unread is left to reset it
 MAX_DISCARDED_BYTES = 256 << 10  # bytes that it may send meanwhile, which are read and dropped
 SWEEP_INTERVAL_S = 0.25
-NS_PER_MS = 1_000_000
 MAX_REJECTING_CONNECTIONS = 32  # connections over the limit that are answered with a refusal
 
 log = logging.getLogger("holdgw")
--- /dev/null
+++ b/holdgw/router/open_request.py
@@ -0,0 +1,96 @@
+"""Requests that are owed an answer or have attempts in flight, and the ids of requests released lately."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from holdgw.router.client_connection import Reply
+from holdgw.wire.resp import Command
+from holdgw.wire.unread import NS_PER_MS
+
+if TYPE_CHECKING:
+    from holdgw.router.attempt import Attempt
+    from holdgw.router.streamed_value import StreamedValue
+
+
+MAX_RECENT_IDS = 2048
+
+
+class OpenRequest:
+    """One request, until it is answered and none of its attempts is in flight."""
+
+    __slots__ = (
+        "answered",
+        "arrived_ns",
+        "attempts",
+        "attempts_in_flight",
+        "class_name",
+        "command",
+        "deadline_ns",
+        "id",
+        "last_attempt",
+        "reply",
+        "stream",
+    )
+
+    def __init__(
+        self, request_id: str, command: Command, reply: Reply, deadline_ns: int, arrived_ns: int
+    ) -> None:
+        """Times are of the router's monotonic clock."""
+        self.id = request_id
+        self.command = command
+        self.reply = reply
+        self.deadline_ns = deadline_ns
+        self.arrived_ns = arrived_ns
+        self.class_name = command.info.fields["c"]
+        self.attempts = 0
+        self.attempts_in_flight = 0
+        self.answered = False
+        """The final answer is given, or begun where its value is streamed; or the client has left."""
+        self.last_attempt: Attempt | None = None
+        self.stream: StreamedValue | None = None
+        """The long value that is being passed on as the answer."""
+
+    def remaining_ms(self, now_ns: int) -> int:
+        """Whole milliseconds until the deadline, rounded down; 0 or less is too little for an attempt."""
+        return (self.deadline_ns - now_ns) // NS_PER_MS
+
+
+class OpenRequestTable:
+    """The open requests by id, and the ids of the last MAX_RECENT_IDS requests that were released."""
+
+    def __init__(self, max_open: int) -> None:
+        """`max_open`: the number of requests from which on the table is full."""
+        self.by_id: dict[str, OpenRequest] = {}
+        self._max_open = max_open
+        self._recent_ids: dict[str, None] = {}  # in the order of their release
+
+    def is_full(self) -> bool:
+        """Whether no further request is to be opened."""
+        return len(self.by_id) >= self._max_open
+
+    def knows(self, request_id: str) -> bool:
+        """Whether a request of this id is open, or was released lately."""
+        return request_id in self.by_id or request_id in self._recent_ids
+
+    def release_if_done(self, request: OpenRequest) -> None:
+        """Forget a request that is answered and has no attempt in flight; others stay."""
+        if request.answered and not request.attempts_in_flight and request.id in self.by_id:
+            del self.by_id[request.id]
+            self._recent_ids[request.id] = None
+            if len(self._recent_ids) > MAX_RECENT_IDS:
+                del self._recent_ids[next(iter(self._recent_ids))]
+
+    def past_deadline(self, due_ns: int) -> list[OpenRequest]:
+        """The requests, answered or not, whose deadline lies before the time `due_ns`."""
+        return [request for request in self.by_id.values() if request.deadline_ns < due_ns]
+
+    @property
+    def outstanding(self) -> int:
+        """The number of requests that have no complete answer yet."""
+        return sum(not request.answered or request.stream is not None for request in self.by_id.values())
+
+    @property
+    def recent_count(self) -> int:
+        """The number of released ids that are remembered."""
+        return len(self._recent_ids)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -30,7 +30,7 @@
     TimerFired,
     UpdateKind,
 )
-from holdgw.router import client_connection, connection_pool, discovery, dispatcher, program
+from holdgw.router import attempt, client_connection, connection_pool, discovery, program
 from holdgw.router.platform import accept_queued, has_left
 from tests.helpers import S, settings
 from tests.peers import (
@@ -143,7 +143,7 @@
         leavers = [await stage.node.dial() for _ in range(count)]
         for i, (_, writer) in enumerate(leavers):
             writer.write(read(f"g{i}", f"k{i}"))
-        await until(lambda: len(stage.node.host._requests) == 1 + count)
+        await until(lambda: len(stage.node.host.open_requests.by_id) == 1 + count)
         for _, writer in leavers:
             if reset:
                 sock = writer.get_extra_info("socket")
@@ -151,7 +151,7 @@
             writer.close()
         await stage.alone(1)
         assert stage.node.pool.tables()["waiting"] in (0, count)  # those left are over
-        assert len(stage.node.host._requests) == 1
+        assert len(stage.node.host.open_requests.by_id) == 1
         stage.go.set()
         assert await first == SERVED
         assert await stage.node.ask(read("r1"), len(SERVED)) == SERVED
@@ -196,7 +196,7 @@
         follower = asyncio.create_task(node.ask(read("r2"), len(SERVED)))
         await until(lambda: ids(stage.cache)[-1] == "r2" and bool(node.host._policy._flights["k"]))
         leader.close()
-        await until(lambda: "gone" not in node.host._requests)
+        await until(lambda: "gone" not in node.host.open_requests.by_id)
         loop.up.set()
         assert await follower == SERVED
         assert stage.origin.seen == 2
@@ -211,7 +211,7 @@
 def test_nothing_more_begins_for_a_client_that_left_while_it_was_not_read(
     why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(dispatcher, "DISCONNECT_CHECK_AFTER_NS", 1 << 60 if "answered" in why else -1)
+    monkeypatch.setattr(attempt, "DISCONNECT_CHECK_AFTER_NS", 1 << 60 if "answered" in why else -1)
     monkeypatch.setattr(client_connection, "MAX_PIPELINE", 3)
 
     async def play(stage: Stage) -> None:
@@ -269,7 +269,7 @@
 def test_no_second_copy_begins_for_a_client_that_left_while_its_timer_ran(
     read_here: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(dispatcher, "DISCONNECT_CHECK_AFTER_NS", -1)
+    monkeypatch.setattr(attempt, "DISCONNECT_CHECK_AFTER_NS", -1)
 
     async def play(stage: Stage) -> None:
         node = stage.node
@@ -283,7 +283,7 @@
         _, writer = await node.dial()
         writer.write(read("gone"))
         await until(lambda: ids(stage.cache)[-1] == "gone")
-        attempt = node.host._requests["gone"].last_attempt
+        attempt = node.host.open_requests.by_id["gone"].last_attempt
         assert attempt is not None
         assert node.host._policy._requests["gone"].patience > 0
         if read_here:
@@ -298,7 +298,7 @@
         stage.go.set()
         assert await node.ask(read("r4"), len(SERVED)) == SERVED
         assert ids(stage.cache)[2:] == ["r3", "gone", "r4"]
-        assert not node.host._requests
+        assert not node.host.open_requests.by_id
 
     staged(play)
 
@@ -313,7 +313,7 @@
         stage.go.set()
         asked = asyncio.create_task(stage.node.ask(read("late"), 7))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
-        (request,) = stage.node.host._requests.values()
+        (request,) = stage.node.host.open_requests.by_id.values()
         request.deadline_ns = 0  # over, and its timer has yet to run
         loop.up.set()
         assert await asked == b"-BUSY\r\n"
@@ -368,12 +368,12 @@
         cast(Any, node.pool)._dial_for = gated
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=put,t=a,d=900,k=11", b"v"))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
-        (request,) = node.host._requests.values()
+        (request,) = node.host.open_requests.by_id.values()
         attempt = request.last_attempt
         assert attempt is not None
-        assert attempt._write_by > 0
+        assert attempt._write_by_ns > 0
         if over:
-            attempt._write_by = 1  # over, and its timer has yet to run
+            attempt._write_by_ns = 1  # over, and its timer has yet to run
         loop.up.set()
         if over:
             node.host._policy._classes["put"] = replace(cls, dedup_window_ns=0)
@@ -649,7 +649,7 @@
         node = stage.node
         asked = asyncio.create_task(node.ask(read("r1"), 100))
         await asyncio.wait_for(stage.asked.wait(), LIMIT_S)
-        (request,) = node.host._requests.values()
+        (request,) = node.host.open_requests.by_id.values()
         attempt = request.last_attempt
         assert attempt is not None
         connection = attempt.connection
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -10,7 +10,7 @@
 import pytest
 
 from holdgw.policy import Outcome, RoutingPolicy, StreamStarted
-from holdgw.router import client_connection, dispatcher
+from holdgw.router import client_connection, streamed_value
 from holdgw.wire.http import HttpError, HttpReader
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE
 from tests.helpers import ended, fleet, only_send, request, sends, settings, started
@@ -321,7 +321,7 @@
 
 @pytest.mark.sources_only
 def test_a_server_that_gives_nothing_more_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(dispatcher, "STREAM_STALL_NS", 200_000_000)
+    monkeypatch.setattr(streamed_value, "STREAM_STALL_NS", 200_000_000)
 
     async def test() -> None:
         async with Scene(Giver(gives(head(len(VALUE)), VALUE[:1000]))) as scene:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -208,7 +208,7 @@
         first = asyncio.create_task(node.ask(read("r1"), len(SERVED)))
         await asyncio.wait_for(asked.wait(), LIMIT_S)
         second = asyncio.create_task(node.ask(read("r2", "other"), len(SERVED)))
-        while len(node.host._requests) < 2:
+        while len(node.host.open_requests.by_id) < 2:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
         go.set()
