--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -52,8 +52,10 @@
     "stall-forgotten": Mutant(
         "what is read after the process stood still is given its whole time",
         "holdgw.router.event_loop_lag",
-        "        if now - self._last > self._most:\n            return now - self._last\n"
-        "        if self._last - self._before > self._most:\n            return now - self._before\n",
+        "        if now_ns - self._last_beat_ns > self._max_gap_ns:\n"
+        "            return now_ns - self._last_beat_ns\n"
+        "        if self._last_beat_ns - self._previous_beat_ns > self._max_gap_ns:\n"
+        "            return now_ns - self._previous_beat_ns\n",
         "",
         scenario="bench/scenarios/laboratory-storm.toml",
     ),
--- a/holdgw/router/cache_connection.py
+++ b/holdgw/router/cache_connection.py
@@ -1,4 +1,4 @@
-"""Connections to cache servers: one command, one answer, the value cut out, the rest read by hiredis."""
+"""Connections to cache servers (RESP2): an answer's value is cut out, and hiredis reads what is around it."""
 
 from __future__ import annotations
 
@@ -10,175 +10,213 @@
 from holdgw.router.connection_pool import Connection, EndpointPool
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE, bulk
 
-MAX_REST = 8 << 10  # all of an answer but its value: far more than a note and a load report take
-HEADER = re.compile(rb"\*[1-3]\r\n\$(\d{1,8})\r\n")
-LONGEST_HEADER = 16
-# The usual answer in one look, round its value: what these do not match is read piece by piece, with the same
-# result. The number of elements, then the value's length; behind the value the note and the load report.
-USUAL_BEGIN = re.compile(rb"\*([1-3])\r\n\$(?:(-1)|(0|[1-9]\d{0,4}))\r\n")
-USUAL_END = (
+MAX_REST_BYTES = 8 << 10
+"""Most bytes of an answer without its value: far more than a cache status and a load report take."""
+CRLF = b"\r\n"
+ARRAY_MARK = ord("*")
+ELEMENT_COUNT_BYTES = 4  # "*1" to "*3" and CRLF
+VALUE_HEADER = re.compile(rb"\*[1-3]\r\n\$(\d{1,8})\r\n")
+MAX_VALUE_HEADER_BYTES = 16
+NULL_BULK = b"$-1\r"
+MAX_NULL_HEADER_BYTES = 9  # within which a miss shows NULL_BULK
+
+# The common answers by two patterns, before and behind the value: the number of elements and the value's
+# length; by the number of elements, the cache status and the load report. Others are read in parts, with the
+# same result.
+COMMON_HEADER = re.compile(rb"\*([1-3])\r\n\$(?:(-1)|(0|[1-9]\d{0,4}))\r\n")
+COMMON_REST = (
     re.compile(rb""),
     re.compile(rb"\$\d\r\n(hit|miss|pending)\r\n"),
     re.compile(rb"\$\d\r\n(hit|miss|pending)\r\n\$(\d{1,4})\r\n([^\r\n]*)\r\n"),
 )
-CRLF = b"\r\n"
-NIL = b"$-1\r"
 
-_NOTES = {b"hit": CacheStatus.HIT, b"miss": CacheStatus.MISS, b"pending": CacheStatus.MISS_FETCH_PENDING}
+CACHE_STATUSES = {
+    b"hit": CacheStatus.HIT,
+    b"miss": CacheStatus.MISS,
+    b"pending": CacheStatus.MISS_FETCH_PENDING,
+}
 
 
-def _without_value(begin: bytes | bytearray, end: bytes | bytearray) -> bytes:
+def _with_empty_value(header: bytes | bytearray, rest: bytes | bytearray) -> bytes:
     """An answer for hiredis, with an empty value in place of the one that was cut out."""
-    return b"".join((begin, b"$0\r\n\r\n", end))
+    return b"".join((header, b"$0\r\n\r\n", rest))
 
 
 class CacheConnection(Connection):
-    """Speaks RESP2 with one cache server."""
+    """A connection to one cache server.
+
+    hiredis believes any length, buffers all that comes for it, and does not check that a value ends where its
+    length says. Values are therefore cut out here, within bounds: a wrong length would serve a part of a
+    value, or take the following answer for its end.
+    """
 
     patient = True
 
     def __init__(self, server: EndpointPool) -> None:
         super().__init__(server)
         self._reader = hiredis.Reader()
-        self._buffer = bytearray()  # of an answer with a value, until the value is whole
-        self._value: bytes | None = None  # with its length before it and its end behind
-        self._left = 0  # bytes of a long value that are still to come, and of the CRLF that ends it
-        self._elements = b""  # the beginning of an answer whose value is passed on
-        self._plain = False  # what comes goes to hiredis
-        self._came = 0  # bytes that hiredis was given
+        self._buffer = bytearray()  # an answer up to the end of its value
+        self._value: bytes | None = None  # encoded, as a bulk string
+        self._streamed_bytes_left = 0  # of a long value that is passed on, with its CRLF
+        self._streamed_header = b""  # the number of elements of the answer that this value is of
+        self._value_taken = False  # what comes is the rest of the answer, for hiredis
+        self._rest_bytes = 0
 
     def answer_came(self, data: bytes) -> None:
-        """Cut out the value by its length, strictly; hiredis reads what stands around it."""
-        # Danger: hiredis believes any length, holds all that comes for it, and does not look whether a
-        # value ends where it should: a wrong length would serve a part of it, or eat what follows.
-        if not (self._left or self._plain or self._buffer) and self._usual(data):
+        """Read a part of an answer."""
+        in_answer = self._streamed_bytes_left or self._value_taken or self._buffer
+        if not in_answer and self._read_common_answer(data):
             return
-        if self._left:
-            data = self._pass_on(data)
+        if self._streamed_bytes_left:
+            data = self._stream_part(data)
             if not data:
                 return
-        elif not self._plain:
+        elif not self._value_taken:
             self._buffer += data
-            rest = self._cut()
+            rest = self._take_value()
             if rest is None:
                 return
-            data, self._plain = rest, True
+            data = rest
+            self._value_taken = True
             self._buffer.clear()
-        self._came += len(data)
+        self._rest_bytes += len(data)
         self._reader.feed(data)
-        self._read()
+        self._read_rest()
 
-    def _usual(self, data: bytes) -> bool:
-        """Take a usual answer that is whole and alone in `data`; returns whether it was one."""
-        begin = USUAL_BEGIN.match(data)
-        if begin is None:
+    def _read_common_answer(self, data: bytes) -> bool:
+        """Finish by a common answer that is complete and alone in `data`; returns whether it was one."""
+        header = COMMON_HEADER.match(data)
+        if header is None:
             return False
-        elements, start, end = int(begin[1]), begin.end(), begin.end()
-        if begin[2] is None:
-            end += int(begin[3])
-            if data[end : end + 2] != CRLF or end - start > MAX_VALUE:
+        elements = int(header[1])
+        value_start = header.end()
+        value_end = value_start
+        if header[2] is None:
+            value_end += int(header[3])
+            if data[value_end : value_end + 2] != CRLF or value_end - value_start > MAX_VALUE:
                 return False
-            end += 2
-        rest = USUAL_END[elements - 1].fullmatch(data, end)
+            value_end += 2
+        rest = COMMON_REST[elements - 1].fullmatch(data, value_end)
         if rest is None:
             return False
-        note = report = None
+        status: CacheStatus | None = None
+        report: bytes | None = None
         if elements > 1:
-            note = rest[1]
-            if data[end + 1] - 48 != len(note):
+            word = rest[1]
+            if data[value_end + 1] - ord("0") != len(word):
                 return False
+            status = CACHE_STATUSES[word]
         if elements > 2:
             report = rest[3]
             if int(rest[2]) != len(report):
                 return False
-        told = None if note is None else _NOTES.get(note)
-        if begin[2] is None:  # the value goes on as it stands, between its length and its end
-            self.finish(Outcome.OK, data[start - len(begin[3]) - 3 : end], told, report)
+        if header[2] is None:
+            encoded_start = value_start - len(header[3]) - len(b"$\r\n")
+            self.finish(Outcome.OK, data[encoded_start:value_end], status, report)
         else:
-            self.finish(Outcome.MISS, None, told, report)
+            self.finish(Outcome.MISS, None, status, report)
         return True
 
-    def _cut(self) -> bytes | None:
-        """What hiredis shall read once the value is whole; None until then."""
-        held = self._buffer
-        if held[0] != 42 or b"\n$-1\r" in held[:9]:
-            return bytes(held)
-        header = HEADER.match(held)
+    def _take_value(self) -> bytes | None:
+        """Take the value out of the buffer; returns what hiredis is to read, None until that is known."""
+        buffer = self._buffer
+        if buffer[0] != ARRAY_MARK or b"\n" + NULL_BULK in buffer[:MAX_NULL_HEADER_BYTES]:
+            return bytes(buffer)
+        header = VALUE_HEADER.match(buffer)
         if header is None:
-            # Danger: a miss may come in two reads that part amid its "$-1"; what is there so far is no fault.
-            begun = NIL.startswith(held[4 : 4 + len(NIL)])
-            if len(held) >= LONGEST_HEADER or (b"\n$-" in held[:9] and not begun):
-                self.spoil("sent an answer with a broken header")
+            self._check_incomplete_header()
             return None
-        start, length = header.end(), int(header[1])
+        length = int(header[1])
         if length > LONGEST_VALUE:
             self.spoil("sent a value that is too long")
             return None
         if length > MAX_VALUE:
-            first, self._elements = bytes(held[start:]), bytes(held[:4])
-            held.clear()
-            self._left = length + len(CRLF)
-            self.value_begins(length)
-            return self._pass_on(first) or None
-        end = start + length
-        if len(held) < end + 2:
+            return self._start_stream(header.end(), length)
+        return self._cut_value(header.end(), header.end() + length)
+
+    def _check_incomplete_header(self) -> None:
+        """Spoil the connection if no more bytes can make a header of what has come."""
+        buffer = self._buffer
+        # A miss may come in two reads that part within its null bulk string.
+        may_be_miss = NULL_BULK.startswith(buffer[ELEMENT_COUNT_BYTES : ELEMENT_COUNT_BYTES + len(NULL_BULK)])
+        is_negative = b"\n$-" in buffer[:MAX_NULL_HEADER_BYTES]
+        if len(buffer) >= MAX_VALUE_HEADER_BYTES or (is_negative and not may_be_miss):
+            self.spoil("sent an answer with a broken header")
+
+    def _cut_value(self, start: int, end: int) -> bytes | None:
+        buffer = self._buffer
+        if len(buffer) < end + len(CRLF):
             return None
-        if held[end : end + 2] != CRLF:
+        if buffer[end : end + len(CRLF)] != CRLF:
             self.spoil("sent a value of another length than it says")
             return None
-        self._value = bulk(bytes(held[start:end]))
-        return _without_value(held[:4], held[end + 2 :])
+        self._value = bulk(bytes(buffer[start:end]))
+        return _with_empty_value(buffer[:ELEMENT_COUNT_BYTES], buffer[end + len(CRLF) :])
 
-    def _pass_on(self, data: bytes) -> bytes:
-        """Pass a part of a long value on; returns what hiredis shall read, once all of it has come."""
-        size = min(len(data), self._left - len(CRLF))
+    def _start_stream(self, start: int, length: int) -> bytes | None:
+        """Begin to pass a long value on; returns what hiredis is to read if all of the value is here."""
+        first_part = bytes(self._buffer[start:])
+        self._streamed_header = bytes(self._buffer[:ELEMENT_COUNT_BYTES])
+        self._buffer.clear()
+        self._streamed_bytes_left = length + len(CRLF)
+        self.value_begins(length)
+        return self._stream_part(first_part) or None
+
+    def _stream_part(self, data: bytes) -> bytes:
+        """Pass a part of a long value on; returns what hiredis is to read once all of it has come."""
+        size = min(len(data), self._streamed_bytes_left - len(CRLF))
         if size and self.exchange is not None:
             self.exchange.value_part(data[:size])
-        self._left -= size
+        self._streamed_bytes_left -= size
         self._buffer += data[size:]
-        if self.exchange is None or self._left > len(CRLF) or len(self._buffer) < len(CRLF):
+        value_is_out = self._streamed_bytes_left <= len(CRLF)
+        if self.exchange is None or not value_is_out or len(self._buffer) < len(CRLF):
             return b""
-        if self._buffer[:2] != CRLF:
+        if self._buffer[: len(CRLF)] != CRLF:
             self.spoil("sent a value of another length than it says")
             return b""
-        rest = _without_value(self._elements, self._buffer[2:])
-        self._left, self._plain = 0, True
+        rest = _with_empty_value(self._streamed_header, self._buffer[len(CRLF) :])
+        self._streamed_bytes_left = 0
+        self._value_taken = True
         self._buffer.clear()
         self.exchange.value_complete()
         return rest
 
-    def _read(self) -> None:
+    def _read_rest(self) -> None:
         try:
             answer = self._reader.gets()
         except hiredis.HiredisError as error:
             self.spoil(f"broke the protocol: {error}")
             return
         if answer is False:
-            if self._came > MAX_REST:
+            if self._rest_bytes > MAX_REST_BYTES:
                 self.spoil("sent more beside the value than an answer has")
             return
-        # Danger: more bytes after the answer would be taken for the next request's answer. The answer
-        # itself is whole and good.
+        # The answer is good, but bytes behind it would be taken for the next request's answer.
         self.retired = self.retired or self._reader.has_data()
-        value, self._value = self._value, None
-        self._plain, self._came = False, 0
+        self._value_taken = False
+        self._rest_bytes = 0
+        self._finish_by(answer)
+
+    def _finish_by(self, answer: object) -> None:
+        value = self._value
+        self._value = None
         if isinstance(answer, hiredis.ReplyError):
-            self._error(str(answer))
+            self._finish_by_error(str(answer))
         elif isinstance(answer, list) and 1 <= len(answer) <= 3 and isinstance(answer[0], bytes | None):
-            note = answer[1] if len(answer) > 1 else None
+            word = answer[1] if len(answer) > 1 else None
+            status = CACHE_STATUSES.get(word) if isinstance(word, bytes) else None
             report = answer[2] if len(answer) > 2 and isinstance(answer[2], bytes) else None
             outcome = Outcome.OK if value is not None or self.streaming else Outcome.MISS
-            self.finish(outcome, value, _NOTES.get(note) if isinstance(note, bytes) else None, report)
+            self.finish(outcome, value, status, report)
         elif isinstance(answer, bytes) and self.exchange is not None and self.exchange.is_health_check:
             self.finish(Outcome.OK, None, None, answer)
         else:
             self.spoil("sent an answer of an unknown form")
 
-    def _error(self, text: str) -> None:
-        """An error line; a load report may stand last in it."""
-        last = text.rpartition(" ")[2]
-        report = last.encode() if "=" in last else None
-        if text.startswith("BUSY"):
-            self.finish(Outcome.OVERLOADED, None, None, report)
-        else:
-            self.finish(Outcome.ERROR, None, None, report)
+    def _finish_by_error(self, text: str) -> None:
+        """Finish by an error line; its last word may be a load report."""
+        last_word = text.rpartition(" ")[2]
+        report = last_word.encode() if "=" in last_word else None
+        outcome = Outcome.OVERLOADED if text.startswith("BUSY") else Outcome.ERROR
+        self.finish(outcome, None, None, report)
--- a/holdgw/router/origin_connection.py
+++ b/holdgw/router/origin_connection.py
@@ -1,17 +1,20 @@
-"""Connections to the origin, which speaks HTTP/1.1."""
+"""Connections to the origin (HTTP/1.1)."""
 
 from __future__ import annotations
 
 from holdgw.policy import Outcome
 from holdgw.router.connection_pool import Connection, EndpointPool
+from holdgw.router.origin_protocol import LOAD_REPORT_HEADER, NOT_STARTED, NOT_STARTED_HEADER
 from holdgw.wire.http import HttpError, HttpReader
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE, bulk
 
-_NEVER_RAN = (503, 504)
+STATUS_OK = 200
+STATUSES_NOT_STARTED = (503, 504)
+"""Service Unavailable and Gateway Timeout: with NOT_STARTED_HEADER the request has had no effect."""
 
 
-class _Reader(HttpReader):
-    """Reads a connection's answers, and gives it what is too long to be held."""
+class _AnswerReader(HttpReader):
+    """Reads one connection's answers; a body too long to be held is passed on as it comes."""
 
     def __init__(self, connection: OriginConnection) -> None:
         self._connection = connection
@@ -27,58 +30,62 @@
             self._connection.exchange.value_part(data)
 
     def room_for(self, size: int) -> bool:
-        """RESP2 needs a value's length first, so a body that tells none is held until it is whole."""
-        return self._connection.hold(size)
+        """Whether `size` more bytes may be held of a body without a stated length.
+
+        RESP2 states a value's length first, so such a body can't be passed on before it is complete.
+        """
+        return self._connection.reserve_bytes(size)
 
 
 class OriginConnection(Connection):
-    """Speaks HTTP with the origin, one request at a time."""
+    """A connection to the origin, with one request on it at a time."""
 
     def __init__(self, server: EndpointPool) -> None:
         super().__init__(server)
-        self._reader = _Reader(self)
-        self._held = 0  # bytes taken of the pool's room for bodies without a length
+        self._reader = _AnswerReader(self)
+        self._reserved_bytes = 0
 
-    def hold(self, size: int) -> bool:
-        """Take so many bytes of the pool's room."""
+    def reserve_bytes(self, size: int) -> bool:
+        """Reserve `size` bytes of the pool's memory for the answer; returns whether they were to be had."""
         if not self.server.pool.reserve_bytes(size):
             return False
-        self._held += size
+        self._reserved_bytes += size
         return True
 
+    def _release_reserved(self) -> None:
+        self.server.pool.release_bytes(self._reserved_bytes)
+        self._reserved_bytes = 0
+
     def connection_lost(self, exc: Exception | None) -> None:
-        """The end of the connection may be the end of the body."""
+        """The connection is gone; its orderly end completes a body without a stated length."""
         if exc is None and self.exchange is not None and self._reader.ended():
-            self._take_answer()
-        self._let_go()
+            self._finish_by_answer()
+        self._release_reserved()
         super().connection_lost(exc)
 
-    def _let_go(self) -> None:
-        self.server.pool.release_bytes(self._held)
-        self._held = 0
-
     def answer_came(self, data: bytes) -> None:
-        """Read a part of the answer."""
+        """Read a part of an answer."""
         try:
-            whole = self._reader.read(data)
+            is_complete = self._reader.read(data)
         except HttpError as error:
             self.spoil(f"broke the protocol: {error}")
             return
-        if whole and self.exchange is not None:
-            self._take_answer()
+        if is_complete and self.exchange is not None:
+            self._finish_by_answer()
 
-    def _take_answer(self) -> None:
+    def _finish_by_answer(self) -> None:
         reader = self._reader
-        status, report = reader.status, reader.headers.get(b"server-load")
-        not_started = reader.headers.get(b"not-started") == b"1"
+        status = reader.status
+        report = reader.headers.get(LOAD_REPORT_HEADER)
+        is_not_started = reader.headers.get(NOT_STARTED_HEADER) == NOT_STARTED
         value = bulk(bytes(reader.body))
-        self._let_go()
+        self._release_reserved()
         self.retired = not reader.answer_done() or self.retired
         if self.streaming and self.exchange is not None:
             self.exchange.value_complete()
-        if status == 200:
+        if status == STATUS_OK:
             self.finish(Outcome.OK, value, None, report)
-        elif status in _NEVER_RAN and not_started:
+        elif status in STATUSES_NOT_STARTED and is_not_started:
             self.finish(Outcome.OVERLOADED, None, None, report)
         else:
             self.finish(Outcome.ERROR, None, None, report)
