--- a/bench/start.py
+++ b/bench/start.py
@@ -22,10 +22,10 @@
 import orjson
 
 from bench.spread import KEPT, played_day, trouble
-from holdgw.harness.day import STORE
 from holdgw.harness.deployment import build
+from holdgw.harness.orchestrator import RunResult
 from holdgw.harness.report import make_report
-from holdgw.harness.stage import Played
+from holdgw.harness.schedule import ORIGIN
 
 ROOT = Path(__file__).resolve().parent.parent
 KILL, LENGTH, STEP = 10.0, 40.0, 0.1
@@ -76,7 +76,7 @@
     return float("inf")
 
 
-def measured(played: Played) -> dict[str, Any]:
+def measured(played: RunResult) -> dict[str, Any]:
     """What a play asked of whom, and when it was well again."""
     history, begun = played.history, played.begun
     report = make_report(played)
@@ -101,7 +101,7 @@
         "dials": by_step(at for times in dials.values() for at in times),
         "turned away": by_step(one.at - begun for one in history.dials if not one.taken),
         "fetches": by_step(
-            one.at - begun for one in history.attempts if one.server == STORE and not one.idempotency
+            one.at - begun for one in history.attempts if one.server == ORIGIN and not one.idempotency
         ),
     }
     return {
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -13,8 +13,8 @@
 from holdgw.router import client_connection, streamed_value
 from holdgw.wire.http import HttpError, HttpReader
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE
+from tests.emulated_nodes import LIMIT_S, MISS, Node, Peer, command, entry, read, run
 from tests.helpers import ended, fleet, only_send, request, sends, settings, started
-from tests.peers import LIMIT_S, MISS, Node, Peer, command, entry, read, run
 
 TAIL = b"\r\n$3\r\nhit\r\n$-1\r\n"
 VALUE = bytes(range(256)) * 4096 * 4  # 4 MiB
@@ -422,13 +422,13 @@
     fetch = only_send(router.handle(ended(first, Outcome.MISS), 2))
     second = only_send(router.handle(request("b"), 3))
     assert not sends(router.handle(ended(second, Outcome.MISS), 4))  # it waits for the fetch
-    load = [node.load for node in router._origins.nodes.values()]
+    load = [node.in_flight for node in router._origins.endpoints.values()]
     again = only_send(router.handle(StreamStarted("a", 1), 5))
     assert (again.request_id, again.endpoint_id) == ("b", second.endpoint_id)
-    assert [node.load for node in router._origins.nodes.values()] == [load[0] - 1]
+    assert [node.in_flight for node in router._origins.endpoints.values()] == [load[0] - 1]
     assert not router.handle(StreamStarted("a", 1), 6)  # told twice, it counts once
     router.handle(ended(fetch, Outcome.OK, attempt=1), 7)
-    assert [node.load for node in router._origins.nodes.values()] == [0]
+    assert [node.in_flight for node in router._origins.endpoints.values()] == [0]
     assert not router.handle(StreamStarted("gone", 1), 8)
 
 
