--- a/bench/figures.py
+++ b/bench/figures.py
@@ -61,8 +61,8 @@
         nonlocal back
         report(one)
         for name, node in one.router._caches.endpoints.items():
-            back += node.reported_at_ns < newest.get((one.number, name), 0)
-            newest[one.number, name] = node.reported_at_ns
+            back += node.reported.at_ns < newest.get((one.number, name), 0)
+            newest[one.number, name] = node.reported.at_ns
 
     played._report = reported  # type: ignore[method-assign]
     played.run(12.0)
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -141,9 +141,9 @@
     ),
     "cold-full-weight": Mutant(
         "a cold server has its full weight at once",
-        "holdgw.policy.slot_table",
-        "        return 1.0 if warm else cold + (1 - cold) * max(age, 0) / cold_time",
-        "        return 1.0",
+        "holdgw.policy.warm_up",
+        "return self._initial_weight + (1 - self._initial_weight) * max(age_ns, 0) / self.duration_ns",
+        "return 1.0",
         scenario="bench/scenarios/cold-start.toml",
     ),
     "flight-never-lands": Mutant(
@@ -223,20 +223,15 @@
     "cold-unbounded": Mutant(
         "a cold server has its share of slots, whatever the load on them",
         "holdgw.policy.routing_policy",
-        "            if self._caches.any_warming_up(self._now) and not (\n"
-        "                room := self._has_warm_up_capacity(request, node, candidates)\n"
-        "            ):\n",
+        "            if self._caches.any_warming_up(self._now):\n",
         "            if False:\n",
         scenario="bench/scenarios/cold-start.toml",
     ),
     "all-cold-unbounded": Mutant(
         "where all servers are cold each is sent whatever comes",
-        "holdgw.policy.routing_policy",
-        "            return (\n"
-        "                request.warm_up_draw < bears * len(self._caches.endpoints)"
-        " / self._caches.max_endpoints_listed\n"
-        "            )\n",
-        "            return True\n",
+        "holdgw.policy.slow_start",
+        "        return request.warm_up_draw < capacity * listed / self._endpoints.max_endpoints_listed\n",
+        "        return True\n",
         scenario="bench/scenarios/black-start.toml",
     ),
     "hand-forgotten": Mutant(
@@ -262,45 +257,44 @@
     ),
     "shed-off": Mutant(
         "a server that reports a long wait gives no slots up",
-        "holdgw.policy.endpoint_health",
-        "        if wait > most:\n            elapsed",
-        "        if False:\n            elapsed",
+        "holdgw.policy.tracked_endpoint",
+        "        if response_time_ns > overload_ns:\n",
+        "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "bound-off": Mutant(
         "a server that reports a long wait is sent as much as ever",
-        "holdgw.policy.endpoint_health",
-        "            self.reported_response_time_ns > self.max_response_time_ns\n"
-        "            and (wait := self.expected_response_time_ns(now)) > self.max_response_time_ns\n",
-        "            (wait := 0.0) > self.max_response_time_ns\n",
+        "holdgw.policy.tracked_endpoint",
+        "        if self.reported.over_limit:\n",
+        "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "deserted-off": Mutant(
         "a refused connection where connections rested is no death",
         "holdgw.policy.endpoint_health",
-        "            or deserted\n",
-        "",
+        "        if result.idle_connections_closed or ",
+        "        if ",
         scenario="bench/scenarios/fleet-join.toml",
     ),
     "draw-off": Mutant(
         "a hot slot's owners are drawn without what they report",
-        "holdgw.policy.routing_policy",
-        "        weight /= max(node.reported_response_time_ns, self._usual_response_time_ns / 2, 1.0)\n",
+        "holdgw.policy.endpoint_selection",
+        "        weight /= max(endpoint.reported_response_time_ns, usual_ns / 2, 1.0)\n",
         "",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "owners-off": Mutant(
         "a hot slot has no more owners while these are over their load",
-        "holdgw.policy.routing_policy",
-        "            if over > 1.0:\n",
-        "            if False:\n",
+        "holdgw.policy.endpoint_selection",
+        "        if load_factor > 1.0:\n",
+        "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "lean-off": Mutant(
         "a server that answers late gives no slots up",
         "holdgw.policy.routing_policy",
-        "            if node.failure_fraction > DONOR_FAILURE_FRACTION and not node.ejected:\n",
-        "            if False:\n",
+        "        if endpoint.is_donor:\n",
+        "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "age-ignored": Mutant(
@@ -337,8 +331,8 @@
     "own-evidence-below": Mutant(
         "what others were told goes before a server's newer word to this router",
         "holdgw.policy.routing_policy",
-        "            if node is not None and at > node.reported_at_ns:\n",
-        "            if node is not None:\n",
+        "            if endpoint is not None and reported_at_ns > endpoint.reported.at_ns:\n",
+        "            if endpoint is not None:\n",
         figure="overruled",
     ),
     "view-age-ignored": Mutant(
@@ -440,9 +434,9 @@
     ),
     "cold-undivided": Mutant(
         "each router has the whole of a cold server's budget",
-        "holdgw.policy.routing_policy",
-        "        pace = self._usual_answers_per_ns(now) * bears * workers",
-        "        pace = self._usual_answers_per_ns(now) * bears * workers * self._settings.routers",
+        "holdgw.policy.slow_start",
+        "        tokens_per_ns = per_endpoint_ns * capacity * workers\n",
+        "        tokens_per_ns = per_endpoint_ns * capacity * workers * self._settings.routers\n",
         test="tests/test_cold_budget.py",
     ),
     "fin-before-answers": Mutant(
--- a/holdgw/policy/endpoint_health.py
+++ b/holdgw/policy/endpoint_health.py
@@ -1,189 +1,169 @@
-"""A ready endpoint as this router sees it: attempts in flight, health, slot retention."""
+"""Outlier detection: why an endpoint is ejected, and when it comes back.
 
-from __future__ import annotations
+An endpoint is ejected when attempts at it fail in one way, in a row:
+
+- `MAX_CONSECUTIVE_CONNECT_FAILURES` connections were not established, or one was not, after the endpoint had
+  closed its idle connections;
+- `MAX_CONSECUTIVE_RESETS` connections broke under a request;
+- `MAX_CONSECUTIVE_ERRORS` answers were errors;
+- `MAX_CONSECUTIVE_UNANSWERED` attempts got no answer, nor did anything else there, while the other endpoints
+  are well (unresponsive).
 
-import math
-from hashlib import blake2b
+It gets nothing for 1.2 s after each failure (`EJECTED_PROBABILITY` times `RECOVERY_NS`); then requests come
+as trials, with a probability that grows from 0. The first good answer ends the ejection; another connection
+failure, reset or time-out begins it anew. What is sent after that grows with the admission probability.
+"""
+
+from __future__ import annotations
 
-from holdgw.policy.interface import NS_PER_S, Endpoint, EndpointHandover, Outcome
-from holdgw.policy.slot_rebalancing import releases_slot
+from holdgw.policy.interface import NS_PER_S, Outcome
 
-LATE_ANSWER_FACTOR = 0.7  # a chance is cut so by a late answer
-GOOD_ANSWER_STEP = 0.05  # and raised so by a good one
-MIN_ADMISSION_PROBABILITY = 0.05
-OVERLOADED_ANSWER_FACTOR = 0.85  # the same by one that says full: it took next to nothing from the server
-# What counts a server as dead, in a row: refused connections, resets, errors, attempts with no answer to
-# anything meanwhile.
+LATE_ANSWER_FACTOR = 0.7  # of the admission probability, for a late or missing answer
+OVERLOADED_ANSWER_FACTOR = 0.85  # the same for a rejection, which cost the endpoint next to nothing
+GOOD_ANSWER_STEP = 0.05  # added to the admission probability by a good answer
+MIN_ADMISSION_PROBABILITY = 0.05  # of an endpoint that is not ejected
 MAX_CONSECUTIVE_CONNECT_FAILURES = 3
 MAX_CONSECUTIVE_RESETS = 6
 MAX_CONSECUTIVE_ERRORS = 4
 MAX_CONSECUTIVE_UNANSWERED = 3
-# A server's share of its slots falls with each request while its smoothed share of late, full or missing
-# answers is over the first, and that of the next-ranked server under the second; it comes back in time.
-FAILURE_FRACTION_SAMPLES = 32
-DONOR_FAILURE_FRACTION = 0.25
-RECEIVER_FAILURE_FRACTION = 0.1
-RELEASE_PER_REQUEST = 1 / 16
-MIN_SLOT_RETENTION = 0.04
-RETENTION_RECOVERY_NS = 20 * NS_PER_S
-RELEASE_RATE_PER_S = 0.5  # of its slots a second, at twice that
-MAX_REPORT_INTERVAL_NS = NS_PER_S  # a report speaks for so long
-RECOVERY_NS = (
-    60 * NS_PER_S
-)  # time in which a chance comes back by itself, where answers are too few to bring it
-EJECTED_PROBABILITY = (
-    -0.02
-)  # the chance after a refused connection: none for that part of REGAIN, then trials
-
-
-class TrackedEndpoint:
-    """A ready server as this router sees it: own attempts out, and health as the chance to be sent to."""
-
-    def __init__(self, entry: Endpoint, weighted: bool) -> None:
-        self.entry, self.in_flight = entry, 0
-        self.usual_in_flight = 0.0  # smoothed own attempts out when one more was sent
-        self.weight = entry.weight if weighted else 1.0  # the list's, where that means size
-        self.seed = int.from_bytes(blake2b(entry.id.encode(), digest_size=8).digest(), "big")
-        self.ejected = False  # refuses connections, and no good answer since
-        self._connect_failures = 0  # connections in a row that never came up
-        self._resets = 0  # connections that broke under a request since the last answer
-        self._errors = 0  # errors in a row: one that answers nothing else is of no use, however quick
-        self._unanswered = 0  # attempts in a row during which it answered nothing
-        self.answered_at_ns = 0  # when it last did
-        self.latency_ns = 0.0  # smoothed latency of answers
-        self._probability, self._probability_at_ns = 1.0, 0
-        self.failure_fraction = 0.0  # smoothed share of answers that are late, full or missing
-        self.max_response_time_ns = math.inf  # of that, past which it is sent less
-        # What an answer takes there by its last load report, and as of when.
-        self.reported_response_time_ns, self.reported_at_ns = 0.0, 0
-        self.slot_retention, self._retention_at_ns = (
-            1.0,
-            0,
-        )  # the part of its slots that it keeps, and as of when
-        self.warm_up_tokens, self.warm_up_tokens_at_ns = (
-            0.0,
-            0,
-        )  # attempts that it may be sent while cold, and as of when; 0: never
-
-    def retains(self, slot: int, now: int) -> bool:
-        """Whether it keeps this slot; the same ones go first at every router, and come back last."""
-        if self.slot_retention >= 1.0:
-            return True
-        if self.failure_fraction < RECEIVER_FAILURE_FRACTION:
-            self.slot_retention = min(
-                1.0, self.slot_retention + (now - self._retention_at_ns) / RETENTION_RECOVERY_NS
-            )
-        self._retention_at_ns = now
-        return not releases_slot(slot, self.seed, self.slot_retention)
-
-    def apply_load_report(self, wait: float, most: float, now: int) -> None:
-        """Take a load report: over its load a server gives up slots, by time and not by answers.
-
-        Danger: of forty routers each meets a server twice in a second or less, and would count late answers
-        for ten seconds until it knew; the report tells each of them at once what all of them do there. All
-        let the same slots go at the same pace. It could do harm where reports lie: a server that says it is
-        slow loses slots for as long.
-        """
-        self.reported_response_time_ns = wait
-        if wait > most:
-            elapsed = min(now - self.reported_at_ns, MAX_REPORT_INTERVAL_NS) / NS_PER_S
-            self.slot_retention = max(
-                self.slot_retention * math.exp(-RELEASE_RATE_PER_S * min(wait / most - 1.0, 2.0) * elapsed),
-                MIN_SLOT_RETENTION,
-            )
-            self._retention_at_ns = now
-        self.reported_at_ns = now
-
-    def release_slots(self, now: int) -> None:
-        """Give up some of the slots: a request met it over its load, and another server could take it."""
-        much = RELEASE_PER_REQUEST * (self.failure_fraction - DONOR_FAILURE_FRACTION)
-        self.slot_retention, self._retention_at_ns = (
-            max(self.slot_retention * (1.0 - much), MIN_SLOT_RETENTION),
-            now,
-        )
-
-    def _recovered_probability(self, now: int) -> float:
-        """The chance by what its answers told, come back by itself since."""
-        return (
-            min(1.0, self._probability + (now - self._probability_at_ns) / RECOVERY_NS)
-            if self._probability < 1.0
-            else 1.0
-        )
-
-    def admission_probability(self, now: int) -> float:
-        """The chance now; 0 or less for a while after a refused connection."""
-        chance = self._recovered_probability(now)
-        if (
-            self.reported_response_time_ns > self.max_response_time_ns
-            and (wait := self.expected_response_time_ns(now)) > self.max_response_time_ns
-        ):
-            chance = min(chance, self.max_response_time_ns / wait)
-        return chance
-
-    def expected_response_time_ns(self, now: int) -> float:
-        """What an answer takes there by its last report, which says less with each second."""
-        return self.reported_response_time_ns * math.pow(0.5, (now - self.reported_at_ns) / NS_PER_S)
-
-    def restore(self, learnt: EndpointHandover, now: int) -> None:
-        """Go on from what another process found out."""
-        self._probability, self._probability_at_ns, self.ejected = (
-            learnt.admission_probability,
-            now,
-            learnt.ejected,
-        )
-        self.slot_retention, self._retention_at_ns, self.failure_fraction = (
-            learnt.slot_retention,
-            now,
-            learnt.failure_fraction,
-        )
-        self.latency_ns, self.usual_in_flight = learnt.latency_ns, learnt.usual_in_flight
-
-    def record_attempt(
+FAILURE_FRACTION_SAMPLES = 32  # answers over which the failure fraction is smoothed
+RECOVERY_NS = 60 * NS_PER_S  # in which the probability returns from 0 to 1 where answers are too few for it
+EJECTED_PROBABILITY = -0.02  # below 0: nothing is sent for that part of RECOVERY_NS
+
+
+class AttemptResult:
+    """How an attempt at an endpoint ended, as far as it tells of the endpoint's health."""
+
+    def __init__(
         self,
         outcome: Outcome,
         late: bool,
-        now: int,
-        sent: int = 0,
-        alone: bool = False,
-        deserted: bool = False,
+        ended_at_ns: int,
+        sent_at_ns: int = 0,
+        others_well: bool = False,
+        idle_connections_closed: bool = False,
     ) -> None:
-        """Learn from an attempt's end; `alone`: the other servers are well.
-
-        Danger: connections that break are everyday (an idle close that crosses a request, a full table, a
-        new one reset as it comes up), and a reset is often followed by one; to take them for a death sends
-        a server's whole share to the origin. A dead process refuses every connection, and a machine that
-        is gone, or a process that hangs, answers nothing at all. In a large fleet each of the routers would
-        lose a request for every server that dies, three refusals long: hence one is enough where the server
-        closed what rested before (`deserted`). It could do harm when so many servers are
-        slow that ours get no answer: hence `alone`.
+        self.outcome = outcome
+        self.late = late
+        """Whether it took longer than the latency objective by the endpoint's own doing."""
+        self.ended_at_ns = ended_at_ns
+        self.sent_at_ns = sent_at_ns
+        self.others_well = others_well
+        """Whether few of the other endpoints are overloaded."""
+        self.idle_connections_closed = idle_connections_closed
+        """Whether the connection was refused after the endpoint had closed its idle connections."""
+
+    @property
+    def broken(self) -> bool:
+        """Whether the connection failed, at its start or under the request."""
+        return self.outcome is Outcome.CONNECT_FAILED or self.outcome is Outcome.RESET
+
+
+class ConsecutiveFailures:
+    """Counts an endpoint's failures of each kind in a row; asked after each attempt whether they suffice."""
+
+    def __init__(self) -> None:
+        self.unanswered = 0
+        """Attempts in a row during which the endpoint answered nothing at all."""
+        self._connect_failures = 0
+        self._resets = 0
+        self._errors = 0
+
+    def count(self, result: AttemptResult, answered_at_ns: int) -> None:
+        """Count an attempt; `answered_at_ns`: when the endpoint last answered anything.
+
+        A failed connection leaves the count of resets as it is: the two often follow each other.
         """
-        chance = self._recovered_probability(now)
-        broke, mute = outcome in (Outcome.CONNECT_FAILED, Outcome.RESET), outcome is Outcome.TIMEOUT
+        outcome = result.outcome
         self._connect_failures = self._connect_failures + 1 if outcome is Outcome.CONNECT_FAILED else 0
-        self._resets = (self._resets + (outcome is Outcome.RESET)) * broke
         self._errors = self._errors + 1 if outcome is Outcome.ERROR else 0
-        self._unanswered = (self._unanswered + mute) * (self.answered_at_ns <= sent)
-        dead = (
-            self._connect_failures >= MAX_CONSECUTIVE_CONNECT_FAILURES
-            or deserted
-            or self._resets >= MAX_CONSECUTIVE_RESETS
-        )
-        dead = (
-            dead
-            or self._errors >= MAX_CONSECUTIVE_ERRORS
-            or (self._unanswered >= MAX_CONSECUTIVE_UNANSWERED and alone)
-        )
-        if dead or (self.ejected and (broke or mute)):
-            chance, self.ejected = EJECTED_PROBABILITY, True
-        elif broke or (mute and (not late or (self._unanswered and alone))):
-            pass  # the next ones tell
-        elif late or mute or outcome is Outcome.OVERLOADED:
-            chance = max(
-                chance * (OVERLOADED_ANSWER_FACTOR if outcome is Outcome.OVERLOADED else LATE_ANSWER_FACTOR),
-                MIN_ADMISSION_PROBABILITY,
-            )
+        if outcome is Outcome.RESET:
+            self._resets += 1
+        elif not result.broken:
+            self._resets = 0
+        if answered_at_ns > result.sent_at_ns:
+            self.unanswered = 0
+        elif outcome is Outcome.TIMEOUT:
+            self.unanswered += 1
+
+    def suffice_to_eject(self, result: AttemptResult) -> bool:
+        """Whether the failures in a row mean that the endpoint is gone; `result`: the latest of them.
+
+        Single broken connections are ordinary: an idle close that crosses a request, a full table, a reset
+        while an endpoint comes up. To eject for one sends all of the endpoint's keys to the origin. A dead
+        process refuses every connection, and a lost machine or a hanging process answers nothing at all.
+        One refusal is enough where the endpoint has closed its idle connections: each of many routers would
+        lose a request for every further one. Time-outs count only while the other endpoints are well: where
+        many are overloaded, a missing answer is a sign of load.
+        """
+        if result.idle_connections_closed or self._connect_failures >= MAX_CONSECUTIVE_CONNECT_FAILURES:
+            return True
+        if self._resets >= MAX_CONSECUTIVE_RESETS or self._errors >= MAX_CONSECUTIVE_ERRORS:
+            return True
+        return self.unanswered >= MAX_CONSECUTIVE_UNANSWERED and result.others_well
+
+
+class EndpointHealth:
+    """The health of one endpoint, learnt from attempts.
+
+    Asked for each request that would go to the endpoint, by `probability`: 1 means that all are sent, less
+    that some are rejected, 0 or less that none is sent at present. Told of each attempt's end by `record`.
+    """
+
+    def __init__(self) -> None:
+        self.ejected = False
+        """Whether it gets trial requests only."""
+        self.failure_fraction = 0.0
+        """Smoothed fraction of answers that were late, rejected or missing, 0 to 1."""
+        self.answered_at_ns = 0
+        """When it last answered anything (clock time)."""
+        self._failures = ConsecutiveFailures()
+        self._probability = 1.0
+        self._updated_at_ns = 0
+
+    def probability(self, now_ns: int) -> float:
+        """Return the admission probability; it recovers with time, from 0 or less after an ejection."""
+        if self._probability >= 1.0:
+            return 1.0
+        return min(1.0, self._probability + (now_ns - self._updated_at_ns) / RECOVERY_NS)
+
+    def record_answer(self, now_ns: int) -> None:
+        """Note that the endpoint answered something, be it late or an error."""
+        self.answered_at_ns = now_ns
+
+    def record(self, result: AttemptResult) -> None:
+        """Learn from an attempt's end.
+
+        A broken connection that does not suffice to eject changes nothing, nor does a time-out with too
+        little time left, or one that may be the first of an unresponsive endpoint.
+        """
+        outcome = result.outcome
+        timed_out = outcome is Outcome.TIMEOUT
+        probability = self.probability(result.ended_at_ns)
+        self._failures.count(result, self.answered_at_ns)
+        if self._failures.suffice_to_eject(result) or (self.ejected and (result.broken or timed_out)):
+            probability = EJECTED_PROBABILITY
+            self.ejected = True
+        elif result.broken or (timed_out and not self._is_sign_of_load(result)):
+            pass
+        elif result.late or timed_out or outcome is Outcome.OVERLOADED:
+            factor = OVERLOADED_ANSWER_FACTOR if outcome is Outcome.OVERLOADED else LATE_ANSWER_FACTOR
+            probability = max(probability * factor, MIN_ADMISSION_PROBABILITY)
             self.failure_fraction += (1.0 - self.failure_fraction) / FAILURE_FRACTION_SAMPLES
-        elif outcome in (Outcome.OK, Outcome.MISS):
-            chance, self.ejected = min(1.0, chance + GOOD_ANSWER_STEP), False
+        elif outcome is Outcome.OK or outcome is Outcome.MISS:
+            probability = min(1.0, probability + GOOD_ANSWER_STEP)
+            self.ejected = False
             self.failure_fraction -= self.failure_fraction / FAILURE_FRACTION_SAMPLES
-        self._probability, self._probability_at_ns = chance, now
+        self._probability = probability
+        self._updated_at_ns = result.ended_at_ns
+
+    def restore(self, probability: float, ejected: bool, failure_fraction: float, now_ns: int) -> None:
+        """Go on from what another process of this router has learnt."""
+        self._probability = probability
+        self._updated_at_ns = now_ns
+        self.ejected = ejected
+        self.failure_fraction = failure_fraction
+
+    def _is_sign_of_load(self, result: AttemptResult) -> bool:
+        """Whether a time-out tells of load: it was late, and the endpoint does not look unresponsive."""
+        return result.late and not (self._failures.unanswered and result.others_well)
--- /dev/null
+++ b/holdgw/policy/load_reports.py
@@ -0,0 +1,80 @@
+"""What endpoints report of their load: to this router in answers, and to other routers of the tier."""
+
+from __future__ import annotations
+
+from holdgw.policy.disabled_features import load_report_indexes
+from holdgw.policy.interface import Settings
+from holdgw.policy.tracked_endpoint import TrackedEndpoint
+
+NS_PER_MS = 1e6
+QUEUE_SLOTS = 4.0  # places that queued requests are taken to wait for
+USUAL_SAMPLES = 32  # reports over which the usual response time is smoothed
+# An endpoint is overloaded over both: this fraction of the latency objective, so many times the usual time.
+OVERLOAD_OBJECTIVE_FRACTION = 0.5
+OVERLOAD_USUAL_FACTOR = 1.6
+LIMIT_OBJECTIVE_FRACTION = 0.8  # a response time past which requests are admitted in proportion
+MAX_OBSERVED_SLOTS = 1024  # slots counted for other routers between two calls
+
+
+class Observations:
+    """What this router has observed, for other routers of the tier, since that was last taken."""
+
+    def __init__(self, enabled: bool) -> None:
+        self._enabled = enabled
+        self._response_times: dict[str, tuple[float, int]] = {}
+        self._slot_requests: dict[int, int] = {}
+
+    def count_request(self, slot: int) -> None:
+        """Count a request for a slot."""
+        if self._enabled and len(self._slot_requests) < MAX_OBSERVED_SLOTS:
+            self._slot_requests[slot] = self._slot_requests.get(slot, 0) + 1
+
+    def record_response_time(self, endpoint_id: str, response_time_ns: float, now_ns: int) -> None:
+        """Note the response time that an endpoint has reported."""
+        if self._enabled:
+            self._response_times[endpoint_id] = response_time_ns, now_ns
+
+    def take(self) -> tuple[dict[str, tuple[float, int]], dict[int, int]]:
+        """Return, and forget, response times (ns, clock time) by endpoint and requests by slot."""
+        taken = self._response_times, self._slot_requests
+        self._response_times = {}
+        self._slot_requests = {}
+        return taken
+
+
+class LoadReports:
+    """Takes the load reports of all endpoints, and says from which response time on one is overloaded.
+
+    Told of each report in an answer, and of those that other routers received. Asked for the time of overload
+    when a report comes and when the owners of a hot slot are chosen.
+    """
+
+    def __init__(self, settings: Settings, latency_objective_ns: int) -> None:
+        self.usual_response_time_ns = 0.0
+        """Smoothed over the reports of all endpoints; 0: none yet."""
+        self._latency_objective_ns = latency_objective_ns
+        self._indexes = load_report_indexes(settings.load_report_fields)
+
+    def response_time_ns(self, values: tuple[float, ...]) -> float | None:
+        """Return the response time by a load report's values; None where the settings name no such values."""
+        if self._indexes is None:
+            return None
+        latency_ms = values[self._indexes[0]]
+        queued = values[self._indexes[1]]
+        return latency_ms * NS_PER_MS * (1.0 + queued / QUEUE_SLOTS)
+
+    def record(self, endpoint: TrackedEndpoint, response_time_ns: float, at_ns: int) -> None:
+        """Take the response time that an endpoint reported at a time, to this router or to another one."""
+        if self.usual_response_time_ns:
+            self.usual_response_time_ns += (response_time_ns - self.usual_response_time_ns) / USUAL_SAMPLES
+        else:
+            self.usual_response_time_ns = response_time_ns
+        endpoint.reported.set_limit(self._latency_objective_ns * LIMIT_OBJECTIVE_FRACTION)
+        endpoint.record_response_time(response_time_ns, self.overload_response_time_ns(), at_ns)
+
+    def overload_response_time_ns(self) -> float:
+        """Return the reported response time past which an endpoint is overloaded."""
+        return max(
+            self._latency_objective_ns * OVERLOAD_OBJECTIVE_FRACTION,
+            self.usual_response_time_ns * OVERLOAD_USUAL_FACTOR,
+        )
--- a/holdgw/policy/pending_request.py
+++ b/holdgw/policy/pending_request.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from holdgw.policy.endpoint_health import TrackedEndpoint
 from holdgw.policy.interface import NS_PER_S, DedupScope, Idempotency, RequestArrived, RequestClass
 from holdgw.policy.origin_limiter import OriginLimiter
+from holdgw.policy.tracked_endpoint import TrackedEndpoint
 
 ON_THE_WAY = NS_PER_S // 20  # from when a request is written until it is there, at most
 
--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -6,19 +6,13 @@
 import random
 from zlib import crc32
 
-from holdgw.policy.disabled_features import load_report_indexes
-from holdgw.policy.endpoint_health import (
-    DONOR_FAILURE_FRACTION,
-    MAX_CONSECUTIVE_RESETS,
-    RECEIVER_FAILURE_FRACTION,
-    TrackedEndpoint,
-)
-from holdgw.policy.hot_keys import PopularityCounter
+from holdgw.policy.endpoint_health import MAX_CONSECUTIVE_RESETS, AttemptResult
+from holdgw.policy.endpoint_selection import EndpointSelector
+from holdgw.policy.hot_keys import PopularityCounter, SlotPopularity
 from holdgw.policy.interface import (
     NS_PER_S,
     Action,
     AttemptEnded,
-    EndpointHandover,
     EndpointsChanged,
     EndpointState,
     Event,
@@ -41,12 +35,14 @@
     TimerFired,
     UpdateKind,
 )
+from holdgw.policy.load_reports import LoadReports, Observations
+from holdgw.policy.load_shedding import LoadShedder
 from holdgw.policy.origin_limiter import CUT, OriginLimiter
 from holdgw.policy.pending_request import PendingRequest
-from holdgw.policy.slot_rebalancing import SlotRebalancer
-from holdgw.policy.slot_table import RANKING_DEPTH, SLOTS, SlotTable
+from holdgw.policy.slot_table import SLOTS, SlotTable
+from holdgw.policy.slow_start import SlowStart
+from holdgw.policy.tracked_endpoint import TrackedEndpoint
 
-HEAT_SHARE = 0.25  # part of a server's fair load that one slot may bring before it is spread
 BAD_SAMPLES = 8  # smoothing of the share of bad fetches
 BAD_SHARE = 0.2  # two in a row, or one in five, cut
 QUICK_AIM = 0.5  # a connection that breaks within that part of the aim has cost no time to speak of
@@ -56,21 +52,6 @@
 BUDGET_MOST = 4.0  # and so many at once
 LOST_PACE = 4.0  # an answer that is out for so many usual times, while others come, is lost
 STRAIN = 0.1  # smoothed share of servers met that are over their load, past which nothing is sent twice
-ALONE = 0.3  # the same, past which it is nothing of a server's own that it answers nothing
-QUEUE_SLOTS = 4.0  # places that those who wait by a load report are taken to wait for
-# Over its load by its report: past that part of the aim, and so many times the mean of all.
-FULL_AIM = 0.5
-FULL_USUAL = 1.6
-OWNERS_MORE = 2.0  # times its owners may a hot slot have while these are over their load by their reports
-BOUND_AIM = 0.8  # a wait by its report, of the aim, past which a server is sent less in proportion
-COLD_EXCESS = 0.42  # of the multiple at which it falls: what it can do is known by the others' load only
-COLD_BURST = 2.0  # attempts that a cold server may be sent at once
-MIN_SNAPSHOT_REQUESTS = 100.0  # from which many routers' shares of slots tell more than one's own
-PRESSED_AIM = 0.3  # of the aim, a reported wait from which on a server gives up slots to be level with others
-MAX_OWN_PART = 0.3  # of them its own, from which a router's own counts, which are complete, tell more
-MAX_OBSERVED_SLOTS = 1024  # slots counted for other routers between two load reports
-COLD_AHEAD = 0.5  # of a window's part, which all routers may send a cold server as they first hear of it
-DONE_MEMORY = 10 * NS_PER_S  # longer than a burst that a cold server must not follow
 ASK_MOST = 2 * NS_PER_S  # until discovery is asked again; 6 s later what it has counts as told
 
 
@@ -90,10 +71,7 @@
             for tenant in tenants
         }
         self._caches, self._origins = SlotTable(settings), SlotTable(settings)
-        self._slot_popularity, self._tenant_usage = (
-            PopularityCounter[int](),
-            PopularityCounter[str](),
-        )  # by slot; by tenant
+        self._tenant_usage = PopularityCounter[str]()
         self._requests: dict[str, PendingRequest] = {}
         self._flights: dict[
             str, list[PendingRequest]
@@ -105,29 +83,24 @@
             0,
         )  # most own attempts out at the origin before writes are held
         self._held: list[PendingRequest] = []  # writes waiting for one of them to end; the newest goes first
-        self._overloaded_fraction = 0.0
-        self._cache_answers, self._cache_answers_at_ns = 0.0, 0  # caches' answers, fading, and as of when
         self._budget = BUDGET_MOST  # attempts that may be taken for lost by their time
-        self._load_report_indexes = load_report_indexes(settings.load_report_fields)
-        self._aim = aim
-        self._usual_response_time_ns = 0.0  # smoothed over the reports of all servers
         self._origin_bad = 0.0  # smoothed share of bad fetches
         self._origin_broke = 0  # its connections that broke since its last answer
         self._asking, self._failed_calls = False, 0
-        self._shared_popularity: dict[int, float] | None = None  # of slots, as many routers see them
-        self._rebalancer = SlotRebalancer()
-        self._observed_response_times: dict[
-            str, tuple[float, int]
-        ] = {}  # by server: its reported wait, and when
-        self._slot_requests: dict[int, int] = {}  # for other routers
-        self._now = self._started_at_ns = 0  # the clock; at the first event
+        self._slot_popularity = SlotPopularity()
+        self._load_reports = LoadReports(settings, aim)
+        self._load_shedder = LoadShedder(self._rng)
+        self._slow_start = SlowStart(settings, self._caches, self._rng)
+        self._selector = EndpointSelector(self._caches, self._load_reports, aim, self._rng)
+        self._observations = Observations(settings.gossip_allowed)
+        self._now = 0
         self._actions: list[Action] = []
         self.rejections_by_reason: dict[str, int] = {}  # requests refused or failed, by the reason
 
     def handle(self, event: Event, now: int) -> list[Action]:
         """Take one event at clock time `now` and return the actions to carry out, in order."""
         self._now, self._actions = now, []
-        self._started_at_ns = self._started_at_ns or now
+        self._slow_start.answer_rate.start(now)
         match event:
             case AttemptEnded():
                 self._attempt_ended(event)
@@ -150,8 +123,8 @@
         return self._actions
 
     def ejected(self) -> list[str]:
-        """The ready cache servers that are left out by choice, but for a trial now and then."""
-        return [name for name, node in self._caches.endpoints.items() if node.ejected]
+        """Return the names of the ready cache endpoints that get trial requests only."""
+        return [name for name, endpoint in self._caches.endpoints.items() if endpoint.ejected]
 
     def metrics(self, now: int) -> dict[str, float]:
         """What the decisions go by now: limits in fetches a second, shares and counts of servers."""
@@ -160,7 +133,7 @@
             **{f"limit {name}": guard.limit for name, guard in self._guards.items() if name},
             "width": -1.0 if math.isinf(self._width) else self._width,
             "origin bad": self._origin_bad,
-            "strain": self._overloaded_fraction,
+            "strain": self._load_shedder.overloaded_fraction,
             "budget": self._budget,
             "down": sum(node.ejected for node in nodes),
             "shy": sum(node.admission_probability(now) < 1.0 for node in nodes),
@@ -178,17 +151,7 @@
         for guard in self._guards.values():
             guard.accepted(now)
         return HandoverState(
-            endpoints={
-                name: EndpointHandover(
-                    node.admission_probability(now),
-                    node.ejected,
-                    node.slot_retention,
-                    node.failure_fraction,
-                    node.latency_ns,
-                    node.usual_in_flight,
-                )
-                for name, node in self._caches.endpoints.items()
-            },
+            endpoints={name: node.handover(now) for name, node in self._caches.endpoints.items()},
             tenants={
                 name: TenantHandover(guard.limit, tuple(guard._calls)) for name, guard in self._guards.items()
             },
@@ -196,7 +159,7 @@
             tenant_usage=dict(self._tenant_usage.counts),
             origin_latency_ns=self._origin_time,
             write_concurrency_limit=self._width,
-            cache_answers=self._cache_answers * math.exp((self._cache_answers_at_ns - now) / DONE_MEMORY),
+            cache_answers=self._slow_start.answer_rate.answers(now),
         )
 
     def restore(self, learnt: HandoverState, now: int) -> None:
@@ -217,8 +180,7 @@
         self._origin_time = learnt.origin_latency_ns or self._origin_time
         self._width = learnt.write_concurrency_limit or self._width
         if learnt.cache_answers:
-            self._cache_answers, self._cache_answers_at_ns = learnt.cache_answers, now
-            self._started_at_ns = now - 2 * DONE_MEMORY
+            self._slow_start.answer_rate.restore(learnt.cache_answers, now)
 
     def _servers_changed(self, event: EndpointsChanged) -> None:
         if self._settings.subscription_required:
@@ -265,11 +227,8 @@
         if request.is_write and self._settings.origin_kind is not None:
             self._fetch(request)
         else:
-            request.slot_popularity = self._slot_popularity.add(request.slot)
-            if self._shared_popularity is not None:
-                request.slot_popularity = self._shared_popularity.get(request.slot, 0.0)
-            if self._settings.gossip_allowed and len(self._slot_requests) < MAX_OBSERVED_SLOTS:
-                self._slot_requests[request.slot] = self._slot_requests.get(request.slot, 0) + 1
+            request.slot_popularity = self._slot_popularity.record_request(request.slot)
+            self._observations.count_request(request.slot)
             guard.excess = (self._tenant_usage.add(event.tenant or "") / max(guard.weight, 0.001)) ** 2
             self._route(request)
 
@@ -277,10 +236,9 @@
         request.sends += 1
         why = self._why(request, node)
         request.node, request.sent_at, request.out = node, self._now, True
-        node.usual_in_flight += (node.in_flight - node.usual_in_flight) / 32
-        node.in_flight += 1
+        node.start_attempt()
         if not request.fetching:
-            node.warm_up_tokens -= 1
+            node.warm_up_tokens.take()
         request.patience = self._patience(request, node)
         bounded = request.ran is not None and request.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
         within = request.write_within(self._now) if bounded else 0
@@ -305,7 +263,7 @@
         if (
             not node.latency_ns
             or node.admission_probability(self._now) < 1.0
-            or self._overloaded_fraction > STRAIN
+            or self._load_shedder.overloaded_fraction > STRAIN
         ):
             return 0  # not known to be well, or the others are not
         patience = int(max(request.cls.latency_objective_ns * PATIENCE_AIM, node.latency_ns * PATIENCE_PACE))
@@ -315,136 +273,50 @@
         return request.sends < self._settings.max_attempts and self._now < request.deadline_ns
 
     def _route(self, request: PendingRequest) -> None:
-        """Send to the slot's server; to the next-ranked one if that one has failed or is ejected."""
+        """Send to the slot's preferred endpoint; to the next one if it has failed or is ejected."""
         if not self._may_try(request):
             self._give_up(request, "attempts or time")
             return
-        candidates = self._candidates(request)
-        keepers = [node for node in candidates if node.ejected or node.retains(request.slot, self._now)]
-        room = True
-        for i, node in enumerate(keepers or candidates[:1]):
-            if node in request.failed or not request.may_send(node, self._now):
-                continue
-            if self._caches.any_warming_up(self._now) and not (
-                room := self._has_warm_up_capacity(request, node, candidates)
-            ):
+        candidates = self._selector.candidates(request.slot, request.slot_popularity, self._now)
+        retaining = [
+            endpoint
+            for endpoint in candidates
+            if endpoint.ejected or endpoint.retains(request.slot, self._now)
+        ]
+        ranking = retaining or candidates[:1]
+        has_capacity = True
+        for endpoint in ranking:
+            if endpoint in request.failed or not request.may_send(endpoint, self._now):
                 continue
-            # Danger: clients that give a try up early come again, and the server goes on with what nobody
-            # waits for: all it does is late then, for as long as they come. It could do harm where a report
-            # is too high: whoever waits longer goes there still, and brings a new one.
-            left = request.deadline_ns - self._now
-            if node.reported_response_time_ns > left and node.expected_response_time_ns(self._now) > left:
-                self._give_up(request, "too late there")
+            if self._caches.any_warming_up(self._now):
+                has_capacity = self._slow_start.has_capacity(request, endpoint, candidates, self._now)
+                if not has_capacity:
+                    continue
+            if self._send_or_reject(request, endpoint, ranking):
                 return
-            self._overloaded_fraction += (
-                (not node.ejected and node.admission_probability(self._now) < 1.0) - self._overloaded_fraction
-            ) / 64
-            chance = node.admission_probability(self._now)
-            if node.failure_fraction > DONOR_FAILURE_FRACTION and not node.ejected:
-                self._release_slots(node, keepers[i + 1 :])
-            # Tenants over their portion are shed first, those well within it last.
-            # A server is shed where more than usual is out there, which is when its queue is long.
-            crowd = min(0.25 + 0.75 * node.in_flight / max(node.usual_in_flight, 0.25), 2.0)
-            if chance >= 1.0 or (
-                chance > 0 and self._rng.random() < chance ** (request.guard.excess * crowd)
-            ):
-                self._send(request, node)
-                return
-            if not node.ejected:  # over its load: another server would miss, unless the slot moves for good
-                self._give_up(request, "server")
-                return
-        if room:
+        if has_capacity:
             self._missed(request)
-        else:  # only a cold server could take it, and that is why it can't
+        else:  # only a warming endpoint could take it, and has no capacity
             self._give_up(request, "cold server")
 
-    def _release_slots(self, node: TrackedEndpoint, others: list[TrackedEndpoint]) -> None:
-        """Departure: a server over its load gives slots to the next-ranked, if that one is well.
-
-        Danger: a server that is slow, or takes only so many a second, would have its keys refused for as
-        long as it is so, beside idle servers. To send single requests on would miss each time; a slot that
-        moves, the same one at every router, misses once. It should also catch a server that dies by
-        degrees, and loads that slots of equal number share out unevenly. It could do harm when all are
-        over their load: slots would wander, and miss; hence the other must be well.
-        """
-        other = next((other for other in others if not other.ejected), None)
-        if other is not None and other.failure_fraction < RECEIVER_FAILURE_FRACTION:
-            node.release_slots(self._now)
-
-    def _candidates(self, request: PendingRequest) -> list[TrackedEndpoint]:
-        """Departure for hot keys: a slot too hot for one server is shared by the few ranked first."""
-        ranking, owners = self._rank_for_popularity(request.slot, request.slot_popularity)
-        if owners > 1:
-            # Where they say that they are over their load, more of those ranked next take a part.
-            over = (
-                sum(node.reported_response_time_ns for node in ranking[:owners])
-                / owners
-                / self._overload_response_time_ns()
-            )
-            if over > 1.0:
-                owners = math.ceil(owners * min(over, OWNERS_MORE))
-                ranking = self._caches.rank(request.slot, self._now, max(owners, RANKING_DEPTH))
-            return sorted(ranking[:owners], key=self._owner_preference) + ranking[owners:]
-        if taker := self._rebalancer.receiver_rank(request.slot, ranking):
-            return [ranking[taker], *ranking[:taker], *ranking[taker + 1 :]]
-        return ranking
-
-    def _has_warm_up_capacity(
-        self, request: PendingRequest, node: TrackedEndpoint, others: list[TrackedEndpoint]
+    def _send_or_reject(
+        self, request: PendingRequest, endpoint: TrackedEndpoint, ranking: list[TrackedEndpoint]
     ) -> bool:
-        """Whether a cold server may be sent one more, by its warmth and what others usually get.
-
-        Danger: a burst, or a hot key whose slot falls to a newcomer, pushes it over at once, long before it
-        answers late; the next-ranked, who held the slot until then, still has the key. It could do harm
-        where the load rises for good while servers are cold: they take their part of it some seconds later.
-        Where all are cold nobody else has the keys, and what they usually get is not known: each request goes
-        by chance then, so that all routers together send the part of what is asked that cold servers bear.
-        """
-        warmth = self._caches.warm_up_weight(node, self._now)
-        if warmth >= 1.0:
+        """Send to an endpoint, or reject for its load; False: it is ejected, and another is to be tried."""
+        if self._load_shedder.is_too_late(endpoint, request.deadline_ns - self._now, self._now):
+            self._give_up(request, "too late there")
             return True
-        bears = warmth * self._settings.warm_up_overload_factor * COLD_EXCESS
-        if all(self._caches.warm_up_weight(other, self._now) < 1.0 for other in others):
-            # Danger: all that is asked comes to the few that a list names first when everything starts anew.
-            request.warm_up_draw = request.warm_up_draw or self._rng.random()
-            return (
-                request.warm_up_draw < bears * len(self._caches.endpoints) / self._caches.max_endpoints_listed
-            )
-        # Danger: each worker of a router would spend the bound anew. So one of them has all of it, always the
-        # same one for a server; to the others a cold server has no room, and the next-ranked has the key.
-        # Danger: what is sent tells less of what servers can do than what they answer. In a storm a request
-        # comes four times, and a cold server would be sent its part of that.
-        now, workers = self._now, self._settings.workers
-        pace = self._usual_answers_per_ns(now) * bears * workers
-        if node.seed % workers != self._settings.worker_index:
+        probability = endpoint.admission_probability(self._now)
+        self._load_shedder.record_met(endpoint, probability)
+        if endpoint.is_donor:
+            endpoint.release_slots(ranking[ranking.index(endpoint) + 1 :], self._now)
+        if self._load_shedder.admits(endpoint, probability, request.guard.excess):
+            self._send(request, endpoint)
+            return True
+        if endpoint.ejected:
             return False
-        if not node.warm_up_tokens_at_ns:
-            # Danger: were each router to begin with a whole attempt or two, hundreds would send a cold
-            # server more at once than it bears. A part, drawn, keeps their sum at the pace from the first.
-            # One that has just started itself knows too little for that, and is asked too little to do harm.
-            ahead = pace * COLD_AHEAD * self._settings.warm_up_overload_window_ns
-            node.warm_up_tokens = (
-                self._rng.random() + ahead if now - self._started_at_ns > DONE_MEMORY else COLD_BURST
-            )
-            node.warm_up_tokens_at_ns = now
-        node.warm_up_tokens, node.warm_up_tokens_at_ns = (
-            min(COLD_BURST, node.warm_up_tokens + pace * (now - node.warm_up_tokens_at_ns)),
-            now,
-        )
-        return node.warm_up_tokens >= 1.0
-
-    def _usual_answers_per_ns(self, now: int) -> float:
-        """Answers a nanosecond of a cache server to this router, as of lately."""
-        heard = -math.expm1(
-            min(self._started_at_ns - now, -NS_PER_S) / DONE_MEMORY
-        )  # the part that is counted yet
-        return self._cache_answers / heard / DONE_MEMORY / len(self._caches.endpoints)
-
-    def _owner_preference(self, node: TrackedEndpoint) -> tuple[float, float]:
-        """Fewest own attempts out for its weight; ties by a lottery in proportion to the weights."""
-        weight = node.weight * self._caches.warm_up_weight(node, self._now)
-        weight /= max(node.reported_response_time_ns, self._usual_response_time_ns / 2, 1.0)
-        return node.in_flight, self._rng.expovariate(1.0) / weight
+        self._give_up(request, "server")  # another endpoint would miss, unless the slot migrates for good
+        return True
 
     def _missed(self, request: PendingRequest) -> None:
         """Fetch, unless this router's fetch of the key is out: then wait for what it stores."""
@@ -487,7 +359,7 @@
         """
         if request.node is not None and request.out and not request.streams:
             request.streams = True
-            request.node.in_flight -= 1
+            request.node.release_attempt()
             if request.leads:
                 self._land(request, stored=True)
 
@@ -497,7 +369,8 @@
             return
         node, fetched, outcome = request.node, request.fetching, event.outcome
         request.out = request.fetching = False
-        node.in_flight -= not request.streams
+        if not request.streams:
+            node.release_attempt()
         request.streams = False
         took = event.latency_ns - event.queued_ns
         late = took > request.cls.latency_objective_ns
@@ -518,28 +391,31 @@
             if lost and not early:
                 self._budget = min(BUDGET_MOST, self._budget + 1)
         elif told and not broke:
-            node.answered_at_ns = self._now
+            node.health.record_answer(self._now)
         if outcome in (Outcome.OK, Outcome.MISS):
             # A prompt answer to what was asked again shows that the first one was lost.
             proof = request.spared and took <= request.cls.latency_objective_ns * PATIENCE_AIM
             self._budget = min(BUDGET_MOST, self._budget + (1.0 if proof else BUDGET_SHARE))
             if not event.first_on_connection:
-                node.latency_ns += (took - node.latency_ns) / 16 if node.latency_ns else took
+                node.record_latency(took)
             if not fetched:
-                self._cache_answers = (
-                    self._cache_answers * math.exp((self._cache_answers_at_ns - self._now) / DONE_MEMORY) + 1
-                )
-                self._cache_answers_at_ns = self._now
-        if not fetched and event.load_report is not None and self._load_report_indexes is not None:
+                self._slow_start.answer_rate.record_answer(self._now)
+        if not fetched and event.load_report is not None:
             self._apply_load_report(node, event.load_report)
         if fetched:
             self._judge_fetch(node, event, late and not unsure, lost)
         elif told:
             # A time-out before the deadline is one of our own patience, and no sign of load.
             slow = not lost if outcome is Outcome.TIMEOUT else late and not unsure
-            alone = self._overloaded_fraction <= ALONE
-            node.record_attempt(
-                outcome, slow, self._now, request.sent_at, alone, event.idle_connections_closed
+            node.health.record(
+                AttemptResult(
+                    outcome,
+                    slow,
+                    self._now,
+                    request.sent_at,
+                    self._load_shedder.most_are_well,
+                    event.idle_connections_closed,
+                )
             )
         if not outcome.has_no_effect and request.ran is None:
             request.ran = node, request.sent_at
@@ -556,70 +432,39 @@
             request.failed.append(node)
             self._route(request)
 
-    def _apply_load_report(self, node: TrackedEndpoint, load: tuple[float, ...]) -> None:
-        """Take a server's load report, which tells of the whole fleet's load on it."""
-        assert self._load_report_indexes is not None
-        latency, queue = load[self._load_report_indexes[0]], load[self._load_report_indexes[1]]
-        wait = latency * 1e6 * (1.0 + queue / QUEUE_SLOTS)
-        if self._settings.gossip_allowed:
-            self._observed_response_times[node.entry.id] = wait, self._now
-        self._apply_response_time(node, wait, self._now)
-
-    def _apply_response_time(self, node: TrackedEndpoint, wait: float, at: int) -> None:
-        """A server's wait, by its own report or by what others were told, as of then."""
-        self._usual_response_time_ns += (
-            (wait - self._usual_response_time_ns) / 32 if self._usual_response_time_ns else wait
-        )
-        node.max_response_time_ns = self._aim * BOUND_AIM
-        node.apply_load_report(wait, self._overload_response_time_ns(), at)
+    def _apply_load_report(self, endpoint: TrackedEndpoint, values: tuple[float, ...]) -> None:
+        """Take an endpoint's load report, which tells of the load that all routers bring there."""
+        response_time_ns = self._load_reports.response_time_ns(values)
+        if response_time_ns is not None:
+            self._observations.record_response_time(endpoint.entry.id, response_time_ns, self._now)
+            self._load_reports.record(endpoint, response_time_ns, self._now)
 
     def _apply_load_snapshot(self, event: LoadSnapshotChanged) -> None:
-        """Take the load view of many routers: waits newer than those held, and shares that rest on enough.
+        """Take the load view of many routers: response times newer than those known, and popularity of slots.
 
-        One router of two hundred sees a hot key once in ten seconds, too seldom to find it alone. Other
-        routers' reports may be false or old: a server's own report to this router overrides older samples,
-        reachability is judged by own attempts alone, and shares of too few requests are ignored.
+        Other routers' reports may be false or old. An endpoint's own report to this router overrides older
+        ones, ejection rests on own attempts alone, and fractions of too few requests are ignored.
         """
-        for name, (wait, age) in event.response_times.items():
-            node, at = self._caches.endpoints.get(name), self._now - age
-            if node is not None and at > node.reported_at_ns:
-                self._apply_response_time(node, wait, at)
-        # The view names the most frequent slots alone, and undercounts each: a router with a large part of
-        # all requests would spread hot keys less by it than by its own counts, which it uses instead.
-        enough = (
-            event.sampled_requests >= MIN_SNAPSHOT_REQUESTS
-            and event.own_requests < MAX_OWN_PART * event.sampled_requests
-        )
-        self._shared_popularity = event.slot_shares if enough else None
-        self._rebalancer.add_sample(
-            event.slot_shares if enough else {}, event.sampled_requests * enough, self._now
-        )
-        nodes = list(self._caches.endpoints.values())
-        cold: set[int] = set()
-        if self._caches.any_warming_up(self._now):
-            cold = {node.seed for node in nodes if self._caches.warm_up_weight(node, self._now) < 1.0}
-        self._rebalancer.plan(
-            self._rank_for_popularity, self._caches.is_ranked, nodes, cold, self._now, self._aim * PRESSED_AIM
-        )
-
-    def _rank_for_popularity(self, slot: int, share: float) -> tuple[list[TrackedEndpoint], int]:
-        """The servers ranked for a slot, and how many have it with such a share of the requests."""
-        owners = max(math.ceil(share * len(self._caches.endpoints) / HEAT_SHARE), 1)
-        return self._caches.rank(slot, self._now, max(owners, RANKING_DEPTH)), owners
+        for name, (response_time_ns, age_ns) in event.response_times.items():
+            endpoint = self._caches.endpoints.get(name)
+            reported_at_ns = self._now - age_ns
+            if endpoint is not None and reported_at_ns > endpoint.reported.at_ns:
+                self._load_reports.record(endpoint, response_time_ns, reported_at_ns)
+        usable = self._slot_popularity.apply_snapshot(event)
+        popularity = event.slot_shares if usable else {}
+        samples = event.sampled_requests if usable else 0.0
+        self._selector.apply_popularity(popularity, samples, self._now)
 
     def take_observations(self) -> tuple[dict[str, tuple[float, int]], dict[int, int]]:
-        """What this router observed since the last call, for others: servers' waits, requests by slot."""
-        observed = self._observed_response_times, self._slot_requests
-        self._observed_response_times, self._slot_requests = {}, {}
-        return observed
+        """Return, and forget, what this router has observed, for others.
 
-    def rebalancing_metrics(self) -> dict[str, float]:
-        """How many servers give slots up and take some, and the least part that one keeps."""
-        return self._rebalancer.metrics()
+        That is the reported response time by endpoint, with its clock time (both ns), and requests by slot.
+        """
+        return self._observations.take()
 
-    def _overload_response_time_ns(self) -> float:
-        """The reported wait past which a server is over its load."""
-        return max(self._aim * FULL_AIM, self._usual_response_time_ns * FULL_USUAL)
+    def rebalancing_metrics(self) -> dict[str, float]:
+        """Return how many endpoints give up slots and take some, and the least fraction that one keeps."""
+        return self._selector.rebalancer.metrics()
 
     def _vanished(self, node: TrackedEndpoint, request: PendingRequest, took: int) -> bool:
         """Whether an answer that never came was lost on the way, and says nothing of its server's load.
@@ -632,7 +477,7 @@
             0 < node.latency_ns * LOST_PACE < took
             and node.latency_ns < request.cls.latency_objective_ns * PATIENCE_AIM
         )
-        return usual and node.answered_at_ns > request.sent_at
+        return usual and node.health.answered_at_ns > request.sent_at
 
     def _judge_fetch(self, node: TrackedEndpoint, event: AttemptEnded, late: bool, lost: bool) -> None:
         """Rise while the origin answers well; on failures cut the tenants over their portion first.
--- a/holdgw/policy/slot_rebalancing.py
+++ b/holdgw/policy/slot_rebalancing.py
@@ -11,6 +11,8 @@
 from collections.abc import Callable, Mapping, Sequence, Set
 from typing import Protocol
 
+from holdgw.policy.slot_retention import releases_slot
+
 NS_PER_S = 1_000_000_000
 MEMORY_S = 20.0  # in which what was counted fades to a third: slots move for what lasts
 NEWS_S = 3.6  # a picture's counts fade in so long, so pictures closer together tell the same requests again
@@ -36,9 +38,18 @@
 
     seed: int
     weight: float
-    ejected: bool
-    slot_retention: float
-    reported_response_time_ns: float
+
+    @property
+    def ejected(self) -> bool:
+        """Whether it gets trial requests only."""
+
+    @property
+    def slot_retention(self) -> float:
+        """The fraction of its slots that it keeps by this router's own evidence, 0 to 1."""
+
+    @property
+    def reported_response_time_ns(self) -> float:
+        """The time an answer takes there by its last load report."""
 
 
 def uniform_hash(slot: int, seed: int) -> float:
@@ -203,8 +214,3 @@
             "taking": sum(lacks > 0.0 for lacks in self._surplus_capacity.values()),
             "kept_least": min(self._retention.values(), default=1.0),
         }
-
-
-def releases_slot(slot: int, seed: int, part: float) -> bool:
-    """Whether a server that keeps such a part of its slots gives this one up."""
-    return ((slot ^ seed >> 24) * 0x9E3779B1 >> 8 & 0xFFFF) >= part * 0x10000
--- a/holdgw/policy/slot_table.py
+++ b/holdgw/policy/slot_table.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous hashing of slots over the ready endpoints."""
+"""Weighted rendezvous hashing of slots over the ready endpoints, remembered slot by slot."""
 
 from __future__ import annotations
 
@@ -6,96 +6,118 @@
 from heapq import nlargest
 from operator import itemgetter
 
-from holdgw.policy.endpoint_health import TrackedEndpoint
 from holdgw.policy.interface import Endpoint, Settings
+from holdgw.policy.tracked_endpoint import TrackedEndpoint
+from holdgw.policy.warm_up import WarmUpCurve
 
 SLOTS = 8192  # far more than endpoints, so that a slot's load is small beside an endpoint's
 RANKING_DEPTH = 8  # ranked endpoints remembered for a slot: more than the attempts of any request
 SPARE_RANKS = 4  # and more, so that some may leave before all are ranked anew
-MAX_PENDING_CHANGES = 64  # comings and goings remembered; past that every slot is ranked anew when asked for
-WORD = (1 << 64) - 1
+MAX_RANKS = 2 * RANKING_DEPTH + SPARE_RANKS  # kept for a slot as endpoints come
+MAX_PENDING_CHANGES = 64  # comings and goings remembered; past that slots are ranked anew when asked for
+MASK_64_BITS = (1 << 64) - 1
+
+ScoredEndpoint = tuple[float, TrackedEndpoint]
+"""An endpoint with its score for a slot; the highest score is ranked first."""
+Change = tuple[str, TrackedEndpoint | None]
+"""The name of an endpoint that has left, or come: then with the endpoint."""
 
 
 class SlotTable:
-    """Weighted rendezvous hashing of slots over the ready servers, remembered slot by slot."""
+    """Ranks the ready endpoints for each slot: the same ranking at every router.
+
+    Asked for a slot's ranking; told of changes to the endpoint list. A change costs nothing until a slot is
+    asked for: to go through every slot for each endpoint that comes takes a tenth of a second, in which all
+    requests wait.
+    """
 
     def __init__(self, settings: Settings) -> None:
         self.endpoints: dict[str, TrackedEndpoint] = {}
-        self._settings = settings
-        self._rankings: dict[
-            int, tuple[int, list[tuple[float, TrackedEndpoint]]]
-        ] = {}  # with the changes it knows of
-        self._changes: list[
-            tuple[str, TrackedEndpoint | None]
-        ] = []  # servers that left or, with a node, came
+        """The ready endpoints by name; written by `update` alone."""
+        self.max_endpoints_listed = 1
+        """The most endpoints that were ready at a time."""
+        self._weighted = settings.weights_state_capacity
+        self._warm_up = WarmUpCurve(settings)
         self._warming_until_ns = 0
-        self.max_endpoints_listed = 1  # servers listed at a time, so far
+        self._changes: list[Change] = []
+        # By slot: how many of `_changes` its ranking knows, and the ranking.
+        self._rankings: dict[int, tuple[int, list[ScoredEndpoint]]] = {}
 
     def update(self, ready: list[Endpoint], left: list[str]) -> None:
-        """Take servers in and out; a slot hears of it when it is next asked for."""
-        # Danger: to go through every slot for each newcomer takes a tenth of a second; all requests wait.
-        changed = [e for e in ready if e.id not in self.endpoints or self.endpoints[e.id].entry != e]
+        """Take endpoints in and out; one whose entry has changed is tracked anew."""
+        changed = [
+            entry
+            for entry in ready
+            if entry.id not in self.endpoints or self.endpoints[entry.id].entry != entry
+        ]
         gone = {*left, *(entry.id for entry in changed)}
         self._changes += [(name, None) for name in gone if self.endpoints.pop(name, None) is not None]
-        for node in [TrackedEndpoint(entry, self._settings.weights_state_capacity) for entry in changed]:
-            self.endpoints[node.entry.id] = node
-            self._changes.append((node.entry.id, node))
+        for entry in changed:
+            endpoint = TrackedEndpoint(entry, self._weighted)
+            self.endpoints[entry.id] = endpoint
+            self._changes.append((entry.id, endpoint))
         if len(self._changes) > MAX_PENDING_CHANGES:
-            self._rankings, self._changes = {}, []
+            self._rankings = {}
+            self._changes = []
         self.max_endpoints_listed = max(self.max_endpoints_listed, len(self.endpoints))
-        newest = max((node.entry.started_ns for node in self.endpoints.values()), default=0)
-        self._warming_until_ns = newest + self._settings.warm_up_ns
-
-    def _score(self, slot: int, node: TrackedEndpoint) -> float:
-        mixed = (node.seed ^ (slot + 1) * 0x9E3779B97F4A7C15) * 0xD6E8FEB86659FD93 & WORD
-        mixed = (mixed ^ mixed >> 32) * 0xD6E8FEB86659FD93 & WORD
-        return -node.weight / math.log(((mixed ^ mixed >> 32) + 1) / (WORD + 2))
-
-    def warm_up_weight(self, node: TrackedEndpoint, now: int) -> float:
-        """The part of its full weight that a server has: from the cold share to 1 over the warm-up."""
-        age, cold, cold_time = (
-            now - node.entry.started_ns,
-            self._settings.warm_up_initial_weight,
-            self._settings.warm_up_ns,
-        )
-        warm = not node.entry.started_ns or age >= cold_time
-        return 1.0 if warm else cold + (1 - cold) * max(age, 0) / cold_time
-
-    def any_warming_up(self, now: int) -> bool:
-        """Whether some server may not be warm yet."""
-        return now < self._warming_until_ns
+        newest = max((endpoint.entry.started_ns for endpoint in self.endpoints.values()), default=0)
+        self._warming_until_ns = newest + self._warm_up.duration_ns
 
-    def _apply_changes(
-        self,
-        slot: int,
-        held: list[tuple[float, TrackedEndpoint]],
-        changes: list[tuple[str, TrackedEndpoint | None]],
-    ) -> list[tuple[float, TrackedEndpoint]]:
-        for name, node in changes:
-            if node is None:
-                held = [pair for pair in held if pair[1].entry.id != name]
-            elif held and (score := self._score(slot, node)) > held[-1][0]:
-                held = sorted([*held, (score, node)], key=itemgetter(0), reverse=True)
-        return (
-            held[: 2 * RANKING_DEPTH + SPARE_RANKS] if len(held) > 2 * RANKING_DEPTH + SPARE_RANKS else held
-        )
+    def warm_up_weight(self, endpoint: TrackedEndpoint, now_ns: int) -> float:
+        """Return the fraction of its full weight that an endpoint has, from the initial weight to 1."""
+        return self._warm_up.weight(endpoint.entry.started_ns, now_ns)
+
+    def any_warming_up(self, now_ns: int) -> bool:
+        """Whether some endpoint may still warm up."""
+        return now_ns < self._warming_until_ns
+
+    def warming_up(self, now_ns: int) -> set[int]:
+        """Return the seeds of the endpoints that warm up."""
+        if not self.any_warming_up(now_ns):
+            return set()
+        endpoints = self.endpoints.values()
+        return {endpoint.seed for endpoint in endpoints if self.warm_up_weight(endpoint, now_ns) < 1.0}
 
     def is_ranked(self, slot: int) -> bool:
         """Whether the slot's ranking is remembered."""
         return slot in self._rankings
 
-    def rank(self, slot: int, now: int, depth: int = RANKING_DEPTH) -> list[TrackedEndpoint]:
-        """The slot's best servers, at least `depth`, best first, with cold ones at their ramped weight."""
-        known, held = self._rankings.get(slot, (0, []))
-        if known < len(self._changes):
-            held = self._apply_changes(slot, held, self._changes[known:]) if held else held
-            self._rankings[slot] = len(self._changes), held
-        if len(held) < min(depth, len(self.endpoints)):
-            scored = ((self._score(slot, node), node) for node in self.endpoints.values())
-            held = nlargest(depth + SPARE_RANKS, scored, key=itemgetter(0))
-            self._rankings[slot] = len(self._changes), held
-        if self.any_warming_up(now):
-            # Rule 4, for load and misses alike: a newcomer is given slots only as it warms.
-            ramped = [(score * self.warm_up_weight(node, now), node) for score, node in held]
-            held = sorted(ramped, key=itemgetter(0), reverse=True)
-        return [node for _, node in held]
+    def rank(self, slot: int, now_ns: int, depth: int = RANKING_DEPTH) -> list[TrackedEndpoint]:
+        """Return the slot's best endpoints, at least `depth` if there are so many, the best one first.
+
+        Warming endpoints count at their warm-up weight, for load and misses alike: a new one is given slots
+        only as it warms up (rule 4).
+        """
+        known_changes, ranking = self._rankings.get(slot, (0, []))
+        if known_changes < len(self._changes):
+            if ranking:
+                ranking = self._apply_changes(slot, ranking, self._changes[known_changes:])
+            self._rankings[slot] = len(self._changes), ranking
+        if len(ranking) < min(depth, len(self.endpoints)):
+            scored = ((self._score(slot, endpoint), endpoint) for endpoint in self.endpoints.values())
+            ranking = nlargest(depth + SPARE_RANKS, scored, key=itemgetter(0))
+            self._rankings[slot] = len(self._changes), ranking
+        if self.any_warming_up(now_ns):
+            weighted = [
+                (score * self.warm_up_weight(endpoint, now_ns), endpoint) for score, endpoint in ranking
+            ]
+            ranking = sorted(weighted, key=itemgetter(0), reverse=True)
+        return [endpoint for _, endpoint in ranking]
+
+    def _score(self, slot: int, endpoint: TrackedEndpoint) -> float:
+        """Return an endpoint's score for a slot: a hash in (0, 1) turned exponential, times its weight."""
+        mixed = (endpoint.seed ^ (slot + 1) * 0x9E3779B97F4A7C15) * 0xD6E8FEB86659FD93 & MASK_64_BITS
+        mixed = (mixed ^ mixed >> 32) * 0xD6E8FEB86659FD93 & MASK_64_BITS
+        return -endpoint.weight / math.log(((mixed ^ mixed >> 32) + 1) / (MASK_64_BITS + 2))
+
+    def _apply_changes(
+        self, slot: int, ranking: list[ScoredEndpoint], changes: list[Change]
+    ) -> list[ScoredEndpoint]:
+        """Return the ranking after endpoints have left and come."""
+        for name, endpoint in changes:
+            if endpoint is None:
+                ranking = [scored for scored in ranking if scored[1].entry.id != name]
+                continue
+            if ranking and (score := self._score(slot, endpoint)) > ranking[-1][0]:
+                ranking = sorted([*ranking, (score, endpoint)], key=itemgetter(0), reverse=True)
+        return ranking[:MAX_RANKS] if len(ranking) > MAX_RANKS else ranking
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -5,7 +5,7 @@
 import pytest
 
 from holdgw.policy import EndpointsChanged, Reject, UpdateKind
-from holdgw.policy.routing_policy import COLD_EXCESS
+from holdgw.policy.slow_start import CAPACITY_FRACTION
 from tests.helpers import ORIGIN, S, finals, fleet, request, sends, settings, started
 
 COLD = {
@@ -42,13 +42,13 @@
 @pytest.mark.parametrize("routers", [1, 3, 100])
 def test_all_cold_servers_are_sent_the_part_that_they_bear_by_however_many_routers(routers: int) -> None:
     for age, warmth in ((0, 0.3), (5 * S, 0.65)):
-        bears = warmth * 2.0 * COLD_EXCESS
+        bears = warmth * 2.0 * CAPACITY_FRACTION
         assert part_sent(routers, STARTED + age) == pytest.approx(bears, abs=0.03)
 
 
 def test_one_that_a_list_names_alone_is_sent_the_part_of_one() -> None:
     """Everything is back, and the list names server after server: the first of 20 gets a 20th of that."""
-    assert part_sent(100, STARTED, named=1) == pytest.approx(0.3 * 2.0 * COLD_EXCESS / 20, abs=0.006)
+    assert part_sent(100, STARTED, named=1) == pytest.approx(0.3 * 2.0 * CAPACITY_FRACTION / 20, abs=0.006)
 
 
 def test_a_request_is_drawn_for_once_and_not_for_each_server() -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -14,7 +14,7 @@
 from holdgw.operation.fleet_log import FleetLog
 from holdgw.operation.interval_counters import IntervalCounters
 from holdgw.policy import Outcome, RoutingPolicy
-from holdgw.policy.endpoint_health import TrackedEndpoint as Holder
+from holdgw.policy.tracked_endpoint import TrackedEndpoint
 from holdgw.simulation.search import play_seed
 from tests.helpers import MS, S, ended, finals, fleet, only_send, request, sends, settings, started
 from tests.peers import HIT, SERVED, Cache, Node, entry, read, run
@@ -54,7 +54,7 @@
         router = started(settings(**REPORTS), fleet(6))
         node = router._caches.endpoints[fleet(6)[2].id]
         for now in range(S, 4 * S, step):
-            node.apply_load_report(600.0 * MS, 300.0 * MS, now)
+            node.record_response_time(600.0 * MS, 300.0 * MS, now)
         shares.append(node.slot_retention)
     assert 0.1 < shares[0] < 0.4
     assert abs(shares[0] - shares[1]) < 0.1
@@ -96,7 +96,7 @@
     # Found on join+mass: 200 routers sent 5,000 requests in 2 s that had no time left to be answered in.
     router = started(settings(**REPORTS), fleet(1))
     serve(router, "first", "k", 0, {fleet(1)[0].id: (150.0, 12.0)})  # 600 ms
-    router._caches.endpoints[fleet(1)[0].id].max_response_time_ns = float("inf")
+    router._caches.endpoints[fleet(1)[0].id].reported.set_limit(float("inf"))
     now = 20 * MS + after
     actions = router.handle(request("r", now, tenant=None, deadline_ns=now + int(left * S)), now)
     assert bool(sends(actions)) is goes
@@ -122,17 +122,17 @@
     one = router._requests["one"]
     router.handle(ended(send, Outcome.OK), 6 * S)
 
-    def owners() -> set[Holder]:
-        return {router._candidates(one)[0] for _ in range(300)}
+    def owners() -> set[TrackedEndpoint]:
+        return {router._selector.candidates(one.slot, one.slot_popularity, 6 * S)[0] for _ in range(300)}
 
     usual = owners()
     assert 2 <= len(usual) <= 6
     for node in usual:
-        node.reported_response_time_ns = 200.0 * MS
+        node.reported.latest_ns = 200.0 * MS
     assert usual < owners()
     assert len(owners()) <= 2 * len(usual)
     for node in usual:
-        node.reported_response_time_ns = 100.0 * MS  # not over half the aim
+        node.reported.latest_ns = 100.0 * MS  # not over half the aim
     assert owners() == usual
 
 
@@ -169,7 +169,7 @@
     fetch = only_send(router.handle(ended(other, Outcome.MISS, 2), 30 * MS))
     assert [send.purpose for send in (first, again, other, fetch)] == ["first", "again", "next", "fetch"]
     router = started(settings(tenants=()), fleet(1))
-    router._caches.endpoints[fleet(1)[0].id].ejected = True
+    router._caches.endpoints[fleet(1)[0].id].health.ejected = True
     assert only_send(router.handle(request("t", S, tenant=None), S)).purpose == "trial"
     assert only_send(router.handle(request("w", S, cls="edit", tenant=None), S)).purpose == "write"
 
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -22,6 +22,7 @@
     TimerFired,
     UpdateKind,
 )
+from holdgw.policy.endpoint_health import AttemptResult
 from holdgw.policy.origin_limiter import CUT
 from tests.helpers import MS, ORIGIN, S, ended, finals, fleet, only_send, request, sends, settings, started
 
@@ -189,13 +190,13 @@
     dead = only_send(router.handle(request("r"), 0))
     router.handle(ended(dead, Outcome.CONNECT_FAILED), 0)
     node = router._caches.endpoints[dead.endpoint_id]
-    node.record_attempt(Outcome.RESET, False, 0)
-    node.record_attempt(Outcome.CONNECT_FAILED, False, 0)
-    node.record_attempt(Outcome.CONNECT_FAILED, False, 0)
+    node.health.record(AttemptResult(Outcome.RESET, False, 0))
+    node.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
+    node.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
     assert (
         node.admission_probability(0) == 1.0
     )  # one failed connection is chance, and so is a second, or one after a reset
-    node.record_attempt(Outcome.CONNECT_FAILED, False, 0)
+    node.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
     early = [only_send(router.handle(request(f"s{i}"), 900 * MS)) for i in range(40)]
     assert dead.endpoint_id not in {send.endpoint_id for send in early}
     router.handle(ended(early[0], Outcome.OK), 910 * MS)
@@ -212,7 +213,7 @@
         for send in sends(router.handle(request(f"r{i}", tenant=tenant), 0)):
             router.handle(ended(send, Outcome.OK), 0)
     for _ in range(4):
-        router._caches.endpoints[fleet(1)[0].id].record_attempt(Outcome.OK, True, 0)
+        router._caches.endpoints[fleet(1)[0].id].health.record(AttemptResult(Outcome.OK, True, 0))
     served = {"a": 0, "b": 0}
     for i in range(600):
         tenant = "a" if i % 3 == 0 else "b"
@@ -571,12 +572,13 @@
     node = router._caches.endpoints[fleet(6)[0].id]
     moved = [slot for slot in range(200) if not node.retains(slot, 3 * S)]
     other = started(settings(tenants=()), fleet(6), seed=9)._caches.endpoints[node.entry.id]
-    other.slot_retention, other._retention_at_ns, other.failure_fraction = node.slot_retention, 3 * S, 1.0
+    other.slots.restore(node.slot_retention, 3 * S)
+    other.health.failure_fraction = 1.0
     assert moved == [
         slot for slot in range(200) if not other.retains(slot, 3 * S)
     ]  # the same at every router
     for _ in range(100):
-        node.record_attempt(Outcome.OK, False, 3 * S)
+        node.health.record(AttemptResult(Outcome.OK, False, 3 * S))
     assert all(node.retains(slot, 24 * S) for slot in range(200))
     router, _, _ = play({server.id for server in fleet(6)})  # all are slow: none gives to another
     assert {node.slot_retention for node in router._caches.endpoints.values()} == {1.0}
@@ -629,7 +631,7 @@
             for send in pair:
                 router.handle(ended(send, Outcome.OK), 0)
         for _ in range(3):
-            node.record_attempt(Outcome.OK, True, 0)
+            node.health.record(AttemptResult(Outcome.OK, True, 0))
         held = [send for i in range(60) for send in sends(router.handle(request(f"h{i}"), 0))][:out]
         passed[out] = 0
         for i in range(300):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -30,6 +30,7 @@
     TimerFired,
     UpdateKind,
 )
+from holdgw.policy.endpoint_health import AttemptResult
 from tests.helpers import MS, ORIGIN, S, settings
 
 CLASSES = {cls.name: cls for cls in settings().classes}
@@ -206,7 +207,9 @@
             assert isinstance(action, SendAttempt)
             sent += action.endpoint_id == "cold"
             if i % 2:  # every second request fails there and goes to the next in rank
-                router._caches.endpoints[action.endpoint_id].record_attempt(Outcome.OK, False, S)
+                router._caches.endpoints[action.endpoint_id].health.record(
+                    AttemptResult(Outcome.OK, False, S)
+                )
                 failed = AttemptEnded(f"r{i}", 0, action.endpoint_id, Outcome.ERROR, False, MS)
                 retried = [a.endpoint_id for a in router.handle(failed, S) if isinstance(a, SendAttempt)]
                 sent += retried.count("cold")
--- a/tests/test_simulation_cores.py
+++ b/tests/test_simulation_cores.py
@@ -8,7 +8,7 @@
 import pytest
 
 from holdgw.harness.scenario import load_scenario
-from holdgw.policy.routing_policy import RoutingPolicy
+from holdgw.policy.slow_start import SlowStart
 from holdgw.simulation.search import play_seed, search
 
 STORM = load_scenario(str(Path(__file__).resolve().parent.parent / "bench/scenarios/cores-storm.toml"))
@@ -31,14 +31,14 @@
 def test_workers_that_all_spend_a_cold_servers_bound_are_told_apart() -> None:
     """The scene has cold servers: without any, the owner of a bound would make no difference."""
     asked = []
-    room = RoutingPolicy._has_warm_up_capacity
+    room = SlowStart.has_capacity
 
-    def spy(router: RoutingPolicy, request: object, node: object, others: object) -> bool:
-        found = room(router, request, node, others)  # type: ignore[arg-type]
-        asked.append((router._settings.worker_index, node.entry.id, found))  # type: ignore[attr-defined]
+    def spy(rule: SlowStart, request: object, endpoint: object, ranking: object, now_ns: int) -> bool:
+        found = room(rule, request, endpoint, ranking, now_ns)  # type: ignore[arg-type]
+        asked.append((rule._settings.worker_index, endpoint.entry.id, found))  # type: ignore[attr-defined]
         return found
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(RoutingPolicy, "_has_warm_up_capacity", spy)
+        patch.setattr(SlowStart, "has_capacity", spy)
         play_seed(STORM, 1)
     assert {worker for worker, _, _ in asked} == {0, 1}
--- a/tests/test_slot_rebalancing.py
+++ b/tests/test_slot_rebalancing.py
@@ -208,14 +208,14 @@
     share = {slot: one / whole for slot, one in share.items()}
     for i in range(1, 100):
         router.handle(LoadSnapshotChanged({busy: (100.0 * MS, 0)}, share, 1000.0), i * 3 * S // 10)
-    assert router._rebalancer.metrics()["giving"] >= 1
-    moved = [slot for slot in ranks if router._rebalancer.receiver_rank(slot, ranks[slot])]
+    assert router._selector.rebalancer.metrics()["giving"] >= 1
+    moved = [slot for slot in ranks if router._selector.rebalancer.receiver_rank(slot, ranks[slot])]
     assert moved
     assert all(ranks[slot][0].entry.id == busy for slot in moved) or len(moved) < 160
     keys = {slot: f"k{i}" for i in range(200_000) if (slot := crc32(f"k{i}".encode()) % SLOTS) in moved[:5]}
     assert keys
     for slot, key in keys.items():
-        taker = ranks[slot][router._rebalancer.receiver_rank(slot, ranks[slot])].entry.id
+        taker = ranks[slot][router._selector.rebalancer.receiver_rank(slot, ranks[slot])].entry.id
         assert serve(router, f"a{slot}", key, 31 * S, {}) == taker
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -593,7 +593,9 @@
 def trusted(node: Node) -> Node:
     """Have the module send to its server whatever came of the attempts before."""
     holder = node.host._policy._caches.endpoints["s1"]
-    holder._probability, holder._unanswered, holder.ejected = 1.0, 0, False
+    holder.health._probability = 1.0
+    holder.health._failures.unanswered = 0
+    holder.health.ejected = False
     return node
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -10,7 +10,8 @@
 
 from holdgw.harness.scenario import read_scenario
 from holdgw.policy import LoadSnapshotChanged, RoutingPolicy, slot_rebalancing
-from holdgw.policy.routing_policy import MAX_OBSERVED_SLOTS, MIN_SNAPSHOT_REQUESTS
+from holdgw.policy.hot_keys import MIN_SNAPSHOT_REQUESTS
+from holdgw.policy.load_reports import MAX_OBSERVED_SLOTS
 from holdgw.policy.slot_table import SLOTS
 from holdgw.simulation.search import play_seed
 from tests.helpers import MS, S, fleet, request, settings, started
@@ -68,11 +69,11 @@
     router = started(settings(**KNOWN), SERVERS)
     name = serve(router, "a", "k", 0, {SERVERS[i].id: (30.0, 0.0) for i in range(20)})
     node = router._caches.endpoints[name]
-    own, at = node.reported_response_time_ns, node.reported_at_ns
+    own, at = node.reported_response_time_ns, node.reported.at_ns
     router.handle(LoadSnapshotChanged({name: (900.0 * MS, 2 * S)}, {}, ENOUGH), at + S)
-    assert (node.reported_response_time_ns, node.reported_at_ns) == (own, at)
+    assert (node.reported_response_time_ns, node.reported.at_ns) == (own, at)
     router.handle(LoadSnapshotChanged({name: (900.0 * MS, S // 2)}, {}, ENOUGH), at + S)
-    assert (node.reported_response_time_ns, node.reported_at_ns) == (900.0 * MS, at + S // 2)
+    assert (node.reported_response_time_ns, node.reported.at_ns) == (900.0 * MS, at + S // 2)
     assert node.slot_retention < 1.0  # it gives slots up by what others were told
 
 
@@ -83,17 +84,18 @@
         router.handle(
             LoadSnapshotChanged({SERVERS[3].id: (900.0 * MS, i * S // 3)}, {}, ENOUGH), S + i * S // 3
         )
-    assert node.reported_at_ns == S
+    assert node.reported.at_ns == S
     assert node.slot_retention > 0.3  # of one word, whatever its repeats
 
 
 def test_a_picture_says_nothing_of_who_can_be_reached() -> None:
     router = started(settings(**KNOWN), SERVERS)
     node = router._caches.endpoints[SERVERS[3].id]
-    node.ejected, node._probability = True, -0.02
+    node.health.ejected = True
+    node.health._probability = -0.02
     router.handle(LoadSnapshotChanged({SERVERS[3].id: (1.0 * MS, 0), "unknown": (1.0, 0)}, {}, ENOUGH), S)
     assert node.ejected
-    assert node._probability < 0
+    assert node.health._probability < 0
 
 
 def test_what_was_seen_is_told_once_and_bounded() -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -24,6 +24,7 @@
 )
 from holdgw.operation.takeover import Hello, Message, OverrideChanged, Takeover, decode
 from holdgw.policy import EndpointHandover, HandoverState, Outcome, TenantHandover
+from holdgw.policy.endpoint_health import AttemptResult
 from holdgw.router.program import Program
 from tests.helpers import MS, S, ended, fleet, only_send, request, sends, settings, started
 from tests.peers import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
@@ -367,7 +368,7 @@
             elder.handle(ended(fetch, Outcome.ERROR, attempt=1, closed=True), now + MS)
     dead = next(iter(elder._caches.endpoints.values()))
     for _ in range(4):
-        dead.record_attempt(Outcome.CONNECT_FAILED, False, 4 * S)
+        dead.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 4 * S))
     assert elder.ejected() == [dead.entry.id]
     successor = started(settings(), fleet(3), now=4 * S)
     fresh = successor._guards["a"].limit
