--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -26,8 +26,8 @@
 from holdgw.policy import EndpointHandover, HandoverState, Outcome, TenantHandover
 from holdgw.policy.endpoint_health import AttemptResult
 from holdgw.router.program import Program
+from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 from tests.helpers import MS, S, ended, fleet, only_send, request, sends, settings, started
-from tests.peers import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 from tests.test_operation import call, config, get, put, until_serving
 
 ROOT = Path(__file__).resolve().parent.parent
