--- a/tests/operation/test_takeover.py
+++ b/tests/operation/test_takeover.py
@@ -24,6 +24,7 @@
 )
 from holdgw.operation.takeover import Hello, Message, OverrideChanged, Takeover, decode
 from holdgw.policy import EndpointHandover, HandoverState, Outcome, TenantHandover
+from holdgw.policy.endpoint_health import AttemptResult
 from holdgw.router.program import Program
 from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 from tests.helpers import MS, S, ended, fleet, only_send, request, sends, settings, started
@@ -377,7 +378,7 @@
             old.handle(ended(fetch, Outcome.ERROR, attempt=1, closed=True), now + MS)
     dead = next(iter(old._caches.endpoints.values()))
     for _ in range(4):
-        dead.record_attempt(Outcome.CONNECT_FAILED, False, 4 * S)
+        dead.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 4 * S))
     assert old.ejected() == [dead.entry.id]
     new = started(settings(), fleet(3), now=4 * S)
     fresh = new._guards["a"].limit
