--- a/bench/capacity_path.py
+++ b/bench/capacity_path.py
@@ -17,7 +17,7 @@
     at_most,
 )
 from holdgw.policy.slot_table import SLOTS
-from holdgw.router.client_connection import MAX_REJECTING_CONNECTIONS
+from holdgw.router.client_listener import MAX_REJECTING_CONNECTIONS
 from holdgw.router.config import DEFAULT_MEMORY_MB, DEFAULT_SOCKETS
 from holdgw.router.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT
 from holdgw.router.program import CLIENT_SHARE, OWN_DESCRIPTORS
@@ -76,7 +76,7 @@
         "MB",
         Read("requests", "memory by long values open", OPEN),
         "clients that read slowly keep values open for longer",
-        "buffers of 64 KiB a value, an eighth of memory untaken: `router/client_connection.py`",
+        "64 KiB a value, an eighth of memory unsent: `router/reply.py`, `router/client_listener.py`",
         at_most(DEFAULT_MEMORY_MB, "limits.memory_mb, default"),
         decides=True,
     ),
--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -20,7 +20,7 @@
 
 from holdgw.operation.endpoint_update import EndpointUpdate
 from holdgw.policy import Endpoint, EndpointsChanged, Idempotency, RequestClass, Settings, Tenant, UpdateKind
-from holdgw.router.client_connection import ClientListener
+from holdgw.router.client_listener import ClientListener
 from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.dispatcher import Dispatcher
 from holdgw.wire.resp import command
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -60,16 +60,16 @@
     "stall-not-handed-on": Mutant(
         "a worker that stood still hands connections on as if all on them had been read",
         "holdgw.router.client_connection",
-        "ClientHandover(held, self.asked, waited, self.server.host.unread_since())",
-        "ClientHandover(held, self.asked, waited)",
+        "        handover = ClientHandover(buffered, self.has_sent_command, waited_s, unread_since)",
+        "        handover = ClientHandover(buffered, self.has_sent_command, waited_s)",
         scenario="bench/scenarios/cores-storm.toml",
     ),
     "doubled-answer": Mutant(
         "an answer is given twice after a late reset",
         "holdgw.router.dispatcher",
         "        now = self._host.now()\n        event = AttemptEnded(",
-        "        if outcome is Outcome.RESET and request.answered and reply._connection.transport:\n"
-        '            reply._connection.transport.write(b"-ERR failed\\r\\n")\n'
+        "        if outcome is Outcome.RESET and request.answered and reply.connection.transport:\n"
+        '            reply.connection.transport.write(b"-ERR failed\\r\\n")\n'
         "        now = self._host.now()\n        event = AttemptEnded(",
         (
             (
@@ -204,7 +204,8 @@
     "drain-cuts": Mutant(
         "on SIGTERM connections are closed with requests open",
         "holdgw.router.program",
-        "        while clients.connected and loop.time() < begun + self.config.longest_s + KILL_SLACK_S:",
+        "        while clients.connection_count and loop.time() < begun + self.config.longest_s"
+        " + KILL_SLACK_S:",
         "        while False:",
     ),
     "recent-unbounded": Mutant(
@@ -251,8 +252,8 @@
     "closing-for-ever": Mutant(
         "a connection being closed to a client that takes nothing is waited for without end",
         "holdgw.router.client_connection",
-        "if self.blocked or self.transport.is_closing() or (self._linger is not None and unsent):\n",
-        "if self.blocked:\n",
+        "if self.write_blocked or self.transport.is_closing() or (self._lingering is not None and unsent):\n",
+        "if self.write_blocked:\n",
         scenario="bench/scenarios/deaf-clients.toml",
     ),
     "shed-off": Mutant(
@@ -440,8 +441,8 @@
     "fin-before-answers": Mutant(
         "a client's connection is closed though commands are unanswered",
         "holdgw.router.client_connection",
-        "        if not self.replies and (even_midway or not (self._reader.midway or self._newly_made)):",
-        "        if even_midway or not self._reader.midway:",
+        "        if not self.replies and (even_mid_command or not unfinished):",
+        "        if even_mid_command or not self._reader.has_partial_command:",
     ),
 }
 
--- a/holdgw/cores/host_system.py
+++ b/holdgw/cores/host_system.py
@@ -15,7 +15,7 @@
 
 from holdgw.cores.shared_table import SharedTable, attach, create
 from holdgw.operation.process_link import ProcessLink
-from holdgw.router.client_connection import ClientListener, copy_of
+from holdgw.router.client_listener import ClientListener, duplicate_descriptor
 from holdgw.router.config import Config
 from holdgw.router.process import python_with
 from holdgw.router.program import passed_socket
@@ -248,7 +248,7 @@
 
     def copy(self, transport: Any) -> int:
         """A descriptor of a client's connection."""
-        return copy_of(transport)
+        return duplicate_descriptor(transport)
 
     def drop(self, descriptor: int) -> None:
         """Close a descriptor."""
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -93,7 +93,7 @@
         self.pool.per_server = max(MAX_CONNECTIONS_PER_ENDPOINT // place.workers, PER_SERVER_LEAST)
         self._machine = machine
         self._board = machine.board(place.workers, place.place)
-        self.clients.copy = machine.copy
+        self.clients.duplicate = machine.copy
         self._joiner = UpdateAssembler()
         self._dealt = self._shares = self._seen = 0
         self._serving_is_due = True  # the supervisor is to hear that there is a list
@@ -160,7 +160,7 @@
         host = self.host
         self.link.send(
             WorkerReport(
-                self.clients.connected,
+                self.clients.connection_count,
                 self._shares,
                 host.origin_demand(),
                 host.metrics.counts(),
--- a/holdgw/router/client_connection.py
+++ b/holdgw/router/client_connection.py
@@ -1,393 +1,282 @@
-"""The RESP2 server that clients talk to: their connections, and answers in the order of the commands."""
+"""One client's RESP2 connection: reads commands, writes answers in the order of the commands, and its end."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import os
-import socket
 from collections import deque
 from collections.abc import Callable
-from functools import partial
-from typing import Any, Protocol, cast
+from typing import TYPE_CHECKING, Protocol, cast
 
 from holdgw.operation.process_link import MAX_PENDING_COMMAND_BYTES, ClientHandover
-from holdgw.router.platform import accept_queued, has_left
-from holdgw.wire.address import Address
+from holdgw.router.connection_close import LingeringClose
+from holdgw.router.reply import MAX_UNSENT_BYTES, Reply
 from holdgw.wire.resp import Command, CommandReader, parse_request
 from holdgw.wire.unread import unread_ns
 
-BACKLOG = 1024  # connections that arrive while the loop is busy
-MAX_PIPELINE = 256  # commands of one connection without an answer; more are left unread
-HIGH_WATER = 64 << 10  # bytes that the kernel did not take, past which nothing more is read for a client
-THERE_S = 0.02  # after a connection came up: what is read later had not waited for this process
-COMMAND_S = 2.3  # in which a command must be whole, and a new connection's first; 3 s are owed
-STALL_S = 3.0  # in which a client must take something of what waits for it
-STREAM_STALL_S = 8.0  # the same in a long value: clients take seconds to read one
-IDLE_MANY_S = 2.2  # a connection between requests may be closed after 2 s; so are they where they are many
-IDLE_FEW_S = 30.0  # and where they are few
-MANY_SHARE = 0.25  # of the table
-STANDING_SHARE = 0.4  # of the table, for connections between requests
-FRESH_S = 0.3  # in which a new connection brings its first command, unless the client is silent
-LINGER_S = 0.5  # in which a client may end its side after ours: then nothing unread is left to reset it
-MAX_DISCARDED_BYTES = 256 << 10  # bytes that it may send meanwhile, which are read and dropped
-SWEEP_INTERVAL_S = 0.25
-NS_PER_MS = 1_000_000
-MAX_REJECTING_CONNECTIONS = 32  # connections over the limit that are answered with a refusal
+if TYPE_CHECKING:
+    from holdgw.router.client_listener import ClientListener
+
+MAX_PIPELINE = 256
+"""Commands of one connection without an answer; more stay unread."""
+ARRIVED_BEFORE_S = 0.02
+"""After connecting: what is read later had not waited for this process."""
+COMMAND_TIMEOUT_S = 2.3
+"""For a command to be complete, and for a new connection's first one; clients are promised 3 s."""
+WRITE_STALL_TIMEOUT_S = 3.0
+"""For a client to accept something of the answers that wait for it."""
+STREAM_STALL_TIMEOUT_S = 8.0
+"""The same within a streamed answer: clients take seconds to read a long value."""
+FIRST_COMMAND_S = 0.3
+"""For a new connection's first command; a connection without one counts as silent then."""
 
 log = logging.getLogger("holdgw")
 
 
-class Host(Protocol):
-    """What takes the clients' requests."""
+class RequestHandler(Protocol):
+    """Takes the requests of clients."""
 
     ready: bool
+    """Whether there is an endpoint list, so that requests can be served."""
 
     def request_arrived(self, command: Command, reply: Reply) -> None:
-        """A request is whole."""
+        """Serve a request; `reply` takes its answer."""
 
     def reject(self, command: Command, reply: Reply) -> None:
-        """A request is whole that there is no room for."""
+        """Reject a request because its connection is one too many."""
 
     def client_disconnected(self, reply: Reply) -> None:
-        """The client that waits for this reply has left."""
+        """Note that the client that waits for this reply has gone."""
 
     def unread_since(self) -> int:
-        """Since when what this process has not read may lie there, nanoseconds of its monotonic clock."""
-
-
-class Source(Protocol):
-    """Where a long answer comes from."""
-
-    def pause(self) -> None:
-        """Give no more for now."""
-
-    def resume(self) -> None:
-        """Give again."""
-
-
-class LongAnswer:
-    """An answer that is given in parts, as they come from its source."""
-
-    __slots__ = ("begun", "parts", "source", "whole")
-
-    def __init__(self, head: bytes, source: Source) -> None:
-        self.parts, self.source = deque((head,)), source  # the parts that are not written yet
-        self.begun = self.whole = False  # some of it is written; the last part is here
-
-    def write(self, connection: ClientConnection, transport: asyncio.Transport) -> bool:
-        """Write what there is, as far as the client takes it; returns whether that was the last of it."""
-        while self.parts and not connection.blocked:
-            self.begun = True
-            transport.write(self.parts.popleft())
-        if connection.blocked:
-            return False
-        if not self.whole:
-            self.source.resume()
-        return self.whole
-
-
-class Reply:
-    """The place of one answer among those of its connection."""
-
-    __slots__ = ("_connection", "data", "late", "long", "request")
-
-    def __init__(self, connection: ClientConnection) -> None:
-        self._connection = connection
-        self.late = connection.late
-        self.data: bytes | None = None  # the answer, once there is one
-        self.long: LongAnswer | None = None  # in place of `data`
-        self.request: Any = None  # the host's
-
-    def unread_ns(self) -> int:
-        """For how long its command lay there before it was read, as far as the kernel tells."""
-        return self._connection.unread_ns()
-
-    def client_disconnected(self) -> bool:
-        """Whether the client has closed its connection, asked of the kernel; its connection goes then."""
-        return self._connection.has_left()
-
-    def send(self, data: bytes) -> None:
-        """Give the answer."""
-        self.data = data
-        self._connection.flush()
-
-    def begin(self, head: bytes, source: Source) -> None:
-        """Begin a long answer, whose parts come from there."""
-        self.long = LongAnswer(head, source)
-        self._connection.flush()
-
-    def part(self, data: bytes) -> None:
-        """Give a part of it."""
-        assert self.long is not None
-        self.long.parts.append(data)
-        self._connection.flush()
-        # Danger: what a client does not take would pile up here, value by value, until memory is full.
-        if self._connection.blocked or sum(map(len, self.long.parts)) > HIGH_WATER:
-            self.long.source.pause()
-
-    def finish(self, tail: bytes) -> None:
-        """Give the end of it."""
-        assert self.long is not None
-        self.long.parts.append(tail)
-        self.long.whole = True
-        self._connection.flush()
-
-    def break_off(self, error: bytes) -> None:
-        """The rest of it won't come: the client must be able to tell."""
-        assert self.long is not None
-        if self.long.begun:
-            self._connection.break_off()
-        else:
-            self.long = None
-            self.send(error)
-
-    def fail(self, fault: str) -> None:
-        """Answer what is no request; its sender is not listened to any further."""
-        # Danger: one who sends what can't be used goes on, at full speed, and each command costs the time
-        # of others' requests. What a client has asked for before is still answered. It could do harm to a
-        # client that means to go on after an error of its own: it has to connect anew.
-        self._connection.end_after(self, fault)
+        """Since when input of this process may lie unread, nanoseconds of its monotonic clock."""
 
 
 class ClientConnection:
-    """One client's connection; a protocol in asyncio's sense."""
+    """One client's connection; an asyncio protocol."""
 
     def __init__(
-        self, server: ClientListener, taken_over: ClientHandover | None = None, late: int = 0
+        self,
+        listener: ClientListener,
+        handover: ClientHandover | None = None,
+        possible_wait_ns: int = 0,
     ) -> None:
-        self.server = server
-        self.late = late  # nanoseconds for which what is there to be read may have waited for this process
-        self._made_at = 0.0
-        self._taken_over = taken_over  # what came with it from another process
+        """Create a connection that is accepted, or taken over from another process with `handover`.
+
+        `possible_wait_ns`: how long its unread input may have waited for this process.
+        """
+        self.listener = listener
+        self.possible_wait_ns = possible_wait_ns
         self.transport: asyncio.Transport | None = None
-        self.replies: deque[Reply] = deque()
-        self.blocked = self.closed = False
-        self.used_at = self.begun_at = server.loop.time()  # last read or taken; the command under way begun
-        self.asked = False  # has sent a whole command
-        self.refusing = False
+        self.replies: deque[Reply] = deque()  # in the order of the commands; the first is written next
+        self.write_blocked = False  # the client does not accept what it asked for
+        self.closed = False
+        self.last_active_at = listener.loop.time()  # seconds: input came, or output was accepted
+        self.command_started_at = self.last_active_at  # seconds: the command that is being received
+        self.has_sent_command = False
+        self.rejecting = False  # one connection too many: its first request is rejected
+        self._handover = handover
+        self._connected_at = 0.0
         self._reader = CommandReader()
         self._reading = True
         self._parsing = False
-        self._last = False  # nothing more is read, and it closes once all is answered
-        self._closing = False  # it closes as soon as it stands between requests
-        self._handing = False  # no more commands are taken: another process is to have them
-        self._unsent_before = 0  # as of the last look that found it otherwise
-        self._linger: asyncio.TimerHandle | None = None  # set: our side is shut, what comes is dropped
-        self._dropped = 0
+        self._closing_after_replies = False  # nothing more is read
+        self._closing_when_idle = False
+        self._handing_over = False  # further commands are left to the new process
+        self._unsent_at_last_check = 0
+        self._lingering: LingeringClose | None = None
+
+    # Protocol callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport, if there is room."""
+        """Take the transport, and continue where another process left off."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own class is no subclass
-        self._made_at = self.server.loop.time()
-        self.transport.set_write_buffer_limits(high=HIGH_WATER)
-        self.server.opened(self)
-        if self._taken_over is not None:
-            handed, self._taken_over = self._taken_over, None
-            self.asked = handed.asked
-            self.used_at = self.begun_at = self.server.loop.time() - handed.waited
-            if handed.held:
-                self._reader.feed(handed.held)
+        self._connected_at = self.listener.loop.time()
+        self.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
+        self.listener.connection_opened(self)
+        if self._handover is not None:
+            handover = self._handover
+            self._handover = None
+            self.has_sent_command = handover.asked
+            self.last_active_at = self.listener.loop.time() - handover.waited
+            self.command_started_at = self.last_active_at
+            if handover.held:
+                self._reader.feed(handover.held)
                 self._take_commands()
 
-    @property
-    def taken_over(self) -> bool:
-        """Whether it comes from another process, and is not begun yet."""
-        return self._taken_over is not None
-
-    def hand_over(self, send: Callable[[ClientHandover, int], None], even_amid: bool) -> bool:
-        """Give the connection to another process, if nothing taken on it is unanswered.
-
-        `even_amid`: from now on nothing more is taken, so that it soon comes to that.
-        """
-        transport = self.transport
-        if transport is None or self.closed or self._last or self._linger is not None:
-            return False
-        if even_amid and not self._handing:
-            self._handing = True
-            self._set_reading()
-        if self.replies or self.blocked or transport.is_closing() or transport.get_write_buffer_size():
-            return False
-        held = self._reader.held
-        if len(held) > MAX_PENDING_COMMAND_BYTES:
-            return False
-        # Danger: bytes that came between the descriptor's copy and the close would be read here and lost.
-        # Nothing is read in between: both happen in one turn of the loop, and the copy keeps the socket up.
-        descriptor = self.server.copy(transport)
-        since = self.begun_at if self._reader.midway else self.used_at
-        waited = max(self.server.loop.time() - since, 0.0)
-        handed = ClientHandover(held, self.asked, waited, self.server.host.unread_since())
-        self.abort()
-        send(handed, descriptor)
-        return True
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """The client has gone; nothing more can be told to it."""
-        self._leave()
+    def connection_lost(self, _exc: Exception | None) -> None:
+        """Release what belongs to a client that is gone."""
+        self._on_disconnected()
 
     def eof_received(self) -> bool:
-        """A client that ends its sending has gone away."""
-        self._leave()
+        """Treat a client that ends its sending as gone."""
+        self._on_disconnected()
         return False
 
-    def _leave(self) -> None:
-        if self._linger is not None:
-            self._linger.cancel()
-            self._linger = None
-        if self.closed:
-            return
-        self.closed = True
-        self.server.closed(self)
-        replies, self.replies = self.replies, deque()
-        for reply in replies:
-            if reply.data is None:
-                self.server.host.client_disconnected(reply)
-
     def data_received(self, data: bytes) -> None:
         """Read commands; an exception here costs this connection and no other."""
-        if self._linger is not None:
-            self._dropped += len(data)
-            self._set_reading()
+        if self._lingering is not None:
+            self._lingering.discard(data)
+            self._update_reading()
             return
-        if self._last or self.closed:
+        if self._closing_after_replies or self.closed:
             return
-        self.used_at = self.server.loop.time()
-        if self.late and self.used_at - self._made_at > THERE_S:
-            self.late = 0  # it came since
-        if not self._reader.midway:
-            self.begun_at = self.used_at
+        self.last_active_at = self.listener.loop.time()
+        if self.possible_wait_ns and self.last_active_at - self._connected_at > ARRIVED_BEFORE_S:
+            self.possible_wait_ns = 0
+        if not self._reader.has_partial_command:
+            self.command_started_at = self.last_active_at
         self._reader.feed(data)
         self._take_commands()
-        self.late = 0
+        self.possible_wait_ns = 0
+
+    def pause_writing(self) -> None:
+        """Read no more from a client that does not accept its answers."""
+        self.write_blocked = True
+        self.last_active_at = self.listener.loop.time()
+        self._update_reading()
+
+    def resume_writing(self) -> None:
+        """Go on with a client that accepts answers again."""
+        self.write_blocked = False
+        self._update_reading()
+        self.flush()
+
+    # State
+
+    @property
+    def taken_over(self) -> bool:
+        """Whether it comes from another process, and is not connected yet."""
+        return self._handover is not None
+
+    @property
+    def unsent_bytes(self) -> int:
+        """Bytes of its answers that the client has not accepted."""
+        return self.transport.get_write_buffer_size() if self.transport is not None else 0
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether it is between requests."""
+        return not self.replies and not self._reader.has_partial_command
+
+    @property
+    def is_lingering(self) -> bool:
+        """Whether its last answer is written, and it waits for the client's end."""
+        return self._lingering is not None
 
     def unread_ns(self) -> int:
-        """How long ago the last bytes came, nanoseconds; 0 where the kernel does not tell, or just now."""
+        """How long ago the last bytes arrived, nanoseconds; 0 where the kernel doesn't tell."""
         return unread_ns(self.transport)
 
+    def check_disconnected(self) -> bool:
+        """Ask the kernel whether the client is gone, and drop the connection if so.
+
+        Its end may lie unread: nothing is read of a client that accepts nothing or has too many requests out,
+        nor while this process is stalled. Requests would be forwarded for it long after it left.
+        """
+        if not self.closed and self.transport is not None and self.listener.peer_closed(self.transport):
+            self.abort()
+        return self.closed
+
+    @property
+    def _awaits_first_command(self) -> bool:
+        # A connection that is accepted as the router shuts down has its command unread, and would be closed
+        # without an answer.
+        return not self.has_sent_command and self.listener.loop.time() - self._connected_at <= FIRST_COMMAND_S
+
+    def is_silent(self, now_s: float) -> bool:
+        """Whether it has had its time for a first command, and nothing is owed to it."""
+        return (
+            not self.has_sent_command
+            and not self.replies
+            and self.command_started_at <= now_s - FIRST_COMMAND_S
+        )
+
+    # Commands and answers
+
     def _take_commands(self) -> None:
-        # An answer given at once comes back here through flush: the loop below goes on then.
-        # Those that were too many have waited here, and the client's end behind them is not read yet.
-        if self._parsing or (not self._reading and self.has_left()):
+        # An answer that is given at once comes back here through flush; the loop below goes on then. Commands
+        # past MAX_PIPELINE have waited here, with the client's end perhaps unread behind them.
+        if self._parsing or (not self._reading and self.check_disconnected()):
             return
         self._parsing = True
         try:
-            while not (self._last or self._handing) and len(self.replies) < MAX_PIPELINE:
-                words = self._reader.next()
-                if words is None:
-                    break
-                self.begun_at = self.used_at
-                self._take(words)
-            if self._reader.broken and not self._last:
-                self._add_reply().fail(f"Protocol error: {self._reader.broken}")
+            self._parse_commands()
         except Exception:
-            log.exception("reading a command failed")
+            log.exception("reading a client's command failed, closing connection")
             self.abort()
         finally:
             self._parsing = False
-        self._set_reading()
-        if self._last and not self.replies:
-            self._end()
+        self._update_reading()
+        if self._closing_after_replies and not self.replies:
+            self._start_lingering_close()
+
+    def _parse_commands(self) -> None:
+        while not (self._closing_after_replies or self._handing_over) and len(self.replies) < MAX_PIPELINE:
+            words = self._reader.next_command()
+            if words is None:
+                break
+            self.command_started_at = self.last_active_at
+            self._take_command(words)
+        if self._reader.framing_error and not self._closing_after_replies:
+            self._add_reply().send_error_and_close(f"Protocol error: {self._reader.framing_error}")
 
     def _add_reply(self) -> Reply:
         reply = Reply(self)
         self.replies.append(reply)
         return reply
 
-    def _take(self, words: list[bytes]) -> None:
+    def _take_command(self, words: list[bytes]) -> None:
         reply = self._add_reply()
+        handler = self.listener.handler
         if len(words) == 1 and words[0].upper() == b"PING":
-            self.asked = True
-            reply.send(b"+PONG\r\n" if self.server.host.ready else b"-LOADING no list of servers yet\r\n")
+            self.has_sent_command = True
+            reply.send(b"+PONG\r\n" if handler.ready else b"-LOADING no list of servers yet\r\n")
             return
         try:
             command = parse_request(words)
         except ValueError as error:
-            reply.fail(str(error))
+            reply.send_error_and_close(str(error))
             return
-        if self.refusing:
-            self._last = True
-            self.server.host.reject(command, reply)
+        if self.rejecting:
+            self._closing_after_replies = True
+            handler.reject(command, reply)
             return
-        self.asked = True
-        self.server.host.request_arrived(command, reply)
-
-    def end_after(self, reply: Reply, fault: str) -> None:
-        """Answer with an error, and close once all before it is answered."""
-        self._last = True
-        self._set_reading()
-        reply.send(b"-ERR %b\r\n" % fault.encode())
+        self.has_sent_command = True
+        handler.request_arrived(command, reply)
 
     def flush(self) -> None:
-        """Write the answers whose turn it is."""
+        """Write the answers that are next in order."""
         replies = self.replies
         while replies and self.transport is not None:
-            data, long = replies[0].data, replies[0].long
-            if data is not None:
-                self.transport.write(data)
-            elif long is None or not long.write(self, self.transport):
+            answer = replies[0].answer
+            streamed = replies[0].streamed
+            if answer is not None:
+                self.transport.write(answer)
+            elif streamed is None or not streamed.write(self, self.transport):
                 break
             replies.popleft()
         if self.transport is None or self._parsing:
             return
-        if self._last:
+        if self._closing_after_replies:
             if not replies:
-                self._end()
-            return
-        if self._reader.midway or not self._reading:
-            self._take_commands()  # those left, or unread, when there were too many without an answer
-        if self._closing and self.idle:
-            self._end()
-
-    def break_off(self) -> None:
-        """An answer that is begun can't be finished: close behind what is written of it."""
-        # Danger: the client would take the next answer's bytes for the rest of this one's. What it has asked
-        # for behind it is lost with the connection; there is no place for its answers any more.
-        self._last = True
-        if self.transport is not None:
-            self.transport.close()
-        self._leave()
-
-    def _end(self) -> None:
-        """Close in good order: our side first, and all of it once the client has ended its own.
-
-        Danger: to close with bytes unread resets the connection, and the reset may overtake the last answer.
-        What comes from here on is read and dropped, so that the client sees an end with no answer to it, and
-        asks elsewhere; a flood is read up to a bound, and then stops at the kernel's buffers. It could do
-        harm where clients never end their side: each holds a descriptor for so long.
-        """
-        if self.transport is None or self._linger is not None or self.transport.is_closing():
+                self._start_lingering_close()
             return
-        self._last = True
-        self.server.ending[self] = None
-        self._linger = self.server.loop.call_later(LINGER_S, self._lingered)
-        self._set_reading()
-        self.transport.write_eof()
-
-    def _lingered(self) -> None:
-        # Danger: a client that is slow to take a large answer would lose the rest of it. One that takes
-        # nothing at all is the sweep's.
-        if self.transport is not None and self.transport.get_write_buffer_size() and not self.closed:
-            self._linger = self.server.loop.call_later(LINGER_S, self._lingered)
-        else:
-            self.abort()
-
-    def pause_writing(self) -> None:
-        """The client does not take what it asked for: read no more from it."""
-        self.blocked = True
-        self.used_at = self.server.loop.time()
-        self._set_reading()
-
-    def resume_writing(self) -> None:
-        """The client takes again."""
-        self.blocked = False
-        self._set_reading()
-        self.flush()
-
-    def _set_reading(self) -> None:
-        if self._linger is not None:
-            wanted = self._dropped <= MAX_DISCARDED_BYTES
-        else:  # a client that leaves meanwhile is found where something is about to be sent on for it
-            wanted = not (self.blocked or self._last or self._handing or len(self.replies) >= MAX_PIPELINE)
+        if self._reader.has_partial_command or not self._reading:
+            self._take_commands()  # commands that were past MAX_PIPELINE
+        if self._closing_when_idle and self.is_idle:
+            self._start_lingering_close()
+
+    def _update_reading(self) -> None:
+        if self._lingering is not None:
+            wanted = self._lingering.accepts_input
+        else:  # a client that leaves while nothing is read is found by check_disconnected
+            wanted = not (
+                self.write_blocked
+                or self._closing_after_replies
+                or self._handing_over
+                or len(self.replies) >= MAX_PIPELINE
+            )
         if wanted == self._reading or self.transport is None or self.transport.is_closing():
             return
         self._reading = wanted
@@ -396,252 +285,128 @@
         else:
             self.transport.pause_reading()
 
-    @property
-    def unsent(self) -> int:
-        """Bytes of its answers that it has not taken."""
-        return self.transport.get_write_buffer_size() if self.transport is not None else 0
-
-    @property
-    def idle(self) -> bool:
-        """Whether it stands between requests."""
-        return not self.replies and not self._reader.midway
+    # Its end
 
-    @property
-    def ending(self) -> bool:
-        """Whether its last answer is written, and it only lingers."""
-        return self._linger is not None
+    def fail_and_close(self, reply: Reply, message: str) -> None:
+        """Answer with an error, and close once everything before it is answered."""
+        self._closing_after_replies = True
+        self._update_reading()
+        reply.send(b"-ERR %b\r\n" % message.encode())
 
-    def finish(self, even_midway: bool) -> None:
-        """Close as soon as nothing taken is unanswered."""
-        if self.transport is None or self.closed or self._linger is not None:
-            return
-        self._closing = True
-        if not self.replies and (even_midway or not (self._reader.midway or self._newly_made)):
-            self._end()
-        elif even_midway:
-            # Danger: a client that always has a request out would be served until the kill, and lose one.
-            self._last = True
-            self._set_reading()
+    def close_amid_answer(self) -> None:
+        """Close behind the written part of an answer that can't be completed.
 
-    @property
-    def _newly_made(self) -> bool:
-        """Whether it has just come, and its first command may still be on its way."""
-        # Danger: one that is accepted as the router ends has its command unread, and would see a new
-        # connection closed with no answer.
-        return not self.asked and self.server.loop.time() - self._made_at <= FRESH_S
-
-    def has_left(self) -> bool:
-        """Whether the client is gone, though that may not have been read here; its connection goes then."""
-        # Danger: one that is read no more (it takes nothing, asks too much, or this process ends), or whose
-        # end came while the process stood still, would have requests sent on for it long after it left.
-        if not self.closed and self.transport is not None and self.server.has_left(self.transport):
-            self.abort()
-        return self.closed
+        The client would take the next answer's bytes for the rest of this one's. The requests behind it are
+        lost with the connection.
+        """
+        self._closing_after_replies = True
+        if self.transport is not None:
+            self.transport.close()
+        self._on_disconnected()
 
-    def make_room(self, at_once: bool) -> None:
-        """Close, in good order if there is time for it."""
+    def close_gracefully(self, even_mid_command: bool) -> None:
+        """Close as soon as no request is unanswered; `even_mid_command`: also amid an incomplete command."""
+        if self.transport is None or self.closed or self._lingering is not None:
+            return
+        self._closing_when_idle = True
+        unfinished = self._reader.has_partial_command or self._awaits_first_command
+        if not self.replies and (even_mid_command or not unfinished):
+            self._start_lingering_close()
+        elif even_mid_command:
+            # A client that always has a request out would be served until SIGKILL, and lose one.
+            self._closing_after_replies = True
+            self._update_reading()
+
+    def evict(self, at_once: bool) -> None:
+        """Give up its descriptor for another connection, with a lingering close unless `at_once`."""
         if at_once:
             self.abort()
         else:
-            self._end()
+            self._start_lingering_close()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once; what is unsent is dropped."""
         if self.transport is not None:
             self.transport.abort()
-        self._leave()
+        self._on_disconnected()
 
-    def check(self, now: float, idle_limit: float) -> None:
-        """Drop a client that neither takes nor sends: it holds memory and a descriptor."""
-        if self.transport is None:
-            return
-        unsent = self.unsent
-        # Danger: a client that takes nothing keeps a connection that is being closed open for as long as
-        # the kernel tries, a quarter of an hour; what is left may be too little to count as blocked.
-        if self.blocked or self.transport.is_closing() or (self._linger is not None and unsent):
-            if unsent != self._unsent_before:
-                self._unsent_before, self.used_at = unsent, now
-            streams = bool(self.replies) and self.replies[0].long is not None
-            if now - self.used_at > (STREAM_STALL_S if streams else STALL_S):
-                log.warning("a client takes nothing of its answer")
-                self.abort()
-        elif self.replies or self._last:
-            return
-        elif not self.asked or self._reader.midway:
-            # Danger: half a command, a byte now and then, or nothing at all, holds a descriptor for ever.
-            # It could do harm to a usual client that dials ahead: it must ask within this time, or redial.
-            if now - self.begun_at > COMMAND_S:
-                self._add_reply().fail("Protocol error: no whole command in time")
-        elif now - self.used_at > idle_limit:
-            self._end()
-
-
-def copy_of(transport: Any) -> int:
-    """Another descriptor of a connection; raises OSError."""
-    return os.dup(transport.get_extra_info("socket").fileno())
+    def hand_over(self, send: Callable[[ClientHandover, int], None], stop_reading: bool) -> bool:
+        """Pass the connection to another process by `send`, unless a request is unanswered; returns whether.
 
-
-class ClientListener:
-    """The listener and all clients' connections, within their share of descriptors."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        host: Host,
-        limit: int,
-        has_left: Callable[[Any], bool] = has_left,
-        room: int = 8 << 20,
-    ) -> None:
-        """`has_left`: whether the other side of a transport is closed, read or not; `room`: bytes that they
-        may leave untaken, all clients together.
+        `stop_reading`: take no more commands, so that this is soon the case.
         """
-        self.loop, self.host, self._limit, self.has_left = loop, host, limit, has_left
-        self._room = room
-        self.copy: Callable[[Any], int] = copy_of
-        """Gives a connection's descriptor for another process; whoever passes it on closes it."""
-        self._connections: dict[ClientConnection, None] = {}
-        self.ending: dict[ClientConnection, None] = {}
-        """Those of them whose last answer is written and that only linger, the longest first."""
-        self._listener: asyncio.Server | None = None
-        self._timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-
-    async def listen(self, address: Address, passed: socket.socket | None = None) -> Address:
-        """Accept clients at this address, or on a socket that listens already; returns where that is."""
-        factory: Any = partial(ClientConnection, self)
-        create = partial(self.loop.create_server, factory, backlog=BACKLOG)
-        self._listener = await (create(*address) if passed is None else create(sock=passed))
-        listener: Any = self._listener  # its sockets are a tuple by its type, and a list in uvloop
-        host, port = listener.sockets[0].getsockname()[:2]
-        return str(host), int(port)
-
-    def opened(self, connection: ClientConnection) -> None:
-        """Make room for a new connection, by closing one that stands idle if need be."""
-        if connection.taken_over:  # the other process had room for it, and is about to end
-            self._connections[connection] = None
-            return
-        # Danger: clients that only connect would leave no descriptors for servers, and none for new clients.
-        full = len(self._connections) >= self._limit + MAX_REJECTING_CONNECTIONS
-        if full and self.ending:
-            next(iter(self.ending)).abort()
-            full = False
-        if len(self._connections) - len(self.ending) >= self._limit:
-            idle = self._spare()
-            if idle is not None:
-                idle.make_room(at_once=full)
-            elif full:
-                connection.abort()
-                return
-            else:
-                connection.refusing = True
-        self._connections[connection] = None
-
-    def _spare(self) -> ClientConnection | None:
-        """The idle connection that is missed least: a silent one, else the one idle longest."""
-        # Danger: by age alone a flood of silent connections would push out the clients that ask; and those
-        # with half a command, if they were not spare too, would have every newcomer refused.
-        fresh = self.loop.time() - FRESH_S
-        return min(
-            (
-                other
-                for other in self._connections
-                if not other.ending
-                and (other.idle or (not other.asked and not other.replies and other.begun_at <= fresh))
-            ),
-            key=lambda other: (other.asked or other.begun_at > fresh, other.used_at),
-            default=None,
-        )
+        transport = self.transport
+        if transport is None or self.closed or self._closing_after_replies or self._lingering is not None:
+            return False
+        if stop_reading and not self._handing_over:
+            self._handing_over = True
+            self._update_reading()
+        if self.replies or self.write_blocked or transport.is_closing() or transport.get_write_buffer_size():
+            return False
+        buffered = self._reader.buffered
+        if len(buffered) > MAX_PENDING_COMMAND_BYTES:
+            return False
+        # Input between the descriptor's copy and the close would be read here and lost. There is none: both
+        # happen in one turn of the loop, and the copy keeps the socket open.
+        descriptor = self.listener.duplicate(transport)
+        since = self.command_started_at if self._reader.has_partial_command else self.last_active_at
+        waited_s = max(self.listener.loop.time() - since, 0.0)
+        unread_since = self.listener.handler.unread_since()
+        handover = ClientHandover(buffered, self.has_sent_command, waited_s, unread_since)
+        self.abort()
+        send(handover, descriptor)
+        return True
 
-    def closed(self, connection: ClientConnection) -> None:
-        """A connection is gone."""
-        self._connections.pop(connection, None)
-        self.ending.pop(connection, None)
+    def _start_lingering_close(self) -> None:
+        if self.transport is None or self._lingering is not None or self.transport.is_closing():
+            return
+        self._closing_after_replies = True
+        self.listener.lingering[self] = None
+        self._lingering = LingeringClose(self, self.listener.loop)
+        self._update_reading()
+        self.transport.write_eof()
 
-    @property
-    def connected(self) -> int:
-        """Connections now."""
-        return len(self._connections)
-
-    def set_limit(self, limit: int) -> None:
-        """Have room for so many connections; those there are stay."""
-        self._limit = limit
-
-    def stop_accepting(self) -> None:
-        """Take no new connections."""
-        if self._listener is not None:
-            self._listener.close()
-            self._listener = None
-
-    def take_queued(self) -> list[int]:
-        """The descriptors of connections that have come and are not accepted yet, as far as there is room."""
-        # Danger: to close a listener resets what waits in its queue, requests and all, and they are taken:
-        # the machine has accepted their connections.
-        listener: Any = self._listener
-        if listener is None:
-            return []
-        return accept_queued(
-            listener.sockets, max(self._limit + MAX_REJECTING_CONNECTIONS - len(self._connections), 0)
-        )
+    def _on_disconnected(self) -> None:
+        if self._lingering is not None:
+            self._lingering.cancel()
+            self._lingering = None
+        if self.closed:
+            return
+        self.closed = True
+        self.listener.connection_closed(self)
+        replies = self.replies
+        self.replies = deque()
+        for reply in replies:
+            if reply.answer is None:
+                self.listener.handler.client_disconnected(reply)
 
-    async def adopt(self, client: ClientHandover | None, descriptor: int, late: int = 0) -> None:
-        """Take a connection over from another process; None: nothing was read of it there.
+    # Timeouts
 
-        `late`: nanoseconds for which what is there to be read may have waited.
-        """
-        factory: Any = partial(ClientConnection, self, client, late)
-        await self.loop.connect_accepted_socket(factory, socket.socket(fileno=descriptor))
-
-    def hand_over(self, send: Callable[[ClientHandover, int], None], even_amid: bool) -> int:
-        """Give every connection that can be given to another process; returns how many were."""
-        given = 0
-        for connection in list(self._connections):
-            try:
-                given += connection.hand_over(send, even_amid)
-            except OSError as error:
-                # Danger: one connection that can't be copied (descriptors are at their limit) would end the
-                # process with all the others. It stays here, and is tried again.
-                log.warning("takeover: a connection can't be handed over: %s", error)
-        return given
-
-    def finish(self, even_midway: bool) -> None:
-        """Close connections between requests; also amid a command, if so told."""
-        for connection in list(self._connections):
-            connection.finish(even_midway)
-
-    def _sweep(self) -> None:
-        self._timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-        now = self.loop.time()
-        many = len(self._connections) > self._limit * MANY_SHARE
-        for connection in list(self._connections):
-            connection.check(now, IDLE_MANY_S if many else IDLE_FEW_S)
-        self._keep_within_room()
-        # Danger: clients that ask once and stay would hold all the connections that clients may have, and
-        # the next ones find none. Those idle longest go; it could do harm to more clients than this that
-        # take turns within a second, who would have to dial again each time.
-        standing = [c for c in self._connections if c.asked and c.idle and not c.ending]
-        spare = len(standing) - int(self._limit * STANDING_SHARE)
-        if spare > 0:
-            for connection in sorted(standing, key=lambda c: c.used_at)[:spare]:
-                if now - connection.used_at > FRESH_S:
-                    connection.finish(even_midway=False)
-
-    def _keep_within_room(self) -> None:
-        """End those who take least of their answers, where these fill the memory."""
-        # Danger: a few that ask hundreds of times and take nothing hold megabytes each, long before the time
-        # to take something is over. It could do harm to one that is only slow: it goes where many are.
-        untaken = sum(connection.unsent for connection in self._connections)
-        if untaken <= self._room:
+    def enforce_timeouts(self, now_s: float, idle_timeout_s: float) -> None:
+        """Drop a client that neither accepts nor sends: it holds memory and a descriptor."""
+        if self.transport is None:
             return
-        for connection in sorted(self._connections, key=lambda c: c.unsent, reverse=True):
-            if untaken <= self._room:
-                break
-            untaken -= connection.unsent
-            log.warning("a client takes too little of its answers")
-            connection.abort()
-
-    def close(self) -> None:
-        """Close everything."""
-        self._timer.cancel()
-        if self._listener is not None:
-            self._listener.close()
-        for connection in list(self._connections):
-            connection.abort()
+        unsent = self.unsent_bytes
+        # The kernel keeps a closing connection open for a quarter of an hour where the client accepts
+        # nothing, and what is left may be too little to count as blocked.
+        if self.write_blocked or self.transport.is_closing() or (self._lingering is not None and unsent):
+            self._check_write_stall(now_s, unsent)
+        elif self.replies or self._closing_after_replies:
+            return
+        elif not self.has_sent_command or self._reader.has_partial_command:
+            # Half a command, a byte now and then, or nothing at all would hold a descriptor for ever. A
+            # client that connects ahead of its first request has this time, or has to reconnect.
+            if now_s - self.command_started_at > COMMAND_TIMEOUT_S:
+                self._add_reply().send_error_and_close("Protocol error: no whole command in time")
+        elif now_s - self.last_active_at > idle_timeout_s:
+            self._start_lingering_close()
+
+    def _check_write_stall(self, now_s: float, unsent_bytes: int) -> None:
+        if unsent_bytes != self._unsent_at_last_check:
+            self._unsent_at_last_check = unsent_bytes
+            self.last_active_at = now_s
+        is_streaming = bool(self.replies) and self.replies[0].streamed is not None
+        timeout_s = STREAM_STALL_TIMEOUT_S if is_streaming else WRITE_STALL_TIMEOUT_S
+        if now_s - self.last_active_at > timeout_s:
+            log.warning("client write stalled, closing connection unsent_bytes=%d", unsent_bytes)
+            self.abort()
--- /dev/null
+++ b/holdgw/router/client_listener.py
@@ -0,0 +1,241 @@
+"""Accepts clients' connections, bounds their number and memory, drains them and hands them over."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import os
+import socket
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+from holdgw.operation.process_link import ClientHandover
+from holdgw.router.client_connection import ClientConnection, RequestHandler
+from holdgw.router.platform import accept_queued, has_left
+from holdgw.wire.address import Address
+
+LISTEN_BACKLOG = 1024
+"""Connections that arrive while the loop is busy."""
+IDLE_TIMEOUT_S = 30.0
+"""For a connection between requests."""
+BUSY_IDLE_TIMEOUT_S = 2.2
+"""The same where connections are many; clients are promised 2 s."""
+BUSY_FRACTION = 0.25
+"""Connections are many above this fraction of the limit."""
+MAX_IDLE_FRACTION = 0.4
+"""Fraction of the limit that connections between requests may take."""
+MIN_IDLE_S = 0.3
+"""Idle time before a connection is closed because too many are idle."""
+MAX_REJECTING_CONNECTIONS = 32
+"""Connections over the limit whose requests are rejected."""
+SWEEP_INTERVAL_S = 0.25
+DEFAULT_MAX_UNSENT_BYTES = 8 << 20
+
+log = logging.getLogger("holdgw")
+
+
+def duplicate_descriptor(transport: Any) -> int:
+    """Duplicate the descriptor of a transport's socket; raises OSError."""
+    return os.dup(transport.get_extra_info("socket").fileno())
+
+
+class ClientListener:
+    """The listening socket and all clients' connections, within a limit of descriptors."""
+
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        handler: RequestHandler,
+        limit: int,
+        peer_closed: Callable[[Any], bool] = has_left,
+        max_unsent_bytes: int = DEFAULT_MAX_UNSENT_BYTES,
+    ) -> None:
+        """Create a listener that does not accept yet.
+
+        `limit`: connections that are served at a time. `peer_closed`: whether the other side of a transport
+        is closed, be that read or not. `max_unsent_bytes`: answers that all clients together may leave
+        unaccepted.
+        """
+        self.loop = loop
+        self.handler = handler
+        self.peer_closed = peer_closed
+        self.duplicate: Callable[[Any], int] = duplicate_descriptor
+        """Duplicates a transport's descriptor for another process; whoever passes it on closes it."""
+        self.lingering: dict[ClientConnection, None] = {}
+        """Connections in a lingering close, the longest first."""
+        self._limit = limit
+        self._max_unsent_bytes = max_unsent_bytes
+        self._connections: dict[ClientConnection, None] = {}
+        self._server: asyncio.Server | None = None
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    async def listen(self, address: Address, passed: socket.socket | None = None) -> Address:
+        """Accept clients at this address, or on a socket that listens already; returns the address."""
+        factory: Any = partial(ClientConnection, self)
+        create = partial(self.loop.create_server, factory, backlog=LISTEN_BACKLOG)
+        self._server = await (create(*address) if passed is None else create(sock=passed))
+        server: Any = self._server  # its sockets are a tuple by its type, and a list in uvloop
+        host, port = server.sockets[0].getsockname()[:2]
+        return str(host), int(port)
+
+    def stop_accepting(self) -> None:
+        """Accept no new connections."""
+        if self._server is not None:
+            self._server.close()
+            self._server = None
+
+    def accept_queued(self) -> list[int]:
+        """Accept the connections that wait in the kernel, within the limit; returns their descriptors.
+
+        Closing the listening socket would reset them, with requests that the machine has acknowledged.
+        """
+        server: Any = self._server
+        if server is None:
+            return []
+        capacity = self._limit + MAX_REJECTING_CONNECTIONS - len(self._connections)
+        return accept_queued(server.sockets, max(capacity, 0))
+
+    @property
+    def connection_count(self) -> int:
+        """Connections now."""
+        return len(self._connections)
+
+    @property
+    def connections(self) -> tuple[ClientConnection, ...]:
+        """The connections now, the oldest first."""
+        return tuple(self._connections)
+
+    def set_limit(self, limit: int) -> None:
+        """Serve so many connections at a time; those above it that are open stay."""
+        self._limit = limit
+
+    def connection_opened(self, connection: ClientConnection) -> None:
+        """Admit a new connection, evicting another if need be."""
+        if connection.taken_over:  # it counted in the old process, which is about to end
+            self._connections[connection] = None
+            return
+        # Without the limit, clients that only connect would leave no descriptors for endpoints or others.
+        full = len(self._connections) >= self._limit + MAX_REJECTING_CONNECTIONS
+        if full and self.lingering:
+            next(iter(self.lingering)).abort()
+            full = False
+        if len(self._connections) - len(self.lingering) >= self._limit:
+            candidate = self._eviction_candidate()
+            if candidate is not None:
+                candidate.evict(at_once=full)
+            elif full:
+                connection.abort()
+                return
+            else:
+                connection.rejecting = True
+        self._connections[connection] = None
+
+    def connection_closed(self, connection: ClientConnection) -> None:
+        """Forget a connection."""
+        self._connections.pop(connection, None)
+        self.lingering.pop(connection, None)
+
+    def _eviction_candidate(self) -> ClientConnection | None:
+        """The connection to evict: a silent one if there is any, else the one idle longest.
+
+        By idle time alone a flood of silent connections would evict the clients that send requests; and if
+        connections with half a command were kept, they would have every new client rejected.
+        """
+        now = self.loop.time()
+        return min(
+            (
+                connection
+                for connection in self._connections
+                if not connection.is_lingering and (connection.is_idle or connection.is_silent(now))
+            ),
+            key=lambda connection: (not connection.is_silent(now), connection.last_active_at),
+            default=None,
+        )
+
+    # Handover between processes
+
+    async def adopt(
+        self, handover: ClientHandover | None, descriptor: int, possible_wait_ns: int = 0
+    ) -> None:
+        """Take a connection over from another process; `handover` None: nothing was read of it there.
+
+        `possible_wait_ns`: how long its unread input may have waited. Raises OSError.
+        """
+        factory: Any = partial(ClientConnection, self, handover, possible_wait_ns)
+        await self.loop.connect_accepted_socket(factory, socket.socket(fileno=descriptor))
+
+    def hand_over(self, send: Callable[[ClientHandover, int], None], stop_reading: bool) -> int:
+        """Pass to another process each connection without an unanswered request; returns their number.
+
+        `send` takes the state and a descriptor; `stop_reading`: take no more commands on the others.
+        """
+        handed_over = 0
+        for connection in self.connections:
+            try:
+                handed_over += connection.hand_over(send, stop_reading)
+            except OSError as error:
+                # A descriptor can't be duplicated while the process is at its limit: the next call retries.
+                log.warning("client connection not handed over, will retry error=%s", error)
+        return handed_over
+
+    # Drain and sweep
+
+    def close_gracefully(self, even_mid_command: bool) -> None:
+        """Close connections between requests; `even_mid_command`: also those amid an incomplete command."""
+        for connection in self.connections:
+            connection.close_gracefully(even_mid_command)
+
+    def close(self) -> None:
+        """Close everything at once."""
+        self._sweep_timer.cancel()
+        if self._server is not None:
+            self._server.close()
+        for connection in self.connections:
+            connection.abort()
+
+    def _sweep(self) -> None:
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        now = self.loop.time()
+        is_busy = len(self._connections) > self._limit * BUSY_FRACTION
+        for connection in self.connections:
+            connection.enforce_timeouts(now, BUSY_IDLE_TIMEOUT_S if is_busy else IDLE_TIMEOUT_S)
+        self._bound_unsent_bytes()
+        self._bound_idle_connections(now)
+
+    def _bound_idle_connections(self, now_s: float) -> None:
+        """Close the connections idle longest, where idle ones take too much of the limit.
+
+        Clients that send one request and stay connected would leave no connections for others.
+        """
+        idle = [
+            connection
+            for connection in self._connections
+            if connection.has_sent_command and connection.is_idle and not connection.is_lingering
+        ]
+        excess = len(idle) - int(self._limit * MAX_IDLE_FRACTION)
+        if excess <= 0:
+            return
+        for connection in sorted(idle, key=lambda connection: connection.last_active_at)[:excess]:
+            if now_s - connection.last_active_at > MIN_IDLE_S:
+                connection.close_gracefully(even_mid_command=False)
+
+    def _bound_unsent_bytes(self) -> None:
+        """Drop the clients with the most unsent bytes, where these take too much memory.
+
+        A few clients that pipeline hundreds of requests and accept nothing hold megabytes each, long before
+        WRITE_STALL_TIMEOUT_S is over. A client that is only slow may be dropped with them.
+        """
+        unsent = sum(connection.unsent_bytes for connection in self._connections)
+        if unsent <= self._max_unsent_bytes:
+            return
+        for connection in sorted(self._connections, key=lambda c: c.unsent_bytes, reverse=True):
+            if unsent <= self._max_unsent_bytes:
+                break
+            unsent -= connection.unsent_bytes
+            log.warning(
+                "unsent answers exceed limit, closing connection unsent_bytes=%d limit_bytes=%d",
+                connection.unsent_bytes,
+                self._max_unsent_bytes,
+            )
+            connection.abort()
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -42,14 +42,15 @@
     disabled_features,
 )
 from holdgw.router.cache_connection import CacheConnection
-from holdgw.router.client_connection import NS_PER_MS, Reply
 from holdgw.router.connection_pool import ConnectionPool, Exchange
 from holdgw.router.event_loop_lag import LagMonitor
 from holdgw.router.origin_connection import OriginConnection
+from holdgw.router.reply import Reply
 from holdgw.router.timer_wheel import Timer, TimerWheel
 from holdgw.wire import http, resp
 from holdgw.wire.address import Address
 from holdgw.wire.resp import Command
+from holdgw.wire.unread import NS_PER_MS
 
 SWEEP_INTERVAL_S = 0.02
 LOGGED_LAG_NS = NS_PER_S  # one that the log tells of
@@ -191,13 +192,13 @@
         self._timer = self._host.timer_wheel.call_at(self._moved_at + STREAM_STALL_NS, self._look_if_stalled)
         request.answered, request.stream = True, self
         self._host.dispatch(StreamStarted(request.id, self._number))
-        request.reply.begin(resp.bulk_head(length), self)
+        request.reply.start_stream(resp.bulk_head(length), self)
 
     def value_part(self, data: bytes) -> None:
         """Pass a part on."""
         self._moved_at = self._host.now()
         if self._request.stream is self:
-            self._request.reply.part(data)
+            self._request.reply.write_part(data)
 
     def value_complete(self) -> None:
         """All of it has come."""
@@ -215,9 +216,9 @@
             request.class_name, Disposition.SUCCEEDED if whole else Disposition.ABORTED
         )
         if whole:
-            request.reply.finish(b"\r\n")
+            request.reply.end_stream(b"\r\n")
         else:
-            request.reply.break_off(FAILED)
+            request.reply.abort_stream(FAILED)
 
     def _look_if_stalled(self) -> None:
         if self.connection is not None and self.connection.paused:
@@ -441,7 +442,7 @@
         info, now = command.info, self.now()
         # Danger: a client counts its time from when it asked. A connection may have waited, unread, for a
         # process that can serve; to give it the whole time from here on answers too late.
-        late = reply.late or self._lag_monitor.possible_lag_ns(now)
+        late = reply.possible_wait_ns or self._lag_monitor.possible_lag_ns(now)
         if not late and self._lag_monitor.lagged_recently(now):
             # Danger: seconds of clients wait for a process that goes on, on connections that it has yet to
             # take; twenty such on few cores are at it for longer than a beat.
@@ -449,14 +450,14 @@
         deadline = now + info.timeout_ms * NS_PER_MS - late
         fault = self._fault(command)
         if fault:
-            reply.fail(fault)
+            reply.send_error_and_close(fault)
         elif (
             request_id in self._requests
             or request_id in self._recent
             or (self.shared is not None and not self.shared.claim(command.id))
         ):
             # Danger: two requests under one id would share attempts, and one would have the other's answer.
-            reply.fail("duplicate id")
+            reply.send_error_and_close("duplicate id")
         elif len(self._requests) >= self._max_open or deadline <= now:
             self.reject(command, reply)
         else:
--- a/holdgw/router/program.py
+++ b/holdgw/router/program.py
@@ -21,7 +21,7 @@
 from holdgw.peers.gossip import PeerNode
 from holdgw.peers.load_view import LoadSnapshot, Observations, SampledWait
 from holdgw.policy import NS_PER_S, HandoverState, LoadSnapshotChanged, UpdateKind
-from holdgw.router.client_connection import MAX_REJECTING_CONNECTIONS, ClientListener
+from holdgw.router.client_listener import MAX_REJECTING_CONNECTIONS, ClientListener
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.discovery import Clock, Discovery, read_listing
@@ -171,7 +171,7 @@
         self._tally_timer = self.loop.call_later(COUNTERS_INTERVAL_S, self._tally)
         states = {
             **self.host.count_running_totals(tally),
-            "clients": self.clients.connected,
+            "clients": self.clients.connection_count,
             "ready": self.host.ready,
         }
         tally.add_growth("cpu", self.platform.cpu_s())
@@ -181,7 +181,7 @@
         """How much each of the router's tables holds now, for tests of what is left behind."""
         own = {
             "adopting": len(self._adopting),
-            "clients": self.clients.connected,
+            "clients": self.clients.connection_count,
             "callers": self.door.callers,
         }
         return {**own, **self.host.tables(), **self.pool.tables()}
@@ -296,12 +296,12 @@
             return
         # Danger: clients are sent here for a while yet, and what they send to a closed door is lost.
         await asyncio.sleep(ACCEPT_S)
-        queued = clients.take_queued()
+        queued = clients.accept_queued()
         clients.stop_accepting()
         for descriptor in queued:
             self._adopt(None, descriptor)
-        while clients.connected and loop.time() < begun + self.config.longest_s + KILL_SLACK_S:
-            clients.finish(even_midway=loop.time() >= begun + MIDWAY_S)
+        while clients.connection_count and loop.time() < begun + self.config.longest_s + KILL_SLACK_S:
+            clients.close_gracefully(even_mid_command=loop.time() >= begun + MIDWAY_S)
             await asyncio.sleep(DRAIN_STEP_S)
 
     async def _hand_over(self, begun: float) -> None:
@@ -310,16 +310,16 @@
         clients.stop_accepting()  # the successor accepts on the same socket
         due = begun + self.config.longest_s + KILL_SLACK_S
         given = 0
-        while clients.connected and loop.time() < due:
+        while clients.connection_count and loop.time() < due:
             link = self._successor
             if link is None:
-                clients.finish(even_midway=loop.time() >= begun + MIDWAY_S)
+                clients.close_gracefully(even_mid_command=loop.time() >= begun + MIDWAY_S)
             else:
-                given += clients.hand_over(link.send, even_amid=loop.time() >= begun + MIDWAY_S)
+                given += clients.hand_over(link.send, stop_reading=loop.time() >= begun + MIDWAY_S)
             await asyncio.sleep(DRAIN_STEP_S)
         while (link := self._successor) is not None and not link.sent and loop.time() < due:
             await asyncio.sleep(DRAIN_STEP_S)
-        log.info("takeover: %d connections handed over, %d left", given, clients.connected)
+        log.info("takeover: %d connections handed over, %d left", given, clients.connection_count)
 
 
 def peer_metrics(peers: PeerNode) -> dict[str, Any]:
--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -19,7 +19,8 @@
 from holdgw.cores.worker import Worker, WorkerSlot
 from holdgw.cores.worker_pool import InsufficientResourcesError, WorkerState
 from holdgw.operation.process_link import ProcessLink, encode
-from holdgw.router.client_connection import ClientConnection, ClientListener
+from holdgw.router.client_connection import ClientConnection
+from holdgw.router.client_listener import ClientListener
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.platform import Platform
 from holdgw.simulation.play import RouterMain, SimulatedRouter
--- a/holdgw/simulation/invariants.py
+++ b/holdgw/simulation/invariants.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING, Any
 
 from holdgw.harness.checker import Broken
-from holdgw.router.client_connection import MAX_REJECTING_CONNECTIONS
+from holdgw.router.client_listener import MAX_REJECTING_CONNECTIONS
 from holdgw.router.dispatcher import MAX_RECENT_IDS
 from holdgw.router.program import CLIENT_SHARE, OWN_DESCRIPTORS
 from holdgw.simulation.process import Process
--- a/holdgw/wire/resp.py
+++ b/holdgw/wire/resp.py
@@ -91,27 +91,27 @@
         self._held = bytearray()
         self._at = 0  # where the command under way begins
         self._need = 1  # bytes from there on that it is known to need
-        self.broken = ""
+        self.framing_error = ""
         """Why the stream can't be followed any further, once that is so."""
 
     def feed(self, data: bytes) -> None:
         """Take bytes."""
-        if not self.broken:
+        if not self.framing_error:
             self._held += data
 
     @property
-    def held(self) -> bytes:
+    def buffered(self) -> bytes:
         """What is held: of a command under way, and of any whole ones not cut yet."""
         return bytes(self._held[self._at :])
 
     @property
-    def midway(self) -> bool:
+    def has_partial_command(self) -> bool:
         """Whether something of a command is held."""
         return len(self._held) > self._at
 
-    def next(self) -> list[bytes] | None:
+    def next_command(self) -> list[bytes] | None:
         """The next whole command; None where there is none yet, or `broken` is set."""
-        if self.broken:
+        if self.framing_error:
             return None
         words = None
         # Danger: to look again at each byte of a command that trickles would cost a client's CPU in
@@ -120,7 +120,7 @@
             try:
                 words = self._command()
             except FramingError as error:
-                self.broken = str(error)
+                self.framing_error = str(error)
                 self._held.clear()
                 self._at = 0
         if words is None and self._at:
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -15,7 +15,7 @@
 import uvloop
 
 from holdgw.policy import Settings, UpdateKind
-from holdgw.router.client_connection import ClientListener
+from holdgw.router.client_listener import ClientListener
 from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.discovery import Clock, read_listing
 from holdgw.router.dispatcher import Dispatcher
--- a/tests/test_attempt_timeout.py
+++ b/tests/test_attempt_timeout.py
@@ -235,7 +235,7 @@
 def test_a_request_read_after_the_process_stood_still_tells_no_more_than_is_left() -> None:
     async def play(stage: Stage) -> None:
         reader, writer = await stage.node.dial()
-        await until(lambda: stage.node.clients.connected == 1)
+        await until(lambda: stage.node.clients.connection_count == 1)
         write_now(writer, read("r"))
         stage.clock.now += 300 * MS  # in the same turn of the loop: nothing of the router has run
         assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
@@ -251,7 +251,7 @@
         here, there = socket.socketpair()
         reader, writer = await asyncio.open_connection(sock=here)
         writer.write(read("r"))
-        await stage.node.clients.adopt(None, there.detach(), late=200 * MS)
+        await stage.node.clients.adopt(None, there.detach(), possible_wait_ns=200 * MS)
         assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         writer.close()
         assert timeouts(stage.cache_infos) == [700]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -30,7 +30,15 @@
     TimerFired,
     UpdateKind,
 )
-from holdgw.router import client_connection, connection_pool, discovery, dispatcher, program
+from holdgw.router import (
+    client_connection,
+    client_listener,
+    connection_close,
+    connection_pool,
+    discovery,
+    dispatcher,
+    program,
+)
 from holdgw.router.platform import accept_queued, has_left
 from tests.helpers import S, settings
 from tests.peers import (
@@ -93,11 +101,11 @@
         self.origin.stop()
 
     def connection(self, i: int = 0) -> client_connection.ClientConnection:
-        return list(self.node.clients._connections)[i]
+        return self.node.clients.connections[i]
 
     async def alone(self, count: int = 0) -> None:
         """Until the router has so many connections to clients."""
-        await until(lambda: self.node.clients.connected == count)
+        await until(lambda: self.node.clients.connection_count == count)
 
 
 Play = Callable[[Stage], Awaitable[None]]
@@ -229,7 +237,7 @@
         if why == "takes nothing":
             connection.pause_writing()
         elif why == "at the router's end":
-            stage.node.clients.finish(even_midway=True)
+            stage.node.clients.close_gracefully(even_mid_command=True)
         begun = 3 if "too many" in why else 1
         await until(lambda: not connection._reading and len(stage.cache.seen) == begun)
         writer.transport.abort()
@@ -256,7 +264,7 @@
         await until(lambda: any(one.waiting for one in router._requests.values()))
         dials = node.pool.counts["dials"]
         writer.close()
-        await until(lambda: not node.clients.connected)
+        await until(lambda: not node.clients.connection_count)
         node.host._timer_fired("w1")
         assert not router._requests
         assert node.pool.counts["dials"] == dials == 1
@@ -401,9 +409,9 @@
 
 
 END: dict[str, Callable[[Stage], None]] = {
-    "shutdown": lambda stage: stage.node.clients.finish(even_midway=False),
-    "late in the shutdown": lambda stage: stage.node.clients.finish(even_midway=True),
-    "idle for long": lambda stage: stage.connection().check(1e12, 1.0),
+    "shutdown": lambda stage: stage.node.clients.close_gracefully(even_mid_command=False),
+    "late in the shutdown": lambda stage: stage.node.clients.close_gracefully(even_mid_command=True),
+    "idle for long": lambda stage: stage.connection().enforce_timeouts(1e12, 1.0),
 }
 
 
@@ -416,7 +424,7 @@
         stage.go.set()
         reader, writer = await stage.node.dial()
         writer.write(read("r1"))
-        await until(lambda: bool(stage.cache.seen) and stage.connection().idle)
+        await until(lambda: bool(stage.cache.seen) and stage.connection().is_idle)
         write_now(writer, crossing)
         END[end](stage)
         # The answer and the end, and no reset: that would be an exception here.
@@ -433,29 +441,37 @@
 def test_a_client_that_floods_or_never_ends_its_side_holds_its_connection_for_a_moment_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_connection, "MAX_DISCARDED_BYTES", 4096)
-    monkeypatch.setattr(client_connection, "LINGER_S", 0.2)
+    monkeypatch.setattr(connection_close, "MAX_DISCARDED_BYTES", 4096)
+    monkeypatch.setattr(connection_close, "LINGER_TIMEOUT_S", 0.2)
+    closes: list[connection_close.LingeringClose] = []
+
+    def recorded(*arguments: Any) -> connection_close.LingeringClose:
+        closes.append(connection_close.LingeringClose(*arguments))
+        return closes[-1]
+
+    monkeypatch.setattr(client_connection, "LingeringClose", recorded)
 
     async def play(stage: Stage) -> None:
         stage.go.set()
         pairs = [await stage.node.dial() for _ in range(2)]
         for i, (_, writer) in enumerate(pairs):
             writer.write(read(f"r{i}", f"k{i}"))
-        await until(lambda: stage.node.clients.connected == 2 and stage.connection(0).idle)
-        await until(lambda: stage.connection(1).idle)
+        await until(lambda: stage.node.clients.connection_count == 2 and stage.connection(0).is_idle)
+        await until(lambda: stage.connection(1).is_idle)
         both = [stage.connection(0), stage.connection(1)]
-        stage.node.clients.finish(even_midway=False)
+        stage.node.clients.close_gracefully(even_mid_command=False)
         pairs[0][1].write(b"x" * (8 << 20))
-        await until(lambda: both[0]._dropped > 4096 or both[0].closed)
+        await until(lambda: any(one.discarded_bytes > 4096 for one in closes) or both[0].closed)
         await stage.alone()
-        assert max(one._dropped for one in both) < 1 << 20
+        assert len(closes) == 2
+        assert max(one.discarded_bytes for one in closes) < 1 << 20
         assert ids(stage.cache) == ["r0", "r1"]
 
     staged(play)
 
 
 def test_a_slow_client_gets_its_whole_answer_though_the_router_ends(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "LINGER_S", 0.05)
+    monkeypatch.setattr(connection_close, "LINGER_TIMEOUT_S", 0.05)
     value = b"v" * 65536
     whole = b"$65536\r\n%b\r\n" % value
     many = 32
@@ -471,11 +487,11 @@
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         cast(Any, writer.transport).pause_reading()
         writer.write(b"".join(read(f"r{i}") for i in range(many)))
-        await until(lambda: stage.node.clients.connected == 1 and stage.connection().blocked)
-        stage.node.clients.finish(even_midway=True)
+        await until(lambda: stage.node.clients.connection_count == 1 and stage.connection().write_blocked)
+        stage.node.clients.close_gracefully(even_mid_command=True)
         await until(lambda: not stage.connection().replies)
         begun = asyncio.get_running_loop().time()
-        await until(lambda: asyncio.get_running_loop().time() > begun + 4 * client_connection.LINGER_S)
+        await until(lambda: asyncio.get_running_loop().time() > begun + 4 * connection_close.LINGER_TIMEOUT_S)
         cast(Any, writer.transport).resume_reading()
         got = await asyncio.wait_for(reader.read(), LIMIT_S)
         assert got
@@ -494,11 +510,11 @@
         stage.go.set()
         sock = socket.create_connection(stage.node.address)
         sock.sendall(read("r1"))  # in this turn: nobody has accepted it
-        queued = stage.node.clients.take_queued()
+        queued = stage.node.clients.accept_queued()
         stage.node.clients.stop_accepting()
         assert len(queued) == 1
         await stage.node.clients.adopt(None, queued[0])
-        stage.node.clients.finish(even_midway=False)
+        stage.node.clients.close_gracefully(even_mid_command=False)
         reader, writer = await asyncio.open_connection(sock=sock)
         assert await asyncio.wait_for(reader.read(), LIMIT_S) == SERVED
         writer.close()
@@ -594,7 +610,7 @@
 def test_a_page_without_a_length_ends_with_its_connection_and_not_with_a_reset(
     reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_connection, "IDLE_FEW_S", IDLE_S)
+    monkeypatch.setattr(client_listener, "IDLE_TIMEOUT_S", IDLE_S)
 
     async def test() -> None:
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue"
@@ -643,7 +659,7 @@
 
 
 def test_a_time_out_and_the_answer_in_one_turn_are_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "IDLE_FEW_S", IDLE_S)
+    monkeypatch.setattr(client_listener, "IDLE_TIMEOUT_S", IDLE_S)
 
     async def play(stage: Stage) -> None:
         node = stage.node
@@ -790,7 +806,7 @@
             config = replace(config_of(tmp_path / "c.json", 1), sockets=sockets)
             router = program.Program(config)
             for_clients, for_servers = router._descriptors(1)
-            held = for_clients + client_connection.MAX_REJECTING_CONNECTIONS + for_servers
+            held = for_clients + client_listener.MAX_REJECTING_CONNECTIONS + for_servers
             assert held + program.OWN_DESCRIPTORS <= sockets
             assert router.clients._limit == for_clients
             router.clients.close()
@@ -818,7 +834,7 @@
         before = len(os.listdir("/proc/self/fd"))
         callers = [socket.create_connection(stage.node.address) for _ in range(300)]  # in one turn
         await until(lambda: accepted == len(callers))
-        assert 0 < most - before - len(callers) <= 8 + client_connection.MAX_REJECTING_CONNECTIONS + 1
+        assert 0 < most - before - len(callers) <= 8 + client_listener.MAX_REJECTING_CONNECTIONS + 1
         for caller in callers:
             caller.close()
 
@@ -826,8 +842,9 @@
 
 
 def test_newcomers_find_room_beside_connections_that_linger(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "FRESH_S", 0.0)
-    monkeypatch.setattr(client_connection, "MAX_REJECTING_CONNECTIONS", 2)
+    monkeypatch.setattr(client_connection, "FIRST_COMMAND_S", 0.0)
+    monkeypatch.setattr(client_listener, "MIN_IDLE_S", 0.0)
+    monkeypatch.setattr(client_listener, "MAX_REJECTING_CONNECTIONS", 2)
 
     async def play(stage: Stage) -> None:
         stage.go.set()
@@ -836,7 +853,7 @@
             pairs.append(await stage.node.dial())
             pairs[-1][1].write(read(f"r{i}", f"k{i}"))
             assert await asyncio.wait_for(pairs[-1][0].readexactly(len(SERVED)), LIMIT_S) == SERVED
-            assert stage.node.clients.connected <= 4 + 2
+            assert stage.node.clients.connection_count <= 4 + 2
         assert len(stage.cache.seen) == 12
         for _, writer in pairs:
             writer.close()
@@ -858,7 +875,7 @@
     async def play(stage: Stage) -> None:
         stage.answer = b"*1\r\n" + whole
         stage.go.set()
-        stage.node.clients._room = 1 << 20
+        stage.node.clients._max_unsent_bytes = 1 << 20
         usual = await stage.node.dial()
         usual[1].write(read("r0"))
         assert await asyncio.wait_for(usual[0].readexactly(len(whole)), LIMIT_S) == whole
@@ -885,7 +902,7 @@
             writer.write(b"*4\r\n$6\r\nKV.")
             if i % 100 == 99:
                 assert await stage.node.ask(read(f"r{i}"), 4) in (b"-BUS", b"$5\r\n")
-            assert stage.node.clients.connected <= 64 + client_connection.MAX_REJECTING_CONNECTIONS
+            assert stage.node.clients.connection_count <= 64 + client_listener.MAX_REJECTING_CONNECTIONS
         assert len(stage.cache.seen) > 3
 
     staged(play)
@@ -948,7 +965,7 @@
 
         assert await node.ask(put(b"w1"), len(SERVED)) == SERVED
         reader, writer = await node.dial()
-        await until(lambda: node.clients.connected > 0)
+        await until(lambda: node.clients.connection_count > 0)
         await asyncio.sleep(0)
         for server in origin._writers:
             server.transport.abort()
--- a/tests/test_event_loop_lag.py
+++ b/tests/test_event_loop_lag.py
@@ -67,9 +67,9 @@
         loop = asyncio.get_running_loop()
         with socket.create_connection(node.address) as client:
             client.setblocking(False)
-            while not node.clients.connected:
+            while not node.clients.connection_count:
                 await asyncio.sleep(0.01)
-            (connection,) = node.clients._connections
+            (connection,) = node.clients.connections
             assert connection.transport is not None
             connection.transport.pause_reading()
             await loop.sock_sendall(client, read("q1", wait=250))
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -174,7 +174,7 @@
                 seen = gone
                 await asyncio.sleep(0.2)
             assert gone < LONGEST_VALUE // 2
-            (connection,) = scene.node.clients._connections
+            (connection,) = scene.node.clients.connections
             assert connection.transport is not None
             assert connection.transport.get_write_buffer_size() < 1 << 20
             length = 0
@@ -256,7 +256,7 @@
             reader, writer = await scene.ask("a")
             await took(reader, 50)
             scene.node.pool.remove_endpoint("s1")
-            (connection,) = scene.node.clients._connections
+            (connection,) = scene.node.clients.connections
             connection.pause_writing()
             go.set()
             (upstream,) = scene.node.pool._servers["s1"].connections
@@ -286,7 +286,7 @@
             reader, writer = await scene.ask("a")
             begin = len(bulk(VALUE)) - 12
             await took(reader, begin)
-            (connection,) = scene.node.clients._connections
+            (connection,) = scene.node.clients.connections
             connection.pause_writing()
             last.set()
             while b'succeeded"} 1' not in scene.node.host.metrics.text(0, 0, 0):
@@ -327,7 +327,7 @@
 
 
 def test_a_client_that_takes_nothing_of_its_value_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "STREAM_STALL_S", 0.2)
+    monkeypatch.setattr(client_connection, "STREAM_STALL_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         async with Scene(Giver(gives(head(LONGEST_VALUE), *[VALUE] * 4, TAIL))) as scene:
@@ -335,7 +335,7 @@
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             await asyncio.wait_for(scene.cache.left.wait(), LIMIT_S)
             await scene.at_rest()
-            assert not scene.node.clients.connected
+            assert not scene.node.clients.connection_count
             writer.close()
 
     run(test)
--- a/tests/test_resp.py
+++ b/tests/test_resp.py
@@ -22,9 +22,9 @@
     places = sorted({min(cut, len(data)) for cut in cuts})
     for start, end in zip([0, *places], [*places, len(data)], strict=True):
         reader.feed(data[start:end])
-        while (words := reader.next()) is not None:
+        while (words := reader.next_command()) is not None:
             found.append(words)
-    return found, reader.broken, reader.midway
+    return found, reader.framing_error, reader.has_partial_command
 
 
 @given(
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -13,7 +13,7 @@
 import pytest
 
 from holdgw.policy import Action, AttemptEnded, Event, Idempotency, Outcome, RequestClass, RoutingPolicy
-from holdgw.router import client_connection, connection_pool, program
+from holdgw.router import client_connection, client_listener, connection_pool, program
 from holdgw.router.config import Config, load_config
 from tests.helpers import MS, S, settings
 from tests.peers import HIT, LIMIT_S, MISS, SERVED, Agent, Cache, Node, Origin, command, entry, read, run
@@ -303,7 +303,7 @@
 def test_a_connection_without_a_whole_command_is_ended_and_an_asking_one_stays(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_connection, "COMMAND_S", 0.05)
+    monkeypatch.setattr(client_connection, "COMMAND_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
@@ -353,8 +353,8 @@
 def test_connections_that_ask_nothing_do_not_push_out_those_that_ask(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_connection, "FRESH_S", 0.0)
-    monkeypatch.setattr(client_connection, "COMMAND_S", 1000.0)
+    monkeypatch.setattr(client_connection, "FIRST_COMMAND_S", 0.0)
+    monkeypatch.setattr(client_connection, "COMMAND_TIMEOUT_S", 1000.0)
 
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
@@ -371,7 +371,7 @@
             silent.append(await node.dial())
             silent[-1][1].write(start)
             await asyncio.sleep(0.01)  # for the router to read it; none of it needs this to hold
-        while node.clients.connected < 8 or sum(reader.at_eof() for reader, _ in silent) < 20:
+        while node.clients.connection_count < 8 or sum(reader.at_eof() for reader, _ in silent) < 20:
             await asyncio.sleep(0.01)
         sender.write(read("r2"))
         assert await asyncio.wait_for(usual.readexactly(len(SERVED)), LIMIT_S) == SERVED
@@ -506,8 +506,9 @@
 
 def test_clients_that_ask_once_and_stay_leave_room_for_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
     # Found in incident re4a685: they held every connection that clients may have, idle, for 2.2 s each.
-    monkeypatch.setattr(client_connection, "FRESH_S", 0.0)
-    monkeypatch.setattr(client_connection, "IDLE_MANY_S", 1000.0)
+    monkeypatch.setattr(client_connection, "FIRST_COMMAND_S", 0.0)
+    monkeypatch.setattr(client_listener, "MIN_IDLE_S", 0.0)
+    monkeypatch.setattr(client_listener, "BUSY_IDLE_TIMEOUT_S", 1000.0)
 
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
@@ -523,7 +524,7 @@
             assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
             stayed.append((reader, writer))
         assert await asyncio.wait_for(stayed[0][0].read(), LIMIT_S) == b""  # the one idle longest goes first
-        while node.clients.connected > 8:
+        while node.clients.connection_count > 8:
             await asyncio.sleep(0.01)
         for _, writer in stayed:
             writer.close()
@@ -547,7 +548,7 @@
         here, there = socket.socketpair()
         reader, writer = await asyncio.open_connection(sock=here)
         writer.write(read("late", wait=100) + read("later", wait=900))
-        await node.clients.adopt(None, there.detach(), late=200 * 1_000_000)
+        await node.clients.adopt(None, there.detach(), possible_wait_ns=200 * 1_000_000)
         assert (await asyncio.wait_for(reader.readline(), LIMIT_S)).startswith((b"-BUSY", b"-ERR failed"))
         assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         assert [words[2] for words in cache.seen] == [b"later"]
