--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -40,7 +40,6 @@
 )
 from holdgw.router.attempt import Attempt
 from holdgw.router.cache_connection import CacheConnection
-from holdgw.router.client_connection import Reply
 from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.error_answers import BUSY, FAILED, busy
 from holdgw.router.event_loop_lag import LagMonitor
@@ -48,6 +47,7 @@
 from holdgw.router.health_check import HealthCheckExchange
 from holdgw.router.open_request import OpenRequest, OpenRequestTable
 from holdgw.router.origin_connection import OriginConnection
+from holdgw.router.reply import Reply
 from holdgw.router.timer_wheel import TimerWheel
 from holdgw.wire import resp
 from holdgw.wire.resp import Command
@@ -198,12 +198,12 @@
         deadline_ns = now_ns + command.info.timeout_ms * NS_PER_MS - unread_ns
         fault = find_fault(command, self._classes.get(command.info.fields["c"]))
         if fault:
-            reply.fail(fault)
+            reply.send_error_and_close(fault)
         elif self.open_requests.knows(request_id) or (
             self.shared is not None and not self.shared.claim(command.id)
         ):
             # Two requests of one id would share attempts, and one would get the other's answer.
-            reply.fail("duplicate id")
+            reply.send_error_and_close("duplicate id")
         elif self.open_requests.is_full() or deadline_ns <= now_ns:
             self.reject(command, reply)
         else:
@@ -211,7 +211,7 @@
 
     def _unread_for_ns(self, reply: Reply, now_ns: int) -> int:
         """How long the command may have waited unread, which counts towards its deadline."""
-        unread_ns = reply.late or self._lag_monitor.possible_lag_ns(now_ns)
+        unread_ns = reply.possible_wait_ns or self._lag_monitor.possible_lag_ns(now_ns)
         if not unread_ns and self._lag_monitor.lagged_recently(now_ns):
             # After a stall clients' connections are accepted one by one for longer than a sweep: then only
             # the kernel knows when a command came.
--- a/holdgw/router/streamed_value.py
+++ b/holdgw/router/streamed_value.py
@@ -33,13 +33,13 @@
 
     def start_answer(self, length: int) -> None:
         """Begin the client's answer, of a value of `length` bytes."""
-        self._request.reply.begin(resp.bulk_head(length), self)
+        self._request.reply.start_stream(resp.bulk_head(length), self)
 
     def write(self, data: bytes) -> None:
         """Pass a part of the value on, unless the client has left."""
         self._progress_ns = self._owner.now_ns()
         if self._request.stream is self:
-            self._request.reply.part(data)
+            self._request.reply.write_part(data)
 
     def complete(self) -> None:
         """The last part has come: end the client's answer."""
@@ -47,13 +47,13 @@
         # endpoint sends behind the value would stay unread, and the attempt would not end.
         self.resume()
         if self._detach(Disposition.SUCCEEDED):
-            self._request.reply.finish(b"\r\n")
+            self._request.reply.end_stream(b"\r\n")
 
     def break_off(self) -> None:
         """The attempt has ended; where the value is not complete, the client must be able to tell."""
         self.cancel_timer()
         if self._detach(Disposition.ABORTED):
-            self._request.reply.break_off(FAILED)
+            self._request.reply.abort_stream(FAILED)
 
     def client_disconnected(self) -> None:
         """End the attempt: nobody takes the rest of the value."""
