--- a/holdgw/cli/__init__.py
+++ b/holdgw/cli/__init__.py
@@ -1,5 +1,6 @@
-"""The command line, a file a command. What can't be used ends in one plain line that names file and field,
-and exit code 2.
+"""The command line, a file a command.
+
+What can't be used ends in one plain line that names file and field, and exit code 2.
 """
 
 from __future__ import annotations
--- a/holdgw/cli/common.py
+++ b/holdgw/cli/common.py
@@ -11,10 +11,10 @@
 
 
 class UsageError(Exception):
-    """Something given can't be used; one plain line."""
+    """An argument can't be used; the text is one plain line."""
 
 
-def folder_is_there(path: Path | None) -> None:
-    """Refuse a file to be written whose folder is missing, before hours of work go into it."""
+def require_parent_folder(path: Path | None) -> None:
+    """Raise UsageError where the folder of a file to be written is missing, before hours of work."""
     if path is not None and not path.absolute().parent.is_dir():
         raise UsageError(f"{path}: the folder is not there")
