--- a/bench/capacity_control.py
+++ b/bench/capacity_control.py
@@ -232,7 +232,7 @@
         "s",
         at_all("regions", "regions back: one again"),
         "how many are gone at once: each is pinged again in turn",
-        "`Membership._probe_gone`, one each 3 s, and refutations: `peers/membership.py`",
+        "`Prober.probe_gone`, one each 3 s, and refutations: `peers/probing.py`",
     ),
     Row(
         "C16",
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -330,8 +330,8 @@
     "incarnation-ignored": Mutant(
         "a router contradicts its death without a new incarnation",
         "holdgw.peers.membership",
-        "        self.incarnation = (update.incarnation + 1) % SERIALS\n",
-        "        self.incarnation = update.incarnation\n",
+        "        self._table.own.incarnation = (update.incarnation + 1) % SERIALS\n",
+        "        self._table.own.incarnation = update.incarnation\n",
         figure="returned",
     ),
     "own-evidence-below": Mutant(
--- a/bench/peer_cost.py
+++ b/bench/peer_cost.py
@@ -30,10 +30,12 @@
 
 from holdgw.peers import datagram, load_report
 from holdgw.peers.datagram import Message, MessageKind
+from holdgw.peers.dissemination import Send
 from holdgw.peers.gossip import FANOUT, REPORT_TICKS, TICK_S
 from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, ServerSample, hash_server
 from holdgw.peers.load_view import LoadView, Observations, SampledWait
-from holdgw.peers.membership import NS_PER_S, Membership, Send
+from holdgw.peers.membership import Membership
+from holdgw.peers.timing import NS_PER_S
 
 PARTS = ("record", "report", "snapshot", "receive", "membership")
 SLOTS, KEYS, SKEW = 8192, 1_000_000, 0.9
--- a/holdgw/peers/gossip.py
+++ b/holdgw/peers/gossip.py
@@ -15,8 +15,10 @@
 from holdgw.peers.aggregation_client import APPLY_AFTER_S, REPORT_INTERVAL_S, FallbackChange
 from holdgw.peers.aggregator import BYTES_PER_MEMBER, Outgoing
 from holdgw.peers.datagram import DecodeError, DropReason, MemberState
+from holdgw.peers.dissemination import Send
 from holdgw.peers.load_view import LoadSnapshot, LoadView, Observations
-from holdgw.peers.membership import NS_PER_S, Membership, Send
+from holdgw.peers.membership import Membership
+from holdgw.peers.timing import NS_PER_S
 from holdgw.peers.token_bucket import TokenBucket
 from holdgw.peers.update_budget import UPDATE_BYTES_PER_S
 
@@ -172,8 +174,8 @@
                 self._report_in = REPORT_TICKS
                 self._report(now)
         for change in self.membership.changes():
-            if max(change.before, change.now) > MemberState.SUSPECTED:
-                log.info("peers: router %d is %s", change.number, change.now.name.lower())
+            if max(change.before, change.after) > MemberState.SUSPECTED:
+                log.info("peers: router %d is %s", change.number, change.after.name.lower())
 
     def _report(self, now: int) -> None:
         """Send a load report to some peers, and give the owner a new snapshot."""
@@ -272,7 +274,7 @@
 
     def leave(self) -> None:
         """This router ends in good order: tell other routers."""
-        self._send_messages(self.membership.leave(self._now()))
+        self._send_messages(self.membership.leave())
 
     def close(self) -> None:
         """Close the socket and stop ticking."""
--- /dev/null
+++ b/holdgw/peers/probing.py
@@ -0,0 +1,210 @@
+"""Probing: one member a period is pinged, directly and then by way of others; pure.
+
+SWIM's failure detector (Das, Gupta and Motivala, 2002, sections 3.1 and 4.3), with Lifeguard's local health
+(Dadgar, Phillips and Currey, 2018): a router that may be receiving nothing itself suspects nobody.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
+from typing import NamedTuple
+
+from holdgw.peers.datagram import SERIALS, Message, MessageKind
+from holdgw.peers.dissemination import Disseminator, Send
+from holdgw.peers.local_health import MAX_SCORE, LocalHealth
+from holdgw.peers.member_table import MemberTable
+from holdgw.peers.timing import Timing, to_ns
+
+MAX_PROXIES = 3  # members that probe an unresponsive one indirectly
+MAX_RELAYED = 64  # open probes made for others
+
+
+class Phase(Enum):
+    """Of a probe."""
+
+    DIRECT = "direct"
+    INDIRECT = "indirect"
+
+
+@dataclass(slots=True)
+class _Probe:
+    """This router's own probe, at most one at a time."""
+
+    sequence: int
+    target: int
+    phase: Phase
+    due_ns: int
+    proxies: int = 0
+    """Members that were sent a ping request."""
+    proxies_reached: int = 0
+    """Of these, those that acknowledged the request."""
+
+
+class _RelayedProbe(NamedTuple):
+    """A probe made for another router."""
+
+    requester: int
+    requester_sequence: int
+    target: int
+    expires_ns: int
+
+
+class Prober:
+    """This router's probes, and those it makes for others."""
+
+    def __init__(
+        self,
+        table: MemberTable,
+        disseminator: Disseminator,
+        health: LocalHealth,
+        timing: Timing,
+        generator: random.Random,
+        on_failure: Callable[[int, int], None],
+        now: int,
+    ) -> None:
+        """`on_failure`: given a member that acknowledged no probe, and the time."""
+        self._table = table
+        self._disseminator = disseminator
+        self._health = health
+        self._timing = timing
+        self._random = generator
+        self._on_failure = on_failure
+        self._round: list[int] = []  # members that are still to be probed in it
+        self._probe: _Probe | None = None
+        self._relayed: dict[int, _RelayedProbe] = {}  # by own sequence number
+        self._sequence = generator.randrange(SERIALS)
+        # The first probe is at a random time of the interval: routers that start together would otherwise
+        # probe at the same instants for as long as they run.
+        self._next_probe_ns = now + to_ns(generator.random() * timing.probe_interval)
+        self._next_gone_probe_ns = now + to_ns(generator.random() * timing.gone_probe_interval)
+
+    def tick(self, now: int) -> list[Send]:
+        """Go on with the open probe, or begin the next, where that is due."""
+        self._drop_expired_relays(now)
+        sends: list[Send] = []
+        if self._probe is not None and now >= self._probe.due_ns:
+            sends += self._probe_timed_out(self._probe, now)
+        if now >= self._next_probe_ns and self._probe is None:
+            self._next_probe_ns = now + self._scaled_ns(self._timing.probe_interval)
+            sends += self._probe_next(now)
+        return sends
+
+    def probe_gone(self, now: int) -> list[Send]:
+        """Ping one member that is gone, where that is due: it may be back, or a partition have ended."""
+        if now < self._next_gone_probe_ns:
+            return []
+        self._next_gone_probe_ns = now + to_ns(self._timing.gone_probe_interval)
+        gone = self._table.gone()
+        return [self.ping(self._random.choice(gone))] if gone else []
+
+    def ping(self, number: int) -> Send:
+        """A ping whose ack is not awaited."""
+        return self._disseminator.message_to(number, MessageKind.PING, self._new_sequence())
+
+    def abandon(self, now: int) -> None:
+        """Abandon the open probe: this process has halted, and its acks may be unread."""
+        self._probe = None
+        self._next_probe_ns = max(self._next_probe_ns, now)
+
+    def _scaled_ns(self, seconds: float) -> int:
+        return to_ns(seconds * self._health.probe_multiplier)
+
+    def _new_sequence(self) -> int:
+        self._sequence = (self._sequence + 1) % SERIALS
+        return self._sequence
+
+    def _probe_next(self, now: int) -> list[Send]:
+        target = self._next_target()
+        if target is None:
+            return []
+        due_ns = now + self._scaled_ns(self._timing.ack_timeout)
+        self._probe = _Probe(self._new_sequence(), target, Phase.DIRECT, due_ns)
+        return [self._disseminator.message_to(target, MessageKind.PING, self._probe.sequence)]
+
+    def _next_target(self) -> int | None:
+        """The next present member of the round; a new round in a new order where this one is over."""
+        while self._round:
+            number = self._round.pop()
+            if self._table[number].is_present:
+                return number
+        self._round = self._table.others()
+        self._random.shuffle(self._round)
+        return self._round.pop() if self._round else None
+
+    def _probe_timed_out(self, probe: _Probe, now: int) -> list[Send]:
+        if probe.phase is Phase.DIRECT:
+            return self._probe_indirectly(probe, now)
+        self._probe = None
+        if probe.proxies and not probe.proxies_reached:
+            # No proxy has acknowledged its request, so that this router's own receiving is at fault: it must
+            # not suspect the target, since others would believe it.
+            self._health.degrade()
+        else:
+            self._on_failure(probe.target, now)
+        return []
+
+    def _probe_indirectly(self, probe: _Probe, now: int) -> list[Send]:
+        """Ping again, and request others to ping the same target."""
+        candidates = [number for number in self._table.others() if number != probe.target]
+        proxies = self._random.sample(candidates, min(MAX_PROXIES, len(candidates)))
+        probe.phase = Phase.INDIRECT
+        probe.due_ns = now + self._scaled_ns(self._timing.probe_interval - self._timing.ack_timeout)
+        probe.proxies = len(proxies)
+        message_to = self._disseminator.message_to
+        ping = message_to(probe.target, MessageKind.PING, probe.sequence)
+        requests = [
+            message_to(number, MessageKind.PING_REQUEST, probe.sequence, probe.target) for number in proxies
+        ]
+        return [ping, *requests]
+
+    # Messages received
+
+    def receive(self, message: Message, now: int) -> list[Send]:
+        """Act on a message of a probe; other kinds are ignored."""
+        match message.kind:
+            case MessageKind.PING:
+                return [self._ack(message.sender, message.sequence, self._table.own.number)]
+            case MessageKind.PING_REQUEST:
+                return self._relay_probe(message, now)
+            case MessageKind.ACK:
+                return self._receive_ack(message)
+            case MessageKind.PING_REQUEST_ACK:
+                if self._probe is not None and self._probe.sequence == message.sequence:
+                    self._probe.proxies_reached += 1
+        return []
+
+    def _ack(self, to: int, sequence: int, target: int) -> Send:
+        return self._disseminator.message_to(to, MessageKind.ACK, sequence, target)
+
+    def _relay_probe(self, message: Message, now: int) -> list[Send]:
+        """Probe the target of a ping request for its sender."""
+        target = message.target
+        is_other = target < len(self._table) and target != self._table.own.number
+        if not is_other or len(self._relayed) >= MAX_RELAYED:
+            return []
+        sequence = self._new_sequence()
+        expires_ns = now + to_ns(self._timing.probe_interval * (1 + MAX_SCORE))
+        self._relayed[sequence] = _RelayedProbe(message.sender, message.sequence, target, expires_ns)
+        message_to = self._disseminator.message_to
+        accepted = message_to(message.sender, MessageKind.PING_REQUEST_ACK, message.sequence)
+        return [accepted, message_to(target, MessageKind.PING, sequence)]
+
+    def _receive_ack(self, message: Message) -> list[Send]:
+        relayed = self._relayed.get(message.sequence)
+        if relayed is not None and relayed.target == message.sender:
+            del self._relayed[message.sequence]
+            return [self._ack(relayed.requester, relayed.requester_sequence, message.sender)]
+        probe = self._probe
+        if probe is None or probe.sequence != message.sequence:
+            return []
+        if probe.target in (message.sender, message.target):
+            self._probe = None
+            self._health.improve()
+        return []
+
+    def _drop_expired_relays(self, now: int) -> None:
+        for sequence in [s for s, relayed in self._relayed.items() if now >= relayed.expires_ns]:
+            del self._relayed[sequence]
--- a/holdgw/router/config.py
+++ b/holdgw/router/config.py
@@ -9,7 +9,7 @@
 import orjson
 
 from holdgw.peers.gossip import PeerConfig
-from holdgw.peers.update_budget import LEAST_BYTES_PER_S, UPDATE_BYTES_PER_S
+from holdgw.peers.update_budget import MIN_BYTES_PER_S, UPDATE_BYTES_PER_S
 from holdgw.policy import NS_PER_S, Settings
 from holdgw.policy.settings_reader import WireFormatError, read_settings, typed
 from holdgw.router.platform import read_file
@@ -147,9 +147,9 @@
     """What membership's updates may cost, bytes a second; the default where the file names nothing."""
     if value is None:
         return UPDATE_BYTES_PER_S
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not value >= LEAST_BYTES_PER_S:
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not value >= MIN_BYTES_PER_S:
         raise ValueError(
-            f"peer_update_bytes: expected a number of at least {LEAST_BYTES_PER_S:g}, got {value!r}"
+            f"peer_update_bytes: expected a number of at least {MIN_BYTES_PER_S:g}, got {value!r}"
         )
     return float(value)
 
--- a/holdgw/simulation/membership_tier.py
+++ b/holdgw/simulation/membership_tier.py
@@ -9,7 +9,9 @@
 from holdgw.emulators.relay_model import RelayModel
 from holdgw.peers import datagram
 from holdgw.peers.datagram import MemberState
-from holdgw.peers.membership import NS_PER_S, Membership, Send, Timing
+from holdgw.peers.dissemination import Send
+from holdgw.peers.membership import Membership
+from holdgw.peers.timing import NS_PER_S, Timing
 from holdgw.peers.update_budget import UPDATE_BYTES_PER_S
 from holdgw.simulation.event_queue import EventQueue
 
@@ -75,7 +77,7 @@
         """It ends in good order."""
         member = self.members[number]
         if member is not None:
-            self._send(number, member.leave(self.now))
+            self._send(number, member.leave())
             self.kill(number)
 
     def _tick(self, number: int, member: Membership) -> None:
@@ -88,7 +90,7 @@
 
     def _look(self, number: int, member: Membership) -> None:
         for change in member.changes():
-            self.on_change(number, change.number, change.now)
+            self.on_change(number, change.number, change.after)
 
     def _send(self, number: int, sends: list[Send]) -> None:
         for send in sends:
--- a/tests/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -17,7 +17,8 @@
     MessageKind,
     is_newer,
 )
-from holdgw.peers.membership import NS_PER_S, Membership
+from holdgw.peers.membership import Membership
+from holdgw.peers.timing import NS_PER_S
 from holdgw.simulation.membership_tier import MembershipTier
 from tests.helpers import damaged
 
@@ -47,7 +48,7 @@
 def held(tier: MembershipTier, state: MemberState) -> dict[int, set[int]]:
     """By router that lives: whom it holds to be that."""
     return {
-        member.me: {one.number for one in member.members if one.state is state}
+        member.number: {one.number for one in member.members if one.state is state}
         for member in tier.members
         if member is not None
     }
--- a/tests/test_peer_parts.py
+++ b/tests/peers/test_peer_parts.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from holdgw.peers.token_bucket import NS_PER_S, TokenBucket
-from holdgw.peers.update_budget import COMPACT_BYTES, LEAST_BYTES_PER_S, UpdateBudget
-from holdgw.peers.update_queue import FAIR_SHARE, JOIN_HANDICAP, Priority, UpdateQueue
+from holdgw.peers.update_budget import COMPACT_BYTES, MIN_BYTES_PER_S, UpdateBudget
+from holdgw.peers.update_queue import FIFO_SHARE, JOIN_HANDICAP, Priority, UpdateQueue
 
 
 @given(st.lists(st.tuples(st.integers(0, NS_PER_S), st.integers(1, 600)), max_size=200))
@@ -72,8 +72,8 @@
     queue = UpdateQueue(2)
     queue.push(1)
     queue.push(2)
-    queue.note_heard(2)
-    queue.note_heard(3)  # not queued
+    queue.note_received(2)
+    queue.note_received(3)  # not queued
     assert queue.take(1) == [1]
     assert Counter(n for _ in range(3) for n in queue.take(1)) == {1: 1, 2: 2}
 
@@ -105,7 +105,7 @@
         for one in queue.take(2):
             told[one] += 1
         for one in heard[:2]:
-            queue.note_heard(one)
+            queue.note_received(one)
         heard = heard[2:]
     while len(queue):
         taken = queue.take(3)
@@ -120,13 +120,13 @@
     queue = UpdateQueue(transmissions)
     queue.push(0, kind)
     told = 0
-    for number in range(1, FAIR_SHARE * transmissions + 1):
+    for number in range(1, FIFO_SHARE * transmissions + 1):
         queue.push(number, Priority.REFUTATION)
         told += queue.take(limit).count(0)
     assert told == transmissions
 
 
-RATES = st.floats(LEAST_BYTES_PER_S, 5000.0)
+RATES = st.floats(MIN_BYTES_PER_S, 5000.0)
 
 
 @given(
--- a/tests/test_update_budget.py
+++ b/tests/peers/test_update_budget.py
@@ -13,10 +13,12 @@
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers import datagram
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
+from holdgw.peers.dissemination import TRANSMISSION_FACTOR
 from holdgw.peers.gossip import PeerConfig, PeerNode
 from holdgw.peers.load_view import LoadSnapshot, Observations
-from holdgw.peers.membership import NS_PER_S, TRANSMISSIONS, Membership, Timing
-from holdgw.peers.update_budget import LEAST_BYTES_PER_S, UPDATE_BYTES_PER_S
+from holdgw.peers.membership import Membership
+from holdgw.peers.timing import NS_PER_S, Timing
+from holdgw.peers.update_budget import MIN_BYTES_PER_S, UPDATE_BYTES_PER_S
 from holdgw.simulation.membership_tier import MembershipTier
 
 ALLOWED = 2000.0  # bytes a second of a router, said and heard
@@ -108,7 +110,7 @@
     assert knows_all(one, set(range(size)) - dead)
 
 
-@pytest.mark.parametrize(("rate", "deaths"), [(LEAST_BYTES_PER_S, 8), (UPDATE_BYTES_PER_S, 0)])
+@pytest.mark.parametrize(("rate", "deaths"), [(MIN_BYTES_PER_S, 8), (UPDATE_BYTES_PER_S, 0)])
 def test_no_router_that_is_wrongly_suspected_is_held_for_gone_amid_deaths_or_not(
     rate: float, deaths: int
 ) -> None:
@@ -149,7 +151,7 @@
 
 def test_an_update_in_compact_messages_is_still_told_on_its_own_as_often_as_without() -> None:
     members, named = 50, range(10, 30)
-    timing = Timing(gone_again=1e6)  # probes of those that are gone would carry updates, too
+    timing = Timing(gone_probe_interval=1e6)  # probes of those that are gone would carry updates, too
     one, told, compact = Membership(0, members, 0, 1, 0, timing), Counter[int](), 0
     lies = tuple(MemberUpdate(number, MemberState.GONE, 0, 0) for number in named)
     now = S // 20
@@ -163,7 +165,7 @@
         now += S // 10
         sends = one.tick(now) + one.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0), now)
     assert compact > 5
-    assert {told[number] for number in named} == {int(TRANSMISSIONS * (1 + log2(members + 1)))}
+    assert {told[number] for number in named} == {int(TRANSMISSION_FACTOR * (1 + log2(members + 1)))}
 
 
 def test_a_refutation_amid_many_updates_goes_in_messages_of_both_forms_by_turns() -> None:
@@ -194,7 +196,7 @@
 
 
 def test_a_leave_is_told_with_no_budget_left() -> None:
-    one, now = member_without_budget()
-    sends = one.leave(now)
+    one, _ = member_without_budget()
+    sends = one.leave()
     assert len(sends) == 6
     assert all(MemberUpdate(0, MemberState.LEFT, 0, 0) in send.message.updates for send in sends)
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -33,11 +33,12 @@
 from holdgw.peers.aggregated_exchange import AggregatedExchange, Role
 from holdgw.peers.aggregator import Outgoing
 from holdgw.peers.datagram import DecodeError
+from holdgw.peers.dissemination import Send
 from holdgw.peers.heavy_hitters import COUNT_HALF_LIFE_S
 from holdgw.peers.load_merge import MAX_MEAN_RATIO, MIN_SLOT_SHARE
 from holdgw.peers.load_report import LoadReport, ServerSample, hash_server
 from holdgw.peers.load_view import MAX_ROUTER_SHARE, LoadView, Observations
-from holdgw.peers.membership import Membership, Send
+from holdgw.peers.membership import Membership
 from holdgw.peers.merged_view import SHARE_STEP, ViewPart
 from holdgw.peers.report_table import NS_PER_S, REPORT_MAX_AGE
 from holdgw.peers.sequenced_report import MAX_SAMPLES, MAX_SLOTS, SequencedReport
