--- a/holdgw/cores/host_system.py
+++ b/holdgw/cores/host_system.py
@@ -17,7 +17,7 @@
 
 from holdgw.cores.shared_table import SharedTable, attach, create
 from holdgw.operation.process_link import ClientHandover, ProcessLink
-from holdgw.router.client_connection import ClientListener, copy_of
+from holdgw.router.client_listener import ClientListener, duplicate_descriptor
 from holdgw.router.config import Config, ConfigError
 from holdgw.router.process import python_with
 from holdgw.router.program import passed_socket
@@ -275,4 +275,4 @@
 
     def duplicate_client(self, transport: Any) -> int:
         """A descriptor of a client's connection, to hand over."""
-        return copy_of(transport)
+        return duplicate_descriptor(transport)
--- a/holdgw/router/open_request.py
+++ b/holdgw/router/open_request.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from holdgw.router.client_connection import Reply
+from holdgw.router.reply import Reply
 from holdgw.wire.resp import Command
 from holdgw.wire.unread import NS_PER_MS
 
--- a/tests/router/test_event_loop_lag.py
+++ b/tests/router/test_event_loop_lag.py
@@ -72,9 +72,9 @@
         loop = asyncio.get_running_loop()
         with socket.create_connection(node.address) as client:
             client.setblocking(False)
-            while not node.clients.connected:
+            while not node.clients.connection_count:
                 await asyncio.sleep(0.01)
-            (connection,) = node.clients._connections
+            (connection,) = node.clients.connections
             assert connection.transport is not None
             connection.transport.pause_reading()
             await loop.sock_sendall(client, read("q1", wait=250))
