--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -22,22 +22,28 @@
 FOLDER = ".native"
 DIGEST = "digest"
 MODULES = (
+    "operation/metrics.py",
     "policy/endpoint_health.py",
+    "policy/endpoint_selection.py",
     "policy/hot_keys.py",
     "policy/interface.py",
+    "policy/load_reports.py",
+    "policy/load_shedding.py",
     "policy/origin_limiter.py",
     "policy/pending_request.py",
+    "policy/reported_response_time.py",
     "policy/routing_policy.py",
     "policy/slot_rebalancing.py",
+    "policy/slot_retention.py",
     "policy/slot_table.py",
-    "wire/resp.py",
-    "operation/metrics.py",
+    "policy/slow_start.py",
+    "policy/tracked_endpoint.py",
+    "policy/warm_up.py",
     "router/attempt.py",
     "router/cache_connection.py",
     "router/client_connection.py",
     "router/client_listener.py",
     "router/connection_close.py",
-    "router/reply.py",
     "router/connection_pool.py",
     "router/dispatcher.py",
     "router/error_answers.py",
@@ -47,8 +53,10 @@
     "router/open_request.py",
     "router/origin_connection.py",
     "router/origin_protocol.py",
+    "router/reply.py",
     "router/streamed_value.py",
     "router/timer_wheel.py",
+    "wire/resp.py",
 )
 """Compiled as one group, in which calls and fields need no look-up; they import each other mostly.
 
