--- a/holdgw/router/streamed_value.py
+++ b/holdgw/router/streamed_value.py
@@ -18,7 +18,7 @@
 class StreamedValue:
     """The answer to one request while it is passed on; its request's deadline does not end it.
 
-    The client's connection pauses and resumes it (client_connection.Source).
+    The client's connection pauses and resumes it (reply.StreamSource).
     """
 
     def __init__(self, owner: ExchangeOwner, exchange: Exchange, request: OpenRequest) -> None:
