--- a/holdgw/emulators/discovery.py
+++ b/holdgw/emulators/discovery.py
@@ -220,7 +220,7 @@
         self.loop.call_later(self._free_at - now, self._serve, connection, query)
 
     def _serve(self, connection: _Connection, query: dict[str, str]) -> None:
-        # Danger: what this call takes in for other routers' views would be told to none of their watches.
+        # This call also brings other routers' views up to date; their watches have to be answered first.
         self._rings()
         if "index" in query:
             connection.wait(int(query["index"]), int(query.get("wait", "0")))
--- a/holdgw/emulators/fault_proxy.py
+++ b/holdgw/emulators/fault_proxy.py
@@ -46,9 +46,9 @@
     def end(self) -> None:
         """The listener may take connections again; those that filled its queue are taken and reset.
 
-        Danger: a dial or two may have come up before the queue was full, and what was written there would be
-        taken for something that its router sends now. On a cut line none comes up (PROTOCOL: or is reset
-        when the machine is back).
+        A connection or two may have been established before the queue was full, and what was written there
+        would be taken for something that its router sends now. On a cut line none is established (PROTOCOL:
+        or it is reset when the machine is back).
         """
         with contextlib.suppress(OSError):
             while True:
@@ -230,7 +230,7 @@
             while self._came:
                 at, data = self._came.popleft()
                 self._held -= len(data)
-                # Danger: judged by when it came out here, a router would have sent it long after it did.
+                # The time when the router sent it; it comes out here only as the line is back.
                 self._protocol.left = at  # type: ignore[attr-defined]
                 self._protocol.data_received(data)
                 self._protocol.left = 0.0  # type: ignore[attr-defined]
@@ -285,8 +285,8 @@
         if self._reading and not reads:
             self.gate.loop.remove_reader(sock.fileno())
         if cut and self._silence is None:
-            # Danger: what came up a moment ago waits in the queue, and would come out of it when the line is
-            # back, as if its router had sent then what it has long given up.
+            # A connection established a moment ago waits in the queue. Accepted when the line is back, it
+            # would look as if its router sent then what it has long abandoned.
             if self._reading:
                 self._accept()
             self._silence = Silence(sock)
--- a/holdgw/emulators/node_model.py
+++ b/holdgw/emulators/node_model.py
@@ -193,8 +193,8 @@
         if self.fell is not None:
             return done
         if self.work.paused(now):
-            # Danger: to turn a job away, or to answer a probe, in a pause would show that the process still
-            # thinks; a stopped process takes what the kernel holds for it once it goes on.
+            # A stopped process neither rejects a job nor answers a health check; once it goes on it takes
+            # what the kernel holds for it.
             self._inbox.append(job)
             return done
         return done + self._take(now, job)
--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -331,7 +331,7 @@
         ran = [attempt for attempt in attempts.get(one.request, []) if attempt.result not in NO_EFFECT]
         if not ran:
             continue
-        # Danger: by when they were read, the second could pass for the first, and no time be between them.
+        # Not by when they were read: the second could then pass for the first, with no time between them.
         first, began = min(ran, key=history.reached_at), ran[0].at
         for attempt in attempts[one.request]:
             late = history.left_at(attempt) - history.reached_at(first)
--- a/holdgw/harness/deployment.py
+++ b/holdgw/harness/deployment.py
@@ -44,7 +44,10 @@
 def build(path: Path) -> None:
     """Run the deploy file's `build`, if it names one, as whoever deploys does before `run`.
 
-    Raises DeployError. Danger: `run` may start what an earlier build left, and not the sources as they are.
+    Without it `run` may start what an earlier build left, and not the sources as they are.
+
+    Raises:
+        DeployError: The build failed.
     """
     if "build" not in _read(path):
         return
--- a/holdgw/harness/routers.py
+++ b/holdgw/harness/routers.py
@@ -47,8 +47,8 @@
 
 def share_cores(cores: Collection[int]) -> tuple[set[int], set[int]]:
     """Cores for the emulator, and cores for the routers."""
-    # Danger: when a list changes, all routers work it in at once; on machines of their own none feels the
-    # others, but here they would hold the emulator up for 50 ms. With few cores they have to share.
+    # When the endpoint list changes, all routers apply it at once. On machines of their own none would notice
+    # the others; here they would delay the emulator by 50 ms. With few cores they have to share.
     ordered = sorted(cores)
     if len(ordered) < LEAST_TO_DIVIDE:
         return set(ordered), set(ordered)
@@ -76,8 +76,8 @@
     ip: str, kind: socket.SocketKind = socket.SOCK_STREAM, taken: Collection[Address] = ()
 ) -> Address:
     """An address that nobody listens on, and none of those `taken`; nobody else uses this ip."""
-    # Danger: what was free a moment ago, and is promised to another listener, may be drawn again: of 200
-    # routers one did not start, in one play of some hundred.
+    # The kernel may draw a port again that was free a moment ago and is already promised to another listener:
+    # in one run of some hundred, one of 200 routers did not start. Hence `taken`.
     while True:
         with socket.socket(type=kind) as probe:
             probe.bind((ip, 0))
@@ -263,7 +263,7 @@
         """Its machine is gone with all that was on it. Its kernel's connections stay open and silent until it
         is started again, and are reset then (PROTOCOL, "The network"): until then it is only stopped.
         """
-        # Danger: a kill would have this machine's kernel tell everybody at once, which a lost one never does.
+        # A kill would have the kernel reset all connections at once; a lost machine resets none.
         self._to_group(signal.SIGSTOP)
         self._change(-1, told_to_end=self._clock(), wanted="KILL")
         self.lost = True
--- a/holdgw/harness/worker.py
+++ b/holdgw/harness/worker.py
@@ -202,7 +202,7 @@
             for node in list(self.nodes.values()):
                 if node.alive:
                     node.flush(args["share"], self.setup.seed, args["serial"])
-                # Danger: to flush forty nodes in one go holds all of them up for 50 ms, which no flush does.
+                # To flush forty nodes in one turn of the loop would delay all of them by 50 ms.
                 await asyncio.sleep(0)
         elif verb == "spoil":
             for node in self.nodes.values() if not target else [self.nodes[target]]:
--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -60,8 +60,8 @@
 )
 """Compiled as one group, in which calls and fields need no look-up; they import each other mostly.
 
-Danger: what msgspec reads and writes must not be compiled (`policy/records.py` holds it): mypyc keeps of an
-annotation like dict[str, LearntServer] the dict alone, and what is read by it are plain dicts.
+What msgspec encodes and decodes must not be compiled: mypyc reduces an annotation like
+dict[str, EndpointHandover] to dict, and msgspec would then decode plain dicts.
 """
 TIMEOUT_S = 900.0  # a compile takes 40 s; a build may take 20 minutes
 EXCERPT = 600  # characters of the compiler's words that are shown
@@ -107,8 +107,8 @@
     if held(root) == wanted:
         return False
     shutil.rmtree(root / FOLDER, ignore_errors=True)
-    # Danger: a build that is cut off leaves half a copy; it gets its name only once it is whole. Two builds
-    # at once each make their own, and the later one finds the place taken.
+    # An interrupted build would leave half a copy, so the copy gets its name only once it is complete. Of two
+    # builds at once the later one finds the name taken.
     with tempfile.TemporaryDirectory(dir=root, prefix=f"{FOLDER}-") as name:
         made = Path(name) / "copy"
         for path in _sources(root):
--- a/holdgw/simulation/loop.py
+++ b/holdgw/simulation/loop.py
@@ -104,8 +104,8 @@
     ) -> asyncio.Task[Any]:
         """A task of this process; it is known until it is over."""
         task: asyncio.Task[Any] = asyncio.Task(coro, loop=self, name=name, context=context)
-        # Danger: a task that nobody holds is collected whenever memory is, which no seed decides; and the
-        # tasks of a dead process would then run their `finally` blocks.
+        # A task that nothing references is collected at a time that no seed decides, and a task of a dead
+        # process would then run its `finally` blocks. Kept here, it lives as long as its process.
         self.tasks[task] = None
         task.add_done_callback(self._task_over)
         return task
