--- a/bench/herd.py
+++ b/bench/herd.py
@@ -118,7 +118,7 @@
 
 def switch(_self: slot_rebalancing.SlotRebalancer, _slot: int, ranking: Sequence[Any]) -> int:
     """Where a slot would be were it the one that says the shortest wait who has it."""
-    count = min(len(ranking), slot_rebalancing.RANKED)
+    count = min(len(ranking), slot_rebalancing.MAX_RECEIVER_RANK)
     return min(range(count), key=lambda i: ranking[i].reported_response_time_ns or math.inf)
 
 
@@ -126,7 +126,7 @@
     """Play a case."""
     options, trouble, when, since = CASES[case]
     if way == "picture":
-        slot_rebalancing.PACE = 0.0
+        slot_rebalancing.MAX_MIGRATION_PER_S = 0.0
     if way == "switch":
         slot_rebalancing.SlotRebalancer.receiver_rank = switch  # type: ignore[method-assign, assignment]
     played = Fleet(
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -314,10 +314,9 @@
     "switch": Mutant(
         "a slot goes to the ranked server that says the shortest wait, all at once",
         "holdgw.policy.slot_rebalancing",
-        "        if not self._surplus_capacity or not ranking or slot in self._sticky:\n"
-        "            return 0\n",
+        "        if not self._spare_load or not ranking or slot in self._sticky:\n            return 0\n",
         "        if ranking:\n"
-        "            count = min(len(ranking), RANKED)\n"
+        "            count = min(len(ranking), MAX_RECEIVER_RANK)\n"
         "            return min(range(count), key=lambda i: ranking[i].reported_response_time_ns or 1e18)\n",
         figure="herd",
     ),
--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -32,6 +32,8 @@
     "policy/pending_request.py",
     "policy/reported_response_time.py",
     "policy/routing_policy.py",
+    "policy/slot_demand.py",
+    "policy/slot_loads.py",
     "policy/slot_rebalancing.py",
     "policy/slot_retention.py",
     "policy/slot_table.py",
--- a/tests/test_slot_rebalancing.py
+++ b/tests/test_slot_rebalancing.py
@@ -12,12 +12,13 @@
 from holdgw.peers.load_report import LoadReport
 from holdgw.peers.load_view import MAX_ROUTER_SHARE, LoadView
 from holdgw.policy import LoadSnapshotChanged, slot_rebalancing
+from holdgw.policy.slot_demand import MAX_TRACKED_SLOTS
 from holdgw.policy.slot_rebalancing import (
-    KEPT_LEAST,
-    PACE,
-    PASSED_MOST,
-    PLANNED,
-    SCORES_AT_ONCE,
+    MAX_ELAPSED_S,
+    MAX_MIGRATION_PER_S,
+    MAX_SCORES_PER_EVENT,
+    MIN_DONOR_RETENTION,
+    PLAN_INTERVAL_NS,
     SlotRebalancer,
     uniform_hash,
 )
@@ -103,7 +104,10 @@
     for i in range(24):
         fed(3.0, table=table, begun=i * 3.0)
         after = {seed: table._retention.get(seed, 1.0) for seed in before}
-        assert max(abs(after[seed] - before[seed]) for seed in before) <= PACE * PASSED_MOST + 0.01
+        assert (
+            max(abs(after[seed] - before[seed]) for seed in before)
+            <= MAX_MIGRATION_PER_S * MAX_ELAPSED_S + 0.01
+        )
         before = after
     assert before[BUSY.seed] < 0.6
 
@@ -162,7 +166,14 @@
         monkeypatch.setattr(BUSY, "reported_response_time_ns", 0.0 if i < 100 or i >= 200 else 2.0)
         table.add_sample(asks(), 2000.0, i * 3 * S // 10)
         now = i * 3 * S // 10
-        table.plan(lambda slot, _: (RANKS[slot], 1), lambda _: True, NODES, set(), now, pressed=1.0)
+        table.plan(
+            lambda slot, _: (RANKS[slot], 1),
+            lambda _: True,
+            NODES,
+            set(),
+            now,
+            min_donor_response_time_ns=1.0,
+        )
         kept.append(table._retention.get(BUSY.seed, 1.0))
     assert kept[98] == 1.0
     assert kept[198] < 0.8
@@ -174,8 +185,8 @@
     for i in range(1, 300):
         table.add_sample(asks(), 2000.0, i * 3 * S // 10)
         table.plan(lambda slot, _: (RANKS[slot], 1), lambda _: True, NODES, {IDLE.seed}, i * 3 * S // 10)
-    assert IDLE.seed not in table._surplus_capacity
-    assert table._surplus_capacity
+    assert IDLE.seed not in table._spare_load
+    assert table._spare_load
 
 
 def test_one_event_goes_through_so_many_slots_and_no_more() -> None:
@@ -192,8 +203,8 @@
         asked = 0
         table.add_sample(asks(), 2000.0, i * 3 * S // 10)
         table.plan(rank, lambda slot: slot in known, NODES, set(), i * 3 * S // 10)
-        assert asked <= SCORES_AT_ONCE // len(NODES)
-        assert len(table._popularity) <= slot_rebalancing.SLOTS_MOST
+        assert asked <= MAX_SCORES_PER_EVENT // len(NODES)
+        assert len(table._demand._weighted_requests) <= MAX_TRACKED_SLOTS
     assert BUSY.seed in table._retention
 
 
@@ -242,13 +253,13 @@
 def test_forty_routers_together_leave_no_server_idle() -> None:
     """The decision modules alone, 40 of them over 20 servers: the same load with the plan and without."""
     found = {}
-    for pace in (0.0, PACE):
+    for pace in (0.0, MAX_MIGRATION_PER_S):
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(slot_rebalancing, "PACE", pace)
+            patch.setattr(slot_rebalancing, "MAX_MIGRATION_PER_S", pace)
             played = Fleet(40, 20, 400.0, 3, service=0.03, keys=2000)
             played.run(24.0)
             found[pace] = played.spread(12.0, 24.0)
-    assert found[PACE][1] > found[0.0][1] + 0.1
-    assert found[PACE][0] < found[0.0][0] + 0.05
-    assert PLANNED <= 2 * S
-    assert KEPT_LEAST > 0.0
+    assert found[MAX_MIGRATION_PER_S][1] > found[0.0][1] + 0.1
+    assert found[MAX_MIGRATION_PER_S][0] < found[0.0][0] + 0.05
+    assert PLAN_INTERVAL_NS <= 2 * S
+    assert MIN_DONOR_RETENTION > 0.0
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -122,7 +122,7 @@
 ) -> None:
     """Simulated, 40 routers at 6 requests a second each over 20 servers: a day with and without peers."""
     monkeypatch.setattr(
-        slot_rebalancing, "PACE", 0.0
+        slot_rebalancing, "MAX_MIGRATION_PER_S", 0.0
     )  # slots that move cost fetches: their gain is told elsewhere
     text = """
 name = "x"
