--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -22,6 +22,7 @@
 FOLDER = ".native"
 DIGEST = "digest"
 MODULES = (
+    "operation/metrics.py",
     "policy/endpoint_health.py",
     "policy/endpoint_selection.py",
     "policy/hot_keys.py",
@@ -40,15 +41,24 @@
     "policy/slow_start.py",
     "policy/tracked_endpoint.py",
     "policy/warm_up.py",
-    "wire/resp.py",
-    "operation/metrics.py",
+    "router/attempt.py",
     "router/cache_connection.py",
     "router/client_connection.py",
+    "router/client_listener.py",
+    "router/connection_close.py",
+    "router/connection_pool.py",
     "router/dispatcher.py",
-    "router/origin_connection.py",
+    "router/error_answers.py",
     "router/event_loop_lag.py",
-    "router/connection_pool.py",
+    "router/exchange_owner.py",
+    "router/health_check.py",
+    "router/open_request.py",
+    "router/origin_connection.py",
+    "router/origin_protocol.py",
+    "router/reply.py",
+    "router/streamed_value.py",
     "router/timer_wheel.py",
+    "wire/resp.py",
 )
 """Compiled as one group, in which calls and fields need no look-up; they import each other mostly.
 
--- a/holdgw/simulation/invariants.py
+++ b/holdgw/simulation/invariants.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING, Any
 
 from holdgw.harness.checker import Broken
-from holdgw.router.client_connection import MAX_REJECTING_CONNECTIONS
-from holdgw.router.dispatcher import MAX_RECENT_IDS
+from holdgw.router.client_listener import MAX_REJECTING_CONNECTIONS
+from holdgw.router.open_request import MAX_RECENT_IDS
 from holdgw.router.program import CLIENT_SHARE, OWN_DESCRIPTORS
 from holdgw.simulation.process import Process
 from holdgw.simulation.world import NS_PER_MS, World, name_of
@@ -31,9 +31,9 @@
     "bytes_held",
     "requests",
     "events",
-    "module_requests",
-    "module_flights",
-    "module_held",
+    "policy_requests",
+    "policy_coalesced_fetches",
+    "policy_queued_writes",
     "clients",
     "dials",
     "waiting",
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -10,7 +10,7 @@
 import pytest
 
 from holdgw.policy import Outcome, RoutingPolicy, StreamStarted
-from holdgw.router import client_connection, dispatcher
+from holdgw.router import client_connection, streamed_value
 from holdgw.wire.http import HttpError, HttpReader
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE
 from tests.emulated_nodes import LIMIT_S, MISS, Node, Peer, command, entry, read, run
@@ -89,7 +89,14 @@
         """Wait until nothing of a request or a long value is left in any table."""
         while True:
             tables = {**self.node.host.tables(), **self.node.pool.tables()}
-            kept = ("requests", "module_requests", "module_flights", "streams", "bytes_held", "waiting")
+            kept = (
+                "requests",
+                "policy_requests",
+                "policy_coalesced_fetches",
+                "streams",
+                "bytes_held",
+                "waiting",
+            )
             if not any(tables[name] for name in kept):
                 return
             await asyncio.sleep(0.01)
@@ -174,7 +181,7 @@
                 seen = gone
                 await asyncio.sleep(0.2)
             assert gone < LONGEST_VALUE // 2
-            (connection,) = scene.node.clients._connections
+            (connection,) = scene.node.clients.connections
             assert connection.transport is not None
             assert connection.transport.get_write_buffer_size() < 1 << 20
             length = 0
@@ -256,7 +263,7 @@
             reader, writer = await scene.ask("a")
             await took(reader, 50)
             scene.node.pool.remove_endpoint("s1")
-            (connection,) = scene.node.clients._connections
+            (connection,) = scene.node.clients.connections
             connection.pause_writing()
             go.set()
             (upstream,) = scene.node.pool._servers["s1"].connections
@@ -286,7 +293,7 @@
             reader, writer = await scene.ask("a")
             begin = len(bulk(VALUE)) - 12
             await took(reader, begin)
-            (connection,) = scene.node.clients._connections
+            (connection,) = scene.node.clients.connections
             connection.pause_writing()
             last.set()
             while b'succeeded"} 1' not in scene.node.host.metrics.text(0, 0, 0):
@@ -314,7 +321,7 @@
 
 @pytest.mark.sources_only
 def test_a_server_that_gives_nothing_more_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(dispatcher, "STREAM_STALL_NS", 200_000_000)
+    monkeypatch.setattr(streamed_value, "STREAM_STALL_NS", 200_000_000)
 
     async def test() -> None:
         async with Scene(Giver(gives(head(len(VALUE)), VALUE[:1000]))) as scene:
@@ -327,7 +334,7 @@
 
 
 def test_a_client_that_takes_nothing_of_its_value_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_connection, "STREAM_STALL_S", 0.2)
+    monkeypatch.setattr(client_connection, "STREAM_STALL_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         async with Scene(Giver(gives(head(LONGEST_VALUE), *[VALUE] * 4, TAIL))) as scene:
@@ -335,7 +342,7 @@
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             await asyncio.wait_for(scene.cache.left.wait(), LIMIT_S)
             await scene.at_rest()
-            assert not scene.node.clients.connected
+            assert not scene.node.clients.connection_count
             writer.close()
 
     run(test)
