--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -25,8 +25,8 @@
 from holdgw.operation.takeover import Hello, Message, OverrideChanged, Takeover, decode
 from holdgw.policy import EndpointHandover, HandoverState, Outcome, TenantHandover
 from holdgw.router.program import Program
+from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 from tests.helpers import MS, S, ended, fleet, only_send, request, sends, settings, started
-from tests.peers import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
 from tests.test_operation import call, config, get, put, until_serving
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -365,9 +365,9 @@
         (fetch, *_) = sends(elder.handle(ended(send, Outcome.MISS), now)) or (None,)
         if fetch is not None:
             elder.handle(ended(fetch, Outcome.ERROR, attempt=1, closed=True), now + MS)
-    dead = next(iter(elder._caches.nodes.values()))
+    dead = next(iter(elder._caches.endpoints.values()))
     for _ in range(4):
-        dead.judge(Outcome.CONNECT_FAILED, False, 4 * S)
+        dead.record_attempt(Outcome.CONNECT_FAILED, False, 4 * S)
     assert elder.ejected() == [dead.entry.id]
     successor = started(settings(), fleet(3), now=4 * S)
     fresh = successor._guards["a"].limit
