--- a/holdgw/policy/reported_response_time.py
+++ b/holdgw/policy/reported_response_time.py
@@ -4,7 +4,7 @@
 
 import math
 
-from holdgw.policy.interface import NS_PER_S
+from holdgw.policy.units import NS_PER_S
 
 HALF_LIFE_NS = NS_PER_S  # of a reported response time: a report says less with each second
 
--- a/holdgw/policy/slow_start.py
+++ b/holdgw/policy/slow_start.py
@@ -5,10 +5,11 @@
 import math
 import random
 
-from holdgw.policy.interface import NS_PER_S, Settings
 from holdgw.policy.pending_request import PendingRequest
+from holdgw.policy.settings import Settings
 from holdgw.policy.slot_table import SlotTable
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
+from holdgw.policy.units import NS_PER_S
 from holdgw.policy.warm_up import MAX_TOKENS
 
 CAPACITY_FRACTION = 0.42  # of the overload factor: what an endpoint can do is known from the others only
--- a/holdgw/policy/tracked_endpoint.py
+++ b/holdgw/policy/tracked_endpoint.py
@@ -5,7 +5,8 @@
 from hashlib import blake2b
 
 from holdgw.policy.endpoint_health import EndpointHealth
-from holdgw.policy.interface import Endpoint, EndpointHandover
+from holdgw.policy.endpoints import Endpoint
+from holdgw.policy.handover_state import EndpointHandover
 from holdgw.policy.reported_response_time import ReportedResponseTime
 from holdgw.policy.slot_retention import (
     DONOR_FAILURE_FRACTION,
