--- a/tests/test_cold_start.py
+++ b/tests/policy/test_cold_start.py
@@ -46,7 +46,7 @@
         assert part_sent(routers, STARTED + age) == pytest.approx(bears, abs=0.03)
 
 
-def test_one_that_a_list_names_alone_is_sent_the_part_of_one() -> None:
+def test_first_endpoint_of_a_new_list_is_sent_the_part_of_one() -> None:
     """Everything is back, and the list names server after server: the first of 20 gets a 20th of that."""
     assert part_sent(100, STARTED, named=1) == pytest.approx(0.3 * 2.0 * CAPACITY_FRACTION / 20, abs=0.006)
 
@@ -56,5 +56,5 @@
     assert part_sent(100, STARTED) < 0.3
 
 
-def test_where_some_are_warm_all_is_sent() -> None:
+def test_all_requests_are_sent_where_some_endpoints_are_warm() -> None:
     assert part_sent(20, STARTED, warm=10) > 0.95
--- a/tests/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -39,7 +39,7 @@
     return counts[server] / 600
 
 
-def test_a_server_that_tells_of_a_long_queue_gives_slots_up_before_an_answer_is_late() -> None:
+def test_endpoint_that_reports_a_long_queue_releases_slots_before_an_answer_is_late() -> None:
     router = started(settings(**REPORTS), fleet(6))
     full = fleet(6)[2].id
     before = sent_to(router, full, 0, {})
@@ -60,7 +60,7 @@
     assert abs(shares[0] - shares[1]) < 0.1
 
 
-def test_where_all_tell_the_same_nobody_gives_slots_up() -> None:
+def test_no_endpoint_releases_slots_where_all_report_the_same_load() -> None:
     router = started(settings(**REPORTS), fleet(6))
     loads = {server.id: (200.0, 8.0) for server in fleet(6)}
     sent_to(router, "", 0, loads)
@@ -136,7 +136,7 @@
     assert owners() == usual
 
 
-def test_reports_without_those_fields_change_nothing() -> None:
+def test_load_reports_without_known_fields_change_nothing() -> None:
     router = started(settings(tenants=(), load_report_fields=("inflight",)), fleet(6))
     send = only_send(router.handle(request("r", tenant=None), 0))
     assert router.handle(changed(ended(send, Outcome.OK), load_report=(900.0,)), 20 * MS) == []
--- a/tests/test_slot_rebalancing.py
+++ b/tests/policy/test_slot_rebalancing.py
@@ -25,7 +25,7 @@
 from holdgw.policy.slot_table import SLOTS
 from holdgw.simulation.fleet import Fleet
 from tests.helpers import MS, S, fleet, settings, started
-from tests.test_large_fleet import REPORTS, serve
+from tests.policy.test_large_fleet import REPORTS, serve
 
 KNOWN = {**REPORTS, "gossip_allowed": True}
 
@@ -99,7 +99,7 @@
     assert len(moved) < 0.2 * len(RANKS)  # and hardly a slot more than must
 
 
-def test_no_more_moves_in_a_second_than_is_stated() -> None:
+def test_slots_migrate_at_no_more_than_the_bound_a_second() -> None:
     table, before = SlotRebalancer(), dict.fromkeys((node.seed for node in NODES), 1.0)
     for i in range(24):
         fed(3.0, table=table, begun=i * 3.0)
@@ -112,17 +112,17 @@
     assert before[BUSY.seed] < 0.6
 
 
-def test_routers_that_hear_different_parts_place_the_slots_alike() -> None:
+def test_routers_with_different_samples_place_the_slots_alike() -> None:
     one, other = placed(fed(90.0, noise=1, rests_on=300.0)), placed(fed(90.0, noise=2, rests_on=300.0))
     assert sum(one[slot] == other[slot] for slot in RANKS) > 0.97 * len(RANKS)
 
 
-def test_a_few_requests_move_next_to_nothing() -> None:
+def test_few_samples_migrate_next_to_nothing() -> None:
     table = fed(0.9, rests_on=5.0)
     assert table._retention.get(BUSY.seed, 1.0) > 0.9
 
 
-def test_slots_go_home_when_no_news_comes() -> None:
+def test_slots_return_when_no_samples_come() -> None:
     table = fed(90.0)
     before = table._retention[BUSY.seed]
     assert before < 0.6
@@ -132,7 +132,7 @@
     assert table._retention.get(BUSY.seed, 1.0) > 0.98
 
 
-def test_a_slot_asked_for_much_stays_and_others_make_room() -> None:
+def test_popular_slot_is_sticky_and_other_slots_migrate() -> None:
     table = SlotRebalancer()
     heavy = next(slot for slot in RANKS if RANKS[slot][0] is BUSY)
     share = asks()
@@ -144,7 +144,7 @@
     assert table._retention[BUSY.seed] < 0.6
 
 
-def test_own_evidence_goes_before_the_picture(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_own_evidence_goes_before_the_plan(monkeypatch: pytest.MonkeyPatch) -> None:
     table = fed(90.0)
     to_idle = [slot for slot, seed in placed(table).items() if seed == IDLE.seed and RANKS[slot][0] is BUSY]
     assert to_idle
@@ -160,7 +160,7 @@
     assert all(table.receiver_rank(slot, RANKS[slot]) == 0 for slot in to_idle)
 
 
-def test_a_server_that_answers_at_once_gives_nothing_more_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_endpoint_with_a_short_response_time_releases_no_more_slots(monkeypatch: pytest.MonkeyPatch) -> None:
     table, kept = SlotRebalancer(), []
     for i in range(1, 300):
         monkeypatch.setattr(BUSY, "reported_response_time_ns", 0.0 if i < 100 or i >= 200 else 2.0)
@@ -180,7 +180,7 @@
     assert kept[-1] == pytest.approx(kept[205], abs=0.02)  # nor does it take back what it gave
 
 
-def test_a_cold_server_is_given_nothing() -> None:
+def test_warming_endpoint_receives_no_slots() -> None:
     table = SlotRebalancer()
     for i in range(1, 300):
         table.add_sample(asks(), 2000.0, i * 3 * S // 10)
@@ -189,7 +189,7 @@
     assert table._spare_load
 
 
-def test_one_event_goes_through_so_many_slots_and_no_more() -> None:
+def test_one_event_ranks_a_bounded_number_of_slots() -> None:
     table, asked = SlotRebalancer(), 0
     known: set[int] = set()
 
@@ -208,7 +208,7 @@
     assert BUSY.seed in table._retention
 
 
-def test_the_module_follows_the_plan_and_a_hot_slot_does_not() -> None:
+def test_requests_of_a_migrated_slot_go_to_its_receiver() -> None:
     servers = fleet(20)
     router = started(settings(**KNOWN), servers)
     lot = random.Random(5)
@@ -230,7 +230,7 @@
         assert serve(router, f"a{slot}", key, 31 * S, {}) == taker
 
 
-def test_one_liar_counts_for_no_more_than_its_bound() -> None:
+def test_router_with_false_reports_counts_for_no_more_than_the_bound() -> None:
     view = LoadView(0, 1)
     for who in range(1, 20):
         view.receive(LoadReport(who, 1, (), 11, {100 + who: 11}), S)
@@ -250,7 +250,7 @@
     assert view.shares(S)[0][7] == pytest.approx(0.25)
 
 
-def test_forty_routers_together_leave_no_server_idle() -> None:
+def test_forty_routers_together_leave_no_endpoint_idle() -> None:
     """The decision modules alone, 40 of them over 20 servers: the same load with the plan and without."""
     found = {}
     for pace in (0.0, MAX_MIGRATION_PER_S):
--- a/tests/test_slot_table.py
+++ b/tests/policy/test_slot_table.py
@@ -24,7 +24,7 @@
     return [table.rank(slot, now)[0].entry.id for slot in range(slots)]
 
 
-def test_balance_within_a_fifth_of_the_mean() -> None:
+def test_slots_are_balanced_within_a_fifth_of_the_mean() -> None:
     held = holders(table_of(fleet(10)), slots=SLOTS)
     counts = [held.count(server.id) for server in fleet(10)]
     assert sum(counts) == SLOTS
@@ -32,7 +32,7 @@
     assert min(counts) > 0.8 * SLOTS / 10
 
 
-def test_every_table_is_the_same_whatever_the_order_of_arrival() -> None:
+def test_ranking_does_not_depend_on_the_order_of_arrival() -> None:
     other = table_of(tuple(reversed(fleet(10))))
     assert holders(table_of(fleet(10))) == holders(other)
 
@@ -83,12 +83,12 @@
     assert all(h == w for h, w in zip(at_start, warm, strict=True) if h != cold.id)
 
 
-def test_whole_fleet_cold_keeps_its_placement() -> None:
+def test_fleet_that_warms_up_together_keeps_its_placement() -> None:
     restarted = tuple(replace(server, started_ns=50 * S) for server in fleet(12))
     assert holders(table_of(restarted, **COLD), 52 * S) == holders(table_of(fleet(12)))
 
 
-def test_list_weights_count_only_where_they_state_sizes() -> None:
+def test_list_weights_count_only_where_they_state_capacities() -> None:
     servers = tuple(Endpoint(f"s{i}", weight=3.0 if i == 0 else 1.0) for i in range(10))
     sized = holders(table_of(servers, weights_state_capacity=True), slots=SLOTS).count("s0")
     equal = holders(table_of(servers), slots=SLOTS).count("s0")
@@ -96,7 +96,7 @@
     assert 0.08 < equal / SLOTS < 0.12
 
 
-def test_remembered_rankings_stay_right_through_many_comings_and_goings() -> None:
+def test_remembered_rankings_equal_fresh_ones_through_many_changes() -> None:
     # Found by timing: going through every slot for each newcomer stalled the router for 125 ms.
     rng = random.Random(1)
     live = {f"s{i}" for i in range(30)}
--- a/tests/test_spread.py
+++ b/tests/policy/test_spread.py
@@ -15,7 +15,7 @@
 from holdgw.policy.slot_table import SLOTS
 from holdgw.simulation.search import play_seed
 from tests.helpers import MS, S, fleet, request, settings, started
-from tests.test_large_fleet import REPORTS, serve
+from tests.policy.test_large_fleet import REPORTS, serve
 
 SERVERS = fleet(20)
 KNOWN = {**REPORTS, "gossip_allowed": True}
@@ -32,7 +32,7 @@
     return {serve(router, f"{key}-{now}-{i}", key, now + i * 30 * MS, {}) for i in range(40)}
 
 
-def test_a_key_hot_for_all_is_spread_by_one_that_sees_it_for_the_first_time() -> None:
+def test_key_hot_at_all_routers_has_more_owners_at_one_that_meets_it_first() -> None:
     router = started(settings(**KNOWN), SERVERS)
     first = {serve(router, "a", "hot", 0, {})}
     router.handle(LoadSnapshotChanged({}, {slot("hot"): 0.1}, ENOUGH), 0)
@@ -40,14 +40,14 @@
     assert 5 <= len(owners(router, "hot", 3 * S)) <= 8  # 0.1 of 20 servers' load, a quarter of a server each
 
 
-def test_a_key_that_one_router_alone_sees_often_is_no_hot_one() -> None:
+def test_key_popular_at_one_router_only_is_not_hot() -> None:
     router = started(settings(**KNOWN), SERVERS)
     assert len(owners(router, "mine", S)) > 5  # all that this router was asked for
     router.handle(LoadSnapshotChanged({}, {slot("hot"): 0.1}, ENOUGH), 3 * S)
     assert len(owners(router, "mine", 3 * S)) == 1
 
 
-def test_a_router_that_sees_a_good_part_of_all_goes_by_its_own_counts() -> None:
+def test_router_with_a_large_part_of_all_requests_goes_by_its_own_counts() -> None:
     router = started(settings(**KNOWN), SERVERS)
     router.handle(LoadSnapshotChanged({}, {slot("other"): 0.1}, ENOUGH, 0.5 * ENOUGH), 0)
     assert len(owners(router, "mine", S)) > 5  # all that this router was asked for
@@ -55,7 +55,7 @@
     assert len(owners(router, "mine", 3 * S)) == 1
 
 
-def test_shares_that_rest_on_too_little_count_for_nothing_and_so_do_those_that_end() -> None:
+def test_snapshot_of_too_few_requests_is_ignored() -> None:
     router = started(settings(**KNOWN), SERVERS)
     router.handle(LoadSnapshotChanged({}, {}, MIN_SNAPSHOT_REQUESTS - 1), 0)
     assert len(owners(router, "mine", S)) > 5
@@ -77,7 +77,7 @@
     assert node.slot_retention < 1.0  # it gives slots up by what others were told
 
 
-def test_the_same_old_news_again_and_again_sheds_no_further() -> None:
+def test_repeated_old_load_report_releases_no_more_slots() -> None:
     router = started(settings(**KNOWN), SERVERS)
     node = router._caches.endpoints[SERVERS[3].id]
     for i in range(1, 30):
@@ -88,7 +88,7 @@
     assert node.slot_retention > 0.3  # of one word, whatever its repeats
 
 
-def test_a_picture_says_nothing_of_who_can_be_reached() -> None:
+def test_load_snapshot_ends_no_ejection() -> None:
     router = started(settings(**KNOWN), SERVERS)
     node = router._caches.endpoints[SERVERS[3].id]
     node.health.ejected = True
@@ -98,7 +98,7 @@
     assert node.health._probability < 0
 
 
-def test_what_was_seen_is_told_once_and_bounded() -> None:
+def test_observations_are_returned_once_and_bounded() -> None:
     router = started(settings(**KNOWN), SERVERS)
     seen = Counter(serve(router, f"r{i}", f"k{i % 3}", i * 30 * MS, {}) for i in range(9))
     waits, asked = router.take_observations()
@@ -111,13 +111,13 @@
     assert len(router.take_observations()[1]) <= MAX_OBSERVED_SLOTS
 
 
-def test_a_router_without_peers_notes_nothing() -> None:
+def test_router_without_gossip_records_no_observations() -> None:
     router = started(settings(**REPORTS), SERVERS)
     serve(router, "a", "k", 0, {})
     assert router.take_observations() == ({}, {})
 
 
-def test_many_routers_that_see_little_take_fewer_keys_for_hot_together(
+def test_many_routers_with_few_requests_each_find_fewer_hot_keys_by_a_shared_view(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Simulated, 40 routers at 6 requests a second each over 20 servers: a day with and without peers."""
