--- a/bench/slopes_limits.py
+++ b/bench/slopes_limits.py
@@ -3,7 +3,7 @@
 Each router has the decisions' own `OriginLimiter` with its part of one quota; calls come to each by a Poisson
 stream of its part of twice the quota. Where the origin bears half of the quota only, it answers badly while
 more than that was admitted in the last second over all, and bad answers cut the limit of the router that got
-them, as `logic.py` does: two in a row or one in five, once in a round trip.
+them, as `origin_concurrency.py` does: two in a row or one in five, once in a round trip.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from bench.capacity_model import Measurement
 from bench.slopes import REPEATS, Readings, measurement
 from holdgw.policy import NS_PER_S, Tenant
+from holdgw.policy.origin_concurrency import FAILURE_SMOOTHING, OVERLOAD_FAILURE_FRACTION
 from holdgw.policy.origin_limiter import OriginLimiter
-from holdgw.policy.routing_policy import BAD_SAMPLES, BAD_SHARE
 
 ROUTERS = (10, 50, 100, 200, 400, 760)
 QUOTA = 760.0  # calls a second for all routers together
@@ -28,19 +28,19 @@
 
 
 class Guard:
-    """One router's suppressor, and what it makes of the origin's answers."""
+    """One router's limiter, and what it makes of the origin's answers."""
 
     def __init__(self, routers: int, seed: int) -> None:
-        self.suppressor = OriginLimiter(Tenant("all", 1.0, QUOTA), routers, random.Random(seed))
+        self.limiter = OriginLimiter(Tenant("all", 1.0, QUOTA), routers, random.Random(seed))
         self.bad, self.last_cut = 0.0, 0
 
     def answered(self, well: bool, now: int) -> None:
-        """Raise the limit, or cut it, by the rule of `Router._judge_fetch`."""
-        self.bad += ((not well) - self.bad) / BAD_SAMPLES
+        """Raise the limit, or cut it, by the rule of `OriginConcurrency.record_attempt`."""
+        self.bad += ((not well) - self.bad) / FAILURE_SMOOTHING
         if well:
-            self.suppressor.rise(now)
-        elif self.bad >= BAD_SHARE and now - self.last_cut >= TRIP_NS:
-            self.suppressor.cut(now)
+            self.limiter.raise_limit(now)
+        elif self.bad >= OVERLOAD_FAILURE_FRACTION and now - self.last_cut >= TRIP_NS:
+            self.limiter.cut_limit(now)
             self.last_cut = now
 
 
@@ -57,7 +57,7 @@
         while waiting and waiting[0][0] <= now:
             at, which, well = waiting.pop(0)
             guards[which].answered(well, at)
-        if guards[i].suppressor.admit(now):
+        if guards[i].limiter.admit(now):
             recent = len(times) - bisect_left(times, now - NS_PER_S)
             times.append(now)
             insort(waiting, (now + TRIP_NS, i, recent < capacity))
@@ -104,6 +104,6 @@
             readings.add("worst over capacity", routers, worst / (QUOTA / 2))
             mean, _ = sums(admitted(routers, seed, ALL_WELL, skewed(routers, seed)))
             readings.add("mean at skewed demand", routers, mean / QUOTA)
-            floor = Guard(routers, seed).suppressor.floor * routers
+            floor = Guard(routers, seed).limiter.min_rate_limit * routers
             readings.add("least of the sum", routers, floor / QUOTA)
     return measurement("limits", readings)
--- a/holdgw/policy/hot_keys.py
+++ b/holdgw/policy/hot_keys.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Generic, TypeVar
 
-from holdgw.policy.interface import LoadSnapshotChanged
+from holdgw.policy.events import LoadSnapshotChanged
 
 Key = TypeVar("Key", int, str)
 
--- a/holdgw/policy/load_reports.py
+++ b/holdgw/policy/load_reports.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from holdgw.policy.disabled_features import load_report_indexes
-from holdgw.policy.interface import Settings
+from holdgw.policy.settings import Settings
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 
 NS_PER_MS = 1e6
--- a/holdgw/policy/pending_request.py
+++ b/holdgw/policy/pending_request.py
@@ -1,62 +1,74 @@
-"""A request that the policy still has to finish, and where its attempts may go."""
+"""A request that the policy has not finished, with the state of its attempts."""
 
 from __future__ import annotations
 
-from holdgw.policy.interface import NS_PER_S, DedupScope, Idempotency, RequestArrived, RequestClass
+from holdgw.policy.actions import AttemptPurpose
+from holdgw.policy.events import RequestArrived
 from holdgw.policy.origin_limiter import OriginLimiter
+from holdgw.policy.settings import RequestClass
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 
-ON_THE_WAY = NS_PER_S // 20  # from when a request is written until it is there, at most
-
 
 class PendingRequest:
-    """An open request; it lives on after its final answer until its attempt has ended."""
-
-    def __init__(self, event: RequestArrived, cls: RequestClass, guard: OriginLimiter) -> None:
-        self.id, self.key, self.deadline_ns, self.is_write = (
-            event.request_id,
-            event.key,
-            event.deadline_ns,
-            event.is_write,
-        )
-        self.cls, self.guard = cls, guard
-        self.slot = self.sends = self.sent_at = 0
-        self.slot_popularity = 0.0  # its slot's share of the requests here
-        self.failed: list[TrackedEndpoint] = []
-        self.node: TrackedEndpoint | None = None
-        self.ran: tuple[TrackedEndpoint, int] | None = (
-            None  # the first attempt that may have run: where, when sent
-        )
-        self.spared = False  # has been asked for again after an answer that stayed out
-        self.warm_up_draw = 0.0  # by which it is one of those that cold servers bear; 0: not drawn yet
-        self.patience = 0  # after which the attempt that is out counts as lost; 0: not at all
-        self.fetching = self.out = self.leads = self.waiting = self.done = self.streams = False
-
-    def may_send(self, node: TrackedEndpoint, now: int) -> bool:
-        """Rule 2: what may have run goes out again only where and while its repeat is dropped."""
-        if self.ran is None or self.cls.idempotency is Idempotency.IDEMPOTENT:
-            return True
-        here, there = node.entry, self.ran[0].entry
-        if self.cls.idempotency is Idempotency.NOT_IDEMPOTENT or self.write_within(now) <= 0:
-            return False
-        if self.cls.dedup_scope is DedupScope.ALL:
-            return True
-        return here.zone == there.zone and (
-            self.cls.dedup_scope is DedupScope.ZONE or here.cell == there.cell
-        )
-
-    def write_within(self, now: int) -> int:
-        """How long a repeat may still be written for: it must be there while the first one is remembered.
-
-        Danger: a repeat that is decided on in time may wait for a connection, and comes when the first one is
-        forgotten. It happens twice then. It costs a class whose window is as short as a dial its repeats.
-        """
-        assert self.ran is not None
-        return self.ran[1] + self.cls.dedup_window_ns - ON_THE_WAY - now
-
-    def may_refuse(self) -> bool:
-        """Rule 2: a refusal says that a further try is harmless."""
-        keyed_anywhere = (
-            self.cls.idempotency is Idempotency.IDEMPOTENCY_KEY and self.cls.dedup_scope is DedupScope.ALL
-        )
-        return self.ran is None or self.cls.idempotency is Idempotency.IDEMPOTENT or keyed_anywhere
+    """An open request; it stays after its final answer until its attempt has ended."""
+
+    def __init__(
+        self,
+        event: RequestArrived,
+        request_class: RequestClass,
+        origin_limiter: OriginLimiter,
+        slot: int,
+    ) -> None:
+        self.id = event.request_id
+        self.key = event.key
+        self.deadline_ns = event.deadline_ns
+        self.is_write = event.is_write
+        self.request_class = request_class
+        self.origin_limiter = origin_limiter
+        self.slot = slot
+        self.slot_popularity = 0.0  # fraction of all requests that are for its slot
+        self.warm_up_draw = 0.0  # drawn once, by which endpoints that warm up take it or not; 0: not yet
+        self.is_answered = False  # it has its final answer, or its client has left
+        self.is_waiting = False  # for another's fetch, in the queue of writes, or for a retry
+        self.leads_fetch = False
+
+        self.attempts = 0
+        self.endpoint: TrackedEndpoint | None = None  # of the last attempt
+        self.sent_at_ns = 0  # the last attempt
+        self.attempt_timeout_ns = 0  # after which the last attempt counts as lost in transit; 0: never
+        self.in_flight = False
+        self.is_at_origin = False  # the attempt in flight
+        self.is_streaming = False  # its answer has begun
+        self.failed_endpoints: list[TrackedEndpoint] = []
+        self.retried_after_loss = False  # once, where an answer was lost in transit
+        self.first_run_endpoint: TrackedEndpoint | None = None  # of the first attempt that may have run
+        self.first_run_at_ns = 0  # when that attempt was sent
+
+    def begin_attempt(self, endpoint: TrackedEndpoint, now: int) -> AttemptPurpose:
+        """Note that an attempt is sent; returns what it is made for."""
+        self.attempts += 1
+        purpose = self._purpose(endpoint)
+        self.endpoint = endpoint
+        self.sent_at_ns = now
+        self.in_flight = True
+        return purpose
+
+    def _purpose(self, endpoint: TrackedEndpoint) -> AttemptPurpose:
+        if self.is_at_origin:
+            return AttemptPurpose.WRITE if self.is_write else AttemptPurpose.FETCH
+        if endpoint.ejected:
+            return AttemptPurpose.TRIAL
+        if self.attempts == 1:
+            return AttemptPurpose.FIRST
+        if endpoint is self.endpoint:
+            return AttemptPurpose.SAME_ENDPOINT
+        return AttemptPurpose.NEXT_ENDPOINT
+
+    def end_attempt(self, may_have_run: bool) -> None:
+        """Note that the attempt in flight has ended."""
+        self.in_flight = False
+        self.is_at_origin = False
+        self.is_streaming = False
+        if may_have_run and self.first_run_endpoint is None:
+            self.first_run_endpoint = self.endpoint
+            self.first_run_at_ns = self.sent_at_ns
--- a/holdgw/policy/slot_demand.py
+++ b/holdgw/policy/slot_demand.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Mapping
 
-from holdgw.policy.interface import NS_PER_S
+from holdgw.policy.units import NS_PER_S
 
 DEMAND_MEMORY_S = 20.0  # in which what was counted fades to a third: slots migrate for what lasts
 SNAPSHOT_SPAN_S = 3.6  # of requests behind one snapshot: snapshots closer together tell of the same ones
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -141,13 +141,13 @@
             "recent": self.open_requests.recent_count,
             "timers": len(self.timer_wheel),
             "events": len(self._events),
-            **{f"policy_{name}": size for name, size in self._policy.table_sizes().items()},
+            **{f"policy_{name}": size for name, size in self._policy.table_sizes()._asdict().items()},
         }
 
     def count_running_totals(self, counters: IntervalCounters) -> dict[str, float]:
         """Count the growth of what has its own running totals; returns the states of now."""
         for reason, count in self._policy.rejections_by_reason.items():
-            counters.add_growth(f"given up: {reason}", count)
+            counters.add_growth(f"given up: {reason.value}", count)
         for (class_name, disposition), count in self.metrics.results.items():
             counters.add_growth(f"{class_name} {disposition.value}", count)
         for name, count in self._pool.counts.items():
@@ -405,7 +405,7 @@
             return
         now_ns = self.now_ns()
         to_origin = action.endpoint_id in self._origins
-        attempt = Attempt(self, request, action.endpoint_id, to_origin, action.purpose)
+        attempt = Attempt(self, request, action.endpoint_id, to_origin, action.purpose.value)
         too_many = request.attempts > self.settings.max_attempts
         if request.answered or request.remaining_ms(now_ns) < 1 or too_many:
             attempt.end(Outcome.NOT_SENT)
--- a/tests/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -89,8 +89,7 @@
             self.deliver(event, now)
         unanswered = [name for name, known in self.open.items() if known.closed_at is None]
         assert not unanswered
-        assert not self.router._requests
-        assert not self.router._flights
+        assert self.router.table_sizes()[:2] == (0, 0)
 
     def deliver(self, event: Event, now: int) -> None:
         if isinstance(event, RequestArrived):
