--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -22,6 +22,7 @@
 FOLDER = ".native"
 DIGEST = "digest"
 MODULES = (
+    "operation/metrics.py",
     "policy/actions.py",
     "policy/endpoint_health.py",
     "policy/endpoint_selection.py",
@@ -46,11 +47,11 @@
     "policy/tracked_endpoint.py",
     "policy/units.py",
     "policy/warm_up.py",
-    "wire/resp.py",
-    "operation/metrics.py",
     "router/attempt.py",
     "router/cache_connection.py",
     "router/client_connection.py",
+    "router/client_listener.py",
+    "router/connection_close.py",
     "router/connection_pool.py",
     "router/dispatcher.py",
     "router/error_answers.py",
@@ -60,8 +61,10 @@
     "router/open_request.py",
     "router/origin_connection.py",
     "router/origin_protocol.py",
+    "router/reply.py",
     "router/streamed_value.py",
     "router/timer_wheel.py",
+    "wire/resp.py",
 )
 """Compiled as one group, in which calls and fields need no look-up; they import each other mostly.
 
