--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -40,6 +40,8 @@
     "policy/retry_policy.py",
     "policy/routing_policy.py",
     "policy/settings.py",
+    "policy/slot_demand.py",
+    "policy/slot_loads.py",
     "policy/slot_rebalancing.py",
     "policy/slot_retention.py",
     "policy/slot_table.py",
@@ -115,8 +117,8 @@
     if held(root) == wanted:
         return False
     shutil.rmtree(root / FOLDER, ignore_errors=True)
-    # Danger: a build that is cut off leaves half a copy; it gets its name only once it is whole. Two builds
-    # at once each make their own, and the later one finds the place taken.
+    # An interrupted build would leave half a copy, so the copy gets its name only once it is complete. Of two
+    # builds at once the later one finds the name taken.
     with tempfile.TemporaryDirectory(dir=root, prefix=f"{FOLDER}-") as name:
         made = Path(name) / "copy"
         for path in _sources(root):
