--- a/bench/aggregation_figures.py
+++ b/bench/aggregation_figures.py
@@ -11,7 +11,8 @@
 
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers import merged_view, sequenced_report
-from holdgw.peers.load_report import ServerSample, hash_server
+from holdgw.peers.load_encoding import ServerSample
+from holdgw.peers.load_report import hash_server
 from holdgw.peers.load_view import LoadSnapshot
 from holdgw.simulation.aggregated_tier import NS_PER_S, AggregatedTier
 
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -15,7 +15,7 @@
 from bench import aggregation_figures
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers.datagram import MemberState
-from holdgw.peers.load_view import NS_PER_S
+from holdgw.peers.timing import NS_PER_S
 from holdgw.simulation.fleet import Fleet, SimulatedPolicy
 from holdgw.simulation.membership_tier import MembershipTier
 
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from holdgw.peers.load_report import MAX_SLOTS, LoadReport
-from holdgw.peers.load_view import NS_PER_S
+from holdgw.peers.timing import NS_PER_S
 from holdgw.policy import slot_rebalancing
 from holdgw.simulation.fleet import Fleet, SimulatedPolicy
 
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -344,8 +344,8 @@
     "view-age-ignored": Mutant(
         "what a view says counts as measured when the view arrived",
         "holdgw.peers.view_selection",
-        "_HeldWait(wait, now - view.held - age, now)",
-        "_HeldWait(wait, now, now)",
+        "_ReceivedWait(wait, now - view.age - age, now)",
+        "_ReceivedWait(wait, now, now)",
         figure="view-age",
     ),
     "counted-twice": Mutant(
--- a/bench/peer_cost.py
+++ b/bench/peer_cost.py
@@ -32,7 +32,8 @@
 from holdgw.peers.datagram import Message, MessageKind
 from holdgw.peers.dissemination import Send
 from holdgw.peers.gossip import FANOUT, REPORT_TICKS, TICK_S
-from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, ServerSample, hash_server
+from holdgw.peers.load_encoding import ServerSample
+from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, hash_server
 from holdgw.peers.load_view import LoadView, Observations, SampledWait
 from holdgw.peers.membership import Membership
 from holdgw.peers.timing import NS_PER_S
--- a/bench/slopes_aggregation.py
+++ b/bench/slopes_aggregation.py
@@ -18,7 +18,8 @@
 from holdgw.peers import sequenced_report
 from holdgw.peers.aggregator import Aggregator
 from holdgw.peers.aggregator_choice import CHOSEN, rank_aggregators
-from holdgw.peers.load_report import LoadReport, ServerSample
+from holdgw.peers.load_encoding import ServerSample
+from holdgw.peers.load_report import LoadReport
 from holdgw.peers.sequenced_report import MAX_SAMPLES, MAX_SLOTS, SequencedReport
 
 NS_PER_S = 1_000_000_000
--- a/holdgw/peers/aggregated_exchange.py
+++ b/holdgw/peers/aggregated_exchange.py
@@ -1,6 +1,6 @@
 """One member's part in aggregation, whatever its role: a router, an aggregator, or both; pure.
 
-The caller sends what is returned, and has checked that the source of what it hands over is a member's
+The caller sends what is returned, and has checked that the source of what it passes in is a member's
 address.
 """
 
@@ -9,7 +9,7 @@
 from collections import Counter
 from collections.abc import Sequence
 from enum import Enum
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from holdgw.peers import load_report, merged_view, sequenced_report
 from holdgw.peers.aggregation_client import AggregationClient, FallbackChange, ViewResult
@@ -44,35 +44,42 @@
         """A member's zone."""
 
 
-class AggregatedExchange:
-    """Load reports to aggregators, their exchange, and the views that come back, at one member.
+class ExchangeConfig(NamedTuple):
+    """One member's place in aggregation."""
+
+    number: int
+    """The member's."""
+    member_count: int
+    """Of the tier."""
+    aggregators: Sequence[int]
+    """Numbers of the members that aggregate."""
+    role: Role
+    tick_interval: int
+    """From one call of `AggregatedExchange.tick` to the next, ns."""
+
 
-    `tick_interval`: ns from one call of `tick` to the next.
-    """
+class AggregatedExchange:
+    """Load reports to aggregators, their exchange, and the views that come back, at one member."""
 
     def __init__(
-        self,
-        me: int,
-        size: int,
-        members: Members,
-        aggregators: Sequence[int],
-        role: Role,
-        load_view: LoadView,
-        seed: int,
-        now: int,
-        tick_interval: int,
+        self, config: ExchangeConfig, members: Members, load_view: LoadView, seed: int, now: int
     ) -> None:
+        """`seed`: of the choice of routers in fallback; `now`: ns of the monotonic clock, as below."""
+        number = config.number
         self.dropped: Counter[DropReason] = Counter()
         """Reports and views that were not taken."""
-        self.guard = StallGuard(tick_interval, now)
+        self.guard = StallGuard(config.tick_interval, now)
         self.client: AggregationClient | None = None
         self.aggregator: Aggregator | None = None
-        self._size, self._members, self._load_view = size, members, load_view
-        self._aggregators = frozenset(aggregators)
-        if role is Role.ROUTER:
-            self.client = AggregationClient(me, members.zone_of(me), aggregators, seed, now)
-        if me in self._aggregators:
-            self.aggregator = Aggregator(me, load_view.boot_id, aggregators, members.zone_of)
+        self._member_count = config.member_count
+        self._members = members
+        self._load_view = load_view
+        self._aggregators = frozenset(config.aggregators)
+        if config.role is Role.ROUTER:
+            zone = members.zone_of(number)
+            self.client = AggregationClient(number, zone, config.aggregators, seed, now)
+        if number in self._aggregators:
+            self.aggregator = Aggregator(number, load_view.boot_id, config.aggregators, members.zone_of)
 
     @staticmethod
     def handles(data: bytes) -> bool:
@@ -91,8 +98,9 @@
             self.client.receive_own(self.aggregator.own_view(now), now)
 
     def report(self, now: int) -> list[Outgoing]:
-        """This router's report, to be called once a REPORT_INTERVAL: to an aggregator, and in fallback to
-        some routers of its zone as well.
+        """This router's report, to be called once a REPORT_INTERVAL_S.
+
+        It goes to an aggregator, and in fallback to some routers of its zone as well.
         """
         if self.client is None:
             return []
@@ -125,7 +133,7 @@
         elif sequenced_report.is_sequenced_report(data):
             return self._receive_report(data, source, now)
         else:
-            report = load_report.decode(data, self._size)
+            report = load_report.decode(data, self._member_count)
             self._check_sender(report.sender, source)
             self._load_view.receive(report, now)
         return []
@@ -135,7 +143,7 @@
             raise DecodeError(DropReason.FORGED)
 
     def _receive_view(self, data: bytes, source: int, now: int) -> None:
-        view = merged_view.decode(data, self._size)
+        view = merged_view.decode(data, self._member_count)
         self._check_sender(view.aggregator, source)
         result = ViewResult.UNEXPECTED if self.client is None else self.client.receive(view, now)
         if result is not ViewResult.TAKEN:
@@ -143,7 +151,7 @@
             self.dropped[DropReason.REPLAYED if replayed else DropReason.UNEXPECTED] += 1
 
     def _receive_forwarded(self, data: bytes, source: int, now: int) -> None:
-        forwarded = sequenced_report.decode_forwarded(data, self._size)
+        forwarded = sequenced_report.decode_forwarded(data, self._member_count)
         self._check_sender(forwarded.forwarder, source)
         if self.aggregator is None or source not in self._aggregators:
             self.dropped[DropReason.UNEXPECTED] += 1
@@ -151,7 +159,7 @@
             self.dropped[DropReason.REPLAYED] += 1
 
     def _receive_report(self, data: bytes, source: int, now: int) -> list[Outgoing]:
-        sequenced = sequenced_report.decode(data, self._size)
+        sequenced = sequenced_report.decode(data, self._member_count)
         self._check_sender(sequenced.report.sender, source)
         if self.aggregator is None:
             self.dropped[DropReason.UNEXPECTED] += 1
@@ -162,8 +170,9 @@
         return out or []
 
     def snapshot(self, now: int) -> LoadSnapshot:
-        """What the decisions take: by aggregators' views, or, in fallback and before the first view, by own
-        observations and other routers' gossiped reports.
+        """What the decisions take: by aggregators' views, or by gossip.
+
+        In fallback and before the first view: own observations and other routers' gossiped reports.
         """
         found = None
         if self.client is not None:
--- a/holdgw/peers/aggregation_client.py
+++ b/holdgw/peers/aggregation_client.py
@@ -105,9 +105,10 @@
         return FallbackChange.ENTERED if needed else FallbackChange.LEFT
 
     def fallback_targets(self, present: Collection[int], zone_of: Callable[[int], int]) -> list[int]:
-        """The routers that a report goes to in fallback: of its own zone, where that has MIN_ZONE routers,
-        else of all the zones that have fewer; any others where these are too few. `zone_of`: the zone of a
-        member.
+        """The routers that a report goes to in fallback; `zone_of`: the zone of a member.
+
+        Of its own zone, where that has MIN_ZONE routers, else of all the zones that have fewer; any others
+        where these are too few.
         """
         others = [number for number in present if number != self._me and number not in self._aggregators]
         sizes = Counter([self._zone, *(zone_of(number) for number in others)])
--- a/holdgw/peers/aggregator.py
+++ b/holdgw/peers/aggregator.py
@@ -1,5 +1,4 @@
-"""The aggregator's role: takes routers' load reports, exchanges them, and answers each with a merged view;
-pure.
+"""The aggregator's role: it exchanges routers' load reports, and answers each with a merged view; pure.
 
 A report that came from the reporter itself is forwarded once to the other aggregators, and answered with the
 view that was last merged; what was forwarded is neither forwarded again nor answered. So an aggregator sends
@@ -18,8 +17,8 @@
 from holdgw.peers.merged_view import ViewPart
 from holdgw.peers.report_table import ReportTable
 from holdgw.peers.sequenced_report import ForwardedReport, SequencedReport
+from holdgw.peers.timing import NS_PER_S
 
-NS_PER_S = 1_000_000_000
 MERGE_INTERVAL = NS_PER_S // 2
 VIEW_SENT_FOR = NS_PER_S  # after it was merged; an older one is not sent
 MIN_REPORT_INTERVAL = int(0.4 * NS_PER_S)  # in which a reporter is answered, and forwarded, once
@@ -98,17 +97,17 @@
         """What all reports that count say together."""
         return merge(self.table.fresh(now))
 
-    def _held(self, now: int) -> int | None:
+    def _view_age(self, now: int) -> int | None:
         """How long ago the view was merged, ns; None where there is none that may be sent."""
         if self._merged_at is None or now - self._merged_at >= VIEW_SENT_FOR:
             return None
         return now - self._merged_at
 
     def _view_datagrams(self, now: int) -> list[bytes]:
-        held = self._held(now)
-        return [] if held is None else [merged_view.finish(body, held) for body in self._bodies]
+        age = self._view_age(now)
+        return [] if age is None else [merged_view.finish(body, age) for body in self._bodies]
 
     def own_view(self, now: int) -> list[ViewPart]:
         """The view for the router that this aggregator is."""
-        held = self._held(now)
-        return [] if held is None else [part._replace(held=held) for part in self._parts]
+        age = self._view_age(now)
+        return [] if age is None else [part._replace(age=age) for part in self._parts]
--- a/holdgw/peers/aggregator_choice.py
+++ b/holdgw/peers/aggregator_choice.py
@@ -11,13 +11,14 @@
 from dataclasses import dataclass
 from itertools import islice
 
-NS_PER_S = 1_000_000_000
+from holdgw.peers.timing import NS_PER_S
+
 CHOSEN = 2  # aggregators that a router reports to, alternately
 MAX_UNANSWERED = 2  # reports in a row without a view, from which on an aggregator counts as silent
 ANSWER_WITHIN = int(0.9 * NS_PER_S)  # of a report, in which its view is expected
 VIEW_EXPECTED_FOR = 3 * NS_PER_S  # after a report, in which a view of its aggregator is accepted
 RETRY_AFTER = 10 * NS_PER_S  # from which on a silent aggregator is used again
-_WORD = (1 << 64) - 1
+_MASK_64_BITS = (1 << 64) - 1
 
 
 def rank_aggregators(site: int, aggregators: Iterable[int]) -> tuple[int, ...]:
@@ -27,9 +28,9 @@
 
 def _weight(site: int, number: int) -> int:
     """A hash of both: the finalizer of SplitMix64 (Steele, Lea and Flood, 2014) over their combination."""
-    mixed = (site << 32 | number) * 0x9E3779B97F4A7C15 + 0x9E3779B97F4A7C15 & _WORD
-    mixed = (mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9 & _WORD
-    mixed = (mixed ^ mixed >> 27) * 0x94D049BB133111EB & _WORD
+    mixed = (site << 32 | number) * 0x9E3779B97F4A7C15 + 0x9E3779B97F4A7C15 & _MASK_64_BITS
+    mixed = (mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9 & _MASK_64_BITS
+    mixed = (mixed ^ mixed >> 27) * 0x94D049BB133111EB & _MASK_64_BITS
     return mixed ^ mixed >> 31
 
 
@@ -65,9 +66,10 @@
         return tuple(islice(usable, CHOSEN))
 
     def next_targets(self, is_present: Callable[[int], bool], now: int) -> list[int]:
-        """The aggregators that the report due now goes to: of those in use the one reported to longest ago,
-        and beside it each that has left a report unanswered, so that neither a lost datagram nor a dead
-        aggregator costs more than one view.
+        """The aggregators that the report due now goes to.
+
+        Of those in use the one reported to longest ago, and beside it each that has left a report unanswered,
+        so that neither a lost datagram nor a dead aggregator costs more than one view.
         """
         for number, link in self._links.items():
             self._check_answer(link, now)
@@ -80,7 +82,8 @@
         targets = [] if target is None else [target, *(number for number in doubtful if number != target)]
         for number in targets:
             link = self._links[number]
-            link.reported_at, link.pending = now, True
+            link.reported_at = now
+            link.pending = True
         return targets
 
     def _last_reported(self, number: int) -> int:
@@ -94,12 +97,15 @@
         link.unanswered += 1
         if link.unanswered >= MAX_UNANSWERED:
             # Tried again later with a single report.
-            link.unanswered, link.retry_at = MAX_UNANSWERED - 1, now + RETRY_AFTER
+            link.unanswered = MAX_UNANSWERED - 1
+            link.retry_at = now + RETRY_AFTER
 
     def answered(self, number: int) -> None:
         """A view of this aggregator came."""
         link = self._links[number]
-        link.pending, link.unanswered, link.retry_at = False, 0, 0
+        link.pending = False
+        link.unanswered = 0
+        link.retry_at = 0
 
     def expects(self, number: int, now: int) -> bool:
         """Whether a view of this member is accepted: a report went to it a short time ago."""
--- a/holdgw/peers/compact_updates.py
+++ b/holdgw/peers/compact_updates.py
@@ -1,7 +1,7 @@
 """Updates of many members in few bytes: those of one state and incarnation as one bitmap; pure.
 
 A rack, a zone or a region that fails or returns gives many updates that differ in the member's number alone.
-Zones are not told: the receiver keeps those it holds.
+Zones are not sent: the receiver keeps those it knows.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
         return _Group(min(self.first_byte, byte), max(self.last_byte, byte))
 
 
-def select(updates: Iterable[MemberUpdate], room: int) -> list[MemberUpdate]:
+def select(updates: Iterable[MemberUpdate], max_bytes: int) -> list[MemberUpdate]:
     """Of these updates, in their order, those that go into so many bytes."""
     groups: dict[tuple[MemberState, int], _Group] = {}
     selected, used = [], 0
@@ -41,7 +41,7 @@
         before = groups.get(key)
         after = before.with_byte(byte) if before is not None else _Group(byte, byte)
         more = after.size - (before.size if before is not None else 0)
-        if used + more <= room and after.last_byte - after.first_byte < MAX_BITMAP_BYTES:
+        if used + more <= max_bytes and after.last_byte - after.first_byte < MAX_BITMAP_BYTES:
             groups[key] = after
             selected.append(update)
             used += more
@@ -81,11 +81,13 @@
         if at + length > len(data) or not length:
             raise DecodeError(DropReason.LENGTH)
         try:
-            held = MemberState(state)
+            member_state = MemberState(state)
         except ValueError:
             raise DecodeError(DropReason.VALUE) from None
         bits = int.from_bytes(data[at : at + length], "little")
         numbers = (first + place for place in range(length * 8) if bits >> place & 1)
-        found += [MemberUpdate(number, held, incarnation, 0) for number in numbers if number < members]
+        found += [
+            MemberUpdate(number, member_state, incarnation, 0) for number in numbers if number < members
+        ]
         at += length
     return tuple(found)
--- a/holdgw/peers/datagram.py
+++ b/holdgw/peers/datagram.py
@@ -21,8 +21,9 @@
 _HEADER = struct.Struct("!BBHIIBIHB")
 """Version, kind, sender, boot_id, incarnation, zone, sequence, target, number of updates."""
 _CHECKSUM = struct.Struct("!I")
+CHECKSUM_BYTES = _CHECKSUM.size
 _UPDATE = struct.Struct("!HBIB")
-EMPTY_BYTES = _HEADER.size + _CHECKSUM.size  # of a message without updates
+EMPTY_BYTES = _HEADER.size + CHECKSUM_BYTES  # of a message without updates
 UPDATE_BYTES = _UPDATE.size
 MAX_UPDATES = (MAX_BYTES - EMPTY_BYTES) // UPDATE_BYTES
 SERIALS = 1 << 32
@@ -60,8 +61,9 @@
 
 
 def is_newer(a: int, b: int) -> bool:
-    """Whether incarnation `a` is newer than `b` by serial number arithmetic (RFC 1982), under which every
-    incarnation has a newer one.
+    """Whether incarnation `a` is newer than `b` by serial number arithmetic (RFC 1982).
+
+    Under it every incarnation has a newer one.
     """
     return 0 < (a - b) % SERIALS < SERIALS // 2
 
--- a/holdgw/peers/gossip.py
+++ b/holdgw/peers/gossip.py
@@ -11,7 +11,7 @@
 from typing import Protocol
 
 from holdgw.peers import datagram, load_report
-from holdgw.peers.aggregated_exchange import AggregatedExchange, Role
+from holdgw.peers.aggregated_exchange import AggregatedExchange, ExchangeConfig, Role
 from holdgw.peers.aggregation_client import APPLY_AFTER_S, REPORT_INTERVAL_S, FallbackChange
 from holdgw.peers.aggregator import BYTES_PER_MEMBER, Outgoing
 from holdgw.peers.datagram import DecodeError, DropReason, MemberState
@@ -129,17 +129,10 @@
 
     def _make_exchange(self, seed: int) -> AggregatedExchange:
         config = self._config
-        return AggregatedExchange(
-            config.number,
-            len(config.addresses),
-            self.membership,
-            config.aggregators,
-            config.role,
-            self.load_view,
-            seed,
-            self._now(),
-            int(TICK_S * NS_PER_S),
+        place = ExchangeConfig(
+            config.number, len(config.addresses), config.aggregators, config.role, int(TICK_S * NS_PER_S)
         )
+        return AggregatedExchange(place, self.membership, self.load_view, seed, self._now())
 
     def start(self) -> None:
         """Bind the socket, as soon as its address is free, and begin to tick."""
--- a/holdgw/peers/heavy_hitters.py
+++ b/holdgw/peers/heavy_hitters.py
@@ -5,7 +5,8 @@
 import math
 from collections.abc import Mapping
 
-NS_PER_S = 1_000_000_000
+from holdgw.peers.timing import NS_PER_S
+
 COUNTERS = 256  # keys counted; the error of a count is below one in so many of the requests, with decay
 COUNT_HALF_LIFE_S = 2.5
 MIN_COUNT = 0.05  # a count that decayed to this is dropped
@@ -13,15 +14,16 @@
 
 
 class HeavyHitters:
-    """A Space-Saving summary (Metwally, Agrawal and El Abbadi, 2005) with exponential decay, into which
-    batches of counts are merged (Agarwal et al., Mergeable Summaries, 2012).
+    """A Space-Saving summary with exponential decay, into which batches of counts are merged.
+
+    Sources: Metwally, Agrawal and El Abbadi, 2005; Agarwal et al., "Mergeable Summaries", 2012.
 
-    A key that is not held may have occurred as often as the largest count ever dropped, decayed: the floor. A
-    key's count begins with the floor of that time as its error. In units above the floor the counts are those
-    of a Misra-Gries summary, of which a merge takes (capacity + 1) times what it adds to the floor; hence the
-    floor, and so every error, is at most total / (capacity + 1): a count is at least the true one and exceeds
-    it by no more than that, and a `certain` count is never above the true one and no more than that below it.
-    What has decayed to MIN_COUNT is forgotten, and may be missing from a count.
+    A key that is not counted may have occurred as often as the largest count ever dropped, decayed: the
+    floor. A key's count begins with the floor of that time as its error. In units above the floor the counts
+    are those of a Misra-Gries summary, of which a merge takes (capacity + 1) times what it adds to the floor;
+    hence the floor, and so every error, is at most total / (capacity + 1): a count is at least the true one
+    and exceeds it by no more than that, and a `certain` count is never above the true one and no more than
+    that below it. What has decayed to MIN_COUNT is forgotten, and may be missing from a count.
     """
 
     def __init__(self, capacity: int = COUNTERS, half_life_s: float = COUNT_HALF_LIFE_S) -> None:
@@ -29,7 +31,7 @@
         """Requests counted, with decay."""
         self._capacity, self._half_life = capacity, half_life_s * NS_PER_S
         self._counts: dict[int, tuple[float, float]] = {}  # key: (count, of which may be another key's)
-        self._floor = 0.0  # how often a key that is not held may have occurred
+        self._floor = 0.0  # how often a key that is not counted may have occurred
         self._decayed_at = 0
 
     def fade(self, now: int) -> None:
--- /dev/null
+++ b/holdgw/peers/load_encoding.py
@@ -0,0 +1,60 @@
+"""How load reports and views encode samples of waits, and counts or shares of slots; pure.
+
+Ages are sent in place of times, so that clocks need not agree.
+"""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Iterable
+from typing import NamedTuple
+
+AGE_STEP = 40_000_000  # ns: resolution of an age, which is sent in one byte
+MAX_AGE_STEPS = 0xFF
+MAX_AGE = MAX_AGE_STEPS * AGE_STEP
+WAIT_STEP = 1_000_000  # ns: resolution of a wait, which is sent in two bytes
+MAX_WAIT_STEPS = 0xFFFF
+MAX_COUNT = 0xFFFF
+_SAMPLE = struct.Struct("!IHB")  # hash of the server, wait, age
+SAMPLE_BYTES = _SAMPLE.size
+SLOT = struct.Struct("!HH")
+"""The slot, and its count or share."""
+
+
+class ServerSample(NamedTuple):
+    """A server's wait by its own load report, and how long ago it reported that; both ns."""
+
+    server_hash: int
+    wait: int
+    age: int
+
+
+def age_steps(age: int) -> int:
+    """An age (ns) as it is sent: rounded up, so that it is never younger than it is."""
+    return min(-(-age // AGE_STEP), MAX_AGE_STEPS)
+
+
+def encode_samples(samples: Iterable[ServerSample]) -> bytes:
+    """Encode samples; a value beyond its field's range is sent as the largest that the field holds."""
+    return b"".join(
+        _SAMPLE.pack(server, min(wait // WAIT_STEP, MAX_WAIT_STEPS), age_steps(age))
+        for server, wait, age in samples
+    )
+
+
+def decode_samples(data: bytes) -> tuple[ServerSample, ...]:
+    """Decode samples, which are all of the data."""
+    return tuple(
+        ServerSample(server, wait * WAIT_STEP, age * AGE_STEP)
+        for server, wait, age in _SAMPLE.iter_unpack(data)
+    )
+
+
+def encode_slot_counts(counts: Iterable[tuple[int, int]]) -> bytes:
+    """Encode counts by slot."""
+    return b"".join(SLOT.pack(slot, min(count, MAX_COUNT)) for slot, count in counts)
+
+
+def decode_slot_counts(data: bytes) -> dict[int, int]:
+    """Decode counts by slot, which are all of the data."""
+    return dict(SLOT.iter_unpack(data))
--- a/holdgw/peers/load_merge.py
+++ b/holdgw/peers/load_merge.py
@@ -21,11 +21,11 @@
 from typing import NamedTuple
 
 from holdgw.peers.heavy_hitters import COUNT_HALF_LIFE_S
-from holdgw.peers.load_report import MAX_AGE, ServerSample
+from holdgw.peers.load_encoding import MAX_AGE, ServerSample
 from holdgw.peers.load_view import MAX_ROUTER_SHARE, MIN_OTHER_REQUESTS
 from holdgw.peers.report_table import ReceivedReport
+from holdgw.peers.timing import NS_PER_S
 
-NS_PER_S = 1_000_000_000
 SAMPLE_MAX_AGE = 3 * NS_PER_S  # from which on a sample is ignored
 YOUNG = NS_PER_S // 2  # samples of a server younger than this count alone, where there are enough
 ENOUGH = 7  # samples, whose median stands against three false ones
@@ -36,7 +36,8 @@
 MAX_MEAN_RATIO = 2.0  # of the rest's mean reporter to those that one aggregator forwarded, either way
 MIN_SLOT_SHARE = 0.005
 ROUNDING = 1e-9  # of sums of weights: two sides that weigh the same are to come out as a tie
-DIRECT, LOUDEST = -1, -2
+DIRECT = -1
+LOUDEST = -2
 """In the place of a forwarder's number: direct reports, and the one of these that counts most requests."""
 
 
@@ -79,7 +80,7 @@
         source.reports += 1
         source.requests += weight * one.report.requests
         for slot, count in one.report.slots.items():
-            # No more of a slot than the reporter was asked in all.
+            # No more of a slot than the reporter's requests in all.
             source.slots[slot] += weight * min(count, one.report.requests)
     requests = sum(_bounded_requests(forwarder, counts) for forwarder in counts)
     return MergedLoad(_merge_waits(reports), _merge_slots(counts), round(requests), len(reports))
@@ -95,8 +96,8 @@
     reports = sum(one.reports for one in rest)
     if forwarder < 0 or not reports:
         return source.requests
-    usual = source.reports * sum(one.requests for one in rest) / reports
-    return min(max(source.requests, usual / MAX_MEAN_RATIO), usual * MAX_MEAN_RATIO)
+    expected = source.reports * sum(one.requests for one in rest) / reports
+    return min(max(source.requests, expected / MAX_MEAN_RATIO), expected * MAX_MEAN_RATIO)
 
 
 def _forwarder(received: ReceivedReport) -> int:
@@ -113,8 +114,8 @@
     if not reports:
         return []
     by_forwarder = _forwarder_weights(Counter([_forwarder(one) for one in reports]))
-    asked = sorted((one.report.requests, by_forwarder[_forwarder(one)]) for one in reports)
-    bound = max(_weighted_middle(asked) * MAX_MEDIAN_RATIO, MIN_OTHER_REQUESTS)
+    weighted_requests = sorted((one.report.requests, by_forwarder[_forwarder(one)]) for one in reports)
+    bound = max(_weighted_middle(weighted_requests) * MAX_MEDIAN_RATIO, MIN_OTHER_REQUESTS)
     weights = []
     for one in reports:
         decay = math.pow(0.5, one.age / NS_PER_S / COUNT_HALF_LIFE_S)
@@ -159,22 +160,24 @@
 
 
 def _young_samples(samples: list[_Vote]) -> list[_Vote]:
-    """Those younger than YOUNG, and older ones until ENOUGH direct ones, or most of them, are there; all
-    where none is direct. So whatever ages a forwarder claims, others are left to vote beside it.
+    """Those younger than YOUNG, and older ones until ENOUGH direct ones, or most of them, are there.
+
+    All where none is direct. So whatever ages a forwarder claims, others are left to vote beside it.
     """
     ages = sorted(one.age for one in samples if one.forwarder == DIRECT)
     if not ages:
         return samples
-    # Danger: of three, half and one more would be two, of which the lower counts: a false one that claims to
-    # be the youngest would be it alone.
+    # Of three, half and one more would be two, of which the lower counts: a false one that claims to be the
+    # youngest would decide alone.
     last = min(max(len(ages) // 2, FEWEST - 1), ENOUGH - 1, len(ages) - 1)
     horizon = max(YOUNG, ages[last])
     return [one for one in samples if one.age <= horizon]
 
 
 def _median(server: int, votes: list[_Vote]) -> ServerSample:
-    """The medians of waits and of ages by the same weights; of two in the middle the lower wait, the greater
-    age.
+    """The medians of waits and of ages by the same weights.
+
+    Of two in the middle the lower wait, the greater age.
     """
     weights = _forwarder_weights(Counter([one.forwarder for one in votes]))
     if min(weights.values()) == 1.0:
@@ -188,7 +191,8 @@
 
 def _weighted_middle(values: list[tuple[int, float]]) -> int:
     """Of values in order, each with its weight, the first that half of the weight is at or before."""
-    half, passed = sum(weight for _, weight in values) / 2, 0.0
+    half = sum(weight for _, weight in values) / 2
+    passed = 0.0
     for value, weight in values:
         passed += weight
         if passed >= half * (1.0 - ROUNDING):
@@ -231,10 +235,10 @@
     for source in counts.values():
         for slot, count in source.slots.items():
             totals[slot] += count
-    asked = sum(source.requests for source in counts.values())
+    all_requests = sum(source.requests for source in counts.values())
     found: dict[int, float] = defaultdict(float)
     for forwarder, source in counts.items():
-        rest = asked - source.requests
+        rest = all_requests - source.requests
         for slot, count in source.slots.items():
             if forwarder == LOUDEST:
                 # Its bound was worked out from all that others count, of which a forwarder's part may weigh
--- a/holdgw/peers/load_report.py
+++ b/holdgw/peers/load_report.py
@@ -1,7 +1,7 @@
 """A router's load report: what it observed itself, in one datagram of at most 256 bytes; pure.
 
 Only own observations are reported, never those received from others, so that a false report speaks for one
-router. Ages are sent in place of times, so that clocks need not agree.
+router.
 """
 
 from __future__ import annotations
@@ -19,25 +19,24 @@
     append_checksum,
     verify_checksum,
 )
+from holdgw.peers.load_encoding import (
+    MAX_COUNT,
+    SAMPLE_BYTES,
+    SLOT,
+    ServerSample,
+    decode_samples,
+    decode_slot_counts,
+    encode_samples,
+    encode_slot_counts,
+)
 
 KIND = 64
 """In the place of a membership message's kind; different from all of these."""
 _HEADER = struct.Struct("!BBHIHBBB")  # version, kind, sender, boot_id, requests, samples, slots, tenants
-_SAMPLE = struct.Struct("!IHB")
-_SLOT = struct.Struct("!HH")
 _TENANT = struct.Struct("!BH")
-MAX_SERVERS, MAX_SLOTS, MAX_TENANTS = 22, 18, 4
-AGE_STEP = 40_000_000  # ns: resolution of an age, which is sent in one byte
-MAX_AGE = 255 * AGE_STEP
-WAIT_STEP = 1_000_000  # ns: resolution of a wait, which is sent in two bytes
-
-
-class ServerSample(NamedTuple):
-    """A server's wait by its own load report, and how long ago it reported that; both ns."""
-
-    server_hash: int
-    wait: int
-    age: int
+MAX_SERVERS = 22
+MAX_SLOTS = 18
+MAX_TENANTS = 4
 
 
 class LoadReport(NamedTuple):
@@ -68,15 +67,11 @@
     assert len(report.slots) <= MAX_SLOTS
     assert len(report.demands) <= MAX_TENANTS
     counts = len(report.samples), len(report.slots), len(report.demands)
-    parts = [
-        _HEADER.pack(VERSION, KIND, report.sender, report.boot_id, min(report.requests, 0xFFFF), *counts)
-    ]
-    for sample in report.samples:
-        age = min(-(-sample.age // AGE_STEP), 255)  # rounded up: never younger than it is
-        parts.append(_SAMPLE.pack(sample.server_hash, min(sample.wait // WAIT_STEP, 0xFFFF), age))
-    parts += [_SLOT.pack(slot, min(count, 0xFFFF)) for slot, count in report.slots.items()]
-    parts += [_TENANT.pack(place, min(rate, 0xFFFF)) for place, rate in report.demands.items()]
-    data = append_checksum(b"".join(parts))
+    requests = min(report.requests, MAX_COUNT)
+    header = _HEADER.pack(VERSION, KIND, report.sender, report.boot_id, requests, *counts)
+    demands = b"".join(_TENANT.pack(place, min(rate, MAX_COUNT)) for place, rate in report.demands.items())
+    lists = encode_samples(report.samples) + encode_slot_counts(report.slots.items()) + demands
+    data = append_checksum(header + lists)
     assert len(data) <= MAX_BYTES
     return data
 
@@ -85,8 +80,8 @@
     """Decode a report in a tier of so many members; raises DecodeError."""
     body = verify_checksum(data, _HEADER.size)
     _, kind, sender, boot_id, requests, samples, slots, tenants = _HEADER.unpack_from(body)
-    samples_end = _HEADER.size + samples * _SAMPLE.size
-    slots_end = samples_end + slots * _SLOT.size
+    samples_end = _HEADER.size + samples * SAMPLE_BYTES
+    slots_end = samples_end + slots * SLOT.size
     if len(body) != slots_end + tenants * _TENANT.size:
         raise DecodeError(DropReason.LENGTH)
     if kind != KIND or sender >= members:
@@ -94,11 +89,8 @@
     return LoadReport(
         sender,
         boot_id,
-        tuple(
-            ServerSample(server, wait * WAIT_STEP, age * AGE_STEP)
-            for server, wait, age in _SAMPLE.iter_unpack(body[_HEADER.size : samples_end])
-        ),
+        decode_samples(body[_HEADER.size : samples_end]),
         requests,
-        dict(_SLOT.iter_unpack(body[samples_end:slots_end])),
+        decode_slot_counts(body[samples_end:slots_end]),
         dict(_TENANT.iter_unpack(body[slots_end:])),
     )
--- a/holdgw/peers/load_view.py
+++ b/holdgw/peers/load_view.py
@@ -13,17 +13,10 @@
 from typing import NamedTuple
 
 from holdgw.peers.heavy_hitters import COUNT_HALF_LIFE_S, COUNTERS, HeavyHitters
-from holdgw.peers.load_report import (
-    MAX_AGE,
-    MAX_SERVERS,
-    MAX_SLOTS,
-    MAX_TENANTS,
-    LoadReport,
-    ServerSample,
-    hash_server,
-)
-
-NS_PER_S = 1_000_000_000
+from holdgw.peers.load_encoding import MAX_AGE, ServerSample
+from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, MAX_TENANTS, LoadReport, hash_server
+from holdgw.peers.timing import NS_PER_S
+
 MAX_SAMPLES = 7  # of a server, the latest of as many routers; their median stands against three false ones
 SAMPLE_HALF_LIFE_S = 1.0  # in which a sample loses half its weight
 MAX_SAMPLE_AGE = 5 * NS_PER_S  # from which on a sample is ignored
--- a/holdgw/peers/report_table.py
+++ b/holdgw/peers/report_table.py
@@ -15,8 +15,8 @@
 from holdgw.peers.load_report import LoadReport
 from holdgw.peers.sequence_gate import Order, SequenceGate
 from holdgw.peers.sequenced_report import SequencedReport
+from holdgw.peers.timing import NS_PER_S
 
-NS_PER_S = 1_000_000_000
 REPORT_MAX_AGE = 3 * NS_PER_S  # since it was received, from which on a report no longer counts
 DIRECT_PREFERRED = int(1.1 * NS_PER_S)  # up to this age a direct report goes before forwarded ones
 """Over half of the 2 s between two reports of a router to the same aggregator: so what one aggregator
@@ -65,7 +65,8 @@
         register = self._registers.setdefault(report.sender, {}).setdefault(source, _Register())
         if register.gate.check(report.boot_id, sequenced.sequence, now) is not Order.NEWER:
             return False
-        register.report, register.received_at = report, now
+        register.report = report
+        register.received_at = now
         return True
 
     def fresh(self, now: int) -> list[ReceivedReport]:
@@ -90,8 +91,9 @@
         return register.report is not None
 
     def _best_source(self, reporter: int, fresh: dict[int, _Register], preferred: int) -> int:
-        """The reporter itself where its report came after `preferred`; else whichever report came last, by
-        the reporter's own aggregators before others.
+        """The reporter itself where its report came after `preferred`, else whoever's report came last.
+
+        The reporter's own aggregators go before others.
         """
         direct = fresh.get(reporter)
         if len(fresh) == 1 or (direct is not None and direct.received_at > preferred):
@@ -100,7 +102,7 @@
         return max(fresh, key=lambda source: (source in expected, fresh[source].received_at, source))
 
     def __len__(self) -> int:
-        """Registers held."""
+        """Number of registers."""
         return sum(len(sources) for sources in self._registers.values())
 
 
--- a/holdgw/peers/sequence_gate.py
+++ b/holdgw/peers/sequence_gate.py
@@ -5,8 +5,8 @@
 from enum import Enum
 
 from holdgw.peers.datagram import is_newer
+from holdgw.peers.timing import NS_PER_S
 
-NS_PER_S = 1_000_000_000
 REPLACED_AFTER = 3 * NS_PER_S  # of silence, another process of the sender replaces the known one
 RETIRED_FOR = 10 * NS_PER_S  # the same, for a process that was replaced before
 MAX_RETIRED = 4
--- a/holdgw/peers/sequenced_report.py
+++ b/holdgw/peers/sequenced_report.py
@@ -10,6 +10,7 @@
 from typing import NamedTuple
 
 from holdgw.peers.datagram import (
+    CHECKSUM_BYTES,
     MAX_BYTES,
     VERSION,
     DecodeError,
@@ -17,7 +18,16 @@
     append_checksum,
     verify_checksum,
 )
-from holdgw.peers.load_report import AGE_STEP, WAIT_STEP, LoadReport, ServerSample
+from holdgw.peers.load_encoding import (
+    MAX_COUNT,
+    SAMPLE_BYTES,
+    SLOT,
+    decode_samples,
+    decode_slot_counts,
+    encode_samples,
+    encode_slot_counts,
+)
+from holdgw.peers.load_report import LoadReport
 
 REPORT_KIND = 65
 FORWARDED_KIND = 66
@@ -25,10 +35,8 @@
 _PREFIX = struct.Struct("!BB")  # version, kind
 _FORWARDER = struct.Struct("!H")
 _HEADER = struct.Struct("!HIIHBB")  # sender, boot_id, sequence, requests, samples, slots
-_SAMPLE = struct.Struct("!IHB")
-_SLOT = struct.Struct("!HH")
-_CHECKSUM_BYTES = 4
-MAX_SAMPLES, MAX_SLOTS = 22, 20
+MAX_SAMPLES = 22
+MAX_SLOTS = 20
 _MIN_BYTES = _PREFIX.size + _HEADER.size
 
 
@@ -63,15 +71,12 @@
 
 def _encode_body(sequenced: SequencedReport) -> bytes:
     report = sequenced.report
-    samples, slots = report.samples[-MAX_SAMPLES:], list(report.slots.items())[:MAX_SLOTS]
-    requests = min(report.requests, 0xFFFF)
+    samples = report.samples[-MAX_SAMPLES:]
+    slots = list(report.slots.items())[:MAX_SLOTS]
+    requests = min(report.requests, MAX_COUNT)
     counts = len(samples), len(slots)
-    parts = [_HEADER.pack(report.sender, report.boot_id, sequenced.sequence, requests, *counts)]
-    for sample in samples:
-        age = min(-(-sample.age // AGE_STEP), 255)  # rounded up: never younger than it is
-        parts.append(_SAMPLE.pack(sample.server_hash, min(sample.wait // WAIT_STEP, 0xFFFF), age))
-    parts += [_SLOT.pack(slot, min(count, 0xFFFF)) for slot, count in slots]
-    return b"".join(parts)
+    header = _HEADER.pack(report.sender, report.boot_id, sequenced.sequence, requests, *counts)
+    return header + encode_samples(samples) + encode_slot_counts(slots)
 
 
 def decode(data: bytes, members: int) -> SequencedReport:
@@ -86,27 +91,24 @@
     if len(body) < _HEADER.size:
         raise DecodeError(DropReason.SHORT)
     sender, boot_id, sequence, requests, samples, slots = _HEADER.unpack_from(body)
-    samples_end = _HEADER.size + samples * _SAMPLE.size
-    if len(body) != samples_end + slots * _SLOT.size:
+    samples_end = _HEADER.size + samples * SAMPLE_BYTES
+    if len(body) != samples_end + slots * SLOT.size:
         raise DecodeError(DropReason.LENGTH)
     if sender >= members or samples > MAX_SAMPLES or slots > MAX_SLOTS:
         raise DecodeError(DropReason.VALUE)
     report = LoadReport(
         sender,
         boot_id,
-        tuple(
-            ServerSample(server, wait * WAIT_STEP, age * AGE_STEP)
-            for server, wait, age in _SAMPLE.iter_unpack(body[_HEADER.size : samples_end])
-        ),
+        decode_samples(body[_HEADER.size : samples_end]),
         requests,
-        dict(_SLOT.iter_unpack(body[samples_end:])),
+        decode_slot_counts(body[samples_end:]),
     )
     return SequencedReport(sequence, report)
 
 
 def forward(data: bytes, forwarder: int) -> bytes:
     """The datagram by which an aggregator passes a report's datagram on."""
-    report = data[_PREFIX.size : -_CHECKSUM_BYTES]
+    report = data[_PREFIX.size : -CHECKSUM_BYTES]
     return append_checksum(_PREFIX.pack(VERSION, FORWARDED_KIND) + _FORWARDER.pack(forwarder) + report)
 
 
@@ -121,5 +123,5 @@
     return ForwardedReport(forwarder, _decode_body(body[_PREFIX.size + _FORWARDER.size :], members))
 
 
-MAX_REPORT_BYTES = _MIN_BYTES + MAX_SAMPLES * _SAMPLE.size + MAX_SLOTS * _SLOT.size + _CHECKSUM_BYTES
+MAX_REPORT_BYTES = _MIN_BYTES + MAX_SAMPLES * SAMPLE_BYTES + MAX_SLOTS * SLOT.size + CHECKSUM_BYTES
 assert MAX_REPORT_BYTES + _FORWARDER.size <= MAX_BYTES
--- a/holdgw/peers/stall_guard.py
+++ b/holdgw/peers/stall_guard.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-NS_PER_S = 1_000_000_000
+from holdgw.peers.timing import NS_PER_S
+
 MAX_LATENESS = NS_PER_S // 4  # of a tick; beyond it the process was halted
 
 
--- a/holdgw/peers/token_bucket.py
+++ b/holdgw/peers/token_bucket.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-NS_PER_S = 1_000_000_000
+from holdgw.peers.timing import NS_PER_S
 
 
 class TokenBucket:
--- a/holdgw/peers/view_selection.py
+++ b/holdgw/peers/view_selection.py
@@ -1,5 +1,4 @@
-"""A router's side of aggregation: the views that it holds, and what it takes of them against a false one;
-pure.
+"""A router's side of aggregation: the views that it has, and what it uses of them against a false one; pure.
 
 Bounds on one lying aggregator, where the other one's view is fresh:
 
@@ -20,15 +19,15 @@
 from holdgw.peers.load_view import LoadSnapshot, TimedWait
 from holdgw.peers.merged_view import ViewPart
 from holdgw.peers.sequence_gate import Order, SequenceGate
+from holdgw.peers.timing import NS_PER_S
 
-NS_PER_S = 1_000_000_000
 VIEW_MAX_AGE = 3 * NS_PER_S  # since it arrived, from which on a view is never used
 WAIT_MAX_AGE = 5 * NS_PER_S  # since it was measured, from which on a wait is ignored
 SHARES_MAX_AGE = 5 * NS_PER_S  # since they arrived, while other parts of newer views come
 OWN_MAX_AGE = NS_PER_S  # of an own sample, up to which it goes before a single view
 OWN_VOTE_MAX_AGE = 3 * NS_PER_S  # the same, for it to be the third vote beside two views
 MIN_COVERAGE = 0.5  # of the other view's reporters, under which a view is ignored
-MAX_HELD_SERVERS = 1024  # by one aggregator's views
+MAX_SERVERS_PER_AGGREGATOR = 1024  # that its views may name
 
 
 class OwnLoad(NamedTuple):
@@ -42,7 +41,7 @@
     routers: int
 
 
-class _HeldWait(NamedTuple):
+class _ReceivedWait(NamedTuple):
     """A server's wait by an aggregator's view, when it was measured and when the view arrived, all ns."""
 
     wait: int
@@ -51,15 +50,15 @@
 
 
 @dataclass(slots=True)
-class _HeldView:
-    """The latest view of one aggregator; a lost part's predecessor stands until it is too old."""
+class _ReceivedView:
+    """The latest view of one aggregator; in place of a lost part the one before it counts until too old."""
 
     gate: SequenceGate = field(default_factory=SequenceGate)
     parts: set[int] = field(default_factory=set)
     arrived_at: int = 0
     reporters: int = 0
     requests: int = 0
-    waits: dict[int, _HeldWait] = field(default_factory=dict)
+    waits: dict[int, _ReceivedWait] = field(default_factory=dict)
     shares: Mapping[int, float] = field(default_factory=dict)
     shares_sequence: int = -1
     shares_arrived_at: int = 0
@@ -77,21 +76,24 @@
             self.parts = set()
             self.waits = {s: one for s, one in self.waits.items() if now - one.arrived_at < VIEW_MAX_AGE}
         self.parts.add(view.part)
-        self.arrived_at, self.reporters, self.requests = now, view.reporters, view.requests
+        self.arrived_at = now
+        self.reporters = view.reporters
+        self.requests = view.requests
         self._add_waits(view, now)
         self._add_shares(view, now)
         return True
 
     def _add_waits(self, view: ViewPart, now: int) -> None:
         for server, wait, age in view.waits:
-            if server in self.waits or len(self.waits) < MAX_HELD_SERVERS:
-                self.waits[server] = _HeldWait(wait, now - view.held - age, now)
+            if server in self.waits or len(self.waits) < MAX_SERVERS_PER_AGGREGATOR:
+                self.waits[server] = _ReceivedWait(wait, now - view.age - age, now)
 
     def _add_shares(self, view: ViewPart, now: int) -> None:
         if view.slot_shares:
-            kept = self.shares if view.sequence == self.shares_sequence else {}
-            self.shares = {**kept, **view.slot_shares}
-            self.shares_sequence, self.shares_arrived_at = view.sequence, now
+            earlier_parts = self.shares if view.sequence == self.shares_sequence else {}
+            self.shares = {**earlier_parts, **view.slot_shares}
+            self.shares_sequence = view.sequence
+            self.shares_arrived_at = now
 
     def fresh_shares(self, now: int) -> Mapping[int, float]:
         """Slots' shares, if they are not too old."""
@@ -99,21 +101,22 @@
 
     def wait_of(self, server: int, now: int) -> TimedWait | None:
         """A server's wait and its age, if it is not too old."""
-        held = self.waits.get(server)
-        if held is None or now - held.arrived_at >= VIEW_MAX_AGE or now - held.measured_at >= WAIT_MAX_AGE:
+        received = self.waits.get(server)
+        if received is None or now - received.arrived_at >= VIEW_MAX_AGE:
             return None
-        return TimedWait(float(held.wait), now - held.measured_at)
+        age = now - received.measured_at
+        return TimedWait(float(received.wait), age) if age < WAIT_MAX_AGE else None
 
 
 class ViewSelection:
-    """The views that one router holds, by aggregator."""
+    """The views that one router has received, by aggregator."""
 
     def __init__(self) -> None:
-        self._views: dict[int, _HeldView] = {}
+        self._views: dict[int, _ReceivedView] = {}
 
     def receive(self, view: ViewPart, now: int) -> bool:
         """Take a part of an aggregator's view; False where it is a duplicate or a replay."""
-        return self._views.setdefault(view.aggregator, _HeldView()).add(view, now)
+        return self._views.setdefault(view.aggregator, _ReceivedView()).add(view, now)
 
     def has_fresh(self, now: int) -> bool:
         """Whether there is a view that may be used."""
@@ -127,8 +130,8 @@
         self, chosen: Sequence[int], names: Mapping[int, str], own: OwnLoad, now: int
     ) -> LoadSnapshot | None:
         """What the decisions take; None without a fresh view. `names`: listed servers by hash."""
-        held = self._usable(chosen, own.routers, now)
-        views = [view for view in held if view.is_fresh(now)]
+        usable = self._usable(chosen, own.routers, now)
+        views = [view for view in usable if view.is_fresh(now)]
         if not views:
             return None
         waits = {}
@@ -138,21 +141,21 @@
             if wait is not None:
                 waits[name] = wait
         requests = select_requests([view.requests for view in views], own)
-        shares = select_shares([view.fresh_shares(now) for view in held], own, requests)
+        shares = select_shares([view.fresh_shares(now) for view in usable], own, requests)
         return LoadSnapshot(waits, shares, requests, own.requests)
 
-    def _usable(self, chosen: Sequence[int], routers: int, now: int) -> list[_HeldView]:
-        """At most two views, of the aggregators in use first: fresh ones, or such as still have shares that
-        stand.
+    def _usable(self, chosen: Sequence[int], routers: int, now: int) -> list[_ReceivedView]:
+        """At most two views, of the aggregators in use first: fresh ones, or those with usable shares.
 
-        One that rests on too little beside a fresh one is left out. None is taken to rest on more than the
-        routers that are present: a false one could else have the other left out.
+        One that rests on too few reporters beside a fresh one is left out. None counts as resting on more
+        than the routers that are present: a false one could otherwise have the other left out.
         """
         ordered = sorted(self._views, key=lambda number: (number not in chosen, number))
-        held = [self._views[number] for number in ordered]
-        held = [view for view in held if view.is_fresh(now) or view.fresh_shares(now)][:2]
-        most = max((view.reporters for view in held if view.is_fresh(now)), default=0)
-        return [view for view in held if view.reporters >= MIN_COVERAGE * min(most, routers)]
+        views = [self._views[number] for number in ordered]
+        usable = [view for view in views if view.is_fresh(now) or view.fresh_shares(now)][:2]
+        max_reporters = max((view.reporters for view in usable if view.is_fresh(now)), default=0)
+        min_reporters = MIN_COVERAGE * min(max_reporters, routers)
+        return [view for view in usable if view.reporters >= min_reporters]
 
 
 def select_wait(votes: Sequence[TimedWait], own: TimedWait | None) -> TimedWait | None:
--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from holdgw.emulators.relay_model import RelayModel
-from holdgw.peers.aggregated_exchange import AggregatedExchange, Role
+from holdgw.peers.aggregated_exchange import AggregatedExchange, ExchangeConfig, Role
 from holdgw.peers.aggregation_client import APPLY_AFTER_S, REPORT_INTERVAL_S
 from holdgw.peers.aggregator import Outgoing
 from holdgw.peers.datagram import DecodeError
@@ -89,17 +89,9 @@
         rng = random.Random(f"{self.seed}/{number}/{self.starts[number]}")
         view = LoadView(number, rng.randrange(1, 1 << 32))
         view.set_servers(self.servers)
-        exchange = AggregatedExchange(
-            number,
-            self.size,
-            self,
-            self.aggregators,
-            Role.ROUTER if number in self.routers else Role.SET_ASIDE,
-            view,
-            rng.randrange(1 << 30),
-            self.now,
-            TICK_NS,
-        )
+        role = Role.ROUTER if number in self.routers else Role.SET_ASIDE
+        config = ExchangeConfig(number, self.size, self.aggregators, role, TICK_NS)
+        exchange = AggregatedExchange(config, self, view, rng.randrange(1 << 30), self.now)
         member = SimulatedMember(number, exchange, view, rng.randrange(REPORT_TICKS))
         self.members[number] = member
         self.at(self.now + rng.randrange(TICK_NS), lambda: self._tick(member))
--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -15,7 +15,8 @@
 
 from holdgw.peers.gossip import FANOUT, REPORT_TICKS, TICK_S
 from holdgw.peers.load_report import LoadReport
-from holdgw.peers.load_view import NS_PER_S, LoadView, Observations, SampledWait
+from holdgw.peers.load_view import LoadView, Observations, SampledWait
+from holdgw.peers.timing import NS_PER_S
 from holdgw.policy import (
     AttemptEnded,
     Endpoint,
--- a/tests/peers/test_aggregation.py
+++ b/tests/peers/test_aggregation.py
@@ -18,6 +18,7 @@
     rank_aggregators,
 )
 from holdgw.peers.datagram import MAX_BYTES, DecodeError
+from holdgw.peers.load_encoding import AGE_STEP, WAIT_STEP, ServerSample
 from holdgw.peers.load_merge import (
     MAX_MEDIAN_RATIO,
     MIN_SLOT_SHARE,
@@ -25,7 +26,7 @@
     MergedLoad,
     merge,
 )
-from holdgw.peers.load_report import AGE_STEP, WAIT_STEP, LoadReport, ServerSample
+from holdgw.peers.load_report import LoadReport
 from holdgw.peers.load_view import MAX_ROUTER_SHARE
 from holdgw.peers.merged_view import MAX_SERVERS, ViewPart
 from holdgw.peers.report_table import DIRECT_PREFERRED, REPORT_MAX_AGE, ReceivedReport, ReportTable
@@ -96,7 +97,7 @@
     found = [merged_view.decode(merged_view.finish(merged_view.encode_body(p), held), 400) for p in parts]
     assert all(len(merged_view.finish(merged_view.encode_body(p), held)) <= MAX_BYTES for p in parts)
     assert [part.part for part in found] == list(range(len(parts)))
-    assert all(held <= part.held < held + AGE_STEP for part in found)
+    assert all(held <= part.age < held + AGE_STEP for part in found)
     assert sum((part.waits for part in found), ()) == merged.waits[:MAX_SERVERS]
     shares = {slot: share for part in found for slot, share in part.slot_shares.items()}
     assert shares == {slot: pytest.approx(merged.slot_shares[slot], abs=1e-4) for slot in shares}
@@ -508,7 +509,7 @@
             one.tick(0)
         elif n == 2:
             (view,) = found
-            assert S // 2 <= view.held < S // 2 + AGE_STEP
+            assert S // 2 <= view.age < S // 2 + AGE_STEP
             assert view.waits[0].age == 400 * MS
         else:
             assert found == []  # it stood still
--- a/tests/peers/test_load_view.py
+++ b/tests/peers/test_load_view.py
@@ -12,16 +12,10 @@
 from holdgw.peers import load_report
 from holdgw.peers.datagram import MAX_BYTES, DecodeError
 from holdgw.peers.heavy_hitters import COUNTERS, MIN_CERTAIN, MIN_COUNT, HeavyHitters
-from holdgw.peers.load_report import (
-    AGE_STEP,
-    MAX_SERVERS,
-    MAX_SLOTS,
-    MAX_TENANTS,
-    WAIT_STEP,
-    LoadReport,
-    ServerSample,
-)
-from holdgw.peers.load_view import MAX_SAMPLE_AGE, NS_PER_S, LoadView, Observations
+from holdgw.peers.load_encoding import AGE_STEP, WAIT_STEP, ServerSample
+from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, MAX_TENANTS, LoadReport
+from holdgw.peers.load_view import MAX_SAMPLE_AGE, LoadView, Observations
+from holdgw.peers.timing import NS_PER_S
 from tests.helpers import damaged
 
 SHORT = st.integers(0, 0xFFFF)
--- a/tests/peers/test_peer_parts.py
+++ b/tests/peers/test_peer_parts.py
@@ -7,7 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from holdgw.peers.token_bucket import NS_PER_S, TokenBucket
+from holdgw.peers.timing import NS_PER_S
+from holdgw.peers.token_bucket import TokenBucket
 from holdgw.peers.update_budget import COMPACT_BYTES, MIN_BYTES_PER_S, UpdateBudget
 from holdgw.peers.update_queue import FIFO_SHARE, JOIN_HANDICAP, Priority, UpdateQueue
 
--- a/tests/peers/test_view_selection.py
+++ b/tests/peers/test_view_selection.py
@@ -12,12 +12,13 @@
     FallbackChange,
     ViewResult,
 )
-from holdgw.peers.load_report import LoadReport, ServerSample
+from holdgw.peers.load_encoding import ServerSample
+from holdgw.peers.load_report import LoadReport
 from holdgw.peers.load_view import TimedWait
 from holdgw.peers.merged_view import ViewPart
 from holdgw.peers.sequence_gate import REPLACED_AFTER
 from holdgw.peers.view_selection import (
-    MAX_HELD_SERVERS,
+    MAX_SERVERS_PER_AGGREGATOR,
     OWN_MAX_AGE,
     OWN_VOTE_MAX_AGE,
     VIEW_MAX_AGE,
@@ -40,7 +41,7 @@
 def view(aggregator: int = 90, sequence: int = 1, wait: int = 20 * MS, **changes: object) -> ViewPart:
     told: dict[str, object] = {
         "boot_id": 7,
-        "held": 0,
+        "age": 0,
         "part": 0,
         "parts": 1,
         "reporters": 700,
@@ -105,7 +106,7 @@
 
 def test_a_views_ages_include_how_long_it_was_held_and_the_time_since_it_arrived() -> None:
     held = ViewSelection()
-    held.receive(view(held=400 * MS, waits=(ServerSample(1, 20 * MS, 200 * MS),)), S)
+    held.receive(view(age=400 * MS, waits=(ServerSample(1, 20 * MS, 200 * MS),)), S)
     found = held.snapshot((90,), NAMES, NOTHING, 2 * S)
     assert found is not None
     assert found.waits == {"cache-1": TimedWait(20.0 * MS, 1600 * MS)}
@@ -184,7 +185,7 @@
     for sequence in range(20):
         waits = tuple(ServerSample(sequence * 200 + i, MS, 0) for i in range(3, 203))
         held.receive(view(sequence=sequence, waits=waits), sequence * MS)
-    assert len(held._views[90].waits) <= MAX_HELD_SERVERS
+    assert len(held._views[90].waits) <= MAX_SERVERS_PER_AGGREGATOR
     found = held.snapshot((90,), NAMES, NOTHING, S)
     assert found is not None
     assert found.waits.keys() <= set(NAMES.values())
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -30,18 +30,20 @@
 from holdgw.harness.scenario import member_names, node_names, read_scenario
 from holdgw.harness.schedule import Schedule, ScheduledFault, draw_schedule
 from holdgw.peers import datagram, merged_view, sequenced_report
-from holdgw.peers.aggregated_exchange import AggregatedExchange, Role
+from holdgw.peers.aggregated_exchange import AggregatedExchange, ExchangeConfig, Role
 from holdgw.peers.aggregator import Outgoing
 from holdgw.peers.datagram import DecodeError
 from holdgw.peers.dissemination import Send
 from holdgw.peers.heavy_hitters import COUNT_HALF_LIFE_S
+from holdgw.peers.load_encoding import ServerSample
 from holdgw.peers.load_merge import MAX_MEAN_RATIO, MIN_SLOT_SHARE
-from holdgw.peers.load_report import LoadReport, ServerSample, hash_server
+from holdgw.peers.load_report import LoadReport, hash_server
 from holdgw.peers.load_view import MAX_ROUTER_SHARE, LoadView, Observations
 from holdgw.peers.membership import Membership
 from holdgw.peers.merged_view import SHARE_STEP, ViewPart
-from holdgw.peers.report_table import NS_PER_S, REPORT_MAX_AGE
+from holdgw.peers.report_table import REPORT_MAX_AGE
 from holdgw.peers.sequenced_report import MAX_SAMPLES, MAX_SLOTS, SequencedReport
+from holdgw.peers.timing import NS_PER_S
 from tests.helpers import MS
 from tests.processes.test_aggregation import LIMIT_S, ROUTERS, Seen, changes, view
 from tests.processes.test_faults import DAY, ROOT, kept
@@ -76,10 +78,8 @@
         self.aggregators = [among.each.index(one) for one in among.aggregators]
         self.membership = Membership(number, size, zone, number, now)
         self.load_view = LoadView(number, self.membership.boot_id)
-        self.exchange = AggregatedExchange(
-            number, size, self.membership, self.aggregators, role, self.load_view, number, now,
-            int(TICK_S * 1000) * MS,
-        )  # fmt: skip
+        place = ExchangeConfig(number, size, self.aggregators, role, int(TICK_S * 1000) * MS)
+        self.exchange = AggregatedExchange(place, self.membership, self.load_view, number, now)
         self.alter: Alter = lambda _to, data: [data]
         self.slots: dict[int, int] = {}
         """What it observes in a second, by slot."""
@@ -485,7 +485,7 @@
             "requests": (1 << 32) - 1 if self.full else 0,
             **changes,
         }
-        part = ViewPart(held=0, part=0, parts=1, waits=waits, slot_shares=dict.fromkeys(CLAIMED, 1.0), **told)
+        part = ViewPart(age=0, part=0, parts=1, waits=waits, slot_shares=dict.fromkeys(CLAIMED, 1.0), **told)
         return merged_view.finish(merged_view.encode_body(part), 0)
 
     def false_report(self, reporter: int) -> bytes:
--- a/tests/processes/test_odd_peers.py
+++ b/tests/processes/test_odd_peers.py
@@ -17,7 +17,8 @@
 from holdgw.harness.schedule import draw_schedule
 from holdgw.peers import datagram, load_report
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
-from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, ServerSample, hash_server
+from holdgw.peers.load_encoding import ServerSample
+from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, hash_server
 from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
 from tests.processes.test_peers import figures
 
