--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -52,25 +52,27 @@
     "stall-forgotten": Mutant(
         "what is read after the process stood still is given its whole time",
         "holdgw.router.event_loop_lag",
-        "        if now - self._last > self._most:\n            return now - self._last\n"
-        "        if self._last - self._before > self._most:\n            return now - self._before\n",
+        "        if now_ns - self._last_beat_ns > self._max_gap_ns:\n"
+        "            return now_ns - self._last_beat_ns\n"
+        "        if self._last_beat_ns - self._previous_beat_ns > self._max_gap_ns:\n"
+        "            return now_ns - self._previous_beat_ns\n",
         "",
         scenario="bench/scenarios/laboratory-storm.toml",
     ),
     "stall-not-handed-on": Mutant(
         "a worker that stood still hands connections on as if all on them had been read",
         "holdgw.router.client_connection",
-        "ClientHandover(held, self.asked, waited, self.server.host.unread_since())",
-        "ClientHandover(held, self.asked, waited)",
+        "        handover = ClientHandover(buffered, self.has_sent_command, waited_s, unread_since)",
+        "        handover = ClientHandover(buffered, self.has_sent_command, waited_s)",
         scenario="bench/scenarios/cores-storm.toml",
     ),
     "doubled-answer": Mutant(
         "an answer is given twice after a late reset",
-        "holdgw.router.dispatcher",
-        "        now = self._host.now()\n        event = AttemptEnded(",
-        "        if outcome is Outcome.RESET and request.answered and reply._connection.transport:\n"
-        '            reply._connection.transport.write(b"-ERR failed\\r\\n")\n'
-        "        now = self._host.now()\n        event = AttemptEnded(",
+        "holdgw.router.attempt",
+        "        event = self._end_event(outcome, note, report)\n",
+        "        if outcome is Outcome.RESET and request.answered and request.reply.connection.transport:\n"
+        '            request.reply.connection.transport.write(b"-ERR failed\\r\\n")\n'
+        "        event = self._end_event(outcome, note, report)\n",
         (
             (
                 "holdgw.router.connection_pool",
@@ -85,12 +87,12 @@
         "holdgw.policy.pending_request",
         "if self.cls.idempotency is Idempotency.NOT_IDEMPOTENT or self.write_within(now) <= 0:",
         "if self.cls.idempotency is Idempotency.NOT_IDEMPOTENT:",
-        (("holdgw.router.dispatcher", "if self._write_by and now >= self._write_by:", "if False:"),),
+        (("holdgw.router.attempt", "if self._write_by_ns and now_ns >= self._write_by_ns:", "if False:"),),
     ),
     "slow-repeat": Mutant(
         "a repeat waits for its connection beyond its window",
         "holdgw.router.dispatcher",
-        "        if action.write_within_ns:\n            attempt.write_by(now + action.write_within_ns)\n",
+        "        if action.write_within_ns:\n            attempt.write_by(now_ns + action.write_within_ns)\n",
         "",
         scenario="bench/scenarios/short-window.toml",
     ),
@@ -141,9 +143,9 @@
     ),
     "cold-full-weight": Mutant(
         "a cold server has its full weight at once",
-        "holdgw.policy.slot_table",
-        "        return 1.0 if warm else cold + (1 - cold) * max(age, 0) / cold_time",
-        "        return 1.0",
+        "holdgw.policy.warm_up",
+        "return self._initial_weight + (1 - self._initial_weight) * max(age_ns, 0) / self.duration_ns",
+        "return 1.0",
         scenario="bench/scenarios/cold-start.toml",
     ),
     "flight-never-lands": Mutant(
@@ -191,52 +193,48 @@
     "request-kept": Mutant(
         "a request that its client left is never forgotten",
         "holdgw.router.dispatcher",
-        "        request.answered = True\n        self.release_if_done(request)\n"
+        "        request.answered = True\n        self.open_requests.release_if_done(request)\n"
         "        self.dispatch(RequestCancelled(request.id))",
         "        request.answered = True\n        self.dispatch(RequestCancelled(request.id))",
     ),
     "deadline-unwatched": Mutant(
         "an attempt has no end of its own",
         "holdgw.router.dispatcher",
-        "        attempt.wait_until(due)\n",
+        "        attempt.time_out_at(due_ns)\n",
         "",
     ),
     "drain-cuts": Mutant(
         "on SIGTERM connections are closed with requests open",
         "holdgw.router.program",
-        "        while clients.connected and loop.time() < begun + self.config.longest_s + KILL_SLACK_S:",
+        "        while clients.connection_count and loop.time() < begun + self.config.longest_s"
+        " + KILL_SLACK_S:",
         "        while False:",
     ),
     "recent-unbounded": Mutant(
         "ids of requests that are over are kept without a bound",
-        "holdgw.router.dispatcher",
-        "            if len(self._recent) > MAX_RECENT_IDS:\n",
-        "            if len(self._recent) > MAX_RECENT_IDS**3:\n",
+        "holdgw.router.open_request",
+        "            if len(self._recent_ids) > MAX_RECENT_IDS:\n",
+        "            if len(self._recent_ids) > MAX_RECENT_IDS**3:\n",
         scenario="storm",
     ),
     "timer-left": Mutant(
         "the sweep goes on when the router has ended",
         "holdgw.router.dispatcher",
-        "        self._sweep_timer.cancel()\n        if self._sweep_soon",
-        "        if self._sweep_soon",
+        "        self._sweep_timer.cancel()\n        if self._overdue_check",
+        "        if self._overdue_check",
     ),
     "cold-unbounded": Mutant(
         "a cold server has its share of slots, whatever the load on them",
         "holdgw.policy.routing_policy",
-        "            if self._caches.any_warming_up(self._now) and not (\n"
-        "                room := self._has_warm_up_capacity(request, node, candidates)\n"
-        "            ):\n",
+        "            if self._caches.any_warming_up(self._now):\n",
         "            if False:\n",
         scenario="bench/scenarios/cold-start.toml",
     ),
     "all-cold-unbounded": Mutant(
         "where all servers are cold each is sent whatever comes",
-        "holdgw.policy.routing_policy",
-        "            return (\n"
-        "                request.warm_up_draw < bears * len(self._caches.endpoints)"
-        " / self._caches.max_endpoints_listed\n"
-        "            )\n",
-        "            return True\n",
+        "holdgw.policy.slow_start",
+        "        return request.warm_up_draw < capacity * listed / self._endpoints.max_endpoints_listed\n",
+        "        return True\n",
         scenario="bench/scenarios/black-start.toml",
     ),
     "hand-forgotten": Mutant(
@@ -256,51 +254,50 @@
     "closing-for-ever": Mutant(
         "a connection being closed to a client that takes nothing is waited for without end",
         "holdgw.router.client_connection",
-        "if self.blocked or self.transport.is_closing() or (self._linger is not None and unsent):\n",
-        "if self.blocked:\n",
+        "if self.write_blocked or self.transport.is_closing() or (self._lingering is not None and unsent):\n",
+        "if self.write_blocked:\n",
         scenario="bench/scenarios/deaf-clients.toml",
     ),
     "shed-off": Mutant(
         "a server that reports a long wait gives no slots up",
-        "holdgw.policy.endpoint_health",
-        "        if wait > most:\n            elapsed",
-        "        if False:\n            elapsed",
+        "holdgw.policy.tracked_endpoint",
+        "        if response_time_ns > overload_ns:\n",
+        "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "bound-off": Mutant(
         "a server that reports a long wait is sent as much as ever",
-        "holdgw.policy.endpoint_health",
-        "            self.reported_response_time_ns > self.max_response_time_ns\n"
-        "            and (wait := self.expected_response_time_ns(now)) > self.max_response_time_ns\n",
-        "            (wait := 0.0) > self.max_response_time_ns\n",
+        "holdgw.policy.tracked_endpoint",
+        "        if self.reported.over_limit:\n",
+        "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "deserted-off": Mutant(
         "a refused connection where connections rested is no death",
         "holdgw.policy.endpoint_health",
-        "            or deserted\n",
-        "",
+        "        if result.idle_connections_closed or ",
+        "        if ",
         scenario="bench/scenarios/fleet-join.toml",
     ),
     "draw-off": Mutant(
         "a hot slot's owners are drawn without what they report",
-        "holdgw.policy.routing_policy",
-        "        weight /= max(node.reported_response_time_ns, self._usual_response_time_ns / 2, 1.0)\n",
+        "holdgw.policy.endpoint_selection",
+        "        weight /= max(endpoint.reported_response_time_ns, usual_ns / 2, 1.0)\n",
         "",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "owners-off": Mutant(
         "a hot slot has no more owners while these are over their load",
-        "holdgw.policy.routing_policy",
-        "            if over > 1.0:\n",
-        "            if False:\n",
+        "holdgw.policy.endpoint_selection",
+        "        if load_factor > 1.0:\n",
+        "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "lean-off": Mutant(
         "a server that answers late gives no slots up",
         "holdgw.policy.routing_policy",
-        "            if node.failure_fraction > DONOR_FAILURE_FRACTION and not node.ejected:\n",
-        "            if False:\n",
+        "        if endpoint.is_donor:\n",
+        "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "age-ignored": Mutant(
@@ -320,10 +317,9 @@
     "switch": Mutant(
         "a slot goes to the ranked server that says the shortest wait, all at once",
         "holdgw.policy.slot_rebalancing",
-        "        if not self._surplus_capacity or not ranking or slot in self._sticky:\n"
-        "            return 0\n",
+        "        if not self._spare_load or not ranking or slot in self._sticky:\n            return 0\n",
         "        if ranking:\n"
-        "            count = min(len(ranking), RANKED)\n"
+        "            count = min(len(ranking), MAX_RECEIVER_RANK)\n"
         "            return min(range(count), key=lambda i: ranking[i].reported_response_time_ns or 1e18)\n",
         figure="herd",
     ),
@@ -337,8 +333,8 @@
     "own-evidence-below": Mutant(
         "what others were told goes before a server's newer word to this router",
         "holdgw.policy.routing_policy",
-        "            if node is not None and at > node.reported_at_ns:\n",
-        "            if node is not None:\n",
+        "            if endpoint is not None and reported_at_ns > endpoint.reported.at_ns:\n",
+        "            if endpoint is not None:\n",
         figure="overruled",
     ),
     "view-age-ignored": Mutant(
@@ -392,7 +388,7 @@
         "",
         (
             (
-                "holdgw.router.dispatcher",
+                "holdgw.router.attempt",
                 "        if request.answered:\n            return Outcome.CANCELLED\n",
                 "",
             ),
@@ -440,16 +436,16 @@
     ),
     "cold-undivided": Mutant(
         "each router has the whole of a cold server's budget",
-        "holdgw.policy.routing_policy",
-        "        pace = self._usual_answers_per_ns(now) * bears * workers",
-        "        pace = self._usual_answers_per_ns(now) * bears * workers * self._settings.routers",
+        "holdgw.policy.slow_start",
+        "        tokens_per_ns = per_endpoint_ns * capacity * workers\n",
+        "        tokens_per_ns = per_endpoint_ns * capacity * workers * self._settings.routers\n",
         test="tests/test_cold_budget.py",
     ),
     "fin-before-answers": Mutant(
         "a client's connection is closed though commands are unanswered",
         "holdgw.router.client_connection",
-        "        if not self.replies and (even_midway or not (self._reader.midway or self._newly_made)):",
-        "        if even_midway or not self._reader.midway:",
+        "        if not self.replies and (even_mid_command or not unfinished):",
+        "        if even_mid_command or not self._reader.has_partial_command:",
     ),
 }
 
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -81,7 +81,7 @@
         )
         self._host_system = host_system
         self._shared_table = host_system.attach_table(slot)
-        self.clients.copy = host_system.duplicate_client
+        self.clients.duplicate = host_system.duplicate_client
         self._update_assembler = UpdateAssembler()
         self._accepted_clients = 0
         self._shares_number = 0
@@ -172,7 +172,7 @@
         host = self.host
         self.link.send(
             WorkerReport(
-                connected=self.clients.connected,
+                connected=self.clients.connection_count,
                 shares_number=self._shares_number,
                 demands=host.origin_demand(),
                 results=host.metrics.counts(),
