--- a/bench/capacity_path.py
+++ b/bench/capacity_path.py
@@ -20,13 +20,15 @@
 from holdgw.router.client_listener import MAX_REJECTING_CONNECTIONS
 from holdgw.router.config import DEFAULT_MEMORY_MB, DEFAULT_SOCKETS
 from holdgw.router.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT
-from holdgw.router.program import CLIENT_SHARE, OWN_DESCRIPTORS
+from holdgw.router.descriptor_limits import CLIENT_DESCRIPTOR_FRACTION, OWN_DESCRIPTORS
 
 ONE_CORE = at_most(1.0, "one process is one core; `--cores` has no peers")
 US_TO_CORES = REQUESTS_PER_S / 1e6
 ANSWER_MS = 50.0  # assumed: what an answer takes at a server and on the way, with its value
 OPEN = REQUESTS_PER_S * ANSWER_MS / 1e3
-FOR_SERVERS = (DEFAULT_SOCKETS - OWN_DESCRIPTORS - MAX_REJECTING_CONNECTIONS) * (1 - CLIENT_SHARE)
+FOR_SERVERS = (DEFAULT_SOCKETS - OWN_DESCRIPTORS - MAX_REJECTING_CONNECTIONS) * (
+    1 - CLIENT_DESCRIPTOR_FRACTION
+)
 MEAN_MB = MEAN_BYTES / 1e6
 EVEN = at_most(1.1, "ours: a tenth over the mean")
 
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -205,10 +205,10 @@
     ),
     "drain-cuts": Mutant(
         "on SIGTERM connections are closed with requests open",
-        "holdgw.router.program",
-        "        while clients.connection_count and loop.time() < begun + self.config.longest_s"
-        " + KILL_SLACK_S:",
-        "        while False:",
+        "holdgw.router.graceful_shutdown",
+        "        while self._clients.connection_count and self._loop.time() < self._end_by_s:\n"
+        "            self._close_answered()\n",
+        "        while False:\n            self._close_answered()\n",
     ),
     "recent-unbounded": Mutant(
         "ids of requests that are over are kept without a bound",
--- a/holdgw/cores/__main__.py
+++ b/holdgw/cores/__main__.py
@@ -22,9 +22,9 @@
     signal.signal(signal.SIGUSR2, signal.SIG_IGN)
     try:
         config = load_config(os.environ)
-        check_resources(workers, config.memory, config.sockets)
-        if config.known is not None:
-            read_listing(config.known, Clock())
+        check_resources(workers, config.memory_bytes, config.max_descriptors)
+        if config.known_endpoints is not None:
+            read_listing(config.known_endpoints, Clock())
     except (ConfigError, InsufficientResourcesError, ValueError) as error:
         print(f"holdgw: {error}", file=sys.stderr)
         return EXIT_USAGE
--- a/holdgw/cores/endpoint_feed.py
+++ b/holdgw/cores/endpoint_feed.py
@@ -44,16 +44,20 @@
         self._on_update = on_update
         self._policy = RoutingPolicy(config.settings, config.seed)
         self._discovery = Discovery(
-            config.discovery, config.settings.subscription_required, self._clock, self._apply, self._failed
+            config.discovery_address,
+            config.settings.subscription_required,
+            self._clock,
+            self._apply,
+            self._failed,
         )
         self.overrides = EndpointOverrides(config.settings.origin_kind)
         self.has_list = False
 
     def load_cached(self) -> None:
         """Begin with the cached list of the configuration, if it names one."""
-        if self._config.known is None:
+        if self._config.known_endpoints is None:
             return
-        cached = read_listing(self._config.known, self._clock, UpdateKind.CACHED)
+        cached = read_listing(self._config.known_endpoints, self._clock, UpdateKind.CACHED)
         self._discovery.resume_from(cached.generation)
         self._apply(cached)
 
@@ -61,12 +65,12 @@
         """Follow discovery from now on."""
         if not self._config.settings.subscription_required:
             self._discovery.start()
-        elif self._config.known is None:
+        elif self._config.known_endpoints is None:
             self._dispatch(EndpointsChanged(UpdateKind.CACHED))
 
     def change_address(self, config: Config) -> None:
         """Follow discovery at the address of another configuration."""
-        self._discovery.change_address(config.discovery)
+        self._discovery.change_address(config.discovery_address)
 
     def enter_maintenance(self, server_id: str) -> None:
         """Set the override of a cache server; raises UnknownEndpointError."""
--- a/holdgw/cores/host_system.py
+++ b/holdgw/cores/host_system.py
@@ -19,8 +19,8 @@
 from holdgw.operation.process_link import ClientHandover, ProcessLink
 from holdgw.router.client_listener import ClientListener, duplicate_descriptor
 from holdgw.router.config import Config, ConfigError
+from holdgw.router.platform import passed_listener
 from holdgw.router.process import python_with
-from holdgw.router.program import passed_socket
 from holdgw.wire.address import Address
 
 INDEX_VARIABLE = "HOLDGW_PLACE"
@@ -223,7 +223,9 @@
 
     def listen(self, config: Config, on_connection: Callable[[int], None]) -> Acceptor:
         """Listen for clients, on the passed socket if there is one."""
-        sock = passed_socket(config.passed) or socket.create_server(config.listen, backlog=LISTEN_BACKLOG)
+        sock = passed_listener(config.passed_descriptor) or socket.create_server(
+            config.listen_address, backlog=LISTEN_BACKLOG
+        )
         return _SocketAcceptor(self._loop, sock, on_connection)
 
     async def start_worker(
--- a/holdgw/cores/supervisor.py
+++ b/holdgw/cores/supervisor.py
@@ -27,9 +27,11 @@
 from holdgw.policy import NS_PER_S, disabled_features
 from holdgw.router.config import Config
 from holdgw.router.event_loop_lag import LagMonitor
+from holdgw.router.graceful_shutdown import ACCEPT_AFTER_SIGTERM_S, SHUTDOWN_SLACK_S
 from holdgw.router.log import log_faults
 from holdgw.router.platform import Platform
-from holdgw.router.program import ACCEPT_S, KILL_SLACK_S, READY_S, reload_config
+from holdgw.router.program import KNOWN_ENDPOINTS_WAIT_S
+from holdgw.router.reload import reload_config
 from holdgw.router.timer_wheel import TimerWheel
 
 LAG_CHECK_INTERVAL_S = 0.02
@@ -74,7 +76,7 @@
         host_system: HostSystem | None = None,
     ) -> None:
         """Raises InsufficientResourcesError."""
-        check_resources(workers, config.memory, config.sockets)
+        check_resources(workers, config.memory_bytes, config.max_descriptors)
         self.config = config
         self.platform = platform or Platform()
         self.loop = asyncio.get_running_loop()
@@ -102,15 +104,15 @@
         self.loop.add_signal_handler(signal.SIGHUP, self._reload)
         self.loop.add_signal_handler(signal.SIGUSR2, self.replace_workers)
         self._feed.load_cached()
-        if self.config.ops is not None:
-            await self._admin_endpoint.listen(self.config.ops)
+        if self.config.admin_address is not None:
+            await self._admin_endpoint.listen(self.config.admin_address)
         for index in range(self.pool.workers):
             await self._start_worker(index)
         self._acceptor.set_accepting(True)
         if listening is not None:
             listening.set_result(self._acceptor.address)
         self._feed.start()
-        self._call_later(READY_S, self._check_for_list)
+        self._call_later(KNOWN_ENDPOINTS_WAIT_S, self._check_for_list)
         self._call_later(TICK_S, self._tick)
         self._check_lag()
         await self._terminated.wait()
@@ -123,11 +125,11 @@
         begun = self.loop.time()
         for worker in list(self.workers.values()):
             self._signal(worker, signal.SIGTERM)
-        await asyncio.sleep(ACCEPT_S)
+        await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         if self._acceptor is not None:
             self._acceptor.close()
             self._acceptor = None
-        while self.workers and self.loop.time() < begun + self.config.longest_s + KILL_SLACK_S:
+        while self.workers and self.loop.time() < begun + self.config.max_deadline_s + SHUTDOWN_SLACK_S:
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         for worker in list(self.workers.values()):
             log.error("worker does not end, killing it worker=%d", worker.state.index)
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -55,13 +55,13 @@
         config,
         settings=settings,
         seed=config.seed * SEED_STRIDE + slot.index,
-        max_open=max(config.max_open // slot.worker_count, 1),
-        memory=config.memory // processes,
-        sockets=config.sockets // processes,
-        ops=None,
-        passed=None,
+        max_open_requests=max(config.max_open_requests // slot.worker_count, 1),
+        memory_bytes=config.memory_bytes // processes,
+        max_descriptors=config.max_descriptors // processes,
+        admin_address=None,
+        passed_descriptor=None,
         peers=None,
-        known=None,
+        known_endpoints=None,
     )
 
 
@@ -91,8 +91,8 @@
         self._report_timer: asyncio.TimerHandle | None = None
         # Until it is sent its shares it would use some that others still have.
         tenants = (*(tenant.name for tenant in config.settings.tenants), "")
-        self.host.dispatch(LimitSharesChanged(dict.fromkeys(tenants, MIN_SHARE)))
-        self.host.shared = self
+        self.dispatcher.dispatch(LimitSharesChanged(dict.fromkeys(tenants, MIN_SHARE)))
+        self.dispatcher.shared = self
         self.link: ProcessLink[ToWorker] = host_system.open_link(
             LinkHandlers(decode_to_worker, self._receive, self._link_closed)
         )
@@ -126,7 +126,7 @@
             case EndpointUpdatePart():
                 self._apply_update_part(message)
             case LimitShares():
-                self.host.dispatch(LimitSharesChanged(message.shares))
+                self.dispatcher.dispatch(LimitSharesChanged(message.shares))
                 self._shares_number = message.number
                 self._report()
             case HandoverPart():
@@ -149,36 +149,36 @@
         update = self._update_assembler.add(part)
         if update is None:
             return
-        self._take(update)
+        self._apply_discovery_update(update)
         if not self._announced_serving:
             self._announced_serving = True
             self.link.send(Serving())
 
     def _begin_handover(self) -> None:
-        for part in split_handover(self.host.handover_state()):
+        for part in split_handover(self.dispatcher.handover_state()):
             self.link.send(HandoverPart(part))
         self._handing_over = True
-        self._terminated.set()
+        self._shutdown_requested.set()
 
     def _link_closed(self, _: ProcessLink[ToWorker]) -> None:
         """Drain: without a supervisor nothing would notify this worker of drains, or end it."""
-        if not self._terminated.is_set():
+        if not self._shutdown_requested.is_set():
             log.error("worker: the supervisor has ended, draining")
-        self._terminated.set()
+        self._shutdown_requested.set()
 
     # Reports to the supervisor
 
     def _report(self) -> None:
-        host = self.host
+        dispatcher = self.dispatcher
         self.link.send(
             WorkerReport(
                 connected=self.clients.connection_count,
                 shares_number=self._shares_number,
-                demands=host.origin_demand(),
-                results=host.metrics.counts(),
-                forwards=host.metrics.forwards,
-                outstanding=host.outstanding,
-                ejected=host.ejected(),
+                demands=dispatcher.origin_demand(),
+                results=dispatcher.metrics.counts(),
+                forwards=dispatcher.metrics.forwards,
+                outstanding=dispatcher.outstanding,
+                ejected=dispatcher.ejected(),
             )
         )
 
@@ -188,21 +188,21 @@
 
     # A router's life, where it differs
 
-    def _take_client(
-        self, told: ClientHandover | None, descriptor: int, late: int
+    def _connect_client(
+        self, handover: ClientHandover | None, descriptor: int, wait_ns: int
     ) -> Coroutine[Any, Any, None]:
-        return self._host_system.adopt_client(self.clients, told, descriptor, late)
+        return self._host_system.adopt_client(self.clients, handover, descriptor, wait_ns)
 
     def _reload(self) -> None:
         """Count the reload: the supervisor moves discovery, and nothing else of it is applied."""
-        self.host.metrics.reloads_applied += 1
+        self.dispatcher.metrics.reloads_applied += 1
 
-    async def _open(self, _: asyncio.Future[Any] | None) -> None:
+    async def _start_serving(self, _: asyncio.Future[Any] | None) -> None:
         self.link.read()
         self._report_periodically()
 
-    @property
-    def _successor(self) -> ProcessLink[Any] | None:
+    def handover_link(self) -> ProcessLink[Any] | None:
+        """The supervisor's link, once it has asked for the handover."""
         return self.link if self._handing_over and self.link.open else None
 
     async def run(self, listening: asyncio.Future[Any] | None = None) -> None:
--- a/holdgw/router/__main__.py
+++ b/holdgw/router/__main__.py
@@ -22,8 +22,8 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load_config(os.environ)
-        if config.known is not None:
-            read_listing(config.known, Clock())
+        if config.known_endpoints is not None:
+            read_listing(config.known_endpoints, Clock())
     except (ConfigError, ValueError) as error:
         print(f"holdgw: {error}", file=sys.stderr)
         return 2
--- a/holdgw/router/aggregate.py
+++ b/holdgw/router/aggregate.py
@@ -20,9 +20,9 @@
 from holdgw.peers.load_view import LoadSnapshot, Observations
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.log import log_faults, make_logger
+from holdgw.router.peer_metrics import peer_metrics
 from holdgw.router.platform import Platform
 from holdgw.router.process import run_until_exit
-from holdgw.router.program import peer_metrics
 
 
 class AggregatorProgram:
@@ -40,8 +40,8 @@
         """Aggregate until SIGTERM."""
         log_faults(self.loop)
         self.loop.add_signal_handler(signal.SIGTERM, self._terminated.set)
-        if self.config.ops is not None:
-            await self.door.listen(self.config.ops)
+        if self.config.admin_address is not None:
+            await self.door.listen(self.config.admin_address)
         self.peers.start()
         await self._terminated.wait()
         self.peers.leave()
--- a/holdgw/router/client_listener.py
+++ b/holdgw/router/client_listener.py
@@ -12,7 +12,7 @@
 
 from holdgw.operation.process_link import ClientHandover
 from holdgw.router.client_connection import ClientConnection, RequestHandler
-from holdgw.router.platform import accept_queued, has_left
+from holdgw.router.platform import accept_queued, peer_closed
 from holdgw.wire.address import Address
 
 LISTEN_BACKLOG = 1024
@@ -48,7 +48,7 @@
         loop: asyncio.AbstractEventLoop,
         handler: RequestHandler,
         limit: int,
-        peer_closed: Callable[[Any], bool] = has_left,
+        peer_closed: Callable[[Any], bool] = peer_closed,
         max_unsent_bytes: int = DEFAULT_MAX_UNSENT_BYTES,
     ) -> None:
         """Create a listener that does not accept yet.
--- a/holdgw/router/config.py
+++ b/holdgw/router/config.py
@@ -31,31 +31,31 @@
     """The configuration in the router's own terms; times are nanoseconds."""
 
     name: str
-    listen: Address
-    discovery: Address
+    listen_address: Address
+    discovery_address: Address
     seed: int
     settings: Settings
-    max_open: int
+    max_open_requests: int
     """Most requests open at a time."""
-    dial_timeout: int
-    copies: bool
+    dial_timeout_ns: int
+    hedging_allowed: bool
     """Whether a request may have two attempts out at a time."""
-    idle_close: int
+    idle_timeout_ns: int
     """After so long at the latest a cache server closes an idle connection."""
-    memory: int
+    memory_bytes: int
     """Bytes; over this the router is killed."""
-    sockets: int
-    ops: Address | None
+    max_descriptors: int
+    admin_address: Address | None
     """Where operators call; None: nowhere."""
-    passed: int | None
+    passed_descriptor: int | None
     """The descriptor of the clients' listening socket, where the platform holds it."""
     peers: PeerConfig | None
     """The other routers, where the settings allow speaking to them."""
-    known: dict[str, Any] | None
+    known_endpoints: dict[str, Any] | None
     """The list of servers as last held, in discovery's form; it may be old."""
 
     @property
-    def longest_s(self) -> float:
+    def max_deadline_s(self) -> float:
         """Seconds for which a client waits at most."""
         return max(cls.deadline_ns for cls in self.settings.classes) / NS_PER_S
 
@@ -103,22 +103,22 @@
     ops = environ.get("LB_OPS") or told.get("ops")
     return Config(
         name=environ.get("LB_NAME") or str(told.get("name") or "router"),
-        listen=parse_address("listen", environ.get("LB_LISTEN") or told["listen"]),
-        discovery=parse_address("discovery", environ.get("LB_DISCOVERY") or told["discovery"]),
+        listen_address=parse_address("listen", environ.get("LB_LISTEN") or told["listen"]),
+        discovery_address=parse_address("discovery", environ.get("LB_DISCOVERY") or told["discovery"]),
         seed=int(str(told.get("seed") or "0"), 16),
         settings=read_settings(facts),
-        max_open=_positive("ceilings.maxOpen", ceilings.get("maxOpen"), DEFAULT_MAX_OPEN),
-        dial_timeout=_positive(
+        max_open_requests=_positive("ceilings.maxOpen", ceilings.get("maxOpen"), DEFAULT_MAX_OPEN),
+        dial_timeout_ns=_positive(
             "ceilings.dialTimeoutNs", ceilings.get("dialTimeoutNs"), DEFAULT_DIAL_TIMEOUT_NS
         ),
-        copies=bool(ceilings.get("secondCopies")),
-        idle_close=_positive("ceilings.idleCloseNs", ceilings.get("idleCloseNs"), DEFAULT_IDLE_CLOSE_NS),
-        memory=_positive("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MB) << 20,
-        sockets=_positive("limits.sockets", limits.get("sockets"), DEFAULT_SOCKETS),
-        ops=parse_address("ops", ops) if ops else None,
-        passed=_descriptor("LB_PASSED_SOCKET", environ.get("LB_PASSED_SOCKET")),
+        hedging_allowed=bool(ceilings.get("secondCopies")),
+        idle_timeout_ns=_positive("ceilings.idleCloseNs", ceilings.get("idleCloseNs"), DEFAULT_IDLE_CLOSE_NS),
+        memory_bytes=_positive("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MB) << 20,
+        max_descriptors=_positive("limits.sockets", limits.get("sockets"), DEFAULT_SOCKETS),
+        admin_address=parse_address("ops", ops) if ops else None,
+        passed_descriptor=_descriptor("LB_PASSED_SOCKET", environ.get("LB_PASSED_SOCKET")),
         peers=_peers(told, facts) if ceilings.get("peers") and told.get("peer_listen") else None,
-        known=typed("known", known, dict) if known is not None else None,
+        known_endpoints=typed("known", known, dict) if known is not None else None,
     )
 
 
--- a/holdgw/router/platform.py
+++ b/holdgw/router/platform.py
@@ -1,4 +1,4 @@
-"""What a router takes from the machine it runs on, beside its event loop: clocks, environment, files.
+"""What a router takes from the system it runs on, beside its event loop: clocks, environment, files, sockets.
 
 A simulated process is given others of each; a real one takes the defaults.
 """
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 def read_file(path: str) -> bytes:
@@ -22,46 +22,57 @@
     return Path(path).read_bytes()
 
 
-def has_left(transport: Any) -> bool:
+def peer_closed(transport: Any) -> bool:
     """Whether the other side of a connection has closed or reset it, even behind bytes not read yet."""
     sock = transport.get_extra_info("socket")
-    number = sock.fileno() if sock is not None else -1
-    if number < 0:
+    descriptor = sock.fileno() if sock is not None else -1
+    if descriptor < 0:
         return False
     poll = select.poll()
-    poll.register(number, select.POLLRDHUP)
+    poll.register(descriptor, select.POLLRDHUP)
     try:
-        return any(events & GONE for _, events in poll.poll(0))
+        return any(events & CLOSED_EVENTS for _, events in poll.poll(0))
     except OSError:
         return False
 
 
-def accept_queued(listening: Iterable[Any], most: int) -> list[int]:
-    """The descriptors of connections that wait to be accepted there, so many at most: the caller's now."""
-    found: list[int] = []
-    for pseudo in listening:
-        number = pseudo.fileno()
-        if number < 0:
+def accept_queued(listeners: Iterable[Any], max_count: int) -> list[int]:
+    """Accept connections that wait at listeners, `max_count` at most; the caller owns the descriptors."""
+    accepted: list[int] = []
+    for listener in listeners:
+        descriptor = listener.fileno()
+        if descriptor < 0:
             continue
-        sock = socket.socket(fileno=number)
+        sock = socket.socket(fileno=descriptor)
         try:
             sock.setblocking(False)
-            while len(found) < most:
-                found.append(sock.accept()[0].detach())
+            while len(accepted) < max_count:
+                accepted.append(sock.accept()[0].detach())
         except OSError:
             pass  # none is left, or there is no descriptor for it
         finally:
             sock.detach()
-    return found
+    return accepted
+
+
+def passed_listener(descriptor: int | None) -> socket.socket | None:
+    """The listening socket that the system passed in, if any; raises OSError where it is no such socket."""
+    if descriptor is None:
+        return None
+    sock = socket.socket(fileno=descriptor)
+    if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        raise OSError(f"LB_PASSED_SOCKET: descriptor {descriptor} listens to nobody")
+    return sock
 
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """The machine's side. Both clocks count nanoseconds; only `unix_ns` may jump or go back."""
+    """The system's side. Both clocks count nanoseconds; only `unix_ns` may jump or go back."""
 
     monotonic_ns: Callable[[], int] = time.monotonic_ns
     unix_ns: Callable[[], int] = time.time_ns
     environ: Mapping[str, str] = field(default_factory=lambda: os.environ)
     read: Callable[[str], bytes] = read_file
+    """Raises OSError."""
     cpu_s: Callable[[], float] = time.process_time
-    has_left: Callable[[Any], bool] = has_left
+    peer_closed: Callable[[Any], bool] = peer_closed
--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -260,7 +260,7 @@
         listener = self.process.network.listen(
             self.process,
             lambda: _AcceptedConnection(self.descriptors, on_connection),
-            config.listen,
+            config.listen_address,
             LISTEN_BACKLOG,
         )
         return _SimulatedAcceptor(listener)
@@ -271,7 +271,9 @@
         """Start a worker process and link to it."""
         theatre, parent = self.router.theatre, self.process
         name = f"{self.router.name}.{index}"
-        child = Process(theatre.world, theatre.network, parent.host, name, 0, False, self.config.sockets)
+        child = Process(
+            theatre.world, theatre.network, parent.host, name, 0, False, self.config.max_descriptors
+        )
         child.share_clock(parent)
         here, there = SimulatedLink(parent, self.descriptors), SimulatedLink(child, self.descriptors)
         here.peer, there.peer = there, here
@@ -284,7 +286,7 @@
                 child.faults.append(str(error))
                 return 2
             platform = Platform(
-                child.monotonic_ns, child.unix_ns, environ, self.router.read, has_left=has_left
+                child.monotonic_ns, child.unix_ns, environ, self.router.read, peer_closed=has_left
             )
             host_system = _SimulatedWorkerHostSystem(child, self, there)
             await Worker(config, WorkerSlot(index, workers, -1, -1), host_system, platform).run()
@@ -357,7 +359,7 @@
     """Routers as `python -m holdgw.cores` runs them; `harm`: their workers have troubles of their own."""
 
     async def main(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
-        platform = Platform(process.monotonic_ns, process.unix_ns, environ, router.read, has_left=has_left)
+        platform = Platform(process.monotonic_ns, process.unix_ns, environ, router.read, peer_closed=has_left)
         try:
             config = load_config(environ, read=router.read)
             host_system = SimulatedHostSystem(router, process, config)
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -363,7 +363,7 @@
 
 async def real_router(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
     """The router as `python -m holdgw.router` runs it, on the process's own clocks, files and loop."""
-    platform = Platform(process.monotonic_ns, process.unix_ns, environ, router.read, has_left=has_left)
+    platform = Platform(process.monotonic_ns, process.unix_ns, environ, router.read, peer_closed=has_left)
     try:
         config = load_config(environ, read=router.read)
     except ConfigError as error:
--- a/holdgw/simulation/invariants.py
+++ b/holdgw/simulation/invariants.py
@@ -13,8 +13,8 @@
 
 from holdgw.harness.checker import Broken
 from holdgw.router.client_listener import MAX_REJECTING_CONNECTIONS
+from holdgw.router.descriptor_limits import CLIENT_DESCRIPTOR_FRACTION, OWN_DESCRIPTORS
 from holdgw.router.open_request import MAX_RECENT_IDS
-from holdgw.router.program import CLIENT_SHARE, OWN_DESCRIPTORS
 from holdgw.simulation.process import Process
 from holdgw.simulation.world import NS_PER_MS, World, name_of
 
@@ -101,10 +101,10 @@
                 self.broke("overdue", f"{name}: a request stands unanswered past its deadline")
             if tables["requests_out_late"] and not self._just_went_on(name):
                 self.broke("overdue", f"{name}: an attempt is out past its request's deadline")
-            others = max(config.sockets - OWN_DESCRIPTORS, 8)
-            for_clients = int(others * CLIENT_SHARE)
+            others = max(config.max_descriptors - OWN_DESCRIPTORS, 8)
+            for_clients = int(others * CLIENT_DESCRIPTOR_FRACTION)
             bounds = {
-                "requests": config.max_open,
+                "requests": config.max_open_requests,
                 "recent": MAX_RECENT_IDS,
                 "clients": for_clients + MAX_REJECTING_CONNECTIONS + 1,
                 "descriptors_counted": others - for_clients,
@@ -117,8 +117,10 @@
             if tables["descriptors_counted"] != held:
                 text = f"{name}: {tables['descriptors_counted']} descriptors counted for servers, {held} held"
                 self.broke("miscounted", text)
-            if process.most_open > config.sockets:
-                self.broke("unbounded", f"{name}: held {process.most_open} descriptors of {config.sockets}")
+            if process.most_open > config.max_descriptors:
+                self.broke(
+                    "unbounded", f"{name}: held {process.most_open} descriptors of {config.max_descriptors}"
+                )
 
     def _just_went_on(self, name: str) -> bool:
         now = self._theatre.clock()
--- a/tests/operation/test_admin_endpoint.py
+++ b/tests/operation/test_admin_endpoint.py
@@ -22,9 +22,9 @@
     config(tmp_path, 9)
     environ = {"LB_CONFIG": str(tmp_path / "config.json")}
     loaded = load_config({**environ, "LB_OPS": "127.0.0.1:7", "LB_PASSED_SOCKET": "5"})
-    assert (loaded.ops, loaded.passed) == (("127.0.0.1", 7), 5)
-    assert config(tmp_path, 9).ops is None
-    assert config(tmp_path, 9, ops="127.0.0.1:8").ops == ("127.0.0.1", 8)
+    assert (loaded.admin_address, loaded.passed_descriptor) == (("127.0.0.1", 7), 5)
+    assert config(tmp_path, 9).admin_address is None
+    assert config(tmp_path, 9, ops="127.0.0.1:8").admin_address == ("127.0.0.1", 8)
     for bad in ({"LB_OPS": "nowhere"}, {"LB_PASSED_SOCKET": "-5"}):
         with pytest.raises(ConfigError, match=r"ops|LB_PASSED_SOCKET"):
             load_config({**environ, **bad})
@@ -114,7 +114,7 @@
         program = Program(config(tmp_path, agent.port))
         program.discovery.start()
         address = await program.clients.listen(("127.0.0.1", 0))
-        ops = await program.door.listen(("127.0.0.1", 0))
+        ops = await program.admin_endpoint.listen(("127.0.0.1", 0))
         await asyncio.wait_for(agent.watched.wait(), LIMIT_S)
         asked = 0
 
@@ -139,9 +139,9 @@
         assert b"\nlb_forwards 120\n" in metrics
         assert (await call(ops, put("/maintenance/exit", "s0"))).startswith(b"HTTP/1.1 200")
         assert all(await ask(60))
-        program.door.close()
+        program.admin_endpoint.close()
         program.clients.close()
-        program.host.close()
+        program.dispatcher.close()
         program.discovery.close()
         program.pool.close()
         agent.stop()
@@ -159,7 +159,7 @@
         passed = os.dup(listener.fileno())
         without_socket = config(tmp_path, agent.port)
         environ = {"LB_CONFIG": str(tmp_path / "config.json"), "LB_PASSED_SOCKET": str(passed)}
-        assert without_socket.passed is None
+        assert without_socket.passed_descriptor is None
         serving = asyncio.create_task(Program(load_config(environ)).run())
         await asyncio.wait_for(agent.watched.wait(), LIMIT_S)
         reader, writer = await asyncio.open_connection(*listener.getsockname())
--- a/tests/operation/test_takeover.py
+++ b/tests/operation/test_takeover.py
@@ -397,12 +397,12 @@
         program = Program(config(tmp_path, 9))
         early, late = (HandoverState(tenant_usage={name: 2.0}) for name in ("early", "late"))
         program.restore_state(early)
-        assert not program.host.handover_state().tenant_usage
-        program._make_do()
+        assert not program.dispatcher.handover_state().tenant_usage
+        program._become_ready()
         program.restore_state(late)
-        assert program.host.handover_state().tenant_usage == {"early": 2.0, "late": 2.0}
-        assert not program._learnt
-        program.host.close()
+        assert program.dispatcher.handover_state().tenant_usage == {"early": 2.0, "late": 2.0}
+        assert not program._states_to_restore
+        program.dispatcher.close()
         program.clients.close()
         program.pool.close()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -36,10 +36,12 @@
     client_listener,
     connection_close,
     connection_pool,
+    descriptor_limits,
     discovery,
+    graceful_shutdown,
     program,
 )
-from holdgw.router.platform import accept_queued, has_left
+from holdgw.router.platform import accept_queued, peer_closed
 from tests.emulated_nodes import (
     HIT,
     LIMIT_S,
@@ -241,7 +243,7 @@
         begun = 3 if "too many" in why else 1
         await until(lambda: not connection._reading and len(stage.cache.seen) == begun)
         writer.transport.abort()
-        await until(lambda: has_left(connection.transport))
+        await until(lambda: peer_closed(connection.transport))
         assert not connection.closed  # it has not been read that it left
         stage.go.set()
         await stage.alone()
@@ -539,7 +541,7 @@
 def test_a_router_told_twice_to_end_and_to_read_its_file_again_ends_once_all_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(program, "ACCEPT_S", 0.05)
+    monkeypatch.setattr(graceful_shutdown, "ACCEPT_AFTER_SIGTERM_S", 0.05)
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
 
     async def test() -> None:
@@ -557,7 +559,7 @@
         await other.start()
         told = config_of(tmp_path / "config.json", agent.port)
         cls = RequestClass("read", latency_objective_ns=9 * S, deadline_ns=20 * S)
-        config = replace(told, listen=("127.0.0.1", 0), settings=settings(classes=(cls,)))
+        config = replace(told, listen_address=("127.0.0.1", 0), settings=settings(classes=(cls,)))
         listening: asyncio.Future[tuple[str, int]] = asyncio.get_running_loop().create_future()
         router = asyncio.create_task(program.serve(config, listening))
         address = await asyncio.wait_for(listening, LIMIT_S)
@@ -585,10 +587,12 @@
 def test_a_router_told_to_end_before_it_is_ready_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(program, "ACCEPT_S", 0.05)
+    monkeypatch.setattr(graceful_shutdown, "ACCEPT_AFTER_SIGTERM_S", 0.05)
 
     async def test() -> None:
-        config = replace(config_of(tmp_path / "c.json", 1), listen=("127.0.0.1", 0), known=None)
+        config = replace(
+            config_of(tmp_path / "c.json", 1), listen_address=("127.0.0.1", 0), known_endpoints=None
+        )
         listening: asyncio.Future[tuple[str, int]] = asyncio.get_running_loop().create_future()
         router = asyncio.create_task(program.serve(config, listening))
         address = await asyncio.wait_for(listening, LIMIT_S)
@@ -803,14 +807,14 @@
 def test_clients_that_are_refused_leave_the_descriptors_of_discovery_and_servers(tmp_path: Path) -> None:
     async def test() -> None:
         for sockets in (256, 512, 1024):
-            config = replace(config_of(tmp_path / "c.json", 1), sockets=sockets)
+            config = replace(config_of(tmp_path / "c.json", 1), max_descriptors=sockets)
             router = program.Program(config)
-            for_clients, for_servers = router._descriptors(1)
+            for_clients, for_servers = descriptor_limits.descriptor_limits(sockets)
             held = for_clients + client_listener.MAX_REJECTING_CONNECTIONS + for_servers
-            assert held + program.OWN_DESCRIPTORS <= sockets
+            assert held + descriptor_limits.OWN_DESCRIPTORS <= sockets
             assert router.clients._limit == for_clients
             router.clients.close()
-            router.host.close()
+            router.dispatcher.close()
             router.pool.close()
 
     run(test)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -13,7 +13,7 @@
 import pytest
 
 from holdgw.policy import Action, AttemptEnded, Event, Idempotency, Outcome, RequestClass, RoutingPolicy
-from holdgw.router import client_connection, client_listener, connection_pool, program
+from holdgw.router import client_connection, client_listener, connection_pool, graceful_shutdown, program
 from holdgw.router.config import Config, load_config
 from tests.emulated_nodes import (
     HIT,
@@ -420,7 +420,7 @@
         old, new = Agent([entry("s1", 9)]), Agent([entry("s2", 9)])
         await old.start()
         await new.start()
-        config = replace(config_of(path, old.port), listen=("127.0.0.1", 0), settings=settings())
+        config = replace(config_of(path, old.port), listen_address=("127.0.0.1", 0), settings=settings())
         monkeypatch.setenv("LB_DISCOVERY", f"127.0.0.1:{old.port}")  # as old as the process
         router = asyncio.create_task(program.serve(config))
         await asyncio.wait_for(old.watched.wait(), LIMIT_S)
@@ -445,7 +445,7 @@
 def test_sigterm_answers_what_is_taken_and_closes_what_is_idle(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(program, "ACCEPT_S", 0.05)
+    monkeypatch.setattr(graceful_shutdown, "ACCEPT_AFTER_SIGTERM_S", 0.05)
 
     async def test() -> None:
         asked, go = asyncio.Event(), asyncio.Event()
@@ -461,7 +461,7 @@
         await agent.start()
         config = replace(
             config_of(tmp_path / "config.json", agent.port),
-            listen=("127.0.0.1", 0),
+            listen_address=("127.0.0.1", 0),
             settings=settings(
                 classes=(RequestClass("read", latency_objective_ns=9 * S, deadline_ns=20 * S),)
             ),
