--- a/bench/capacity_path.py
+++ b/bench/capacity_path.py
@@ -18,7 +18,7 @@
 )
 from holdgw.policy.slot_table import SLOTS
 from holdgw.router.client_listener import MAX_REJECTING_CONNECTIONS
-from holdgw.router.config import DEFAULT_MEMORY_MB, DEFAULT_SOCKETS
+from holdgw.router.config import DEFAULT_MAX_DESCRIPTORS, DEFAULT_MEMORY_MIB
 from holdgw.router.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT
 from holdgw.router.descriptor_limits import CLIENT_DESCRIPTOR_FRACTION, OWN_DESCRIPTORS
 
@@ -26,7 +26,7 @@
 US_TO_CORES = REQUESTS_PER_S / 1e6
 ANSWER_MS = 50.0  # assumed: what an answer takes at a server and on the way, with its value
 OPEN = REQUESTS_PER_S * ANSWER_MS / 1e3
-FOR_SERVERS = (DEFAULT_SOCKETS - OWN_DESCRIPTORS - MAX_REJECTING_CONNECTIONS) * (
+FOR_SERVERS = (DEFAULT_MAX_DESCRIPTORS - OWN_DESCRIPTORS - MAX_REJECTING_CONNECTIONS) * (
     1 - CLIENT_DESCRIPTOR_FRACTION
 )
 MEAN_MB = MEAN_BYTES / 1e6
@@ -79,7 +79,7 @@
         Read("requests", "memory by long values open", OPEN),
         "clients that read slowly keep values open for longer",
         "64 KiB a value, an eighth of memory unsent: `router/reply.py`, `router/client_listener.py`",
-        at_most(DEFAULT_MEMORY_MB, "limits.memory_mb, default"),
+        at_most(DEFAULT_MEMORY_MIB, "limits.memory_mb, default"),
         decides=True,
     ),
     Row(
@@ -91,7 +91,7 @@
         Read("connections", "memory of connections", SERVERS * MAX_CONNECTIONS_PER_ENDPOINT, 1e-3),
         "the kernel's buffers are not in it",
         POOL,
-        at_most(DEFAULT_MEMORY_MB, "limits.memory_mb, default"),
+        at_most(DEFAULT_MEMORY_MIB, "limits.memory_mb, default"),
         decides=True,
     ),
     Row(
@@ -225,7 +225,7 @@
         Read("slots", "table memory", SLOTS),
         "after changes a slot holds up to 20 servers in place of 12",
         "`SlotTable`, `policy/slot_table.py`",
-        at_most(DEFAULT_MEMORY_MB, "limits.memory_mb, default"),
+        at_most(DEFAULT_MEMORY_MIB, "limits.memory_mb, default"),
         decides=True,
     ),
     Row(
@@ -237,7 +237,7 @@
         Read("slots", "table memory", 65_536),
         "as P19",
         "as P19",
-        at_most(DEFAULT_MEMORY_MB, "limits.memory_mb, default"),
+        at_most(DEFAULT_MEMORY_MIB, "limits.memory_mb, default"),
     ),
 )
 
@@ -251,7 +251,7 @@
         Read("keys", "router memory", SLOTS),
         "servers (12 to 20 ranked a slot); requests open; not objects",
         "`PopularityCounter`, `SlotTable`, flights by request: `policy/routing_policy.py`",
-        at_most(DEFAULT_MEMORY_MB, "limits.memory_mb, default"),
+        at_most(DEFAULT_MEMORY_MIB, "limits.memory_mb, default"),
         decides=True,
     ),
     Row(
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -393,7 +393,7 @@
                 "",
             ),
         ),
-        test="tests/test_endings.py::test_nothing_begins_for_a_client_that_left_while_waiting_for_a_place",
+        test="tests/router/test_endings.py::test_nothing_begins_for_a_client_that_left_while_waiting_for_a_place",
     ),
     "drain-at-decision": Mutant(
         "a drain is looked at when a request is decided on, and no more when it is written",
@@ -409,14 +409,14 @@
                 "connection.retired = server.address != address",
             ),
         ),
-        test="tests/test_endings.py::test_a_dial_to_a_server_that_drains_meanwhile_carries_nothing",
+        test="tests/router/test_endings.py::test_a_dial_to_a_server_that_drains_meanwhile_carries_nothing",
     ),
     "close-unread": Mutant(
         "a connection is closed without reading what is left",
         "holdgw.router.client_connection",
         "        self.transport.write_eof()\n",
         "        self.transport.close()\n",
-        test="tests/test_endings.py::"
+        test="tests/router/test_endings.py::"
         "test_a_request_that_crosses_the_end_of_a_resting_connection_is_none_and_resets_nothing",
     ),
     "pause-unbounded": Mutant(
@@ -424,14 +424,14 @@
         "holdgw.policy.routing_policy",
         "NS_PER_S << min(self._failed_calls, 8), ASK_MOST)",
         "NS_PER_S << min(self._failed_calls, 8))",
-        test="tests/test_endings.py::test_the_longest_waits_added_up_stay_within_what_counts_as_told",
+        test="tests/router/test_endings.py::test_the_longest_waits_added_up_stay_within_what_counts_as_told",
     ),
     "reset-is-an-end": Mutant(
         "a reset ends a body without a length",
         "holdgw.router.origin_connection",
         "        if exc is None and self.exchange is not None and self._reader.ended():\n",
         "        if self.exchange is not None and self._reader.ended():\n",
-        test="tests/test_endings.py::"
+        test="tests/router/test_endings.py::"
         "test_a_page_without_a_length_ends_with_its_connection_and_not_with_a_reset",
     ),
     "cold-undivided": Mutant(
--- a/holdgw/cli/aggregate.py
+++ b/holdgw/cli/aggregate.py
@@ -4,7 +4,7 @@
 
 import typer
 
-from holdgw.router.aggregate import main as run_aggregator
+from holdgw.router.aggregator_program import main as run_aggregator
 
 
 def aggregate() -> None:
--- a/holdgw/cores/__main__.py
+++ b/holdgw/cores/__main__.py
@@ -10,10 +10,8 @@
 from holdgw.cores.worker_pool import InsufficientResourcesError, check_resources
 from holdgw.router.config import ConfigError, load_config
 from holdgw.router.discovery import Clock, read_listing
-from holdgw.router.log import make_logger
-from holdgw.router.process import run_until_exit
-
-EXIT_USAGE = 2
+from holdgw.router.log import configure_logging
+from holdgw.router.process import EXIT_USAGE, report_usage_error, run_until_exit
 
 
 def main(workers: int) -> int:
@@ -26,9 +24,8 @@
         if config.known_endpoints is not None:
             read_listing(config.known_endpoints, Clock())
     except (ConfigError, InsufficientResourcesError, ValueError) as error:
-        print(f"holdgw: {error}", file=sys.stderr)
-        return EXIT_USAGE
-    make_logger(config.name)
+        return report_usage_error(error)
+    configure_logging(config.name)
 
     async def run() -> None:
         await Supervisor(config, workers).run()
--- a/holdgw/cores/supervisor.py
+++ b/holdgw/cores/supervisor.py
@@ -28,7 +28,7 @@
 from holdgw.router.config import Config
 from holdgw.router.event_loop_lag import LagMonitor
 from holdgw.router.graceful_shutdown import ACCEPT_AFTER_SIGTERM_S, SHUTDOWN_SLACK_S
-from holdgw.router.log import log_faults
+from holdgw.router.log import log_callback_errors
 from holdgw.router.platform import Platform
 from holdgw.router.program import KNOWN_ENDPOINTS_WAIT_S
 from holdgw.router.reload import reload_config
@@ -98,7 +98,7 @@
 
     async def run(self, listening: asyncio.Future[Any] | None = None) -> None:
         """Serve until SIGTERM, and then until every worker has drained; `listening`: given the address."""
-        log_faults(self.loop)
+        log_callback_errors(self.loop)
         self._acceptor = self._host_system.listen(self.config, self._accept_client)
         self.loop.add_signal_handler(signal.SIGTERM, self._terminated.set)
         self.loop.add_signal_handler(signal.SIGHUP, self._reload)
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -32,15 +32,14 @@
 from holdgw.policy import LimitSharesChanged
 from holdgw.router.config import Config, ConfigError, load_config
 from holdgw.router.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT
-from holdgw.router.log import make_logger
+from holdgw.router.log import configure_logging
 from holdgw.router.platform import Platform
-from holdgw.router.process import run_until_exit
+from holdgw.router.process import report_usage_error, run_until_exit
 from holdgw.router.program import Program
 
 REPORT_INTERVAL_S = 0.05
 SEED_STRIDE = 1009  # no two workers of any two routers draw from one seed
 MIN_CONNECTIONS_PER_ENDPOINT = 2  # with one, a connection that is slow to close leaves the endpoint unreached
-EXIT_USAGE = 2
 
 log = logging.getLogger("holdgw")
 
@@ -227,9 +226,8 @@
         if os.environ.get("PYTHONHASHSEED", "random") in ("", "random", "0"):
             raise ConfigError("workers need one PYTHONHASHSEED")
     except ConfigError as error:
-        print(f"holdgw: {error}", file=sys.stderr)
-        return EXIT_USAGE
-    make_logger(f"{config.name}.{slot.index}")
+        return report_usage_error(error)
+    configure_logging(f"{config.name}.{slot.index}")
 
     async def run() -> None:
         await Worker(config, slot, LinuxWorkerHostSystem(slot)).run()
--- a/holdgw/harness/orchestrator.py
+++ b/holdgw/harness/orchestrator.py
@@ -56,7 +56,7 @@
 from holdgw.harness.schedule import PEERS, Schedule
 
 CLOCK = time.monotonic
-AGGREGATE = f"exec {sys.executable} -m holdgw.router.aggregate"
+AGGREGATE = f"exec {sys.executable} -m holdgw.router.aggregator_program"
 STATUS = b"GET /status HTTP/1.1\r\nHost: stage\r\n\r\n"
 NODES_RATE, CLIENTS_RATE = 500.0, 700.0  # requests a second that one worker is given
 MOST_NODE_WORKERS, MOST_CLIENT_WORKERS = 4, 4
--- a/holdgw/router/__main__.py
+++ b/holdgw/router/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the router; SIGTERM ends it in good order."""
+"""The router: `python -m holdgw.router`. SIGTERM ends it by a graceful shutdown, SIGHUP reloads."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from holdgw.router.config import ConfigError, load_config
 from holdgw.router.discovery import Clock, read_listing
-from holdgw.router.log import make_logger
-from holdgw.router.process import run_until_exit
+from holdgw.router.log import configure_logging
+from holdgw.router.process import report_usage_error, run_until_exit
 from holdgw.router.program import serve
 
 __all__ = ["main", "serve"]
 
 
 def main() -> int:
-    """Start the router; returns the exit code."""
-    # Danger: until the loop handles it, SIGHUP would end the process. A reload asked for so early is not
+    """Run the router; returns the exit code."""
+    # Until the loop handles it, SIGHUP would end the process. A reload that is asked for so early is not
     # missed: the file is read after this.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
@@ -25,9 +25,8 @@
         if config.known_endpoints is not None:
             read_listing(config.known_endpoints, Clock())
     except (ConfigError, ValueError) as error:
-        print(f"holdgw: {error}", file=sys.stderr)
-        return 2
-    make_logger(config.name)
+        return report_usage_error(error)
+    configure_logging(config.name)
     return run_until_exit(lambda: serve(config))
 
 
--- a/holdgw/router/aggregate.py
+++ b/holdgw/router/aggregator_program.py
@@ -1,7 +1,7 @@
-"""A machine set aside to aggregate routers' load reports: a member among their peers, and nothing else.
+"""A dedicated aggregator: a member among the routers that merges their load reports, and nothing else.
 
-It reads the same configuration as a router, takes no clients, and asks discovery nothing. SIGTERM ends it,
-once it has told the others that it leaves.
+`python -m holdgw.router.aggregator_program` reads the same configuration as a router, accepts no clients, and
+does not call discovery. SIGTERM ends it, once it has notified the others that it leaves.
 """
 
 from __future__ import annotations
@@ -19,37 +19,37 @@
 from holdgw.peers.gossip import PeerConfig, PeerNode
 from holdgw.peers.load_view import LoadSnapshot, Observations
 from holdgw.router.config import Config, ConfigError, load_config
-from holdgw.router.log import log_faults, make_logger
+from holdgw.router.log import configure_logging, log_callback_errors
 from holdgw.router.peer_metrics import peer_metrics
 from holdgw.router.platform import Platform
-from holdgw.router.process import run_until_exit
+from holdgw.router.process import report_usage_error, run_until_exit
 
 
 class AggregatorProgram:
-    """The machine's one part, and what operators ask of it."""
+    """The aggregator's parts; `run` is its whole life, and closes them."""
 
     def __init__(self, config: Config, peers: PeerConfig, platform: Platform | None = None) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
-        now = (platform or Platform()).monotonic_ns
-        self.peers = PeerNode(self.loop, replace(peers, role=Role.SET_ASIDE), config.seed, now, self)
-        self.door = AdminEndpoint(self.loop, self)
-        self._terminated = asyncio.Event()
+        now_ns = (platform or Platform()).monotonic_ns
+        self.peers = PeerNode(self.loop, replace(peers, role=Role.SET_ASIDE), config.seed, now_ns, self)
+        self.admin_endpoint = AdminEndpoint(self.loop, self)
+        self._shutdown_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Aggregate until SIGTERM."""
-        log_faults(self.loop)
-        self.loop.add_signal_handler(signal.SIGTERM, self._terminated.set)
+        """Aggregate until SIGTERM; raises OSError where an address can't be bound."""
+        log_callback_errors(self.loop)
+        self.loop.add_signal_handler(signal.SIGTERM, self._shutdown_requested.set)
         if self.config.admin_address is not None:
-            await self.door.listen(self.config.admin_address)
+            await self.admin_endpoint.listen(self.config.admin_address)
         self.peers.start()
-        await self._terminated.wait()
+        await self._shutdown_requested.wait()
         self.peers.leave()
         self.peers.close()
-        self.door.close()
+        self.admin_endpoint.close()
         await asyncio.sleep(0)  # lets the transports close
 
-    # As the owner of a PeerNode: it has no load of its own
+    # The owner's side of PeerNode (peers.gossip.PeerOwner): an aggregator has no load of its own
 
     def take_observations(self) -> Observations:
         """Nothing."""
@@ -60,29 +60,29 @@
         return {}
 
     def apply_load_snapshot(self, snapshot: LoadSnapshot) -> None:
-        """It decides nothing."""
+        """Ignored: an aggregator routes nothing."""
 
-    # At the operators' door
+    # The calls of the admin endpoint (operation.admin_endpoint.AdminOperations)
 
     def can_serve(self) -> bool:
         """Whether it aggregates."""
-        return not self._terminated.is_set()
+        return not self._shutdown_requested.is_set()
 
     def metrics_text(self) -> bytes:
-        """The figures as text."""
+        """The metrics in their exposition format."""
         return Metrics(()).text(0, 0, 0, peer_metrics(self.peers))
 
-    def enter_maintenance(self, server_id: str) -> None:
-        """It knows of no servers; raises UnknownServerError."""
-        raise UnknownEndpointError(server_id)
+    def enter_maintenance(self, endpoint_id: str) -> None:
+        """Raises UnknownEndpointError: an aggregator has no endpoint list."""
+        raise UnknownEndpointError(endpoint_id)
 
-    def exit_maintenance(self, server_id: str) -> None:
-        """It knows of no servers; raises UnknownServerError."""
-        raise UnknownEndpointError(server_id)
+    def exit_maintenance(self, endpoint_id: str) -> None:
+        """Raises UnknownEndpointError: an aggregator has no endpoint list."""
+        raise UnknownEndpointError(endpoint_id)
 
 
 def aggregator_config(config: Config) -> PeerConfig:
-    """This machine's place among the peers; raises ConfigError where it is no aggregator there."""
+    """This process's place among the peers; raises ConfigError where it is no aggregator there."""
     if config.peers is None:
         raise ConfigError("the settings allow no peers, or the file names none")
     if config.peers.number not in config.peers.aggregators:
@@ -90,22 +90,20 @@
     return config.peers
 
 
-async def aggregate(config: Config, peers: PeerConfig) -> None:
-    """Aggregate until SIGTERM."""
-    await AggregatorProgram(config, peers).run()
-
-
 def main() -> int:
-    """Start the aggregator; returns the exit code."""
+    """Run the aggregator; returns the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load_config(os.environ)
         peers = aggregator_config(config)
     except (ConfigError, ValueError) as error:
-        print(f"holdgw: {error}", file=sys.stderr)
-        return 2
-    make_logger(config.name)
-    return run_until_exit(lambda: aggregate(config, peers))
+        return report_usage_error(error)
+    configure_logging(config.name)
+
+    async def run() -> None:
+        await AggregatorProgram(config, peers).run()
+
+    return run_until_exit(run)
 
 
 if __name__ == "__main__":
--- a/holdgw/router/config.py
+++ b/holdgw/router/config.py
@@ -1,4 +1,7 @@
-"""What a router is told at its start: the file named by LB_CONFIG and the variables beside it."""
+"""The configuration: the JSON file named by LB_CONFIG, and the environment variables that go before it.
+
+This is the one module that knows the names of the file's keys.
+"""
 
 from __future__ import annotations
 
@@ -15,11 +18,13 @@
 from holdgw.router.platform import read_file
 from holdgw.wire.address import Address, parse_address
 
-DEFAULT_MAX_OPEN = 20_000
+DEFAULT_MAX_OPEN_REQUESTS = 20_000
 DEFAULT_DIAL_TIMEOUT_NS = 250_000_000
-DEFAULT_IDLE_CLOSE_NS = 10_000_000_000
-DEFAULT_MEMORY_MB = 192
-DEFAULT_SOCKETS = 1024
+DEFAULT_IDLE_TIMEOUT_NS = 10_000_000_000
+DEFAULT_MEMORY_MIB = 192
+DEFAULT_MAX_DESCRIPTORS = 1024
+MAX_DESCRIPTOR_DIGITS = 6
+BITS_OF_MIB = 20
 
 
 class ConfigError(Exception):
@@ -28,49 +33,58 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration in the router's own terms; times are nanoseconds."""
+    """The configuration in the router's own terms."""
 
     name: str
+    """The router's name in its log."""
     listen_address: Address
+    """Where clients connect, unless `passed_descriptor` is set."""
     discovery_address: Address
     seed: int
+    """The seed of the routing policy's random choices."""
     settings: Settings
+    """The routing policy's settings."""
     max_open_requests: int
-    """Most requests open at a time."""
+    """Most requests open at a time; more are rejected."""
     dial_timeout_ns: int
+    """Time for a connection to an endpoint to come up."""
     hedging_allowed: bool
-    """Whether a request may have two attempts out at a time."""
+    """Whether a request may have two attempts in flight at a time."""
     idle_timeout_ns: int
-    """After so long at the latest a cache server closes an idle connection."""
+    """Time after which cache servers close an idle connection, at the latest."""
     memory_bytes: int
-    """Bytes; over this the router is killed."""
+    """Memory over which the process is killed."""
     max_descriptors: int
+    """The process's limit of file descriptors."""
     admin_address: Address | None
-    """Where operators call; None: nowhere."""
+    """The admin endpoint's address; None: there is none."""
     passed_descriptor: int | None
-    """The descriptor of the clients' listening socket, where the platform holds it."""
+    """The clients' listening socket, where the system holds it and passes it on; None: it does not."""
     peers: PeerConfig | None
-    """The other routers, where the settings allow speaking to them."""
+    """The other routers, where the settings allow any exchange with them."""
     known_endpoints: dict[str, Any] | None
-    """The list of servers as last held, in discovery's form; it may be old."""
+    """An endpoint list in discovery's form, maybe old, to begin with."""
 
     @property
     def max_deadline_s(self) -> float:
-        """Seconds for which a client waits at most."""
+        """The longest deadline of any request class, seconds."""
         return max(cls.deadline_ns for cls in self.settings.classes) / NS_PER_S
 
 
 def load_config(
     environ: Mapping[str, str], again: bool = False, read: Callable[[str], bytes] = read_file
 ) -> Config:
-    """Read the configuration; the variables go before what the file says, but not when it is read again."""
+    """Read the configuration; raises ConfigError.
+
+    Environment variables go before the file's keys, but not when it is read `again`: they are as old as the
+    process, and would hide what a new file names.
+    """
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG is not set")
     try:
-        told = typed("the file", orjson.loads(read(path)), dict)
-        # Danger: the variables are as old as the process, and would hide what a new file names.
-        return _config(told, {} if again else environ)
+        document = typed("the file", orjson.loads(read(path)), dict)
+        return _read_config(document, {} if again else environ)
     except OSError as error:
         raise ConfigError(f"LB_CONFIG: {error}") from None
     except KeyError as error:
@@ -79,88 +93,95 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
+def _read_config(document: dict[str, Any], environ: Mapping[str, str]) -> Config:
+    settings = typed("settings", document["settings"], dict)
+    ceilings = settings.get("ceilings") or {}
+    limits = typed("limits", document.get("limits") or {}, dict)
+    known = document.get("known")
+    admin_address = environ.get("LB_OPS") or document.get("ops")
+    has_peers = ceilings.get("peers") and document.get("peer_listen")
+    return Config(
+        name=environ.get("LB_NAME") or str(document.get("name") or "router"),
+        listen_address=parse_address("listen", environ.get("LB_LISTEN") or document["listen"]),
+        discovery_address=parse_address("discovery", environ.get("LB_DISCOVERY") or document["discovery"]),
+        seed=int(str(document.get("seed") or "0"), 16),
+        settings=read_settings(settings),
+        max_open_requests=_positive("ceilings.maxOpen", ceilings.get("maxOpen"), DEFAULT_MAX_OPEN_REQUESTS),
+        dial_timeout_ns=_positive(
+            "ceilings.dialTimeoutNs", ceilings.get("dialTimeoutNs"), DEFAULT_DIAL_TIMEOUT_NS
+        ),
+        hedging_allowed=bool(ceilings.get("secondCopies")),
+        idle_timeout_ns=_positive(
+            "ceilings.idleCloseNs", ceilings.get("idleCloseNs"), DEFAULT_IDLE_TIMEOUT_NS
+        ),
+        memory_bytes=_positive("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MIB)
+        << BITS_OF_MIB,
+        max_descriptors=_positive("limits.sockets", limits.get("sockets"), DEFAULT_MAX_DESCRIPTORS),
+        admin_address=parse_address("ops", admin_address) if admin_address else None,
+        passed_descriptor=_read_descriptor("LB_PASSED_SOCKET", environ.get("LB_PASSED_SOCKET")),
+        peers=_read_peers(document, settings) if has_peers else None,
+        known_endpoints=typed("known", known, dict) if known is not None else None,
+    )
+
+
+def _is_number(value: object) -> bool:
+    return isinstance(value, (int, float)) and not isinstance(value, bool)
+
+
 def _positive(where: str, value: Any, default: int) -> int:
     if value is None:
         return default
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or value < 1:
+    if not _is_number(value) or value < 1:
         raise ValueError(f"{where}: expected a number of at least 1, got {value!r}")
     return int(value)
 
 
-def _descriptor(where: str, text: str | None) -> int | None:
+def _read_descriptor(where: str, text: str | None) -> int | None:
     if not text:
         return None
-    if not text.isdecimal() or len(text) > 6:
+    if not text.isdecimal() or len(text) > MAX_DESCRIPTOR_DIGITS:
         raise ValueError(f"{where}: expected a descriptor's number, got {text!r}")
     return int(text)
 
 
-def _config(told: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    facts = typed("settings", told["settings"], dict)
-    ceilings = facts.get("ceilings") or {}
-    limits = typed("limits", told.get("limits") or {}, dict)
-    known = told.get("known")
-    ops = environ.get("LB_OPS") or told.get("ops")
-    return Config(
-        name=environ.get("LB_NAME") or str(told.get("name") or "router"),
-        listen_address=parse_address("listen", environ.get("LB_LISTEN") or told["listen"]),
-        discovery_address=parse_address("discovery", environ.get("LB_DISCOVERY") or told["discovery"]),
-        seed=int(str(told.get("seed") or "0"), 16),
-        settings=read_settings(facts),
-        max_open_requests=_positive("ceilings.maxOpen", ceilings.get("maxOpen"), DEFAULT_MAX_OPEN),
-        dial_timeout_ns=_positive(
-            "ceilings.dialTimeoutNs", ceilings.get("dialTimeoutNs"), DEFAULT_DIAL_TIMEOUT_NS
-        ),
-        hedging_allowed=bool(ceilings.get("secondCopies")),
-        idle_timeout_ns=_positive("ceilings.idleCloseNs", ceilings.get("idleCloseNs"), DEFAULT_IDLE_CLOSE_NS),
-        memory_bytes=_positive("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MB) << 20,
-        max_descriptors=_positive("limits.sockets", limits.get("sockets"), DEFAULT_SOCKETS),
-        admin_address=parse_address("ops", ops) if ops else None,
-        passed_descriptor=_descriptor("LB_PASSED_SOCKET", environ.get("LB_PASSED_SOCKET")),
-        peers=_peers(told, facts) if ceilings.get("peers") and told.get("peer_listen") else None,
-        known_endpoints=typed("known", known, dict) if known is not None else None,
-    )
-
-
-def _peers(told: dict[str, Any], facts: dict[str, Any]) -> PeerConfig | None:
+def _read_peers(document: dict[str, Any], settings: dict[str, Any]) -> PeerConfig | None:
     """This router's place among its peers; None where the file names no other router."""
-    addresses = tuple(parse_address("peers", one) for one in typed("peers", told.get("peers") or [], list))
-    me = facts.get("me", 0)
+    named = typed("peers", document.get("peers") or [], list)
+    addresses = tuple(parse_address("peers", address) for address in named)
+    number = settings.get("me", 0)
     if len(addresses) < 2:
         return None
-    if isinstance(me, bool) or not isinstance(me, int) or not 0 <= me < len(addresses):
-        raise ValueError(f"settings.me: expected a place in the {len(addresses)} peers, got {me!r}")
-    zones = facts.get("failureDomains") or []
-    zone = zones.index(facts["zone"]) if facts.get("zone") in zones else 0
-    listen = parse_address("peer_listen", told["peer_listen"])
+    if isinstance(number, bool) or not isinstance(number, int) or not 0 <= number < len(addresses):
+        raise ValueError(f"settings.me: expected a place in the {len(addresses)} peers, got {number!r}")
+    zones = settings.get("failureDomains") or []
+    zone = zones.index(settings["zone"]) if settings.get("zone") in zones else 0
     return PeerConfig(
-        me,
-        listen,
+        number,
+        parse_address("peer_listen", document["peer_listen"]),
         addresses,
         zone,
-        _aggregators(told, addresses),
-        update_bytes_per_s=_update_bytes(told.get("peer_update_bytes")),
+        _read_aggregators(document, addresses),
+        update_bytes_per_s=_read_update_bytes(document.get("peer_update_bytes")),
     )
 
 
-def _update_bytes(value: Any) -> float:
+def _read_update_bytes(value: Any) -> float:
     """What membership's updates may cost, bytes a second; the default where the file names nothing."""
     if value is None:
         return UPDATE_BYTES_PER_S
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not value >= MIN_BYTES_PER_S:
+    if not _is_number(value) or not value >= MIN_BYTES_PER_S:
         raise ValueError(
             f"peer_update_bytes: expected a number of at least {MIN_BYTES_PER_S:g}, got {value!r}"
         )
     return float(value)
 
 
-def _aggregators(told: dict[str, Any], addresses: tuple[Address, ...]) -> tuple[int, ...]:
+def _read_aggregators(document: dict[str, Any], addresses: tuple[Address, ...]) -> tuple[int, ...]:
     """The numbers of the members that aggregate load reports; none where the file names none."""
-    named = typed("peer_aggregators", told.get("peer_aggregators") or [], list)
-    found = []
-    for one in named:
-        address = parse_address("peer_aggregators", one)
+    numbers = set[int]()
+    for named in typed("peer_aggregators", document.get("peer_aggregators") or [], list):
+        address = parse_address("peer_aggregators", named)
         if address not in addresses:
-            raise ValueError(f"peer_aggregators: {one} is none of the {len(addresses)} peers")
-        found.append(addresses.index(address))
-    return tuple(sorted(set(found)))
+            raise ValueError(f"peer_aggregators: {named} is none of the {len(addresses)} peers")
+        numbers.add(addresses.index(address))
+    return tuple(sorted(numbers))
--- a/holdgw/router/process.py
+++ b/holdgw/router/process.py
@@ -1,4 +1,4 @@
-"""What every process of a router does alike at its beginning and end, whatever it serves as."""
+"""The beginning and the end of a router's processes, whatever they serve as."""
 
 from __future__ import annotations
 
@@ -10,35 +10,45 @@
 
 import uvloop
 
+EXIT_OK = 0
+EXIT_OS_ERROR = 1
+EXIT_USAGE = 2
+
 log = logging.getLogger("holdgw")
 
 
-def log_build() -> str:
-    """Which of the loaded modules of ours are compiled, in one line."""
-    ours = [module for name, module in sys.modules.items() if name.startswith("holdgw.")]
-    compiled = sum(not (getattr(module, "__file__", None) or ".py").endswith(".py") for module in ours)
+def report_usage_error(error: Exception) -> int:
+    """Print why a process can't start; returns its exit code."""
+    print(f"holdgw: {error}", file=sys.stderr)
+    return EXIT_USAGE
+
+
+def describe_build() -> str:
+    """Which of the package's loaded modules are compiled, in one line for the log."""
+    modules = [module for name, module in sys.modules.items() if name.startswith("holdgw.")]
+    compiled = sum(not (getattr(module, "__file__", None) or ".py").endswith(".py") for module in modules)
     if compiled:
-        return f"compiled: {compiled} of {len(ours)} modules"
-    return f"uncompiled: all {len(ours)} modules run as sources, at twice the CPU a request or more"
+        return f"compiled: {compiled} of {len(modules)} modules"
+    return f"uncompiled: all {len(modules)} modules run as sources, at twice the CPU a request or more"
 
 
-def run_until_exit(work: Callable[[], Coroutine[Any, Any, None]]) -> int:
-    """Run the process's work on its loop; returns the exit code."""
-    # Danger: a collection of all generations goes through every module's objects, 10 to 20 ms in which every
-    # client waits. What is here now is here until the end.
+def run_until_exit(main: Callable[[], Coroutine[Any, Any, None]]) -> int:
+    """Run a process's main coroutine on its event loop; returns the exit code."""
+    # A collection of all generations visits every module's objects, 10 to 20 ms in which every client waits.
+    # What exists now exists until the end, and need not be visited.
     gc.collect()
     gc.freeze()
-    # Danger: a build without a compiler falls back to the sources, and staff would learn of it by the load.
-    log.info("%s", log_build())
+    # A build without a compiler falls back to the sources, which otherwise shows by the load only.
+    log.info("%s", describe_build())
     try:
-        uvloop.run(work())
+        uvloop.run(main())
     except OSError as error:
         print(f"holdgw: {error}", file=sys.stderr)
-        return 1
-    return 0
+        return EXIT_OS_ERROR
+    return EXIT_OK
 
 
-def python_with(module: str, *words: str) -> list[str]:
-    """The command that runs a module of ours, found where this process finds its own."""
+def python_with(module: str, *arguments: str) -> list[str]:
+    """The command that runs a module of this package with this process's interpreter and module path."""
     flags = ["-P"] if sys.flags.safe_path else []
-    return [sys.executable, *flags, "-m", module, *words]
+    return [sys.executable, *flags, "-m", module, *arguments]
--- a/holdgw/router/program.py
+++ b/holdgw/router/program.py
@@ -26,7 +26,7 @@
 from holdgw.router.discovery import Clock, Discovery, read_listing
 from holdgw.router.dispatcher import Dispatcher
 from holdgw.router.graceful_shutdown import GracefulShutdown
-from holdgw.router.log import log_faults
+from holdgw.router.log import log_callback_errors
 from holdgw.router.peer_metrics import peer_metrics
 from holdgw.router.platform import Platform, passed_listener
 from holdgw.router.reload import reload_config
@@ -128,7 +128,7 @@
 
     async def _start(self, listening: asyncio.Future[Address] | None) -> None:
         config = self.config
-        log_faults(self.loop)
+        log_callback_errors(self.loop)
         self.loop.add_signal_handler(signal.SIGTERM, self._shutdown_requested.set)
         folder = self.platform.environ.get("TMPDIR")
         if config.passed_descriptor is not None and folder:
--- a/tests/processes/test_endings.py
+++ b/tests/processes/test_endings.py
@@ -20,7 +20,7 @@
 from holdgw.router.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT
 from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Cache, command, entry, read, run
 from tests.helpers import S
-from tests.test_endings import Mute
+from tests.router.test_endings import Mute
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("processes, faults")]
 
--- a/tests/test_aggregate_program.py
+++ b/tests/router/test_aggregator_program.py
@@ -1,4 +1,4 @@
-"""A machine set aside to aggregate: its configuration, its door and its end; who is refused as one."""
+"""The aggregator process: its configuration, its admin endpoint and its end."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 import pytest
 
 from holdgw.peers.update_budget import UPDATE_BYTES_PER_S
-from holdgw.router.aggregate import aggregator_config
+from holdgw.router.aggregator_program import aggregator_config
 from holdgw.router.config import Config, ConfigError, load_config
 from tests.emulated_nodes import LIMIT_S, run, unused_address
 
@@ -36,7 +36,7 @@
     return load_config({"LB_CONFIG": str(path)})
 
 
-def test_aggregators_are_members_by_their_addresses_and_none_without_the_key(tmp_path: Path) -> None:
+def test_aggregators_are_found_among_the_peers_by_address_and_none_without_the_key(tmp_path: Path) -> None:
     found = config(tmp_path, peer_aggregators=[PEERS[2], PEERS[0], PEERS[2]]).peers
     assert found is not None
     assert found.aggregators == (0, 2)
@@ -46,7 +46,7 @@
     assert plain.aggregators == ()
 
 
-def test_an_aggregator_that_is_no_peer_or_not_allowed_is_refused_in_one_line(tmp_path: Path) -> None:
+def test_an_aggregator_that_is_no_peer_or_not_allowed_is_a_configuration_error(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=r"peer_aggregators: 127\.0\.0\.1:9 is none of the 3 peers"):
         config(tmp_path, peer_aggregators=["127.0.0.1:9"])
     with pytest.raises(ConfigError, match="peer_aggregators"):
@@ -56,7 +56,7 @@
         aggregator_config(config(tmp_path, allowed=False, peer_aggregators=PEERS[1:]))
 
 
-def test_the_budget_of_updates_is_the_files_or_the_default_and_none_that_is_too_low(tmp_path: Path) -> None:
+def test_the_update_budget_is_the_files_or_the_default_and_one_too_low_is_an_error(tmp_path: Path) -> None:
     plain, told = config(tmp_path).peers, config(tmp_path, peer_update_bytes=250).peers
     assert plain is not None
     assert plain.update_bytes_per_s == UPDATE_BYTES_PER_S
@@ -68,7 +68,7 @@
 
 
 async def status(address: tuple[str, int], path: str) -> bytes:
-    """What the door answers; empty while it is not open."""
+    """What the admin endpoint answers; empty while it does not listen."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError:
@@ -79,7 +79,9 @@
     return answer
 
 
-def test_the_process_aggregates_until_sigterm_and_ends_in_good_order(tmp_path: Path) -> None:
+def test_the_aggregator_process_answers_its_admin_endpoint_until_sigterm_and_exits_with_0(
+    tmp_path: Path,
+) -> None:
     async def scene() -> None:
         ops, listen = unused_address(), unused_address(socket.SOCK_DGRAM)
         peers = [*PEERS[:2], "{}:{}".format(*listen)]
@@ -88,7 +90,7 @@
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
-            "holdgw.router.aggregate",
+            "holdgw.router.aggregator_program",
             env={**os.environ, "LB_CONFIG": str(tmp_path / "config.json")},
             stderr=asyncio.subprocess.DEVNULL,
         )
--- a/tests/test_attempt_timeout.py
+++ b/tests/router/test_attempt_timeout.py
@@ -15,7 +15,7 @@
 
 from tests.emulated_nodes import HIT, LIMIT_S, MISS, SERVED, Cache, Node, Peer, command, entry, run
 from tests.helpers import MS
-from tests.test_endings import GatedLoop, until, write_now
+from tests.router.test_endings import GatedLoop, until, write_now
 
 PAGE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"
 WAIT_MS = 900
--- a/tests/test_endings.py
+++ b/tests/router/test_endings.py
@@ -987,7 +987,7 @@
 
 
 def test_every_ending_on_the_page_names_tests_that_there_are() -> None:
-    root = Path(__file__).resolve().parent
+    root = Path(__file__).resolve().parents[1]
     there = {
         name for path in root.rglob("*.py") for name in re.findall(r"^def (test_\w+)", path.read_text(), re.M)
     }
