--- a/holdgw/policy/events.py
+++ b/holdgw/policy/events.py
@@ -36,22 +36,29 @@
     @property
     def has_no_effect(self) -> bool:
         """Whether the outcome proves that the attempt had no effect."""
+        if self is Outcome.OK:
+            return False
         return self in (Outcome.MISS, Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
     @property
     def was_attempted(self) -> bool:
         """Whether it tells anything of the endpoint: not where it was cancelled unwritten, or never sent."""
-        return self not in (Outcome.CANCELLED, Outcome.NOT_SENT)
+        return self is not Outcome.CANCELLED and self is not Outcome.NOT_SENT
 
     @property
     def is_answer(self) -> bool:
         """Whether the endpoint answered something, be it an error."""
-        return self in (Outcome.OK, Outcome.MISS, Outcome.ERROR, Outcome.MALFORMED, Outcome.OVERLOADED)
+        return self.is_good_answer or self in (Outcome.ERROR, Outcome.MALFORMED, Outcome.OVERLOADED)
+
+    @property
+    def is_good_answer(self) -> bool:
+        """Whether the endpoint did what it was asked."""
+        return self is Outcome.OK or self is Outcome.MISS
 
     @property
     def is_connection_failure(self) -> bool:
         """Whether the connection could not be made, or broke."""
-        return self in (Outcome.CONNECT_FAILED, Outcome.RESET)
+        return self is Outcome.CONNECT_FAILED or self is Outcome.RESET
 
 
 class CacheStatus(Enum):
--- a/holdgw/policy/origin_concurrency.py
+++ b/holdgw/policy/origin_concurrency.py
@@ -11,7 +11,7 @@
 from holdgw.policy.pending_request import PendingRequest
 
 FAILURE_SMOOTHING = 8  # fetches over which the failure fraction is smoothed
-OVERLOAD_FAILURE_FRACTION = 0.2  # of an overloaded origin: two bad fetches in a row, or one in five
+OVERLOAD_FAILURE_FRACTION = 0.2  # of an overloaded origin: two failed fetches in a row, or one in five
 MAX_CONNECTION_FAILURES = 6  # in a row, without an answer: from so many on they count as overload
 LATENCY_SMOOTHING = 16  # good fetches over which the latency is smoothed
 INITIAL_LATENCY_DIVISOR = 2  # the latency is taken for the shortest objective divided by this, at first
@@ -101,7 +101,7 @@
         return OriginVerdict.NEUTRAL
 
     def _record_failure(self, in_flight: int, now: int) -> OriginVerdict:
-        """One bad fetch is chance (a heavy tail), and all bad ones of one round trip are one sign."""
+        """One failed fetch is chance (a heavy tail), and all failures of one round trip are one sign."""
         self.failure_fraction += (1 - self.failure_fraction) / FAILURE_SMOOTHING
         if self.failure_fraction < OVERLOAD_FAILURE_FRACTION or now - self._cut_at_ns < self.latency_ns:
             return OriginVerdict.NEUTRAL
--- a/holdgw/policy/retry_policy.py
+++ b/holdgw/policy/retry_policy.py
@@ -15,7 +15,7 @@
 TIMEOUT_FRACTION = 0.5  # of the latency objective: an attempt timeout is at least so long
 TIMEOUT_LATENCIES = 5.0  # an attempt timeout is at least so many smoothed latencies of the endpoint
 LOST_LATENCIES = 4.0  # an answer that is out for so many, while other answers come, is lost in transit
-MAX_OVERLOADED_FRACTION = 0.1  # of the endpoints: past it no attempt timeout is set
+TIMEOUT_MAX_OVERLOADED_FRACTION = 0.1  # of the endpoints: past it no attempt timeout is set
 BUDGET_PER_ANSWER = 0.01  # one attempt in a hundred may be given up as lost
 MAX_BUDGET = 4.0
 
@@ -126,7 +126,7 @@
             return 0
         if not endpoint.latency_ns or endpoint.admission_probability(now) < 1.0:
             return 0
-        if overloaded_fraction > MAX_OVERLOADED_FRACTION:
+        if overloaded_fraction > TIMEOUT_MAX_OVERLOADED_FRACTION:
             return 0
         objective_ns = request.request_class.latency_objective_ns
         timeout_ns = int(max(objective_ns * TIMEOUT_FRACTION, endpoint.latency_ns * TIMEOUT_LATENCIES))
@@ -152,14 +152,12 @@
         if request.attempt_timeout_ns and now < request.deadline_ns:
             self.budget -= 1
             return Loss.IN_TRANSIT
-        if self._is_lost_at_well_endpoint(request, endpoint, took_ns):
+        if self._is_lost_in_transit(request, endpoint, took_ns):
             self.budget = min(MAX_BUDGET, self.budget + 1)
             return Loss.IN_TRANSIT
         return Loss.NONE
 
-    def _is_lost_at_well_endpoint(
-        self, request: PendingRequest, endpoint: TrackedEndpoint, took_ns: int
-    ) -> bool:
+    def _is_lost_in_transit(self, request: PendingRequest, endpoint: TrackedEndpoint, took_ns: int) -> bool:
         """Whether an answer that never came says nothing of its endpoint's load.
 
         A connection or a single request can fall silent at an endpoint that is well; to shed the endpoint
--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -407,36 +407,38 @@
         if request is None or request.endpoint is None:
             return
         endpoint = request.endpoint
+        outcome = event.outcome
         was_at_origin = request.is_at_origin
         if not request.is_streaming:
             endpoint.release_attempt()
-        request.end_attempt(may_have_run=not event.outcome.has_no_effect)
-        loss = self._retries.classify_loss(request, endpoint, event, self._now)
-        self._record_answer(request, endpoint, event, was_at_origin)
+        request.end_attempt(may_have_run=not outcome.has_no_effect)
+        if outcome.is_good_answer:
+            loss = Loss.NONE
+            self._record_good_answer(request, endpoint, event, was_at_origin)
+        else:
+            loss = self._retries.classify_loss(request, endpoint, event, self._now)
+            if outcome.is_answer:
+                endpoint.health.record_answer(self._now)
         if was_at_origin:
             self._judge_origin(request, endpoint, event, loss)
-        elif event.outcome.was_attempted:
+        else:
             self._judge_cache(request, endpoint, event, loss)
         if event.request_answered or request.is_answered:
-            self._finish(request, stored=was_at_origin and event.outcome is Outcome.OK)
+            self._finish(request, stored=was_at_origin and outcome is Outcome.OK)
         else:
             self._continue(request, endpoint, event, loss, was_at_origin)
 
-    def _record_answer(
+    def _record_good_answer(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, was_at_origin: bool
     ) -> None:
-        """Take what an answer tells: that its endpoint is up, its latency, its load report."""
-        if event.outcome.is_answer:
-            endpoint.health.record_answer(self._now)
-        if event.outcome in (Outcome.OK, Outcome.MISS):
-            took_ns = event.latency_ns - event.queued_ns
-            self._retries.record_answer(request, took_ns)
-            if not event.first_on_connection:
-                endpoint.record_latency(took_ns)
-            if not was_at_origin:
-                self._slow_start.answer_rate.record_answer(self._now)
-        if not was_at_origin and event.load_report is not None:
-            self._apply_load_report(endpoint, event.load_report)
+        """Take what a good answer tells: that its endpoint is up, its latency, how much caches answer."""
+        took_ns = event.latency_ns - event.queued_ns
+        endpoint.health.record_answer(self._now)
+        self._retries.record_answer(request, took_ns)
+        if not event.first_on_connection:
+            endpoint.record_latency(took_ns)
+        if not was_at_origin:
+            self._slow_start.answer_rate.record_answer(self._now)
 
     def _apply_load_report(self, endpoint: TrackedEndpoint, values: tuple[float, ...]) -> None:
         """Take an endpoint's load report, which tells of the load that all routers bring there."""
@@ -448,11 +450,19 @@
     def _judge_cache(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, loss: Loss
     ) -> None:
-        """Let a cache server's health take an attempt's end; a loss in transit is no sign of load."""
-        late = loss is Loss.NONE if event.outcome is Outcome.TIMEOUT else _is_late(request, event)
+        """Take a cache server's load report, and an attempt's end for its health.
+
+        A loss in transit is no sign of load, and an attempt that was not sent tells nothing.
+        """
+        outcome = event.outcome
+        if event.load_report is not None:
+            self._apply_load_report(endpoint, event.load_report)
+        if not outcome.was_attempted:
+            return
+        late = loss is Loss.NONE if outcome is Outcome.TIMEOUT else _is_late(request, event)
         endpoint.health.record(
             AttemptResult(
-                event.outcome,
+                outcome,
                 late,
                 self._now,
                 request.sent_at_ns,
--- a/holdgw/router/attempt.py
+++ b/holdgw/router/attempt.py
@@ -4,7 +4,7 @@
 
 from holdgw.operation.interval_counters import IntervalCounters
 from holdgw.operation.metrics import Disposition
-from holdgw.policy import AttemptEnded, CacheStatus, Outcome, StreamStarted
+from holdgw.policy import AttemptEnded, AttemptPurpose, CacheStatus, Outcome, StreamStarted
 from holdgw.router import origin_protocol
 from holdgw.router.connection_pool import Exchange
 from holdgw.router.exchange_owner import ExchangeOwner
@@ -22,7 +22,12 @@
     """One attempt at a request: it ends by an answer, by a timer, or with its client."""
 
     def __init__(
-        self, owner: ExchangeOwner, request: OpenRequest, endpoint_id: str, to_origin: bool, purpose: str
+        self,
+        owner: ExchangeOwner,
+        request: OpenRequest,
+        endpoint_id: str,
+        to_origin: bool,
+        purpose: AttemptPurpose,
     ) -> None:
         """`purpose`: what the routing policy makes the attempt for; it is counted."""
         self._owner = owner
@@ -177,7 +182,8 @@
         objective_ns = self._owner.latency_objective_ns(self._request.class_name)
         late = self._written_ns > 0 and self._owner.now_ns() - self._written_ns > objective_ns
         key = self._request.command.key.decode(errors="replace") if self._to_origin else None
-        counters.count_attempt(self._endpoint_id, outcome.value, self.fresh, late, key, self._purpose)
+        purpose = self._purpose.value
+        counters.count_attempt(self._endpoint_id, outcome.value, self.fresh, late, key, purpose)
 
     def _count_answer(self, counters: IntervalCounters) -> None:
         latency_ns = self._owner.now_ns() - self._request.arrived_ns
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -405,7 +405,7 @@
             return
         now_ns = self.now_ns()
         to_origin = action.endpoint_id in self._origins
-        attempt = Attempt(self, request, action.endpoint_id, to_origin, action.purpose.value)
+        attempt = Attempt(self, request, action.endpoint_id, to_origin, action.purpose)
         too_many = request.attempts > self.settings.max_attempts
         if request.answered or request.remaining_ms(now_ns) < 1 or too_many:
             attempt.end(Outcome.NOT_SENT)
