--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -25,6 +25,10 @@
     print(simulate(load_scenario(name).cut(6.0), seed).digest)
 """
 BY_SOCKETS = (
+    "policy/test_endpoint_subscription",
+    "policy/test_fetch_coalescing",
+    "policy/test_origin_concurrency",
+    "policy/test_retry_policy",
     "policy/test_routing_policy",
     "policy/test_rules",
     "test_resp",
