--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -232,6 +232,10 @@
 
 
 def test_a_killed_worker_costs_its_own_connections_alone_and_comes_back(tmp_path: Path) -> None:
+    """A worker is killed. Its clients' connections close; clients of the other worker notice nothing, new
+    clients are served, and another worker process is started in its place.
+    """
+
     async def test() -> None:
         async with stage(tmp_path) as play:
             await play.serving()
@@ -302,6 +306,10 @@
 
 
 def test_a_new_version_that_does_not_start_leaves_the_old_workers_at_work(tmp_path: Path) -> None:
+    """Workers are to be replaced, and the new version ends at its start. The replacement is aborted, and
+    the old processes serve on.
+    """
+
     async def test() -> None:
         async with stage(tmp_path) as play:
             await play.serving()
@@ -324,6 +332,8 @@
 
 
 def test_workers_whose_supervisor_dies_answer_what_they_have_and_end(tmp_path: Path) -> None:
+    """The supervisor is killed. Its workers answer what they have taken, close their connections and end."""
+
     async def test() -> None:
         async with stage(tmp_path) as play:
             await play.serving()
@@ -377,6 +387,10 @@
 
 
 def test_a_stalled_worker_sends_nothing_to_a_server_that_drained_meanwhile(tmp_path: Path) -> None:
+    """A worker is stopped while an endpoint begins to drain. When it resumes it finds commands and the
+    update at once; by the shared table's revision it applies the update first.
+    """
+
     async def test() -> None:
         async with stage(tmp_path, 1) as play:
             await play.serving()
@@ -404,6 +418,10 @@
 
 
 def test_a_worker_whose_cpu_is_taken_away_costs_new_clients_nothing(tmp_path: Path) -> None:
+    """A worker is stopped and accepts nothing. Clients assigned to it wait until it resumes; new ones go
+    to the other workers once it counts as unresponsive.
+    """
+
     async def test() -> None:
         async with stage(tmp_path, 3) as play:
             await play.serving()
@@ -436,7 +454,7 @@
     run(test)
 
 
-def test_a_server_out_by_hand_is_out_at_every_worker(tmp_path: Path) -> None:
+def test_an_override_holds_at_every_worker(tmp_path: Path) -> None:
     async def test() -> None:
         async with stage(tmp_path, 3) as play:
             await play.serving()
@@ -453,7 +471,9 @@
 
 
 @pytest.mark.parametrize(("cores", "text"), [("0", "--cores"), ("65", "--cores"), ("16", "need 408 MB")])
-def test_workers_that_can_not_be_fed_are_one_line_and_code_2(tmp_path: Path, cores: str, text: str) -> None:
+def test_limits_that_do_not_suffice_end_with_one_line_and_code_2(
+    tmp_path: Path, cores: str, text: str
+) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         classes = [{"name": "read", "aimNs": S, "giveUpNs": 5 * S, "semantics": "retryable"}]
--- a/tests/operation/test_takeover.py
+++ b/tests/operation/test_takeover.py
@@ -128,6 +128,11 @@
 
 
 def test_clients_see_no_close_when_a_new_process_takes_over(tmp_path: Path) -> None:
+    """A new version is started and the old process gets SIGTERM while clients have idle, half-sent,
+    waiting and pipelined commands. Without the handover each would see a close. The old process answers
+    what it has taken, and passes each connection on.
+    """
+
     async def test() -> None:
         async with stage(tmp_path) as play:
             old = await play.start()
@@ -188,6 +193,10 @@
 
 
 def test_a_new_process_that_dies_does_not_disturb_the_old_one(tmp_path: Path) -> None:
+    """The new process is killed before it has taken over. Its link is closed; the old process serves on,
+    and a third process can take over.
+    """
+
     async def test() -> None:
         async with stage(tmp_path) as play:
             old = await play.start()
@@ -214,6 +223,10 @@
 
 
 def test_without_a_new_process_connections_are_closed_as_at_any_restart(tmp_path: Path) -> None:
+    """No new process is there at SIGTERM. Connections are closed between requests, and the socket's path
+    is removed.
+    """
+
     async def test() -> None:
         async with stage(tmp_path) as play:
             old = await play.start()
@@ -252,6 +265,10 @@
 
 @pytest.mark.parametrize("data", [b"noise", b"\x80", b"\x81\xa4type\xa7unknown"])
 def test_a_message_that_cannot_be_decoded_closes_the_link_and_its_descriptor(data: bytes) -> None:
+    """The other process sends bytes that are no message, with a descriptor. The link is closed, and so is
+    the descriptor: it would otherwise leak, and its client wait for ever.
+    """
+
     async def test() -> None:
         ends = Ends()
         before = descriptors()
@@ -266,6 +283,10 @@
 
 
 def test_connections_that_the_other_process_never_reads_are_closed_with_the_link() -> None:
+    """The other process reads nothing, so that messages and their descriptors queue up here. When the link
+    is closed all of them are closed with it.
+    """
+
     async def test() -> None:
         ends = Ends()
         before = descriptors()
@@ -342,6 +363,9 @@
 def test_an_old_process_that_does_not_answer_is_given_up_after_the_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """The old process accepts the link and says nothing. The new one waits for HELLO_TIMEOUT_S, and then
+    starts without knowing the overrides.
+    """
     monkeypatch.setattr("holdgw.operation.takeover.HELLO_TIMEOUT_S", 0.05)
 
     async def test() -> None:
