--- a/holdgw/peers/aggregation_client.py
+++ b/holdgw/peers/aggregation_client.py
@@ -61,7 +61,9 @@
         """Times that the fallback was entered."""
         self.choice = AggregatorChoice(zone, [number for number in aggregators if number != me])
         self.views = ViewSelection()
-        self._me, self._zone, self._aggregators = me, zone, frozenset(aggregators)
+        self._me = me
+        self._zone = zone
+        self._aggregators = frozenset(aggregators)
         self._random = random.Random(seed)
         self._sequence = 0
         self._viewed_at = now
--- a/holdgw/peers/aggregator.py
+++ b/holdgw/peers/aggregator.py
@@ -42,7 +42,8 @@
     def __init__(
         self, me: int, boot_id: int, aggregators: Iterable[int], zone_of: Callable[[int], int]
     ) -> None:
-        self.me, self.boot_id = me, boot_id
+        self.me = me
+        self.boot_id = boot_id
         self._aggregators = tuple(aggregators)
         self._zone_of = zone_of
         self._ranks: dict[int, tuple[int, ...]] = {}  # by zone
--- a/holdgw/peers/gossip.py
+++ b/holdgw/peers/gossip.py
@@ -106,7 +106,9 @@
         self._owner = owner
         self._random = random.Random(seed ^ config.number)
         self._report_in = REPORT_TICKS
-        self._loop, self._config, self._now = loop, config, now
+        self._loop = loop
+        self._config = config
+        self._now = now
         self._numbers = {address: number for number, address in enumerate(config.addresses)}
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -147,7 +149,7 @@
                 )
             except OSError as error:
                 if not logged:
-                    log.warning("peers: %s; tried again every %g s", error, BIND_RETRY_S)
+                    log.warning("peers: binding failed, retrying error=%s interval_s=%g", error, BIND_RETRY_S)
                 logged = True
                 await asyncio.sleep(BIND_RETRY_S)
                 continue
@@ -168,7 +170,8 @@
                 self._report(now)
         for change in self.membership.changes():
             if max(change.before, change.after) > MemberState.SUSPECTED:
-                log.info("peers: router %d is %s", change.number, change.after.name.lower())
+                state = change.after.name.lower()
+                log.info("peers: member changed router=%d state=%s", change.number, state)
 
     def _report(self, now: int) -> None:
         """Send a load report to some peers, and give the owner a new snapshot."""
@@ -193,7 +196,7 @@
         elif phase == APPLY_TICKS:
             change = exchange.update_fallback(now)
             if change is not FallbackChange.NONE:
-                log.warning("peers: fallback without a view of any aggregator is %s", change.value)
+                log.warning("peers: fallback to gossip change=%s", change.value)
             self._owner.apply_load_snapshot(exchange.snapshot(now))
 
     def _receive(self, data: bytes, source: Address) -> None:
--- a/holdgw/peers/heavy_hitters.py
+++ b/holdgw/peers/heavy_hitters.py
@@ -29,7 +29,8 @@
     def __init__(self, capacity: int = COUNTERS, half_life_s: float = COUNT_HALF_LIFE_S) -> None:
         self.total = 0.0
         """Requests counted, with decay."""
-        self._capacity, self._half_life = capacity, half_life_s * NS_PER_S
+        self._capacity = capacity
+        self._half_life_ns = half_life_s * NS_PER_S
         self._counts: dict[int, tuple[float, float]] = {}  # key: (count, of which may be another key's)
         self._floor = 0.0  # how often a key that is not counted may have occurred
         self._decayed_at = 0
@@ -38,7 +39,7 @@
         """Apply the decay up to now."""
         if now == self._decayed_at:
             return
-        factor = math.pow(0.5, (now - self._decayed_at) / self._half_life) if self._decayed_at else 1.0
+        factor = math.pow(0.5, (now - self._decayed_at) / self._half_life_ns) if self._decayed_at else 1.0
         self._decayed_at = now
         self.total *= factor
         self._floor *= factor
--- a/holdgw/peers/load_view.py
+++ b/holdgw/peers/load_view.py
@@ -110,7 +110,8 @@
     """One router's view: what it observed itself, and what others reported. `me`: its number."""
 
     def __init__(self, me: int, boot_id: int, tenants: Iterable[str] = ()) -> None:
-        self.me, self.boot_id = me, boot_id
+        self.me = me
+        self.boot_id = boot_id
         self.hitters = HeavyHitters()
         self._tenants = tuple(tenants)[:MAX_TENANTS]
         self._names: dict[int, str] = {}  # listed servers by hash
--- a/holdgw/peers/sequence_gate.py
+++ b/holdgw/peers/sequence_gate.py
@@ -50,7 +50,8 @@
             return Order.REPLAYED
         else:
             self._replace(boot_id)
-        self.sequence, self._accepted_at = sequence, now
+        self.sequence = sequence
+        self._accepted_at = now
         return Order.NEWER
 
     def _may_replace(self, boot_id: int, now: int) -> bool:
--- a/holdgw/peers/token_bucket.py
+++ b/holdgw/peers/token_bucket.py
@@ -9,8 +9,11 @@
     """Bounds what is sent to `rate` bytes a second in the long run and to `burst` bytes at once."""
 
     def __init__(self, rate: float, burst: float, now: int) -> None:
-        self._rate, self._burst = rate, burst
-        self._level, self._filled_at = burst, now
+        """`now`: ns of the caller's monotonic clock, as below."""
+        self._rate = rate
+        self._burst = burst
+        self._level = burst
+        self._filled_at = now
 
     def take(self, size: int, now: int) -> bool:
         """Take so many bytes; False, with nothing taken, where fewer are left."""
