--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -84,9 +84,9 @@
     ),
     "late-repeat": Mutant(
         "a keyed write is sent again after its window",
-        "holdgw.policy.pending_request",
-        "if self.cls.idempotency is Idempotency.NOT_IDEMPOTENT or self.write_within(now) <= 0:",
-        "if self.cls.idempotency is Idempotency.NOT_IDEMPOTENT:",
+        "holdgw.policy.retry_policy",
+        "is Idempotency.NOT_IDEMPOTENT or self._dedup_time_left_ns(request, now) <= 0:",
+        "is Idempotency.NOT_IDEMPOTENT:",
         (("holdgw.router.attempt", "if self._write_by_ns and now_ns >= self._write_by_ns:", "if False:"),),
     ),
     "slow-repeat": Mutant(
@@ -98,14 +98,14 @@
     ),
     "unsafe-repeat": Mutant(
         "an unsafe write that may have run is sent again",
-        "holdgw.policy.pending_request",
-        "if self.cls.idempotency is Idempotency.NOT_IDEMPOTENT or self.write_within(now) <= 0:",
-        "if self.cls.idempotency is Idempotency.IDEMPOTENCY_KEY and self.write_within(now) <= 0:",
+        "holdgw.policy.retry_policy",
+        "is Idempotency.NOT_IDEMPOTENT or self._dedup_time_left_ns(request, now) <= 0:",
+        "is Idempotency.IDEMPOTENCY_KEY and self._dedup_time_left_ns(request, now) <= 0:",
     ),
     "refused-after-run": Mutant(
         "an unsafe write that may have run is refused",
-        "holdgw.policy.pending_request",
-        "        return self.ran is None or self.cls.idempotency is Idempotency.IDEMPOTENT or keyed_anywhere",
+        "holdgw.policy.retry_policy",
+        "        return never_ran or rules.idempotency is Idempotency.IDEMPOTENT or dropped_anywhere",
         "        return True",
     ),
     "drain-waits": Mutant(
@@ -151,8 +151,8 @@
     "flight-never-lands": Mutant(
         "a fetch that ends badly wakes nobody who waits for it",
         "holdgw.policy.routing_policy",
-        "        if request.leads:\n            self._land(request, stored)\n",
-        "        if request.leads and stored:\n            self._land(request, stored)\n",
+        "        if request.leads_fetch:\n            self._complete_fetch(request, stored)\n",
+        "        if request.leads_fetch and stored:\n            self._complete_fetch(request, stored)\n",
     ),
     "half-closed-reused": Mutant(
         "the pool keeps a connection whose other side has closed",
@@ -282,7 +282,7 @@
     "draw-off": Mutant(
         "a hot slot's owners are drawn without what they report",
         "holdgw.policy.endpoint_selection",
-        "        weight /= max(endpoint.reported_response_time_ns, usual_ns / 2, 1.0)\n",
+        "        weight /= max(endpoint.reported_response_time_ns, mean_ns / 2, 1.0)\n",
         "",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
@@ -421,9 +421,9 @@
     ),
     "pause-unbounded": Mutant(
         "pauses between calls to discovery grow without a bound that counts the call's own wait",
-        "holdgw.policy.routing_policy",
-        "NS_PER_S << min(self._failed_calls, 8), ASK_MOST)",
-        "NS_PER_S << min(self._failed_calls, 8))",
+        "holdgw.policy.endpoint_subscription",
+        "        return min(NS_PER_S << min(self._failures, MAX_DOUBLINGS), MAX_BACKOFF_NS)\n",
+        "        return NS_PER_S << min(self._failures, MAX_DOUBLINGS)\n",
         test="tests/test_endings.py::test_the_longest_waits_added_up_stay_within_what_counts_as_told",
     ),
     "reset-is-an-end": Mutant(
--- a/holdgw/policy/endpoint_health.py
+++ b/holdgw/policy/endpoint_health.py
@@ -16,7 +16,8 @@
 
 from __future__ import annotations
 
-from holdgw.policy.interface import NS_PER_S, Outcome
+from holdgw.policy.events import Outcome
+from holdgw.policy.units import NS_PER_S
 
 LATE_ANSWER_FACTOR = 0.7  # of the admission probability, for a late or missing answer
 OVERLOADED_ANSWER_FACTOR = 0.85  # the same for a rejection, which cost the endpoint next to nothing
--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -1,62 +1,64 @@
-"""Every decision of the router, without I/O or clock: events in, actions out."""
+"""The routing policy: every decision of a router, without I/O and without a clock; events in, actions out."""
 
 from __future__ import annotations
 
 import math
 import random
+from typing import NamedTuple
 from zlib import crc32
 
-from holdgw.policy.endpoint_health import MAX_CONSECUTIVE_RESETS, AttemptResult
+from holdgw.policy.actions import Action, SendAttempt, SetTimer, Subscribe
+from holdgw.policy.endpoint_health import AttemptResult
 from holdgw.policy.endpoint_selection import EndpointSelector
-from holdgw.policy.hot_keys import PopularityCounter, SlotPopularity
-from holdgw.policy.interface import (
-    NS_PER_S,
-    Action,
+from holdgw.policy.endpoint_subscription import EndpointSubscription
+from holdgw.policy.endpoints import EndpointsChanged, EndpointState, UpdateKind
+from holdgw.policy.events import (
     AttemptEnded,
-    EndpointsChanged,
-    EndpointState,
     Event,
-    Fail,
-    HandoverState,
-    Idempotency,
     LimitSharesChanged,
     LoadSnapshotChanged,
     Outcome,
-    Reject,
     RequestArrived,
     RequestCancelled,
-    SendAttempt,
-    SetTimer,
-    Settings,
     StreamStarted,
-    Subscribe,
-    Tenant,
-    TenantHandover,
     TimerFired,
-    UpdateKind,
 )
+from holdgw.policy.fetch_coalescing import FetchCoalescing
+from holdgw.policy.handover_state import HandoverState
+from holdgw.policy.hot_keys import PopularityCounter, SlotPopularity
 from holdgw.policy.load_reports import LoadReports, Observations
 from holdgw.policy.load_shedding import LoadShedder
-from holdgw.policy.origin_limiter import CUT, OriginLimiter
+from holdgw.policy.origin_concurrency import OriginConcurrency, OriginVerdict
+from holdgw.policy.origin_limiter import OriginLimiter
 from holdgw.policy.pending_request import PendingRequest
+from holdgw.policy.rejections import RejectionReason, Rejections
+from holdgw.policy.retry_policy import Loss, NextStep, RetryPolicy
+from holdgw.policy.settings import Settings, Tenant
 from holdgw.policy.slot_table import SLOTS, SlotTable
 from holdgw.policy.slow_start import SlowStart
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 
-BAD_SAMPLES = 8  # smoothing of the share of bad fetches
-BAD_SHARE = 0.2  # two in a row, or one in five, cut
-QUICK_AIM = 0.5  # a connection that breaks within that part of the aim has cost no time to speak of
-PATIENCE_AIM = 0.5  # lost after that part of the aim
-PATIENCE_PACE = 5.0  # and of the usual time
-BUDGET_SHARE = 0.01  # of attempts may be taken for lost
-BUDGET_MOST = 4.0  # and so many at once
-LOST_PACE = 4.0  # an answer that is out for so many usual times, while others come, is lost
-STRAIN = 0.1  # smoothed share of servers met that are over their load, past which nothing is sent twice
-ASK_MOST = 2 * NS_PER_S  # until discovery is asked again; 6 s later what it has counts as told
+UNKNOWN_TENANT = ""  # requests that name no tenant of the settings
+SUBSCRIBE_TOKEN = "subscribe"  # the timer's; a request's timer has the request's id
+ANY_SLOT = 0  # all writes are queued for one origin
+
+
+class TableSizes(NamedTuple):
+    """How much the policy remembers; all of it is 0 once every request has ended."""
+
+    requests: int
+    coalesced_fetches: int
+    queued_writes: int
 
 
 class RoutingPolicy:
-    """One router's decisions: feed it events with the time, carry out the actions it returns."""
+    """One router's decisions: `handle` takes an event and returns the actions to carry out.
+
+    It holds the open requests, and asks one rule at a time: where a request may go (`EndpointSelector`,
+    `SlowStart`, `LoadShedder`), whether it may be fetched (`OriginLimiter`, `OriginConcurrency`,
+    `FetchCoalescing`), what follows an attempt (`RetryPolicy`, `EndpointHealth`) and how it is rejected
+    (`Rejections`). `docs/decisions.md` lists the rules.
+    """
 
     uses_load_reports = True
     """Whether the load reports in events make a difference."""
@@ -64,226 +66,239 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
         self._rng = random.Random(seed)
-        self._classes = {cls.name: cls for cls in settings.classes}
-        tenants = (*settings.tenants, Tenant("", 1.0))  # the last: requests of no known tenant
-        self._guards = {
+        self._classes = {one.name: one for one in settings.classes}
+        self._origin_limiters = {
             tenant.name: OriginLimiter(tenant, settings.routers, self._rng, settings.workers)
-            for tenant in tenants
+            for tenant in (*settings.tenants, Tenant(UNKNOWN_TENANT, weight=1.0))
         }
-        self._caches, self._origins = SlotTable(settings), SlotTable(settings)
-        self._tenant_usage = PopularityCounter[str]()
+        shortest_objective_ns = min(one.latency_objective_ns for one in settings.classes)
+        self._caches = SlotTable(settings)
+        self._origins = SlotTable(settings)
         self._requests: dict[str, PendingRequest] = {}
-        self._flights: dict[
-            str, list[PendingRequest]
-        ] = {}  # key whose fetch is out -> requests waiting for it
-        aim = min(cls.latency_objective_ns for cls in settings.classes)
-        self._origin_time = aim / 2  # smoothed time of good fetches
-        self._width, self._last_cut = (
-            math.inf,
-            0,
-        )  # most own attempts out at the origin before writes are held
-        self._held: list[PendingRequest] = []  # writes waiting for one of them to end; the newest goes first
-        self._budget = BUDGET_MOST  # attempts that may be taken for lost by their time
-        self._origin_bad = 0.0  # smoothed share of bad fetches
-        self._origin_broke = 0  # its connections that broke since its last answer
-        self._asking, self._failed_calls = False, 0
+        self._fetches = FetchCoalescing()
+        self._origin_concurrency = OriginConcurrency(shortest_objective_ns)
+        self._retries = RetryPolicy(settings)
+        self._rejections = Rejections(settings, self._rng)
+        self._subscription = EndpointSubscription(settings, self._rng)
+        self._tenant_usage = PopularityCounter[str]()
         self._slot_popularity = SlotPopularity()
-        self._load_reports = LoadReports(settings, aim)
+        self._load_reports = LoadReports(settings, shortest_objective_ns)
         self._load_shedder = LoadShedder(self._rng)
         self._slow_start = SlowStart(settings, self._caches, self._rng)
-        self._selector = EndpointSelector(self._caches, self._load_reports, aim, self._rng)
+        self._selector = EndpointSelector(self._caches, self._load_reports, shortest_objective_ns, self._rng)
         self._observations = Observations(settings.gossip_allowed)
-        self._now = 0
-        self._actions: list[Action] = []
-        self.rejections_by_reason: dict[str, int] = {}  # requests refused or failed, by the reason
+        self._now = 0  # clock time of the event that is handled
+        self._actions: list[Action] = []  # for that event
 
     def handle(self, event: Event, now: int) -> list[Action]:
-        """Take one event at clock time `now` and return the actions to carry out, in order."""
-        self._now, self._actions = now, []
+        """Take one event at clock time `now` (ns) and return the actions to carry out, in order."""
+        self._now = now
+        self._actions = []
         self._slow_start.answer_rate.start(now)
         match event:
             case AttemptEnded():
                 self._attempt_ended(event)
             case RequestArrived():
-                self._arrived(event)
+                self._request_arrived(event)
             case EndpointsChanged():
-                self._servers_changed(event)
+                self._endpoints_changed(event)
             case LimitSharesChanged():
-                for tenant, share in event.shares.items():
-                    if tenant in self._guards and share > 0:
-                        self._guards[tenant].resize(share)
+                self._limit_shares_changed(event)
             case LoadSnapshotChanged():
-                self._apply_load_snapshot(event)
-            case StreamStarted() if event.request_id in self._requests:
-                self._stream_started(self._requests[event.request_id])
+                self._load_snapshot_changed(event)
+            case StreamStarted():
+                self._stream_started(event)
             case TimerFired():
-                self._timer(event.token)
-            case RequestCancelled() if event.request_id in self._requests:
-                self._finish(self._requests[event.request_id])
+                self._timer_fired(event)
+            case RequestCancelled():
+                self._request_cancelled(event)
         return self._actions
 
+    # Figures.
+
+    @property
+    def rejections_by_reason(self) -> dict[RejectionReason, int]:
+        """Requests that were rejected or failed without an answer from an endpoint, since the start."""
+        return self._rejections.counts
+
     def ejected(self) -> list[str]:
         """Return the names of the ready cache endpoints that get trial requests only."""
         return [name for name, endpoint in self._caches.endpoints.items() if endpoint.ejected]
 
     def metrics(self, now: int) -> dict[str, float]:
-        """What the decisions go by now: limits in fetches a second, shares and counts of servers."""
-        nodes = self._caches.endpoints.values()
+        """Return the policy's figures, by the words of the interval counters.
+
+        They are: each tenant's rate limit in origin calls a second, the write concurrency limit (-1: none),
+        the origin's failure fraction, the fraction of overloaded endpoints, the retry budget, and the
+        numbers of cache endpoints that are ejected, that are sent less, and that have given up slots.
+        """
+        endpoints = self._caches.endpoints.values()
+        write_limit = self._origin_concurrency.write_limit
+        limiters = self._origin_limiters.items()
         return {
-            **{f"limit {name}": guard.limit for name, guard in self._guards.items() if name},
-            "width": -1.0 if math.isinf(self._width) else self._width,
-            "origin bad": self._origin_bad,
+            **{f"limit {name}": limiter.rate_limit for name, limiter in limiters if name != UNKNOWN_TENANT},
+            "width": -1.0 if math.isinf(write_limit) else write_limit,
+            "origin bad": self._origin_concurrency.failure_fraction,
             "strain": self._load_shedder.overloaded_fraction,
-            "budget": self._budget,
-            "down": sum(node.ejected for node in nodes),
-            "shy": sum(node.admission_probability(now) < 1.0 for node in nodes),
-            "lean": sum(node.slot_retention < 1.0 for node in nodes),
+            "budget": self._retries.budget,
+            "down": sum(endpoint.ejected for endpoint in endpoints),
+            "shy": sum(endpoint.admission_probability(now) < 1.0 for endpoint in endpoints),
+            "lean": sum(endpoint.slot_retention < 1.0 for endpoint in endpoints),
         }
 
-    def table_sizes(self) -> dict[str, int]:
-        """The number of entries in each table: open requests, coalesced fetches, queued writes."""
-        return {
-            "requests": len(self._requests),
-            "coalesced_fetches": len(self._flights),
-            "queued_writes": len(self._held),
-        }
+    def table_sizes(self) -> TableSizes:
+        """Return how much the policy remembers."""
+        return TableSizes(len(self._requests), len(self._fetches), len(self._origin_concurrency))
 
     def origin_demand(self, now: int) -> dict[str, float]:
-        """Each tenant's calls for the origin a second, admitted or not."""
-        for guard in self._guards.values():
-            guard.accepted(now)
-        return {name: len(guard._calls) / guard.window_s for name, guard in self._guards.items()}
+        """Return each tenant's origin calls a second, admitted or not."""
+        return {name: limiter.observed_rate_per_s(now) for name, limiter in self._origin_limiters.items()}
+
+    def rebalancing_metrics(self) -> dict[str, float]:
+        """Return how many endpoints give up slots and take some, and the least fraction that one keeps."""
+        return self._selector.rebalancer.metrics()
+
+    def take_observations(self) -> tuple[dict[str, tuple[float, int]], dict[int, int]]:
+        """Return, and forget, what this router has observed, for others.
+
+        That is the reported response time by endpoint, with its clock time (both ns), and requests by slot.
+        """
+        return self._observations.take()
+
+    # Handover to another process of this router.
 
     def handover_state(self, now: int) -> HandoverState:
-        """What another process of this router may go on from."""
-        for guard in self._guards.values():
-            guard.accepted(now)
+        """Return what another process of this router continues from."""
         return HandoverState(
-            endpoints={name: node.handover(now) for name, node in self._caches.endpoints.items()},
-            tenants={
-                name: TenantHandover(guard.limit, tuple(guard._calls)) for name, guard in self._guards.items()
-            },
+            endpoints={name: endpoint.handover(now) for name, endpoint in self._caches.endpoints.items()},
+            tenants={name: limiter.handover(now) for name, limiter in self._origin_limiters.items()},
             slot_popularity=dict(self._slot_popularity.counts),
             tenant_usage=dict(self._tenant_usage.counts),
-            origin_latency_ns=self._origin_time,
-            write_concurrency_limit=self._width,
+            origin_latency_ns=self._origin_concurrency.latency_ns,
+            write_concurrency_limit=self._origin_concurrency.write_limit,
             cache_answers=self._slow_start.answer_rate.answers(now),
         )
 
-    def restore(self, learnt: HandoverState, now: int) -> None:
-        """Go on from what another process of this router has learnt; unknown servers are passed over.
+    def restore(self, state: HandoverState, now: int) -> None:
+        """Continue from another process's state; endpoints and tenants that are unknown here are passed over.
 
-        Danger: to begin anew at the generous limits floods the origin at every upgrade, and to send a dying
-        server its full share again costs its requests. It could do harm if what was learnt is long past:
-        hence it comes from a process that lives, and fades as if it had been learnt here.
+        Beginning anew at the generous initial limits would flood the origin at every upgrade, and an
+        endpoint that is failing would get its full share again. The state comes from a process that is
+        still running, so it is never old, and it fades here as if it had been learned here.
         """
-        for name, server in learnt.endpoints.items():
-            if (node := self._caches.endpoints.get(name)) is not None:
-                node.restore(server, now)
-        for name, tenant in learnt.tenants.items():
-            if (guard := self._guards.get(name)) is not None:
-                guard.recall(tenant.rate_limit, tenant.calls, now)
-        self._slot_popularity.restore(learnt.slot_popularity)
-        self._tenant_usage.restore(learnt.tenant_usage)
-        self._origin_time = learnt.origin_latency_ns or self._origin_time
-        self._width = learnt.write_concurrency_limit or self._width
-        if learnt.cache_answers:
-            self._slow_start.answer_rate.restore(learnt.cache_answers, now)
-
-    def _servers_changed(self, event: EndpointsChanged) -> None:
-        if self._settings.subscription_required:
-            self._keep_subscribed(event.kind)
+        for name, endpoint_state in state.endpoints.items():
+            endpoint = self._caches.endpoints.get(name)
+            if endpoint is not None:
+                endpoint.restore(endpoint_state, now)
+        for name, tenant_state in state.tenants.items():
+            limiter = self._origin_limiters.get(name)
+            if limiter is not None:
+                limiter.restore(tenant_state, now)
+        self._slot_popularity.restore(state.slot_popularity)
+        self._tenant_usage.restore(state.tenant_usage)
+        self._origin_concurrency.restore(state.origin_latency_ns, state.write_concurrency_limit)
+        if state.cache_answers:
+            self._slow_start.answer_rate.restore(state.cache_answers, now)
+
+    # Events that concern no single request.
+
+    def _endpoints_changed(self, event: EndpointsChanged) -> None:
+        delay_ns = self._subscription.on_update(event.kind)
+        if delay_ns is not None:
+            self._actions.append(SetTimer(delay_ns, SUBSCRIBE_TOKEN))
         if event.kind is UpdateKind.FAILED:
             return
         ready = [entry for entry in event.endpoints if entry.state is EndpointState.READY]
         left = [entry.id for entry in event.endpoints if entry.state is not EndpointState.READY]
         for table, is_origin in ((self._caches, False), (self._origins, True)):
-            mine = [e for e in ready if (e.kind == self._settings.origin_kind) == is_origin]
-            unlisted = (
-                table.endpoints.keys() - {e.id for e in mine} if event.kind is not UpdateKind.DELTA else ()
-            )
-            table.update(mine, [*left, *unlisted])
-
-    def _keep_subscribed(self, kind: UpdateKind) -> None:
-        """Subscribe at the start and after every failure; jitter and back-off spare discovery."""
-        if kind not in (UpdateKind.CACHED, UpdateKind.FAILED):
-            self._failed_calls = 0
-        elif not self._asking:
-            self._asking = True
-            # Danger: a change counts as told 6 s after discovery had it and could be reached, whatever failed
-            # before: a longer pause alone would use that up.
-            most = min(self._settings.poll_within_ns // 2, NS_PER_S << min(self._failed_calls, 8), ASK_MOST)
-            self._failed_calls += kind is UpdateKind.FAILED
-            self._actions.append(SetTimer(self._rng.randint(most // 4, most), "subscribe"))
-
-    def _timer(self, token: str) -> None:
-        if token == "subscribe":
-            self._asking = False
+            listed = [entry for entry in ready if (entry.kind == self._settings.origin_kind) == is_origin]
+            gone = list(left)
+            if event.kind is not UpdateKind.DELTA:
+                gone += table.endpoints.keys() - {entry.id for entry in listed}
+            table.update(listed, gone)
+
+    def _limit_shares_changed(self, event: LimitSharesChanged) -> None:
+        for tenant, share in event.shares.items():
+            limiter = self._origin_limiters.get(tenant)
+            if limiter is not None and share > 0:
+                limiter.set_share(share)
+
+    def _load_snapshot_changed(self, event: LoadSnapshotChanged) -> None:
+        """Take the load view of many routers: response times newer than those known, and popularity of slots.
+
+        Other routers' reports may be false or old. An endpoint's own report to this router overrides older
+        ones, ejection rests on own attempts alone, and fractions of too few requests are ignored.
+        """
+        for name, (response_time_ns, age_ns) in event.response_times.items():
+            endpoint = self._caches.endpoints.get(name)
+            reported_at_ns = self._now - age_ns
+            if endpoint is not None and reported_at_ns > endpoint.reported.at_ns:
+                self._load_reports.record(endpoint, response_time_ns, reported_at_ns)
+        usable = self._slot_popularity.apply_snapshot(event)
+        popularity = event.slot_shares if usable else {}
+        samples = event.sampled_requests if usable else 0.0
+        self._selector.apply_popularity(popularity, samples, self._now)
+
+    def _timer_fired(self, event: TimerFired) -> None:
+        if event.token == SUBSCRIBE_TOKEN:
+            self._subscription.on_timer()
             self._actions.append(Subscribe())
             return
-        request = self._requests.get(token)
-        if request and request.waiting and self._now >= request.deadline_ns:
-            self._give_up(request, "time")
-        elif request and request.waiting and request.is_write:
+        request = self._requests.get(event.token)
+        if request is None or not request.is_waiting:
+            return
+        if self._now >= request.deadline_ns:
+            self._give_up(request, RejectionReason.DEADLINE)
+        elif request.is_write:
             self._fetch(request)
 
-    def _arrived(self, event: RequestArrived) -> None:
-        guard = self._guards.get(event.tenant or "", self._guards[""])
-        request = PendingRequest(event, self._classes[event.request_class], guard)
-        request.slot = self._rng.randrange(SLOTS) if event.key is None else crc32(event.key.encode()) % SLOTS
+    # A request's beginning and end.
+
+    def _request_arrived(self, event: RequestArrived) -> None:
+        tenant = event.tenant or UNKNOWN_TENANT
+        limiter = self._origin_limiters.get(tenant, self._origin_limiters[UNKNOWN_TENANT])
+        request_class = self._classes[event.request_class]
+        slot = self._rng.randrange(SLOTS) if event.key is None else crc32(event.key.encode()) % SLOTS
+        request = PendingRequest(event, request_class, limiter, slot)
         self._requests[request.id] = request
         if request.is_write and self._settings.origin_kind is not None:
             self._fetch(request)
-        else:
-            request.slot_popularity = self._slot_popularity.record_request(request.slot)
-            self._observations.count_request(request.slot)
-            guard.excess = (self._tenant_usage.add(event.tenant or "") / max(guard.weight, 0.001)) ** 2
-            self._route(request)
+            return
+        request.slot_popularity = self._slot_popularity.record_request(slot)
+        self._observations.count_request(slot)
+        limiter.set_usage(self._tenant_usage.add(tenant))
+        self._route(request)
 
-    def _send(self, request: PendingRequest, node: TrackedEndpoint) -> None:
-        request.sends += 1
-        why = self._why(request, node)
-        request.node, request.sent_at, request.out = node, self._now, True
-        node.start_attempt()
-        if not request.fetching:
-            node.warm_up_tokens.take()
-        request.patience = self._patience(request, node)
-        bounded = request.ran is not None and request.cls.idempotency is Idempotency.IDEMPOTENCY_KEY
-        within = request.write_within(self._now) if bounded else 0
-        self._actions.append(SendAttempt(request.id, node.entry.id, request.patience, within, why))
-
-    def _why(self, request: PendingRequest, node: TrackedEndpoint) -> str:
-        """What an attempt is made for, before it is noted."""
-        if request.fetching:
-            return "write" if request.is_write else "fetch"
-        if node.ejected:
-            return "trial"
-        return "first" if request.sends == 1 else "again" if node is request.node else "next"
-
-    def _patience(self, request: PendingRequest, node: TrackedEndpoint) -> int:
-        """Departure: how long an answer is waited for before it counts as lost on the way.
-
-        A connection or a single request can fall silent while its server is well; the whole deadline would
-        go by. The budget keeps this rare, so that slow servers do not get everything twice.
-        """
-        if request.spared or self._budget < 1 or request.sends + 2 > self._settings.max_attempts:
-            return 0
-        if (
-            not node.latency_ns
-            or node.admission_probability(self._now) < 1.0
-            or self._load_shedder.overloaded_fraction > STRAIN
-        ):
-            return 0  # not known to be well, or the others are not
-        patience = int(max(request.cls.latency_objective_ns * PATIENCE_AIM, node.latency_ns * PATIENCE_PACE))
-        return patience if self._now + 2 * patience < request.deadline_ns else 0
-
-    def _may_try(self, request: PendingRequest) -> bool:
-        return request.sends < self._settings.max_attempts and self._now < request.deadline_ns
+    def _request_cancelled(self, event: RequestCancelled) -> None:
+        request = self._requests.get(event.request_id)
+        if request is not None:
+            self._finish(request)
+
+    def _wait(self, request: PendingRequest, delay_ns: int) -> None:
+        request.is_waiting = True
+        self._actions.append(SetTimer(delay_ns, request.id))
+
+    def _give_up(self, request: PendingRequest, reason: RejectionReason) -> None:
+        """Answer a request for which nothing more can be done."""
+        may_reject = self._retries.may_reject(request)
+        self._actions.append(self._rejections.final_answer(request.id, reason, may_reject))
+        self._finish(request)
+
+    def _finish(self, request: PendingRequest, stored: bool = False) -> None:
+        """End a request; `stored`: its fetch has stored the value at the cache server."""
+        request.is_answered = True
+        request.is_waiting = False
+        if not request.in_flight:
+            del self._requests[request.id]
+        if request.leads_fetch:
+            self._complete_fetch(request, stored)
+
+    # Where a request goes.
 
     def _route(self, request: PendingRequest) -> None:
         """Send to the slot's preferred endpoint; to the next one if it has failed or is ejected."""
-        if not self._may_try(request):
-            self._give_up(request, "attempts or time")
+        if not self._retries.may_attempt(request, self._now):
+            self._give_up(request, RejectionReason.NO_ATTEMPT_LEFT)
             return
         candidates = self._selector.candidates(request.slot, request.slot_popularity, self._now)
         retaining = [
@@ -294,7 +309,9 @@
         ranking = retaining or candidates[:1]
         has_capacity = True
         for endpoint in ranking:
-            if endpoint in request.failed or not request.may_send(endpoint, self._now):
+            if endpoint in request.failed_endpoints:
+                continue
+            if not self._retries.may_send(request, endpoint, self._now):
                 continue
             if self._caches.any_warming_up(self._now):
                 has_capacity = self._slow_start.has_capacity(request, endpoint, candidates, self._now)
@@ -303,142 +320,123 @@
             if self._send_or_reject(request, endpoint, ranking):
                 return
         if has_capacity:
-            self._missed(request)
+            self._fetch_missing(request)
         else:  # only a warming endpoint could take it, and has no capacity
-            self._give_up(request, "cold server")
+            self._give_up(request, RejectionReason.WARMING_UP)
 
     def _send_or_reject(
         self, request: PendingRequest, endpoint: TrackedEndpoint, ranking: list[TrackedEndpoint]
     ) -> bool:
         """Send to an endpoint, or reject for its load; False: it is ejected, and another is to be tried."""
         if self._load_shedder.is_too_late(endpoint, request.deadline_ns - self._now, self._now):
-            self._give_up(request, "too late there")
+            self._give_up(request, RejectionReason.ENDPOINT_TOO_SLOW)
             return True
         probability = endpoint.admission_probability(self._now)
         self._load_shedder.record_met(endpoint, probability)
         if endpoint.is_donor:
             endpoint.release_slots(ranking[ranking.index(endpoint) + 1 :], self._now)
-        if self._load_shedder.admits(endpoint, probability, request.guard.excess):
+        if self._load_shedder.admits(endpoint, probability, request.origin_limiter.quota_overuse):
             self._send(request, endpoint)
             return True
         if endpoint.ejected:
             return False
-        self._give_up(request, "server")  # another endpoint would miss, unless the slot migrates for good
+        # Another endpoint would miss, unless the slot migrates for good.
+        self._give_up(request, RejectionReason.ENDPOINT_OVERLOADED)
         return True
 
-    def _missed(self, request: PendingRequest) -> None:
-        """Fetch, unless this router's fetch of the key is out: then wait for what it stores."""
-        flight = None if request.key is None else self._flights.get(request.key)
-        if flight is None or request.is_write:
-            self._fetch(request)
-        else:
-            flight.append(request)
+    def _fetch_missing(self, request: PendingRequest) -> None:
+        """Get what no cache server has: by a fetch, or by waiting for the one of its key that is out."""
+        if self._fetches.join(request):
             self._wait(request, request.deadline_ns - self._now)
+        else:
+            self._fetch(request)
 
-    def _fetch(self, request: PendingRequest, again: bool = False) -> None:
-        """Ask the origin, if it may be; `again`: for a call that is admitted and counted already."""
-        request.waiting = False
+    def _fetch(self, request: PendingRequest, admitted: bool = False) -> None:
+        """Send to the origin, if its limits allow; `admitted`: they have allowed this call before."""
+        request.is_waiting = False
         origins = self._origins.rank(request.slot, self._now)
-        if not origins or not self._may_try(request) or not request.may_send(origins[0], self._now):
-            self._give_up(request, "no origin or attempt")
-            return
-        if (
-            request.is_write and origins[0].in_flight >= self._width
-        ):  # held, for more would only queue at the origin
-            self._held.append(request)
-            self._wait(request, request.deadline_ns - self._now)
+        if not origins or not self._may_send(request, origins[0]):
+            self._give_up(request, RejectionReason.NO_ORIGIN)
             return
         if request.is_write:
-            request.guard.count(self._now)
-        elif not again and not request.guard.admit(self._now):
-            self._give_up(request, "origin limit")
+            if not self._origin_concurrency.admits_write(origins[0].in_flight):
+                self._origin_concurrency.enqueue(request)
+                self._wait(request, request.deadline_ns - self._now)
+                return
+            request.origin_limiter.record_call(self._now)
+        elif not admitted and not request.origin_limiter.admit(self._now):
+            self._give_up(request, RejectionReason.ORIGIN_LIMIT)
             return
-        if request.key is not None and not request.is_write and not request.leads:
-            self._flights[request.key] = []
-            request.leads = True
-        request.fetching = True
+        self._fetches.lead(request)
+        request.is_at_origin = True
         self._send(request, origins[0])
 
-    def _stream_started(self, request: PendingRequest) -> None:
-        """The server has done its work; how long the value takes from here is the client's and the line's.
+    def _may_send(self, request: PendingRequest, endpoint: TrackedEndpoint) -> bool:
+        may_attempt = self._retries.may_attempt(request, self._now)
+        return may_attempt and self._retries.may_send(request, endpoint, self._now)
+
+    def _send(self, request: PendingRequest, endpoint: TrackedEndpoint) -> None:
+        purpose = request.begin_attempt(endpoint, self._now)
+        endpoint.start_attempt()
+        if not request.is_at_origin:
+            endpoint.warm_up_tokens.take()
+        overloaded_fraction = self._load_shedder.overloaded_fraction
+        timeout_ns = self._retries.attempt_timeout_ns(request, endpoint, overloaded_fraction, self._now)
+        request.attempt_timeout_ns = timeout_ns
+        write_within_ns = self._retries.write_within_ns(request, self._now)
+        self._actions.append(SendAttempt(request.id, endpoint.entry.id, timeout_ns, write_within_ns, purpose))
+
+    # What follows an attempt.
+
+    def _stream_started(self, event: StreamStarted) -> None:
+        """The endpoint has done its work: how long the rest takes depends on the client and the network.
 
-        Danger: a client that reads slowly would count as load of its server, and of the origin, for seconds,
-        and those who wait for the same key's fetch would wait for its last byte too.
+        A client that reads slowly would otherwise count as load of its endpoint, and of the origin, for
+        seconds, and requests that wait for the same fetch would wait for its last byte.
         """
-        if request.node is not None and request.out and not request.streams:
-            request.streams = True
-            request.node.release_attempt()
-            if request.leads:
-                self._land(request, stored=True)
+        request = self._requests.get(event.request_id)
+        if request is None or request.endpoint is None or not request.in_flight or request.is_streaming:
+            return
+        request.is_streaming = True
+        request.endpoint.release_attempt()
+        if request.leads_fetch:
+            self._complete_fetch(request, stored=True)
 
     def _attempt_ended(self, event: AttemptEnded) -> None:
         request = self._requests.get(event.request_id)
-        if request is None or request.node is None:
+        if request is None or request.endpoint is None:
             return
-        node, fetched, outcome = request.node, request.fetching, event.outcome
-        request.out = request.fetching = False
-        if not request.streams:
-            node.release_attempt()
-        request.streams = False
-        took = event.latency_ns - event.queued_ns
-        late = took > request.cls.latency_objective_ns
-        # Danger: the first request on a connection bears the cost of setting it up, most of all across zones.
-        # To take that for load sheds a well server, whenever connections are short-lived. It could do harm
-        # where all are so short-lived that no other answer comes: then only twice the aim tells.
-        unsure = event.first_on_connection and took <= 2 * request.cls.latency_objective_ns
-        lost = outcome in (Outcome.MALFORMED, Outcome.RESET)
-        broke = outcome in (Outcome.CONNECT_FAILED, Outcome.RESET)
-        quick = broke and event.latency_ns <= request.cls.latency_objective_ns * QUICK_AIM
-        # Danger: what was called off unwritten, or was no attempt at all, is no word of a server. Taken for
-        # one, it clears the count of what a dead one refused. No harm: it says nothing either way.
-        told = outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT)
-        if outcome is Outcome.TIMEOUT:
-            early = bool(request.patience) and self._now < request.deadline_ns
-            self._budget -= early
-            lost = early or self._vanished(node, request, took)
-            if lost and not early:
-                self._budget = min(BUDGET_MOST, self._budget + 1)
-        elif told and not broke:
-            node.health.record_answer(self._now)
-        if outcome in (Outcome.OK, Outcome.MISS):
-            # A prompt answer to what was asked again shows that the first one was lost.
-            proof = request.spared and took <= request.cls.latency_objective_ns * PATIENCE_AIM
-            self._budget = min(BUDGET_MOST, self._budget + (1.0 if proof else BUDGET_SHARE))
+        endpoint = request.endpoint
+        was_at_origin = request.is_at_origin
+        if not request.is_streaming:
+            endpoint.release_attempt()
+        request.end_attempt(may_have_run=not event.outcome.has_no_effect)
+        loss = self._retries.classify_loss(request, endpoint, event, self._now)
+        self._record_answer(request, endpoint, event, was_at_origin)
+        if was_at_origin:
+            self._judge_origin(request, endpoint, event, loss)
+        elif event.outcome.was_attempted:
+            self._judge_cache(request, endpoint, event, loss)
+        if event.request_answered or request.is_answered:
+            self._finish(request, stored=was_at_origin and event.outcome is Outcome.OK)
+        else:
+            self._continue(request, endpoint, event, loss, was_at_origin)
+
+    def _record_answer(
+        self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, was_at_origin: bool
+    ) -> None:
+        """Take what an answer tells: that its endpoint is up, its latency, its load report."""
+        if event.outcome.is_answer:
+            endpoint.health.record_answer(self._now)
+        if event.outcome in (Outcome.OK, Outcome.MISS):
+            took_ns = event.latency_ns - event.queued_ns
+            self._retries.record_answer(request, took_ns)
             if not event.first_on_connection:
-                node.record_latency(took)
-            if not fetched:
+                endpoint.record_latency(took_ns)
+            if not was_at_origin:
                 self._slow_start.answer_rate.record_answer(self._now)
-        if not fetched and event.load_report is not None:
-            self._apply_load_report(node, event.load_report)
-        if fetched:
-            self._judge_fetch(node, event, late and not unsure, lost)
-        elif told:
-            # A time-out before the deadline is one of our own patience, and no sign of load.
-            slow = not lost if outcome is Outcome.TIMEOUT else late and not unsure
-            node.health.record(
-                AttemptResult(
-                    outcome,
-                    slow,
-                    self._now,
-                    request.sent_at,
-                    self._load_shedder.most_are_well,
-                    event.idle_connections_closed,
-                )
-            )
-        if not outcome.has_no_effect and request.ran is None:
-            request.ran = node, request.sent_at
-        if event.request_answered or request.done:
-            self._finish(request, stored=fetched and outcome is Outcome.OK)
-        elif outcome is Outcome.MISS and not fetched and self._settings.origin_kind is not None:
-            self._missed(request)
-        elif quick or (lost and not request.spared):
-            request.spared = request.spared or not quick
-            self._lost_on_the_way(request, event, fetched)
-        elif fetched:
-            self._fetch_failed(request, outcome)
-        else:
-            request.failed.append(node)
-            self._route(request)
+        if not was_at_origin and event.load_report is not None:
+            self._apply_load_report(endpoint, event.load_report)
 
     def _apply_load_report(self, endpoint: TrackedEndpoint, values: tuple[float, ...]) -> None:
         """Take an endpoint's load report, which tells of the load that all routers bring there."""
@@ -447,135 +445,106 @@
             self._observations.record_response_time(endpoint.entry.id, response_time_ns, self._now)
             self._load_reports.record(endpoint, response_time_ns, self._now)
 
-    def _apply_load_snapshot(self, event: LoadSnapshotChanged) -> None:
-        """Take the load view of many routers: response times newer than those known, and popularity of slots.
-
-        Other routers' reports may be false or old. An endpoint's own report to this router overrides older
-        ones, ejection rests on own attempts alone, and fractions of too few requests are ignored.
-        """
-        for name, (response_time_ns, age_ns) in event.response_times.items():
-            endpoint = self._caches.endpoints.get(name)
-            reported_at_ns = self._now - age_ns
-            if endpoint is not None and reported_at_ns > endpoint.reported.at_ns:
-                self._load_reports.record(endpoint, response_time_ns, reported_at_ns)
-        usable = self._slot_popularity.apply_snapshot(event)
-        popularity = event.slot_shares if usable else {}
-        samples = event.sampled_requests if usable else 0.0
-        self._selector.apply_popularity(popularity, samples, self._now)
-
-    def take_observations(self) -> tuple[dict[str, tuple[float, int]], dict[int, int]]:
-        """Return, and forget, what this router has observed, for others.
-
-        That is the reported response time by endpoint, with its clock time (both ns), and requests by slot.
-        """
-        return self._observations.take()
-
-    def rebalancing_metrics(self) -> dict[str, float]:
-        """Return how many endpoints give up slots and take some, and the least fraction that one keeps."""
-        return self._selector.rebalancer.metrics()
-
-    def _vanished(self, node: TrackedEndpoint, request: PendingRequest, took: int) -> bool:
-        """Whether an answer that never came was lost on the way, and says nothing of its server's load.
-
-        Danger: a connection or a single request can fall silent at a well server, and to shed the server for
-        it refuses a hundred times what was lost. A server over its load answers others late, which tells by
-        itself, so it could do harm only where one kind of request is slow: its lateness then tells nothing.
-        """
-        usual = (
-            0 < node.latency_ns * LOST_PACE < took
-            and node.latency_ns < request.cls.latency_objective_ns * PATIENCE_AIM
+    def _judge_cache(
+        self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, loss: Loss
+    ) -> None:
+        """Let a cache server's health take an attempt's end; a loss in transit is no sign of load."""
+        late = loss is Loss.NONE if event.outcome is Outcome.TIMEOUT else _is_late(request, event)
+        endpoint.health.record(
+            AttemptResult(
+                event.outcome,
+                late,
+                self._now,
+                request.sent_at_ns,
+                self._load_shedder.most_are_well,
+                event.idle_connections_closed,
+            )
         )
-        return usual and node.health.answered_at_ns > request.sent_at
 
-    def _judge_fetch(self, node: TrackedEndpoint, event: AttemptEnded, late: bool, lost: bool) -> None:
-        """Rise while the origin answers well; on failures cut the tenants over their portion first.
-
-        Danger: a broken connection, or an answer that was lost, is no sign of load. To cut for it starves
-        every tenant while the origin is idle, and what is not fetched is missed anew. It could do harm with
-        an origin that resets what it can't take: hence so many in a row, with no answer between, do count.
-        """
-        broke = event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET)
-        self._origin_broke = self._origin_broke + 1 if broke else 0
-        if (broke or lost) and self._origin_broke < MAX_CONSECUTIVE_RESETS:
-            pass
-        elif event.outcome is Outcome.OK and not late:
-            self._origin_bad -= self._origin_bad / BAD_SAMPLES
-            self._origin_time += (event.latency_ns - self._origin_time) / 16
-            self._width += 1 / self._width
-            for guard in self._guards.values():
-                guard.rise(self._now)
-        elif late or event.outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.TIMEOUT):
-            # A time-out that is not late had too little time left: not the origin's fault.
-            self._origin_bad += (1 - self._origin_bad) / BAD_SAMPLES
-            # A lone bad fetch is chance (a heavy tail), and one round-trip's bad fetches are one sign.
-            if self._origin_bad >= BAD_SHARE and self._now - self._last_cut >= self._origin_time:
-                self._last_cut = self._now
-                self._width = max(1.0, min(self._width, node.in_flight + 1) * CUT)
-                for guard in self._guards.values():  # the origin is shared: it speaks for all
-                    guard.cut(self._now)
-        origins = self._origins.rank(0, self._now)
-        # Danger: the origin of this fetch may have been listed anew since, and a write that goes by its
-        # load would be held again for the new one's, for ever.
-        while self._held and (not origins or origins[0].in_flight < self._width):
-            waiter = self._held.pop()
-            if waiter.waiting:
-                self._fetch(waiter)
-
-    def _lost_on_the_way(self, request: PendingRequest, event: AttemptEnded, fetched: bool) -> None:
-        """Departure: what was lost with its connection is asked for again where it was sent.
-
-        The slot's server still holds the key, where the next-ranked one would miss and cost a fetch; a
-        write's repeat is dropped there. A fetch that broke before its answer began has stored nothing, and
-        goes out again as the same call; what answered otherwise is by now stored where it missed. A quick
-        break is bounded by the attempts and by the server's being left out, and has cost nothing; all else
-        is asked for once more. It could do harm to a server that breaks what overloads it: it gets a read
-        up to four times, until six in a row leave it out.
+    def _judge_origin(
+        self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, loss: Loss
+    ) -> None:
+        """Raise or cut the origin's limits; all tenants' at once, since they share it."""
+        verdict = self._origin_concurrency.record_attempt(
+            event.outcome,
+            event.latency_ns,
+            _is_late(request, event),
+            loss is not Loss.NONE,
+            endpoint.in_flight,
+            self._now,
+        )
+        if verdict is OriginVerdict.HEALTHY:
+            for limiter in self._origin_limiters.values():
+                limiter.raise_limit(self._now)
+        elif verdict is OriginVerdict.OVERLOADED:
+            for limiter in self._origin_limiters.values():
+                limiter.cut_limit(self._now)
+        self._send_queued_writes()
+
+    def _send_queued_writes(self) -> None:
+        """Send queued writes while the origin has capacity.
+
+        It goes by the origin that is listed now: the one of the attempt that ended may have been replaced,
+        and a write that went by its load would be queued again for ever.
         """
-        if not fetched:
-            self._route(request)
-        elif request.is_write and event.outcome is Outcome.CONNECT_FAILED:
-            self._fetch_failed(request, event.outcome)  # it can wait, and an origin that restarts needs time
-        elif request.is_write or (
-            event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET) and not event.response_started
-        ):
-            self._fetch(request, again=True)
+        origins = self._origins.rank(ANY_SLOT, self._now)
+        while not origins or self._origin_concurrency.admits_write(origins[0].in_flight):
+            write = self._origin_concurrency.dequeue()
+            if write is None:
+                return
+            self._fetch(write)
+
+    def _continue(
+        self,
+        request: PendingRequest,
+        endpoint: TrackedEndpoint,
+        event: AttemptEnded,
+        loss: Loss,
+        was_at_origin: bool,
+    ) -> None:
+        """Do what a request needs that its attempt has not answered."""
+        step = self._retries.next_step(request, event, loss, was_at_origin)
+        if step is NextStep.FETCH:
+            self._fetch_missing(request)
+        elif step is NextStep.FETCH_AGAIN:
+            self._fetch(request, admitted=True)
+        elif step is NextStep.FETCH_FAILED:
+            self._fetch_failed(request, event.outcome)
         else:
-            if request.leads:
-                self._land(request, stored=True)
+            if step is NextStep.READ_STORED_VALUE and request.leads_fetch:
+                self._complete_fetch(request, stored=True)
+            if step is NextStep.NEXT_ENDPOINT:
+                request.failed_endpoints.append(endpoint)
             self._route(request)
 
     def _fetch_failed(self, request: PendingRequest, outcome: Outcome) -> None:
-        """A write is tried again after a pause; a read is the client's to retry, to spare the origin."""
-        pause = int(self._origin_time * self._rng.uniform(0.5, 1.5))
-        if request.is_write and self._now + pause < request.deadline_ns and outcome is not Outcome.TIMEOUT:
-            self._wait(request, pause)
+        """Retry a write after a delay; a read is its client's to retry, to spare the origin."""
+        delay_ns = self._origin_concurrency.retry_delay_ns(self._rng)
+        has_time = self._now + delay_ns < request.deadline_ns
+        if request.is_write and has_time and outcome is not Outcome.TIMEOUT:
+            self._wait(request, delay_ns)
         else:
-            self._give_up(request, "fetch failed")
-
-    def _land(self, request: PendingRequest, stored: bool) -> None:
-        """End a flight: its waiters ask the cache again, or one of them fetches in the leader's place."""
-        request.leads = False
-        for waiter in self._flights.pop(request.key or "", ()):
-            if not waiter.done:
-                waiter.waiting = False
-                (self._route if stored else self._missed)(waiter)
-
-    def _wait(self, request: PendingRequest, delay: int) -> None:
-        request.waiting = True
-        self._actions.append(SetTimer(delay, request.id))
-
-    def _give_up(self, request: PendingRequest, why: str) -> None:
-        self.rejections_by_reason[why] = self.rejections_by_reason.get(why, 0) + 1
-        if request.may_refuse():
-            wait = int(self._rng.uniform(0.5, 1.0) * self._settings.max_retry_after_ns)
-            self._actions.append(Reject(request.id, wait if self._settings.retry_after_allowed else 0))
-        else:
-            self._actions.append(Fail(request.id))
-        self._finish(request)
+            self._give_up(request, RejectionReason.FETCH_FAILED)
 
-    def _finish(self, request: PendingRequest, stored: bool = False) -> None:
-        request.done, request.waiting = True, False
-        if not request.out:
-            del self._requests[request.id]
-        if request.leads:
-            self._land(request, stored)
+    def _complete_fetch(self, leader: PendingRequest, stored: bool) -> None:
+        """End a coalesced fetch: its waiters read what it stored, or the first of them fetches instead."""
+        for waiter in self._fetches.complete(leader):
+            if waiter.is_answered:
+                continue
+            waiter.is_waiting = False
+            if stored:
+                self._route(waiter)
+            else:
+                self._fetch_missing(waiter)
+
+
+def _is_late(request: PendingRequest, event: AttemptEnded) -> bool:
+    """Whether an answer took longer than the latency objective by its endpoint's own doing.
+
+    The first request on a connection bears the cost of setting it up, most of all across zones; to take that
+    for load would shed endpoints that are well wherever connections are short-lived. Only twice the objective
+    tells there.
+    """
+    objective_ns = request.request_class.latency_objective_ns
+    limit_ns = 2 * objective_ns if event.first_on_connection else objective_ns
+    return event.latency_ns - event.queued_ns > limit_ns
--- a/holdgw/policy/slot_rebalancing.py
+++ b/holdgw/policy/slot_rebalancing.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable, Mapping, Sequence, Set
 from typing import Protocol
 
-from holdgw.policy.interface import NS_PER_S
 from holdgw.policy.slot_demand import SlotDemand
 from holdgw.policy.slot_loads import SlotLoads
 from holdgw.policy.slot_retention import releases_slot
+from holdgw.policy.units import NS_PER_S
 
 PLAN_INTERVAL_NS = 2 * NS_PER_S
 PRIOR_SAMPLES_PER_ENDPOINT = 4.0  # requests that the evidence has to outweigh: few of them differ by chance
--- a/holdgw/policy/warm_up.py
+++ b/holdgw/policy/warm_up.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from holdgw.policy.interface import Settings
+from holdgw.policy.settings import Settings
 
 MAX_TOKENS = 2.0  # requests that a warming endpoint may be sent at once
 
--- a/tests/operation/test_takeover.py
+++ b/tests/operation/test_takeover.py
@@ -405,13 +405,15 @@
         dead.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 4 * S))
     assert old.ejected() == [dead.entry.id]
     new = started(settings(), fleet(3), now=4 * S)
-    fresh = new._guards["a"].limit
+    fresh = new._origin_limiters["a"].rate_limit
     for part in split_handover(old.handover_state(4 * S)):
         new.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=HandoverState), 4 * S)
     assert new.ejected() == old.ejected()
-    assert new._guards["a"].limit == old._guards["a"].limit < fresh / 2
-    assert new._guards["a"].accepted(4 * S) == old._guards["a"].accepted(4 * S) > 0
-    assert new._guards["a"].declined == old._guards["a"].declined
+    assert new._origin_limiters["a"].rate_limit == old._origin_limiters["a"].rate_limit < fresh / 2
+    assert (
+        new._origin_limiters["a"].accepted_calls(4 * S) == old._origin_limiters["a"].accepted_calls(4 * S) > 0
+    )
+    assert new._origin_limiters["a"].declined == old._origin_limiters["a"].declined
     assert new.handover_state(4 * S) == old.handover_state(4 * S)
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -13,7 +13,7 @@
 from holdgw.harness.scenario import load_scenario
 from holdgw.operation.fleet_log import FleetLog
 from holdgw.operation.interval_counters import IntervalCounters
-from holdgw.policy import Outcome, RoutingPolicy
+from holdgw.policy import AttemptPurpose, Outcome, RoutingPolicy
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 from holdgw.simulation.search import play_seed
 from tests.emulated_nodes import HIT, SERVED, Cache, Node, entry, read, run
@@ -39,7 +39,7 @@
     return counts[server] / 600
 
 
-def test_a_server_that_tells_of_a_long_queue_gives_slots_up_before_an_answer_is_late() -> None:
+def test_endpoint_that_reports_a_long_queue_releases_slots_before_an_answer_is_late() -> None:
     router = started(settings(**REPORTS), fleet(6))
     full = fleet(6)[2].id
     before = sent_to(router, full, 0, {})
@@ -60,7 +60,7 @@
     assert abs(shares[0] - shares[1]) < 0.1
 
 
-def test_where_all_tell_the_same_nobody_gives_slots_up() -> None:
+def test_no_endpoint_releases_slots_where_all_report_the_same_load() -> None:
     router = started(settings(**REPORTS), fleet(6))
     loads = {server.id: (200.0, 8.0) for server in fleet(6)}
     sent_to(router, "", 0, loads)
@@ -136,7 +136,7 @@
     assert owners() == usual
 
 
-def test_reports_without_those_fields_change_nothing() -> None:
+def test_load_reports_without_known_fields_change_nothing() -> None:
     router = started(settings(tenants=(), load_report_fields=("inflight",)), fleet(6))
     send = only_send(router.handle(request("r", tenant=None), 0))
     assert router.handle(changed(ended(send, Outcome.OK), load_report=(900.0,)), 20 * MS) == []
@@ -161,17 +161,20 @@
     assert log.malformed_lines == 3
 
 
-def test_each_attempt_says_what_it_was_made_for() -> None:
+def test_each_attempt_states_its_purpose() -> None:
     router = started(settings(tenants=()), fleet(5))
     first = only_send(router.handle(request("r", tenant=None), 0))
     again = only_send(router.handle(ended(first, Outcome.RESET, latency=MS), MS))
     other = only_send(router.handle(ended(again, Outcome.OVERLOADED, 1, latency=MS), 2 * MS))
     fetch = only_send(router.handle(ended(other, Outcome.MISS, 2), 30 * MS))
-    assert [send.purpose for send in (first, again, other, fetch)] == ["first", "again", "next", "fetch"]
+    words = [send.purpose.value for send in (first, again, other, fetch)]
+    assert words == ["first", "again", "next", "fetch"]
     router = started(settings(tenants=()), fleet(1))
     router._caches.endpoints[fleet(1)[0].id].health.ejected = True
-    assert only_send(router.handle(request("t", S, tenant=None), S)).purpose == "trial"
-    assert only_send(router.handle(request("w", S, cls="edit", tenant=None), S)).purpose == "write"
+    assert only_send(router.handle(request("t", S, tenant=None), S)).purpose is AttemptPurpose.TRIAL
+    assert (
+        only_send(router.handle(request("w", S, cls="edit", tenant=None), S)).purpose is AttemptPurpose.WRITE
+    )
 
 
 def test_a_tally_counts_tries_and_attempts_by_their_reason() -> None:
