--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -23,16 +23,23 @@
 DIGEST = "digest"
 MODULES = (
     "operation/metrics.py",
+    "policy/actions.py",
     "policy/endpoint_health.py",
     "policy/endpoint_selection.py",
+    "policy/endpoint_subscription.py",
+    "policy/events.py",
+    "policy/fetch_coalescing.py",
     "policy/hot_keys.py",
-    "policy/interface.py",
     "policy/load_reports.py",
     "policy/load_shedding.py",
+    "policy/origin_concurrency.py",
     "policy/origin_limiter.py",
     "policy/pending_request.py",
+    "policy/rejections.py",
     "policy/reported_response_time.py",
+    "policy/retry_policy.py",
     "policy/routing_policy.py",
+    "policy/settings.py",
     "policy/slot_demand.py",
     "policy/slot_loads.py",
     "policy/slot_rebalancing.py",
@@ -40,6 +47,7 @@
     "policy/slot_table.py",
     "policy/slow_start.py",
     "policy/tracked_endpoint.py",
+    "policy/units.py",
     "policy/warm_up.py",
     "router/attempt.py",
     "router/cache_connection.py",
@@ -62,8 +70,8 @@
 )
 """Compiled as one group, in which calls and fields need no look-up; they import each other mostly.
 
-What msgspec encodes and decodes must not be compiled: mypyc reduces an annotation like
-dict[str, EndpointHandover] to dict, and msgspec would then decode plain dicts.
+What msgspec encodes or decodes must not be compiled (`policy/endpoints.py`, `policy/handover_state.py`): of
+an annotation like dict[str, EndpointHandover] mypyc keeps the dict alone, and msgspec returns plain dicts.
 """
 TIMEOUT_S = 900.0  # a compile takes 40 s; a build may take 20 minutes
 EXCERPT = 600  # characters of the compiler's words that are shown
--- a/holdgw/policy/slot_retention.py
+++ b/holdgw/policy/slot_retention.py
@@ -4,7 +4,7 @@
 
 import math
 
-from holdgw.policy.interface import NS_PER_S
+from holdgw.policy.units import NS_PER_S
 
 DONOR_FAILURE_FRACTION = 0.25  # over it an endpoint releases slots with each request
 RECEIVER_FAILURE_FRACTION = 0.1  # under it an endpoint may take slots, and gets its own back
--- a/holdgw/policy/slot_table.py
+++ b/holdgw/policy/slot_table.py
@@ -6,7 +6,8 @@
 from heapq import nlargest
 from operator import itemgetter
 
-from holdgw.policy.interface import Endpoint, Settings
+from holdgw.policy.endpoints import Endpoint
+from holdgw.policy.settings import Settings
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 from holdgw.policy.warm_up import WarmUpCurve
 
--- a/holdgw/router/config.py
+++ b/holdgw/router/config.py
@@ -13,8 +13,7 @@
 
 from holdgw.peers.gossip import PeerConfig
 from holdgw.peers.update_budget import MIN_BYTES_PER_S, UPDATE_BYTES_PER_S
-from holdgw.policy import NS_PER_S, Settings
-from holdgw.policy.settings_reader import WireFormatError, read_settings, typed
+from holdgw.policy import NS_PER_S, Settings, WireFormatError, read_settings, require_type
 from holdgw.router.platform import read_file
 from holdgw.wire.address import Address, parse_address
 
@@ -83,7 +82,7 @@
     if not path:
         raise ConfigError("LB_CONFIG is not set")
     try:
-        document = typed("the file", orjson.loads(read(path)), dict)
+        document = require_type("the file", orjson.loads(read(path)), dict)
         return _read_config(document, {} if again else environ)
     except OSError as error:
         raise ConfigError(f"LB_CONFIG: {error}") from None
@@ -94,9 +93,9 @@
 
 
 def _read_config(document: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    settings = typed("settings", document["settings"], dict)
+    settings = require_type("settings", document["settings"], dict)
     ceilings = settings.get("ceilings") or {}
-    limits = typed("limits", document.get("limits") or {}, dict)
+    limits = require_type("limits", document.get("limits") or {}, dict)
     known = document.get("known")
     admin_address = environ.get("LB_OPS") or document.get("ops")
     has_peers = ceilings.get("peers") and document.get("peer_listen")
@@ -120,7 +119,7 @@
         admin_address=parse_address("ops", admin_address) if admin_address else None,
         passed_descriptor=_read_descriptor("LB_PASSED_SOCKET", environ.get("LB_PASSED_SOCKET")),
         peers=_read_peers(document, settings) if has_peers else None,
-        known_endpoints=typed("known", known, dict) if known is not None else None,
+        known_endpoints=require_type("known", known, dict) if known is not None else None,
     )
 
 
@@ -146,7 +145,7 @@
 
 def _read_peers(document: dict[str, Any], settings: dict[str, Any]) -> PeerConfig | None:
     """This router's place among its peers; None where the file names no other router."""
-    named = typed("peers", document.get("peers") or [], list)
+    named = require_type("peers", document.get("peers") or [], list)
     addresses = tuple(parse_address("peers", address) for address in named)
     number = settings.get("me", 0)
     if len(addresses) < 2:
@@ -179,7 +178,7 @@
 def _read_aggregators(document: dict[str, Any], addresses: tuple[Address, ...]) -> tuple[int, ...]:
     """The numbers of the members that aggregate load reports; none where the file names none."""
     numbers = set[int]()
-    for named in typed("peer_aggregators", document.get("peer_aggregators") or [], list):
+    for named in require_type("peer_aggregators", document.get("peer_aggregators") or [], list):
         address = parse_address("peer_aggregators", named)
         if address not in addresses:
             raise ValueError(f"peer_aggregators: {named} is none of the {len(addresses)} peers")
--- a/tests/test_workers.py
+++ b/tests/policy/test_limit_shares.py
@@ -99,17 +99,17 @@
     assert fetches(led=False) > whole * 2
 
 
-def test_a_share_keeps_the_proportion_of_what_was_cut() -> None:
+def test_a_new_limit_share_keeps_the_proportion_of_a_cut() -> None:
     module = started(settings(workers=2, worker_index=1), fleet(2))
-    guard = module._guards["a"]
-    assert guard.cap == guard.limit == 30.0
-    guard.limit = 15.0
+    limiter = module._origin_limiters["a"]
+    assert limiter.max_rate_limit == limiter.rate_limit == 30.0
+    limiter.rate_limit = 15.0
     module.handle(LimitSharesChanged({"a": 0.9}), 0)
-    assert (guard.cap, guard.limit) == (54.0, 27.0)
+    assert (limiter.max_rate_limit, limiter.rate_limit) == (54.0, 27.0)
     module.handle(
         LimitSharesChanged({"a": 0.0}), 0
     )  # none is no share: a worker's least is told by a tiny one
-    assert guard.cap == 54.0
+    assert limiter.max_rate_limit == 54.0
 
 
 def test_a_workers_number_must_be_one_of_the_workers() -> None:
--- a/tests/router/test_endings.py
+++ b/tests/router/test_endings.py
@@ -204,7 +204,7 @@
         leader.write(read("gone"))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         follower = asyncio.create_task(node.ask(read("r2"), len(SERVED)))
-        await until(lambda: ids(stage.cache)[-1] == "r2" and bool(node.host._policy._flights["k"]))
+        await until(lambda: ids(stage.cache)[-1] == "r2" and bool(node.host._policy._fetches._waiters["k"]))
         leader.close()
         await until(lambda: "gone" not in node.host.open_requests.by_id)
         loop.up.set()
@@ -260,10 +260,10 @@
         node = Node()
         await node.start(entry("o", port, "origin"))  # it refuses connections
         router = node.host._policy
-        router._origin_time = 1e9  # the pause goes by it
+        router._origin_concurrency.latency_ns = 1e9  # the delay goes by it
         _, writer = await node.dial()
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=edit,t=a,d=2000,k=11", b"v"))
-        await until(lambda: any(one.waiting for one in router._requests.values()))
+        await until(lambda: any(one.is_waiting for one in router._requests.values()))
         dials = node.pool.counts["dials"]
         writer.close()
         await until(lambda: not node.clients.connection_count)
@@ -295,7 +295,7 @@
         await until(lambda: ids(stage.cache)[-1] == "gone")
         attempt = node.host.open_requests.by_id["gone"].last_attempt
         assert attempt is not None
-        assert node.host._policy._requests["gone"].patience > 0
+        assert node.host._policy._requests["gone"].attempt_timeout_ns > 0
         if read_here:
             writer.close()
             await stage.alone(0)
