--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -73,11 +73,11 @@
         "        now = self._host.now()\n        event = AttemptEnded(",
         (
             (
-                "holdgw.router.connection_pool",
-                "        exchange, self.exchange = self.exchange, None\n        self.turned_away",
-                "        exchange = self.exchange\n        self.turned_away",
+                "holdgw.router.endpoint_connection",
+                "        exchange = self.exchange\n        self.exchange = None\n        self.was_overloaded",
+                "        exchange = self.exchange\n        self.was_overloaded",
             ),
-            ("holdgw.router.connection_pool", "        if not self.over:\n", "        if True:\n"),
+            ("holdgw.router.exchange", "        if not self.ended:\n", "        if True:\n"),
         ),
     ),
     "late-repeat": Mutant(
@@ -109,20 +109,20 @@
     "drain-waits": Mutant(
         "a drain is heard, but exchanges that wait for a connection are kept",
         "holdgw.router.connection_pool",
-        "        waiting, server.waiting = server.waiting, deque()\n"
+        "        waiting = endpoint.waiting\n        endpoint.waiting = deque()\n"
         "        for exchange in waiting:\n"
         "            exchange.end(Outcome.CONNECT_FAILED)\n",
         "",
         (
             (
                 "holdgw.router.connection_pool",
-                "        for connection in server.connections:\n            connection.retired = True\n",
+                "        for connection in endpoint.connections:\n            connection.retired = True\n",
                 "",
             ),
             (
                 "holdgw.router.connection_pool",
-                "connection.retired = not server.open or server.address != address",
-                "connection.retired = server.address != address",
+                "connection.retired = not endpoint.available or endpoint.address != address",
+                "connection.retired = endpoint.address != address",
             ),
         ),
         "bench/scenarios/jammed-drain.toml",
@@ -154,33 +154,34 @@
     ),
     "half-closed-reused": Mutant(
         "the pool keeps a connection whose other side has closed",
-        "holdgw.router.connection_pool",
+        "holdgw.router.endpoint_connection",
         "    def pause_writing(self) -> None:\n",
         "    def eof_received(self) -> bool:\n        return True\n\n    def pause_writing(self) -> None:\n",
     ),
     "given-up-kept": Mutant(
         "a connection whose exchange was given up is kept open for ever",
-        "holdgw.router.connection_pool",
-        "or not pool.awaits_late_answer(connection):\n                connection.close()\n",
-        "or not pool.awaits_late_answer(connection):\n                connection.retired = True\n",
+        "holdgw.router.exchange",
+        "            if not keeps_connection:\n                connection.close()\n",
+        "            if not keeps_connection:\n                connection.retired = True\n",
     ),
     "late-answer-believed": Mutant(
         "a connection whose exchange was given up goes back to the pool",
-        "holdgw.router.connection_pool",
-        "or not pool.awaits_late_answer(connection):\n                connection.close()\n",
-        "or not pool.awaits_late_answer(connection):\n                pool.connection_released(connection)\n",
+        "holdgw.router.exchange",
+        "            if not keeps_connection:\n                connection.close()\n",
+        "            if not keeps_connection:\n                pool.connection_released(connection)\n",
     ),
     "owed-believed": Mutant(
         "a connection that is owed a late answer goes back to the pool before that has come",
         "holdgw.router.connection_pool",
-        "        server.owed[connection] = self._loop.time()\n        self._dial_for(server)\n",
+        "        endpoint.awaiting_late_answer[connection] = self._loop.time()\n"
+        "        self._dial_for(endpoint)\n",
         "        self.connection_released(connection)\n",
     ),
     "descriptor-miscounted": Mutant(
         "a descriptor that is free again is not counted so",
         "holdgw.router.connection_pool",
-        "        self._held -= 1\n        if connection in server.idle:",
-        "        if connection in server.idle:",
+        "        self._descriptors -= 1\n        if connection in endpoint.idle:",
+        "        if connection in endpoint.idle:",
     ),
     "watch-kept": Mutant(
         "the watch of the address before a reload is never closed",
@@ -395,15 +396,15 @@
     "drain-at-decision": Mutant(
         "a drain is looked at when a request is decided on, and no more when it is written",
         "holdgw.router.connection_pool",
-        "        waiting, server.waiting = server.waiting, deque()\n"
+        "        waiting = endpoint.waiting\n        endpoint.waiting = deque()\n"
         "        for exchange in waiting:\n"
         "            exchange.end(Outcome.CONNECT_FAILED)\n",
         "",
         (
             (
                 "holdgw.router.connection_pool",
-                "connection.retired = not server.open or server.address != address",
-                "connection.retired = server.address != address",
+                "connection.retired = not endpoint.available or endpoint.address != address",
+                "connection.retired = endpoint.address != address",
             ),
         ),
         test="tests/test_endings.py::test_a_dial_to_a_server_that_drains_meanwhile_carries_nothing",
--- a/bench/slopes_connections.py
+++ b/bench/slopes_connections.py
@@ -19,7 +19,8 @@
 from bench.slopes_run import connections_to, rig, serve_sized
 from holdgw.harness.routers import resident_bytes
 from holdgw.router.cache_connection import CacheConnection
-from holdgw.router.connection_pool import ConnectionPool, EndpointPool
+from holdgw.router.connection_pool import ConnectionPool
+from holdgw.router.endpoint_pool import EndpointPool
 from holdgw.wire.address import Address
 
 RATE = 934.0
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -90,7 +90,7 @@
         self, config: Config, place: WorkerSlot, machine: WorkerHostSystem, platform: Platform | None = None
     ) -> None:
         super().__init__(share_of(config, place), platform)
-        self.pool.per_server = max(MAX_CONNECTIONS_PER_ENDPOINT // place.workers, PER_SERVER_LEAST)
+        self.pool.max_per_endpoint = max(MAX_CONNECTIONS_PER_ENDPOINT // place.workers, PER_SERVER_LEAST)
         self._machine = machine
         self._board = machine.board(place.workers, place.place)
         self.clients.duplicate = machine.copy
--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -41,6 +41,10 @@
     "router/origin_connection.py",
     "router/event_loop_lag.py",
     "router/connection_pool.py",
+    "router/dialing.py",
+    "router/endpoint_connection.py",
+    "router/endpoint_pool.py",
+    "router/exchange.py",
     "router/timer_wheel.py",
 )
 """Compiled as one group, in which calls and fields need no look-up; they import each other mostly.
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -42,8 +42,9 @@
     disabled_features,
 )
 from holdgw.router.cache_connection import CacheConnection
-from holdgw.router.connection_pool import ConnectionPool, Exchange
+from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.event_loop_lag import LagMonitor
+from holdgw.router.exchange import Exchange
 from holdgw.router.origin_connection import OriginConnection
 from holdgw.router.reply import Reply
 from holdgw.router.timer_wheel import Timer, TimerWheel
@@ -221,7 +222,7 @@
             request.reply.abort_stream(FAILED)
 
     def _look_if_stalled(self) -> None:
-        if self.connection is not None and self.connection.paused:
+        if self.connection is not None and self.connection.reading_paused:
             self._moved_at = self._host.now()  # it is the client who takes nothing, and its side sees to that
         due = self._moved_at + STREAM_STALL_NS
         if self._host.now() >= due:
@@ -232,13 +233,13 @@
     def pause(self) -> None:
         """The client takes no more for now."""
         if self.connection is not None:
-            self.connection.pause()
+            self.connection.pause_reading()
 
     def resume(self) -> None:
         """The client takes again."""
-        if self.connection is not None and self.connection.paused:
+        if self.connection is not None and self.connection.reading_paused:
             self._moved_at = self._host.now()
-            self.connection.resume()
+            self.connection.resume_reading()
 
     def _stop_timers(self) -> None:
         for timer in (self._timer, self._write_timer):
@@ -281,8 +282,8 @@
             cache_status=note,
             load_report=self._host.parse_load_report(report) if self._host.uses_load_reports else None,
             queued_ns=(self._written_at or now) - self._sent_at,
-            first_on_connection=self.fresh,
-            response_started=self.begun,
+            first_on_connection=self.first_on_connection,
+            response_started=self.response_started,
             idle_connections_closed=outcome is Outcome.CONNECT_FAILED
             and self._host.idle_connections_closed(self._server),
         )
@@ -294,7 +295,7 @@
             self._request.class_name
         )
         key = self._request.command.key.decode(errors="replace") if self._to_origin else None
-        tally.count_attempt(self._server, outcome.value, self.fresh, late, key, self._why)
+        tally.count_attempt(self._server, outcome.value, self.first_on_connection, late, key, self._why)
 
     def _count_served(self, tally: IntervalCounters) -> None:
         took = self._host.now() - self._request.arrived_ns
@@ -500,7 +501,7 @@
             tally.add_growth(f"given up: {why}", count)
         for (name, disposition), count in self.metrics.results.items():
             tally.add_growth(f"{name} {disposition.value}", count)
-        for word, count in self._pool.counts.items():
+        for word, count in self._pool.counters.by_name().items():
             tally.add_growth(word, count)
         return {**self._pool.tables(), **self._policy.metrics(self.now())}
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -167,7 +167,7 @@
         now: Callable[[], int] = time.monotonic_ns,
     ) -> None:
         loop = asyncio.get_running_loop()
-        self.pool = ConnectionPool(loop, 64, 5.0, 10.0, copies=copies)
+        self.pool = ConnectionPool(loop, 64, 5.0, 10.0, hedging=copies)
         self.host = Dispatcher(loop, config or settings(), 7, self.pool, 1000, now)
         self.host.ready = True
         self.clients = ClientListener(loop, self.host, limit)
--- a/tests/test_attempt_timeout.py
+++ b/tests/test_attempt_timeout.py
@@ -164,7 +164,7 @@
         stage.work_ns = 0
         assert await node.ask(read("warm-up"), len(SERVED)) == SERVED
         stage.work_ns = stage.WORK_NS
-        (origin,) = [server for server in node.pool._servers.values() if server.id == "o"]
+        (origin,) = [server for server in node.pool._endpoints.values() if server.id == "o"]
         for connection in list(origin.idle):
             connection.close()
         await until(lambda: node.pool.tables()["connections"] == 1)
@@ -212,7 +212,7 @@
 
 def test_an_attempt_that_waited_for_a_connection_tells_what_is_left_then() -> None:
     async def play(stage: Stage) -> None:
-        stage.node.pool.per_server = 1
+        stage.node.pool.max_per_endpoint = 1
         go = asyncio.Event()
 
         async def answer(_: list[bytes]) -> bytes:
--- a/tests/test_caches.py
+++ b/tests/test_caches.py
@@ -11,7 +11,9 @@
 
 from holdgw.policy import CacheStatus, Outcome
 from holdgw.router.cache_connection import CacheConnection
-from holdgw.router.connection_pool import ConnectionPool, EndpointPool, Exchange
+from holdgw.router.connection_pool import ConnectionPool
+from holdgw.router.endpoint_pool import EndpointPool
+from holdgw.router.exchange import Exchange
 from holdgw.wire.address import Address
 from holdgw.wire.resp import bulk
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -39,6 +39,7 @@
     dispatcher,
     program,
 )
+from holdgw.router.endpoint_pool import EndpointPool
 from holdgw.router.platform import accept_queued, has_left
 from tests.helpers import S, settings
 from tests.peers import (
@@ -193,7 +194,7 @@
         assert await node.ask(read("r0", "warm"), len(SERVED)) == SERVED
         assert stage.origin.seen == 1
         loop = GatedLoop()
-        for server in node.pool._servers.values():  # the next fetch has to dial
+        for server in node.pool._endpoints.values():  # the next fetch has to dial
             for connection in list(server.idle) if server.id == "o" else ():
                 connection.close()
         await until(lambda: node.pool.tables()["connections"] == 1)
@@ -262,12 +263,12 @@
         _, writer = await node.dial()
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=edit,t=a,d=2000,k=11", b"v"))
         await until(lambda: any(one.waiting for one in router._requests.values()))
-        dials = node.pool.counts["dials"]
+        dials = node.pool.counters.dials
         writer.close()
         await until(lambda: not node.clients.connection_count)
         node.host._timer_fired("w1")
         assert not router._requests
-        assert node.pool.counts["dials"] == dials == 1
+        assert node.pool.counters.dials == dials == 1
         node.stop()
 
     run(test)
@@ -368,7 +369,7 @@
         reader, writer = await node.dial()
         dial = node.pool._dial_for
 
-        def gated(server: connection_pool.EndpointPool) -> None:
+        def gated(server: EndpointPool) -> None:
             if origin.seen:
                 node.pool._loop = cast(Any, loop)
             dial(server)
@@ -924,7 +925,7 @@
         for i in range(40):
             assert await node.ask(read(f"r{i}", f"k{i}"), len(SERVED)) == SERVED
         assert all(cache.seen for cache in caches)
-        assert node.pool.counts["evicted"] > 0
+        assert node.pool.counters.evicted > 0
         assert node.pool.tables()["descriptors_counted"] == 1
         node.stop()
         for cache in caches:
@@ -936,11 +937,11 @@
 def test_a_dial_that_is_given_up_ends_who_waits_for_it_and_leaves_no_descriptor() -> None:
     async def play(stage: Stage) -> None:
         loop, pool = GatedLoop(), stage.node.pool
-        pool._loop, pool._dial_timeout = cast(Any, loop), 0.01
+        pool._loop, pool._dial_timeout_s = cast(Any, loop), 0.01
         stage.go.set()
         asked = asyncio.create_task(stage.node.ask(read("r1"), len(SERVED)))
-        await until(lambda: pool.counts["dials timed out"] > 0)
-        pool._dial_timeout = LIMIT_S
+        await until(lambda: pool.counters.dials_timed_out > 0)
+        pool._dial_timeout_s = LIMIT_S
         loop.up.set()
         assert await asked == SERVED
         await until(lambda: pool.tables()["dials"] == 0)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -204,11 +204,11 @@
         assert await node.ask(read("first"), len(SERVED)) == SERVED
         (holder,) = (cache for cache in caches if cache.seen)
         holder.stop()
-        while not node.pool.counts["deserted"]:
+        while not node.pool.counters.idle_connections_lost:
             await asyncio.sleep(0)
         for i in range(30):  # a third of the keys were the dead server's
             assert await node.ask(read(f"r{i}", f"k{i}"), len(SERVED)) == SERVED
-        assert node.pool.counts["dials refused"] == 1
+        assert node.pool.counters.dials_refused == 1
         node.stop()
         for cache in caches:
             cache.stop()
--- a/tests/test_long_values.py
+++ b/tests/test_long_values.py
@@ -259,10 +259,10 @@
             (connection,) = scene.node.clients.connections
             connection.pause_writing()
             go.set()
-            (upstream,) = scene.node.pool._servers["s1"].connections
-            while upstream.exchange is not None and not upstream.paused:
+            (upstream,) = scene.node.pool._endpoints["s1"].connections
+            while upstream.exchange is not None and not upstream.reading_paused:
                 await asyncio.sleep(0.01)
-            assert upstream.paused
+            assert upstream.reading_paused
             writer.transport.abort()
             await scene.at_rest()
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -614,7 +614,7 @@
         assert node.pool.tables()["connections"] == 1
         late.go[0].set()
         await rests(node)
-        assert node.pool.counts["late answers"] == 1
+        assert node.pool.counters.late_answers == 1
         asked = asyncio.create_task(trusted(node).ask(read("r2", "other", 60_000), len(SERVED)))
         await late.came(2)
         late.go[1].set()
@@ -630,7 +630,7 @@
 def test_an_answer_that_never_comes_costs_its_connection_and_no_other(
     monkeypatch: pytest.MonkeyPatch, copies: bool
 ) -> None:
-    monkeypatch.setattr(connection_pool, "LINGER_S", 0.0)
+    monkeypatch.setattr(connection_pool, "LATE_ANSWER_TIMEOUT_S", 0.0)
 
     async def test() -> None:
         late = Late(copies)
@@ -652,7 +652,7 @@
 
 
 def test_a_server_that_drains_keeps_no_connection_for_a_late_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "LINGER_S", 1e9)  # the sweep would close it too, later
+    monkeypatch.setattr(connection_pool, "LATE_ANSWER_TIMEOUT_S", 1e9)  # the sweep would close it too, later
 
     async def test() -> None:
         late = Late()
