--- a/bench/herd.py
+++ b/bench/herd.py
@@ -21,9 +21,9 @@
 from typing import Any
 
 from holdgw.peers.load_report import MAX_SLOTS, LoadReport
-from holdgw.peers.load_view import NS_PER_S
+from holdgw.peers.timing import NS_PER_S
 from holdgw.policy import slot_rebalancing
-from holdgw.simulation.fleet import Fleet, One
+from holdgw.simulation.fleet import Fleet, SimulatedPolicy
 
 S = NS_PER_S
 BEGIN, LENGTH = 15.0, 45.0  # of the trouble, and of the whole
@@ -66,7 +66,7 @@
     )
 
 
-def _weights(weigh: Callable[[One], float]) -> Callable[[Fleet], None]:
+def _weights(weigh: Callable[[SimulatedPolicy], float]) -> Callable[[Fleet], None]:
     def trouble(fleet: Fleet) -> None:
         for one in fleet.routers:
             one.weight = weigh(one)
@@ -118,16 +118,17 @@
 
 def switch(_self: slot_rebalancing.SlotRebalancer, _slot: int, ranking: Sequence[Any]) -> int:
     """Where a slot would be were it the one that says the shortest wait who has it."""
-    return min(range(min(len(ranking), slot_rebalancing.RANKED)), key=lambda i: ranking[i].wait or math.inf)
+    count = min(len(ranking), slot_rebalancing.MAX_RECEIVER_RANK)
+    return min(range(count), key=lambda i: ranking[i].reported_response_time_ns or math.inf)
 
 
 def once(case: str, way: str, seed: int) -> dict[str, float]:
     """Play a case."""
     options, trouble, when, since = CASES[case]
     if way == "picture":
-        slot_rebalancing.PACE = 0.0
+        slot_rebalancing.MAX_MIGRATION_PER_S = 0.0
     if way == "switch":
-        slot_rebalancing.SlotRebalancer.taker = switch  # type: ignore[method-assign, assignment]
+        slot_rebalancing.SlotRebalancer.receiver_rank = switch  # type: ignore[method-assign, assignment]
     played = Fleet(
         **{
             "routers": ROUTERS,
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -24,10 +24,10 @@
 
 def figures(scenario: str, seed: int, seconds: float) -> dict[str, float]:
     """Play one seed; its figures."""
-    from holdgw.harness.counting import outcomes
-    from holdgw.harness.day import STORE
     from holdgw.harness.report import make_report
     from holdgw.harness.scenario import load_scenario
+    from holdgw.harness.schedule import ORIGIN
+    from holdgw.harness.scoring import outcomes
     from holdgw.simulation.search import play_seed
 
     loaded = load_scenario(scenario)
@@ -37,7 +37,7 @@
     report = make_report(outcome.played)
     counted = outcomes(report.fates, loaded.classes)
     asked = counted["asked"]
-    fetches = sum(one.server == STORE for one in report.attempts)
+    fetches = sum(one.server == ORIGIN for one in report.attempts)
     return {
         "service": report.service.whole,
         "served": counted["served"] / asked,
--- a/holdgw/emulators/gates.py
+++ b/holdgw/emulators/fault_proxy.py
@@ -46,9 +46,9 @@
     def end(self) -> None:
         """The listener may take connections again; those that filled its queue are taken and reset.
 
-        Danger: a dial or two may have come up before the queue was full, and what was written there would be
-        taken for something that its router sends now. On a cut line none comes up (PROTOCOL: or is reset
-        when the machine is back).
+        A connection or two may have been established before the queue was full, and what was written there
+        would be taken for something that its router sends now. On a cut line none is established (PROTOCOL:
+        or it is reset when the machine is back).
         """
         with contextlib.suppress(OSError):
             while True:
@@ -62,7 +62,7 @@
             self._listener.listen(BACKLOG)
 
 
-class Gate:
+class FaultProxy:
     """One line's state: until when nothing comes through, in each direction. Cuts that overlap end with the
     last one.
     """
@@ -72,7 +72,7 @@
         self.on_change: Callable[[bool], None] = lambda _cut: None
         """Told of the line being cut, and of its being whole again."""
         self._until = {"to": float("-inf"), "from": float("-inf")}
-        self._connections: dict[GatedConnection, None] = {}
+        self._connections: dict[ProxiedConnection, None] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     @property
@@ -107,11 +107,11 @@
         for connection in list(self._connections):
             connection.release()
 
-    def joined(self, connection: GatedConnection) -> None:
+    def joined(self, connection: ProxiedConnection) -> None:
         """A connection came up on this line."""
         self._connections[connection] = None
 
-    def left(self, connection: GatedConnection) -> None:
+    def left(self, connection: ProxiedConnection) -> None:
         """One has gone."""
         self._connections.pop(connection, None)
 
@@ -123,12 +123,12 @@
         self._connections.clear()
 
 
-class GatedConnection(asyncio.Protocol):
+class ProxiedConnection(asyncio.Protocol):
     """Between a connection's transport and its protocol, as both of them see it: holds back what a cut line
     would.
     """
 
-    def __init__(self, gate: Gate, protocol: asyncio.Protocol) -> None:
+    def __init__(self, gate: FaultProxy, protocol: asyncio.Protocol) -> None:
         self._gate, self._protocol = gate, protocol
         self._transport: asyncio.Transport | None = None
         self._came: deque[tuple[float, bytes]] = deque()
@@ -230,7 +230,7 @@
             while self._came:
                 at, data = self._came.popleft()
                 self._held -= len(data)
-                # Danger: judged by when it came out here, a router would have sent it long after it did.
+                # The time when the router sent it; it comes out here only as the line is back.
                 self._protocol.left = at  # type: ignore[attr-defined]
                 self._protocol.data_received(data)
                 self._protocol.left = 0.0  # type: ignore[attr-defined]
@@ -239,12 +239,12 @@
                 self._tell_end(exc)
 
 
-class GatedListener:
+class ProxiedListener:
     """Listens at one address for a line with a gate. Closed while the line is cut, it stays silent until the
     line is back, and refuses from then on.
     """
 
-    def __init__(self, gate: Gate) -> None:
+    def __init__(self, gate: FaultProxy) -> None:
         self.gate = gate
         self._sock: socket.socket | None = None
         self._make: Callable[[], asyncio.Protocol] | None = None
@@ -285,8 +285,8 @@
         if self._reading and not reads:
             self.gate.loop.remove_reader(sock.fileno())
         if cut and self._silence is None:
-            # Danger: what came up a moment ago waits in the queue, and would come out of it when the line is
-            # back, as if its router had sent then what it has long given up.
+            # A connection established a moment ago waits in the queue. Accepted when the line is back, it
+            # would look as if its router sent then what it has long abandoned.
             if self._reading:
                 self._accept()
             self._silence = Silence(sock)
@@ -309,7 +309,7 @@
             sock.setblocking(False)
             make = cast(Callable[[], asyncio.Protocol], self._make)
             work = self.gate.loop.connect_accepted_socket(
-                lambda make=make: GatedConnection(self.gate, make()),  # type: ignore[misc]
+                lambda make=make: ProxiedConnection(self.gate, make()),  # type: ignore[misc]
                 sock,
             )
             task = self.gate.loop.create_task(cast(Any, work))
--- a/holdgw/harness/deployment.py
+++ b/holdgw/harness/deployment.py
@@ -10,8 +10,8 @@
 from pathlib import Path
 from typing import Any
 
-from holdgw.emulators.chance import unit
 from holdgw.emulators.node import REPORT_FIELDS
+from holdgw.emulators.seeded_draws import unit
 from holdgw.harness.scenario import Scenario, member_names, zone_of
 from holdgw.wire.address import Address, format_address
 
@@ -44,7 +44,10 @@
 def build(path: Path) -> None:
     """Run the deploy file's `build`, if it names one, as whoever deploys does before `run`.
 
-    Raises DeployError. Danger: `run` may start what an earlier build left, and not the sources as they are.
+    Without it `run` may start what an earlier build left, and not the sources as they are.
+
+    Raises:
+        DeployError: The build failed.
     """
     if "build" not in _read(path):
         return
--- a/holdgw/harness/routers.py
+++ b/holdgw/harness/routers.py
@@ -18,8 +18,8 @@
 import msgspec
 import orjson
 
-from holdgw.emulators.shell import Clock
-from holdgw.harness.checker import Life
+from holdgw.emulators.listeners import Clock
+from holdgw.harness.checker import ProcessLifetime
 from holdgw.wire import http, resp
 from holdgw.wire.address import Address, format_address
 
@@ -39,7 +39,7 @@
     _libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
-def child_of_stage(cores: Collection[int]) -> None:
+def child_of_orchestrator(cores: Collection[int]) -> None:
     """For a child before its program starts: it ends with the stage, and keeps to these cores."""
     die_with_parent()
     os.sched_setaffinity(0, cores)
@@ -47,8 +47,8 @@
 
 def share_cores(cores: Collection[int]) -> tuple[set[int], set[int]]:
     """Cores for the emulator, and cores for the routers."""
-    # Danger: when a list changes, all routers work it in at once; on machines of their own none feels the
-    # others, but here they would hold the emulator up for 50 ms. With few cores they have to share.
+    # When the endpoint list changes, all routers apply it at once. On machines of their own none would notice
+    # the others; here they would delay the emulator by 50 ms. With few cores they have to share.
     ordered = sorted(cores)
     if len(ordered) < LEAST_TO_DIVIDE:
         return set(ordered), set(ordered)
@@ -76,8 +76,8 @@
     ip: str, kind: socket.SocketKind = socket.SOCK_STREAM, taken: Collection[Address] = ()
 ) -> Address:
     """An address that nobody listens on, and none of those `taken`; nobody else uses this ip."""
-    # Danger: what was free a moment ago, and is promised to another listener, may be drawn again: of 200
-    # routers one did not start, in one play of some hundred.
+    # The kernel may draw a port again that was free a moment ago and is already promised to another listener:
+    # in one run of some hundred, one of 200 routers did not start. Hence `taken`.
     while True:
         with socket.socket(type=kind) as probe:
             probe.bind((ip, 0))
@@ -150,7 +150,7 @@
         """Where it listens for other routers, if these may speak to it."""
         self.lost = False
         """Its machine is gone: the process stands still for ever, as silent as that."""
-        self.lives: list[Life] = []
+        self.lives: list[ProcessLifetime] = []
         self.usage: list[Usage] = []
         self.starved: list[tuple[str, float, float, float]] = []
         """Stretches in which it waited for a core, as the checker's history has them."""
@@ -199,9 +199,9 @@
                 stdout=log,
                 stderr=log,
                 start_new_session=True,
-                preexec_fn=partial(child_of_stage, self._cores),
+                preexec_fn=partial(child_of_orchestrator, self._cores),
             )
-        self.lives.append(Life(self.name, self._clock()))
+        self.lives.append(ProcessLifetime(self.name, self._clock()))
         self._waited = self._clock(), 0.0
         self._watch = asyncio.create_task(self._wait(self._process, len(self.lives) - 1))
 
@@ -263,7 +263,7 @@
         """Its machine is gone with all that was on it. Its kernel's connections stay open and silent until it
         is started again, and are reset then (PROTOCOL, "The network"): until then it is only stopped.
         """
-        # Danger: a kill would have this machine's kernel tell everybody at once, which a lost one never does.
+        # A kill would have the kernel reset all connections at once; a lost machine resets none.
         self._to_group(signal.SIGSTOP)
         self._change(-1, told_to_end=self._clock(), wanted="KILL")
         self.lost = True
--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -22,35 +22,60 @@
 FOLDER = ".native"
 DIGEST = "digest"
 MODULES = (
+    "operation/metrics.py",
+    "policy/actions.py",
     "policy/endpoint_health.py",
+    "policy/endpoint_selection.py",
+    "policy/endpoint_subscription.py",
+    "policy/events.py",
+    "policy/fetch_coalescing.py",
     "policy/hot_keys.py",
-    "policy/interface.py",
+    "policy/load_reports.py",
+    "policy/load_shedding.py",
+    "policy/origin_concurrency.py",
     "policy/origin_limiter.py",
     "policy/pending_request.py",
+    "policy/rejections.py",
+    "policy/reported_response_time.py",
+    "policy/retry_policy.py",
     "policy/routing_policy.py",
+    "policy/settings.py",
+    "policy/slot_demand.py",
+    "policy/slot_loads.py",
     "policy/slot_rebalancing.py",
+    "policy/slot_retention.py",
     "policy/slot_table.py",
-    "wire/resp.py",
-    "operation/metrics.py",
+    "policy/slow_start.py",
+    "policy/tracked_endpoint.py",
+    "policy/units.py",
+    "policy/warm_up.py",
+    "router/attempt.py",
     "router/cache_connection.py",
     "router/client_connection.py",
     "router/client_listener.py",
     "router/connection_close.py",
-    "router/reply.py",
-    "router/dispatcher.py",
-    "router/origin_connection.py",
-    "router/event_loop_lag.py",
     "router/connection_pool.py",
     "router/dialing.py",
+    "router/dispatcher.py",
     "router/endpoint_connection.py",
     "router/endpoint_pool.py",
+    "router/error_answers.py",
+    "router/event_loop_lag.py",
     "router/exchange.py",
+    "router/exchange_owner.py",
+    "router/health_check.py",
+    "router/open_request.py",
+    "router/origin_connection.py",
+    "router/origin_protocol.py",
+    "router/reply.py",
+    "router/streamed_value.py",
     "router/timer_wheel.py",
+    "wire/resp.py",
 )
 """Compiled as one group, in which calls and fields need no look-up; they import each other mostly.
 
-Danger: what msgspec reads and writes must not be compiled (`policy/records.py` holds it): mypyc keeps of an
-annotation like dict[str, LearntServer] the dict alone, and what is read by it are plain dicts.
+What msgspec encodes or decodes must not be compiled (`policy/endpoints.py`, `policy/handover_state.py`): of
+an annotation like dict[str, EndpointHandover] mypyc keeps the dict alone, and msgspec returns plain dicts.
 """
 TIMEOUT_S = 900.0  # a compile takes 40 s; a build may take 20 minutes
 EXCERPT = 600  # characters of the compiler's words that are shown
@@ -96,8 +121,8 @@
     if held(root) == wanted:
         return False
     shutil.rmtree(root / FOLDER, ignore_errors=True)
-    # Danger: a build that is cut off leaves half a copy; it gets its name only once it is whole. Two builds
-    # at once each make their own, and the later one finds the place taken.
+    # An interrupted build would leave half a copy, so the copy gets its name only once it is complete. Of two
+    # builds at once the later one finds the name taken.
     with tempfile.TemporaryDirectory(dir=root, prefix=f"{FOLDER}-") as name:
         made = Path(name) / "copy"
         for path in _sources(root):
--- a/holdgw/peers/gossip.py
+++ b/holdgw/peers/gossip.py
@@ -11,12 +11,14 @@
 from typing import Protocol
 
 from holdgw.peers import datagram, load_report
-from holdgw.peers.aggregated_exchange import AggregatedExchange, Role
+from holdgw.peers.aggregated_exchange import AggregatedExchange, ExchangeConfig, Role
 from holdgw.peers.aggregation_client import APPLY_AFTER_S, REPORT_INTERVAL_S, FallbackChange
 from holdgw.peers.aggregator import BYTES_PER_MEMBER, Outgoing
 from holdgw.peers.datagram import DecodeError, DropReason, MemberState
+from holdgw.peers.dissemination import Send
 from holdgw.peers.load_view import LoadSnapshot, LoadView, Observations
-from holdgw.peers.membership import NS_PER_S, Membership, Send
+from holdgw.peers.membership import Membership
+from holdgw.peers.timing import NS_PER_S
 from holdgw.peers.token_bucket import TokenBucket
 from holdgw.peers.update_budget import UPDATE_BYTES_PER_S
 
@@ -127,17 +129,10 @@
 
     def _make_exchange(self, seed: int) -> AggregatedExchange:
         config = self._config
-        return AggregatedExchange(
-            config.number,
-            len(config.addresses),
-            self.membership,
-            config.aggregators,
-            config.role,
-            self.load_view,
-            seed,
-            self._now(),
-            int(TICK_S * NS_PER_S),
+        place = ExchangeConfig(
+            config.number, len(config.addresses), config.aggregators, config.role, int(TICK_S * NS_PER_S)
         )
+        return AggregatedExchange(place, self.membership, self.load_view, seed, self._now())
 
     def start(self) -> None:
         """Bind the socket, as soon as its address is free, and begin to tick."""
@@ -172,8 +167,8 @@
                 self._report_in = REPORT_TICKS
                 self._report(now)
         for change in self.membership.changes():
-            if max(change.before, change.now) > MemberState.SUSPECTED:
-                log.info("peers: router %d is %s", change.number, change.now.name.lower())
+            if max(change.before, change.after) > MemberState.SUSPECTED:
+                log.info("peers: router %d is %s", change.number, change.after.name.lower())
 
     def _report(self, now: int) -> None:
         """Send a load report to some peers, and give the owner a new snapshot."""
@@ -272,7 +267,7 @@
 
     def leave(self) -> None:
         """This router ends in good order: tell other routers."""
-        self._send_messages(self.membership.leave(self._now()))
+        self._send_messages(self.membership.leave())
 
     def close(self) -> None:
         """Close the socket and stop ticking."""
--- a/holdgw/policy/endpoint_health.py
+++ b/holdgw/policy/endpoint_health.py
@@ -1,147 +1,170 @@
-"""A ready endpoint as this router sees it: attempts in flight, health, slot retention."""
+"""Outlier detection: why an endpoint is ejected, and when it comes back.
+
+An endpoint is ejected when attempts at it fail in one way, in a row:
+
+- `MAX_CONSECUTIVE_CONNECT_FAILURES` connections were not established, or one was not, after the endpoint had
+  closed its idle connections;
+- `MAX_CONSECUTIVE_RESETS` connections broke under a request;
+- `MAX_CONSECUTIVE_ERRORS` answers were errors;
+- `MAX_CONSECUTIVE_UNANSWERED` attempts got no answer, nor did anything else there, while the other endpoints
+  are well (unresponsive).
+
+It gets nothing for 1.2 s after each failure (`EJECTED_PROBABILITY` times `RECOVERY_NS`); then requests come
+as trials, with a probability that grows from 0. The first good answer ends the ejection; another connection
+failure, reset or time-out begins it anew. What is sent after that grows with the admission probability.
+"""
 
 from __future__ import annotations
 
-import math
-from hashlib import blake2b
-
-from holdgw.policy.interface import NS_PER_S, Endpoint, EndpointHandover, Outcome
-from holdgw.policy.slot_rebalancing import gives
-
-PASS_CUT = 0.7  # a chance is cut so by a late answer
-PASS_RISE = 0.05  # and raised so by a good one
-PASS_FLOOR = 0.05
-FULL_CUT = 0.85  # the same by one that says full: it took next to nothing from the server
-# What counts a server as dead, in a row: refused connections, resets, errors, attempts with no answer to
-# anything meanwhile.
-STRIKES = 3
-RESETS = 6
-ERRORS = 4
-MUTE = 3
-# A server's share of its slots falls with each request while its smoothed share of late, full or missing
-# answers is over the first, and that of the next-ranked server under the second; it comes back in time.
-BAD_ANSWERS = 32
-LEAN_BAD = 0.25
-LEAN_WELL = 0.1
-LEAN = 1 / 16
-LEAN_FLOOR = 0.04
-LEAN_REGAIN = 20 * NS_PER_S
-SHED_RATE = 0.5  # of its slots a second, at twice that
-SHED_MOST = NS_PER_S  # a report speaks for so long
-REGAIN = 60 * NS_PER_S  # time in which a chance comes back by itself, where answers are too few to bring it
-DEAD = -0.02  # the chance after a refused connection: none for that part of REGAIN, then trials
-
-
-class TrackedEndpoint:
-    """A ready server as this router sees it: own attempts out, and health as the chance to be sent to."""
-
-    def __init__(self, entry: Endpoint, weighted: bool) -> None:
-        self.entry, self.load = entry, 0
-        self.usual_load = 0.0  # smoothed own attempts out when one more was sent
-        self.weight = entry.weight if weighted else 1.0  # the list's, where that means size
-        self.seed = int.from_bytes(blake2b(entry.id.encode(), digest_size=8).digest(), "big")
-        self.down = False  # refuses connections, and no good answer since
-        self._refused = 0  # connections in a row that never came up
-        self._resets = 0  # connections that broke under a request since the last answer
-        self._errors = 0  # errors in a row: one that answers nothing else is of no use, however quick
-        self._mute = 0  # attempts in a row during which it answered nothing
-        self.answered = 0  # when it last did
-        self.pace = 0.0  # smoothed latency of answers
-        self._chance, self._since = 1.0, 0
-        self.bad = 0.0  # smoothed share of answers that are late, full or missing
-        self.bound = math.inf  # of that, past which it is sent less
-        # What an answer takes there by its last load report, and as of when.
-        self.wait, self.told_at = 0.0, 0
-        self.share, self._shared_at = 1.0, 0  # the part of its slots that it keeps, and as of when
-        self.room, self.room_at = 0.0, 0  # attempts that it may be sent while cold, and as of when; 0: never
-
-    def keeps(self, slot: int, now: int) -> bool:
-        """Whether it keeps this slot; the same ones go first at every router, and come back last."""
-        if self.share >= 1.0:
-            return True
-        if self.bad < LEAN_WELL:
-            self.share = min(1.0, self.share + (now - self._shared_at) / LEAN_REGAIN)
-        self._shared_at = now
-        return not gives(slot, self.seed, self.share)
-
-    def told(self, wait: float, most: float, now: int) -> None:
-        """Take a load report: over its load a server gives up slots, by time and not by answers.
-
-        Danger: of forty routers each meets a server twice in a second or less, and would count late answers
-        for ten seconds until it knew; the report tells each of them at once what all of them do there. All
-        let the same slots go at the same pace. It could do harm where reports lie: a server that says it is
-        slow loses slots for as long.
-        """
-        self.wait = wait
-        if wait > most:
-            elapsed = min(now - self.told_at, SHED_MOST) / NS_PER_S
-            self.share = max(
-                self.share * math.exp(-SHED_RATE * min(wait / most - 1.0, 2.0) * elapsed), LEAN_FLOOR
-            )
-            self._shared_at = now
-        self.told_at = now
-
-    def lean(self, now: int) -> None:
-        """Give up some of the slots: a request met it over its load, and another server could take it."""
-        much = LEAN * (self.bad - LEAN_BAD)
-        self.share, self._shared_at = max(self.share * (1.0 - much), LEAN_FLOOR), now
-
-    def _regained(self, now: int) -> float:
-        """The chance by what its answers told, come back by itself since."""
-        return min(1.0, self._chance + (now - self._since) / REGAIN) if self._chance < 1.0 else 1.0
-
-    def chance(self, now: int) -> float:
-        """The chance now; 0 or less for a while after a refused connection."""
-        chance = self._regained(now)
-        if self.wait > self.bound and (wait := self.waits(now)) > self.bound:
-            chance = min(chance, self.bound / wait)
-        return chance
-
-    def waits(self, now: int) -> float:
-        """What an answer takes there by its last report, which says less with each second."""
-        return self.wait * math.pow(0.5, (now - self.told_at) / NS_PER_S)
-
-    def recall(self, learnt: EndpointHandover, now: int) -> None:
-        """Go on from what another process found out."""
-        self._chance, self._since, self.down = learnt.admission_probability, now, learnt.ejected
-        self.share, self._shared_at, self.bad = learnt.slot_retention, now, learnt.failure_fraction
-        self.pace, self.usual_load = learnt.latency_ns, learnt.usual_in_flight
-
-    def judge(
+from holdgw.policy.events import Outcome
+from holdgw.policy.units import NS_PER_S
+
+LATE_ANSWER_FACTOR = 0.7  # of the admission probability, for a late or missing answer
+OVERLOADED_ANSWER_FACTOR = 0.85  # the same for a rejection, which cost the endpoint next to nothing
+GOOD_ANSWER_STEP = 0.05  # added to the admission probability by a good answer
+MIN_ADMISSION_PROBABILITY = 0.05  # of an endpoint that is not ejected
+MAX_CONSECUTIVE_CONNECT_FAILURES = 3
+MAX_CONSECUTIVE_RESETS = 6
+MAX_CONSECUTIVE_ERRORS = 4
+MAX_CONSECUTIVE_UNANSWERED = 3
+FAILURE_FRACTION_SAMPLES = 32  # answers over which the failure fraction is smoothed
+RECOVERY_NS = 60 * NS_PER_S  # in which the probability returns from 0 to 1 where answers are too few for it
+EJECTED_PROBABILITY = -0.02  # below 0: nothing is sent for that part of RECOVERY_NS
+
+
+class AttemptResult:
+    """How an attempt at an endpoint ended, as far as it tells of the endpoint's health."""
+
+    def __init__(
         self,
         outcome: Outcome,
         late: bool,
-        now: int,
-        sent: int = 0,
-        alone: bool = False,
-        deserted: bool = False,
+        ended_at_ns: int,
+        sent_at_ns: int = 0,
+        others_well: bool = False,
+        idle_connections_closed: bool = False,
     ) -> None:
-        """Learn from an attempt's end; `alone`: the other servers are well.
-
-        Danger: connections that break are everyday (an idle close that crosses a request, a full table, a
-        new one reset as it comes up), and a reset is often followed by one; to take them for a death sends
-        a server's whole share to the origin. A dead process refuses every connection, and a machine that
-        is gone, or a process that hangs, answers nothing at all. In a large fleet each of the routers would
-        lose a request for every server that dies, three refusals long: hence one is enough where the server
-        closed what rested before (`deserted`). It could do harm when so many servers are
-        slow that ours get no answer: hence `alone`.
+        self.outcome = outcome
+        self.late = late
+        """Whether it took longer than the latency objective by the endpoint's own doing."""
+        self.ended_at_ns = ended_at_ns
+        self.sent_at_ns = sent_at_ns
+        self.others_well = others_well
+        """Whether few of the other endpoints are overloaded."""
+        self.idle_connections_closed = idle_connections_closed
+        """Whether the connection was refused after the endpoint had closed its idle connections."""
+
+    @property
+    def broken(self) -> bool:
+        """Whether the connection failed, at its start or under the request."""
+        return self.outcome is Outcome.CONNECT_FAILED or self.outcome is Outcome.RESET
+
+
+class ConsecutiveFailures:
+    """Counts an endpoint's failures of each kind in a row; asked after each attempt whether they suffice."""
+
+    def __init__(self) -> None:
+        self.unanswered = 0
+        """Attempts in a row during which the endpoint answered nothing at all."""
+        self._connect_failures = 0
+        self._resets = 0
+        self._errors = 0
+
+    def count(self, result: AttemptResult, answered_at_ns: int) -> None:
+        """Count an attempt; `answered_at_ns`: when the endpoint last answered anything.
+
+        A failed connection leaves the count of resets as it is: the two often follow each other.
         """
-        chance = self._regained(now)
-        broke, mute = outcome in (Outcome.CONNECT_FAILED, Outcome.RESET), outcome is Outcome.TIMEOUT
-        self._refused = self._refused + 1 if outcome is Outcome.CONNECT_FAILED else 0
-        self._resets = (self._resets + (outcome is Outcome.RESET)) * broke
+        outcome = result.outcome
+        self._connect_failures = self._connect_failures + 1 if outcome is Outcome.CONNECT_FAILED else 0
         self._errors = self._errors + 1 if outcome is Outcome.ERROR else 0
-        self._mute = (self._mute + mute) * (self.answered <= sent)
-        dead = self._refused >= STRIKES or deserted or self._resets >= RESETS
-        dead = dead or self._errors >= ERRORS or (self._mute >= MUTE and alone)
-        if dead or (self.down and (broke or mute)):
-            chance, self.down = DEAD, True
-        elif broke or (mute and (not late or (self._mute and alone))):
-            pass  # the next ones tell
-        elif late or mute or outcome is Outcome.OVERLOADED:
-            chance = max(chance * (FULL_CUT if outcome is Outcome.OVERLOADED else PASS_CUT), PASS_FLOOR)
-            self.bad += (1.0 - self.bad) / BAD_ANSWERS
-        elif outcome in (Outcome.OK, Outcome.MISS):
-            chance, self.down = min(1.0, chance + PASS_RISE), False
-            self.bad -= self.bad / BAD_ANSWERS
-        self._chance, self._since = chance, now
+        if outcome is Outcome.RESET:
+            self._resets += 1
+        elif not result.broken:
+            self._resets = 0
+        if answered_at_ns > result.sent_at_ns:
+            self.unanswered = 0
+        elif outcome is Outcome.TIMEOUT:
+            self.unanswered += 1
+
+    def suffice_to_eject(self, result: AttemptResult) -> bool:
+        """Whether the failures in a row mean that the endpoint is gone; `result`: the latest of them.
+
+        Single broken connections are ordinary: an idle close that crosses a request, a full table, a reset
+        while an endpoint comes up. To eject for one sends all of the endpoint's keys to the origin. A dead
+        process refuses every connection, and a lost machine or a hanging process answers nothing at all.
+        One refusal is enough where the endpoint has closed its idle connections: each of many routers would
+        lose a request for every further one. Time-outs count only while the other endpoints are well: where
+        many are overloaded, a missing answer is a sign of load.
+        """
+        if result.idle_connections_closed or self._connect_failures >= MAX_CONSECUTIVE_CONNECT_FAILURES:
+            return True
+        if self._resets >= MAX_CONSECUTIVE_RESETS or self._errors >= MAX_CONSECUTIVE_ERRORS:
+            return True
+        return self.unanswered >= MAX_CONSECUTIVE_UNANSWERED and result.others_well
+
+
+class EndpointHealth:
+    """The health of one endpoint, learnt from attempts.
+
+    Asked for each request that would go to the endpoint, by `probability`: 1 means that all are sent, less
+    that some are rejected, 0 or less that none is sent at present. Told of each attempt's end by `record`.
+    """
+
+    def __init__(self) -> None:
+        self.ejected = False
+        """Whether it gets trial requests only."""
+        self.failure_fraction = 0.0
+        """Smoothed fraction of answers that were late, rejected or missing, 0 to 1."""
+        self.answered_at_ns = 0
+        """When it last answered anything (clock time)."""
+        self._failures = ConsecutiveFailures()
+        self._probability = 1.0
+        self._updated_at_ns = 0
+
+    def probability(self, now_ns: int) -> float:
+        """Return the admission probability; it recovers with time, from 0 or less after an ejection."""
+        if self._probability >= 1.0:
+            return 1.0
+        return min(1.0, self._probability + (now_ns - self._updated_at_ns) / RECOVERY_NS)
+
+    def record_answer(self, now_ns: int) -> None:
+        """Note that the endpoint answered something, be it late or an error."""
+        self.answered_at_ns = now_ns
+
+    def record(self, result: AttemptResult) -> None:
+        """Learn from an attempt's end.
+
+        A broken connection that does not suffice to eject changes nothing, nor does a time-out with too
+        little time left, or one that may be the first of an unresponsive endpoint.
+        """
+        outcome = result.outcome
+        timed_out = outcome is Outcome.TIMEOUT
+        probability = self.probability(result.ended_at_ns)
+        self._failures.count(result, self.answered_at_ns)
+        if self._failures.suffice_to_eject(result) or (self.ejected and (result.broken or timed_out)):
+            probability = EJECTED_PROBABILITY
+            self.ejected = True
+        elif result.broken or (timed_out and not self._is_sign_of_load(result)):
+            pass
+        elif result.late or timed_out or outcome is Outcome.OVERLOADED:
+            factor = OVERLOADED_ANSWER_FACTOR if outcome is Outcome.OVERLOADED else LATE_ANSWER_FACTOR
+            probability = max(probability * factor, MIN_ADMISSION_PROBABILITY)
+            self.failure_fraction += (1.0 - self.failure_fraction) / FAILURE_FRACTION_SAMPLES
+        elif outcome is Outcome.OK or outcome is Outcome.MISS:
+            probability = min(1.0, probability + GOOD_ANSWER_STEP)
+            self.ejected = False
+            self.failure_fraction -= self.failure_fraction / FAILURE_FRACTION_SAMPLES
+        self._probability = probability
+        self._updated_at_ns = result.ended_at_ns
+
+    def restore(self, probability: float, ejected: bool, failure_fraction: float, now_ns: int) -> None:
+        """Go on from what another process of this router has learnt."""
+        self._probability = probability
+        self._updated_at_ns = now_ns
+        self.ejected = ejected
+        self.failure_fraction = failure_fraction
+
+    def _is_sign_of_load(self, result: AttemptResult) -> bool:
+        """Whether a time-out tells of load: it was late, and the endpoint does not look unresponsive."""
+        return result.late and not (self._failures.unanswered and result.others_well)
--- a/holdgw/router/cache_connection.py
+++ b/holdgw/router/cache_connection.py
@@ -1,9 +1,4 @@
-"""Connections to cache servers: one RESP2 command, one answer.
-
-The value is cut out of the answer here, by its length; hiredis reads what is around it. hiredis believes any
-length, buffers all that comes for it, and does not check how a value ends: a wrong length would serve a part
-of a value, or eat what follows it.
-"""
+"""Connections to cache servers (RESP2): an answer's value is cut out, and hiredis reads what is around it."""
 
 from __future__ import annotations
 
@@ -17,160 +12,173 @@
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE, bulk
 
 MAX_REST_BYTES = 8 << 10
-"""All of an answer but its value: far more than a cache status and a load report take."""
-MAX_HEAD_BYTES = 16
-"""An answer's number of elements and its value's length."""
-HEAD = re.compile(rb"\*[1-3]\r\n\$(\d{1,8})\r\n")
-# The common answer is matched at once; what these don't match is read piece by piece, with the same result.
-# The head has the number of elements and the value's length, the tails the cache status and the load report.
-COMMON_HEAD = re.compile(rb"\*([1-3])\r\n\$(?:(-1)|(0|[1-9]\d{0,4}))\r\n")
-COMMON_TAILS = (
+"""Most bytes of an answer without its value: far more than a cache status and a load report take."""
+CRLF = b"\r\n"
+ARRAY_MARK = ord("*")
+ELEMENT_COUNT_BYTES = 4  # "*1" to "*3" and CRLF
+VALUE_HEADER = re.compile(rb"\*[1-3]\r\n\$(\d{1,8})\r\n")
+MAX_VALUE_HEADER_BYTES = 16
+NULL_BULK = b"$-1\r"
+MAX_NULL_HEADER_BYTES = 9  # within which a miss shows NULL_BULK
+
+# The common answers by two patterns, before and behind the value: the number of elements and the value's
+# length; by the number of elements, the cache status and the load report. Others are read in parts, with the
+# same result.
+COMMON_HEADER = re.compile(rb"\*([1-3])\r\n\$(?:(-1)|(0|[1-9]\d{0,4}))\r\n")
+COMMON_REST = (
     re.compile(rb""),
     re.compile(rb"\$\d\r\n(hit|miss|pending)\r\n"),
     re.compile(rb"\$\d\r\n(hit|miss|pending)\r\n\$(\d{1,4})\r\n([^\r\n]*)\r\n"),
 )
-CRLF = b"\r\n"
-NIL = b"$-1\r"
-ARRAY_MARK = ord("*")
-DIGIT_ZERO = ord("0")
 
-_CACHE_STATUSES = {
+CACHE_STATUSES = {
     b"hit": CacheStatus.HIT,
     b"miss": CacheStatus.MISS,
     b"pending": CacheStatus.MISS_FETCH_PENDING,
 }
 
 
-def _without_value(head: bytes | bytearray, tail: bytes | bytearray) -> bytes:
+def _with_empty_value(header: bytes | bytearray, rest: bytes | bytearray) -> bytes:
     """An answer for hiredis, with an empty value in place of the one that was cut out."""
-    return b"".join((head, b"$0\r\n\r\n", tail))
+    return b"".join((header, b"$0\r\n\r\n", rest))
 
 
 class CacheConnection(EndpointConnection):
-    """A connection to one cache server."""
+    """A connection to one cache server.
+
+    hiredis believes any length, buffers all that comes for it, and does not check that a value ends where its
+    length says. Values are therefore cut out here, within bounds: a wrong length would serve a part of a
+    value, or take the following answer for its end.
+    """
 
     can_await_late_answer = True
 
     def __init__(self, endpoint: EndpointPool) -> None:
         super().__init__(endpoint)
         self._reader = hiredis.Reader()
-        self._buffer = bytearray()  # an answer with a value, until the value is complete
-        self._value: bytes | None = None  # the value, cut out, as a bulk string
-        self._streamed_bytes_left = 0  # of a streamed value, with the CRLF that ends it
-        self._streamed_head = b""  # the answer's first bytes, before a streamed value
-        self._value_is_cut = False  # what arrives goes to hiredis
-        self._rest_bytes = 0  # bytes that hiredis was given
+        self._buffer = bytearray()  # an answer up to the end of its value
+        self._value: bytes | None = None  # encoded, as a bulk string
+        self._streamed_bytes_left = 0  # of a long value that is passed on, with its CRLF
+        self._streamed_header = b""  # the number of elements of the answer that this value is of
+        self._value_taken = False  # what comes is the rest of the answer, for hiredis
+        self._rest_bytes = 0
 
     def read_answer(self, data: bytes) -> None:
-        """Read a part of the answer."""
-        at_start = not (self._streamed_bytes_left or self._value_is_cut or self._buffer)
-        if at_start and self._read_common_answer(data):
+        """Read a part of an answer."""
+        in_answer = self._streamed_bytes_left or self._value_taken or self._buffer
+        if not in_answer and self._read_common_answer(data):
             return
         if self._streamed_bytes_left:
-            data = self._stream_value(data)
+            data = self._stream_part(data)
             if not data:
                 return
-        elif not self._value_is_cut:
+        elif not self._value_taken:
             self._buffer += data
-            rest = self._cut_value()
+            rest = self._take_value()
             if rest is None:
                 return
             data = rest
-            self._value_is_cut = True
+            self._value_taken = True
             self._buffer.clear()
         self._rest_bytes += len(data)
         self._reader.feed(data)
         self._read_rest()
 
     def _read_common_answer(self, data: bytes) -> bool:
-        """Read a common answer that is complete and alone in `data`; returns whether it is one."""
-        head = COMMON_HEAD.match(data)
-        if head is None:
+        """Finish by a common answer that is complete and alone in `data`; returns whether it was one."""
+        header = COMMON_HEADER.match(data)
+        if header is None:
             return False
-        is_miss = head[2] is not None
-        start = head.end()
-        end = start
-        if not is_miss:
-            end += int(head[3])
-            if data[end : end + 2] != CRLF or end - start > MAX_VALUE:
+        elements = int(header[1])
+        value_start = header.end()
+        value_end = value_start
+        if header[2] is None:
+            value_end += int(header[3])
+            if data[value_end : value_end + 2] != CRLF or value_end - value_start > MAX_VALUE:
                 return False
-            end += 2
-        elements = int(head[1])
-        tail = COMMON_TAILS[elements - 1].fullmatch(data, end)
-        if tail is None:
+            value_end += 2
+        rest = COMMON_REST[elements - 1].fullmatch(data, value_end)
+        if rest is None:
             return False
         status: CacheStatus | None = None
         report: bytes | None = None
         if elements > 1:
-            if data[end + 1] - DIGIT_ZERO != len(tail[1]):
+            word = rest[1]
+            if data[value_end + 1] - ord("0") != len(word):
                 return False
-            status = _CACHE_STATUSES.get(tail[1])
+            status = CACHE_STATUSES[word]
         if elements > 2:
-            report = tail[3]
-            if int(tail[2]) != len(report):
+            report = rest[3]
+            if int(rest[2]) != len(report):
                 return False
-        if is_miss:
+        if header[2] is None:
+            encoded_start = value_start - len(header[3]) - len(b"$\r\n")
+            self.complete(Outcome.OK, data[encoded_start:value_end], status, report)
+        else:
             self.complete(Outcome.MISS, None, status, report)
-        else:  # the value is passed on as it is, with its length before it and CRLF behind
-            self.complete(Outcome.OK, data[start - len(head[3]) - 3 : end], status, report)
         return True
 
-    def _cut_value(self) -> bytes | None:
-        """Cut the value out of the buffer; returns what hiredis shall read, None while that is incomplete."""
+    def _take_value(self) -> bytes | None:
+        """Take the value out of the buffer; returns what hiredis is to read, None until that is known."""
         buffer = self._buffer
-        if buffer[0] != ARRAY_MARK or b"\n$-1\r" in buffer[:9]:
+        if buffer[0] != ARRAY_MARK or b"\n" + NULL_BULK in buffer[:MAX_NULL_HEADER_BYTES]:
             return bytes(buffer)
-        head = HEAD.match(buffer)
-        if head is None:
-            # A miss may arrive in two reads that part within its "$-1": that is no fault.
-            is_partial_nil = NIL.startswith(buffer[4 : 4 + len(NIL)])
-            if len(buffer) >= MAX_HEAD_BYTES or (b"\n$-" in buffer[:9] and not is_partial_nil):
-                self.fail_malformed("broken header")
+        header = VALUE_HEADER.match(buffer)
+        if header is None:
+            self._check_incomplete_header()
             return None
-        start = head.end()
-        length = int(head[1])
+        length = int(header[1])
         if length > LONGEST_VALUE:
-            self.fail_malformed(f"value too long length_bytes={length} limit_bytes={LONGEST_VALUE}")
+            self.fail_malformed("sent a value that is too long")
             return None
         if length > MAX_VALUE:
-            return self._start_streaming(start, length)
-        end = start + length
-        if len(buffer) < end + 2:
+            return self._start_stream(header.end(), length)
+        return self._cut_value(header.end(), header.end() + length)
+
+    def _check_incomplete_header(self) -> None:
+        """Spoil the connection if no more bytes can make a header of what has come."""
+        buffer = self._buffer
+        # A miss may come in two reads that part within its null bulk string.
+        may_be_miss = NULL_BULK.startswith(buffer[ELEMENT_COUNT_BYTES : ELEMENT_COUNT_BYTES + len(NULL_BULK)])
+        is_negative = b"\n$-" in buffer[:MAX_NULL_HEADER_BYTES]
+        if len(buffer) >= MAX_VALUE_HEADER_BYTES or (is_negative and not may_be_miss):
+            self.fail_malformed("sent an answer with a broken header")
+
+    def _cut_value(self, start: int, end: int) -> bytes | None:
+        buffer = self._buffer
+        if len(buffer) < end + len(CRLF):
             return None
-        if buffer[end : end + 2] != CRLF:
-            self._fail_wrong_length()
+        if buffer[end : end + len(CRLF)] != CRLF:
+            self.fail_malformed("sent a value of another length than it says")
             return None
         self._value = bulk(bytes(buffer[start:end]))
-        return _without_value(buffer[:4], buffer[end + 2 :])
+        return _with_empty_value(buffer[:ELEMENT_COUNT_BYTES], buffer[end + len(CRLF) :])
 
-    def _fail_wrong_length(self) -> None:
-        self.fail_malformed("value of another length than stated")
-
-    def _start_streaming(self, start: int, length: int) -> bytes | None:
-        first = bytes(self._buffer[start:])
-        self._streamed_head = bytes(self._buffer[:4])
+    def _start_stream(self, start: int, length: int) -> bytes | None:
+        """Begin to pass a long value on; returns what hiredis is to read if all of the value is here."""
+        first_part = bytes(self._buffer[start:])
+        self._streamed_header = bytes(self._buffer[:ELEMENT_COUNT_BYTES])
         self._buffer.clear()
         self._streamed_bytes_left = length + len(CRLF)
         self.start_value(length)
-        return self._stream_value(first) or None
+        return self._stream_part(first_part) or None
 
-    def _stream_value(self, data: bytes) -> bytes:
-        """Pass on a part of a streamed value; returns what hiredis shall read, once the value is complete."""
+    def _stream_part(self, data: bytes) -> bytes:
+        """Pass a part of a long value on; returns what hiredis is to read once all of it has come."""
         size = min(len(data), self._streamed_bytes_left - len(CRLF))
         if size and self.exchange is not None:
             self.exchange.value_part(data[:size])
         self._streamed_bytes_left -= size
         self._buffer += data[size:]
-        if self._streamed_bytes_left > len(CRLF) or len(self._buffer) < len(CRLF):
-            return b""
-        if self.exchange is None:
+        value_is_out = self._streamed_bytes_left <= len(CRLF)
+        if self.exchange is None or not value_is_out or len(self._buffer) < len(CRLF):
             return b""
-        if self._buffer[:2] != CRLF:
-            self._fail_wrong_length()
+        if self._buffer[: len(CRLF)] != CRLF:
+            self.fail_malformed("sent a value of another length than it says")
             return b""
-        rest = _without_value(self._streamed_head, self._buffer[2:])
+        rest = _with_empty_value(self._streamed_header, self._buffer[len(CRLF) :])
         self._streamed_bytes_left = 0
-        self._value_is_cut = True
+        self._value_taken = True
         self._buffer.clear()
         self.exchange.value_complete()
         return rest
@@ -179,39 +187,36 @@
         try:
             answer = self._reader.gets()
         except hiredis.HiredisError as error:
-            self.fail_malformed(f"RESP2 error: {error}")
+            self.fail_malformed(f"broke the protocol: {error}")
             return
         if answer is False:
             if self._rest_bytes > MAX_REST_BYTES:
-                self.fail_malformed(f"more than {MAX_REST_BYTES} bytes beside the value")
+                self.fail_malformed("sent more beside the value than an answer has")
             return
-        # Bytes behind the answer would be taken for the next request's answer, so the connection is not used
-        # again. This answer is complete and good.
+        # The answer is good, but bytes behind it would be taken for the next request's answer.
         self.retired = self.retired or self._reader.has_data()
+        self._value_taken = False
+        self._rest_bytes = 0
+        self._finish_by(answer)
+
+    def _finish_by(self, answer: object) -> None:
         value = self._value
         self._value = None
-        self._value_is_cut = False
-        self._rest_bytes = 0
         if isinstance(answer, hiredis.ReplyError):
-            self._complete_error(str(answer))
+            self._finish_by_error(str(answer))
         elif isinstance(answer, list) and 1 <= len(answer) <= 3 and isinstance(answer[0], bytes | None):
-            self._complete_value(value, answer)
+            word = answer[1] if len(answer) > 1 else None
+            status = CACHE_STATUSES.get(word) if isinstance(word, bytes) else None
+            report = answer[2] if len(answer) > 2 and isinstance(answer[2], bytes) else None
+            outcome = Outcome.OK if value is not None or self.is_streaming else Outcome.MISS
+            self.complete(outcome, value, status, report)
         elif isinstance(answer, bytes) and self.exchange is not None and self.exchange.is_health_check:
             self.complete(Outcome.OK, None, None, answer)
         else:
-            self.fail_malformed("answer of an unknown form")
-
-    def _complete_value(self, value: bytes | None, elements: list[object]) -> None:
-        """Complete with an array: the value, the cache status, the load report."""
-        word = elements[1] if len(elements) > 1 else None
-        status = _CACHE_STATUSES.get(word) if isinstance(word, bytes) else None
-        last = elements[2] if len(elements) > 2 else None
-        report = last if isinstance(last, bytes) else None
-        outcome = Outcome.OK if value is not None or self.is_streaming else Outcome.MISS
-        self.complete(outcome, value, status, report)
-
-    def _complete_error(self, text: str) -> None:
-        """Complete with an error line, whose last word may be a load report."""
+            self.fail_malformed("sent an answer of an unknown form")
+
+    def _finish_by_error(self, text: str) -> None:
+        """Finish by an error line; its last word may be a load report."""
         last_word = text.rpartition(" ")[2]
         report = last_word.encode() if "=" in last_word else None
         outcome = Outcome.OVERLOADED if text.startswith("BUSY") else Outcome.ERROR
--- a/holdgw/router/client_connection.py
+++ b/holdgw/router/client_connection.py
@@ -97,11 +97,11 @@
         if self._handover is not None:
             handover = self._handover
             self._handover = None
-            self.has_sent_command = handover.asked
-            self.last_active_at = self.listener.loop.time() - handover.waited
+            self.has_sent_command = handover.has_sent_command
+            self.last_active_at = self.listener.loop.time() - handover.waited_s
             self.command_started_at = self.last_active_at
-            if handover.held:
-                self._reader.feed(handover.held)
+            if handover.pending_bytes:
+                self._reader.feed(handover.pending_bytes)
                 self._take_commands()
 
     def connection_lost(self, _exc: Exception | None) -> None:
--- a/tests/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -17,8 +17,9 @@
     MessageKind,
     is_newer,
 )
-from holdgw.peers.membership import NS_PER_S, Membership
-from holdgw.simulation.tier import Tier
+from holdgw.peers.membership import Membership
+from holdgw.peers.timing import NS_PER_S
+from holdgw.simulation.membership_tier import MembershipTier
 from tests.helpers import damaged
 
 WORDS = st.integers(0, (1 << 32) - 1)
@@ -38,22 +39,22 @@
 )
 
 
-def tier(members: int, seed: int = 1, calm: float = 5.0, **weather: float) -> Tier:
-    made = Tier(members, seed, RelayModel(seed, lambda a, b: 0.002, PeerWeather(**weather)))
+def tier(members: int, seed: int = 1, calm: float = 5.0, **weather: float) -> MembershipTier:
+    made = MembershipTier(members, seed, RelayModel(seed, lambda a, b: 0.002, PeerWeather(**weather)))
     made.run(calm)
     return made
 
 
-def held(tier: Tier, state: MemberState) -> dict[int, set[int]]:
+def held(tier: MembershipTier, state: MemberState) -> dict[int, set[int]]:
     """By router that lives: whom it holds to be that."""
     return {
-        member.me: {one.number for one in member.members if one.state is state}
+        member.number: {one.number for one in member.members if one.state is state}
         for member in tier.members
         if member is not None
     }
 
 
-def all_alive(tier: Tier) -> bool:
+def all_alive(tier: MembershipTier) -> bool:
     return all(len(found) == len(tier.members) for found in held(tier, MemberState.ALIVE).values())
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -13,11 +13,11 @@
 from holdgw.harness.scenario import load_scenario
 from holdgw.operation.fleet_log import FleetLog
 from holdgw.operation.interval_counters import IntervalCounters
-from holdgw.policy import Outcome, RoutingPolicy
-from holdgw.policy.endpoint_health import TrackedEndpoint as Holder
+from holdgw.policy import AttemptPurpose, Outcome, RoutingPolicy
+from holdgw.policy.tracked_endpoint import TrackedEndpoint
 from holdgw.simulation.search import play_seed
+from tests.emulated_nodes import HIT, SERVED, Cache, Node, entry, read, run
 from tests.helpers import MS, S, ended, finals, fleet, only_send, request, sends, settings, started
-from tests.peers import HIT, SERVED, Cache, Node, entry, read, run
 
 REPORTS = {"tenants": (), "routers": 40, "load_report_fields": ("recent_ms", "backlog")}
 
@@ -39,7 +39,7 @@
     return counts[server] / 600
 
 
-def test_a_server_that_tells_of_a_long_queue_gives_slots_up_before_an_answer_is_late() -> None:
+def test_endpoint_that_reports_a_long_queue_releases_slots_before_an_answer_is_late() -> None:
     router = started(settings(**REPORTS), fleet(6))
     full = fleet(6)[2].id
     before = sent_to(router, full, 0, {})
@@ -52,19 +52,19 @@
     shares = []
     for step in (S // 40, S // 2):
         router = started(settings(**REPORTS), fleet(6))
-        node = router._caches.nodes[fleet(6)[2].id]
+        node = router._caches.endpoints[fleet(6)[2].id]
         for now in range(S, 4 * S, step):
-            node.told(600.0 * MS, 300.0 * MS, now)
-        shares.append(node.share)
+            node.record_response_time(600.0 * MS, 300.0 * MS, now)
+        shares.append(node.slot_retention)
     assert 0.1 < shares[0] < 0.4
     assert abs(shares[0] - shares[1]) < 0.1
 
 
-def test_where_all_tell_the_same_nobody_gives_slots_up() -> None:
+def test_no_endpoint_releases_slots_where_all_report_the_same_load() -> None:
     router = started(settings(**REPORTS), fleet(6))
     loads = {server.id: (200.0, 8.0) for server in fleet(6)}
     sent_to(router, "", 0, loads)
-    assert {node.share for node in router._caches.nodes.values()} == {1.0}
+    assert {node.slot_retention for node in router._caches.endpoints.values()} == {1.0}
 
 
 def test_owners_of_a_hot_slot_are_drawn_by_what_they_tell() -> None:
@@ -81,7 +81,7 @@
         router = started(settings(**REPORTS), fleet(1))
         name = fleet(1)[0].id
         serve(router, "first", "k", 0, {name: (wait_ms, 0.0)})
-        return router._caches.nodes[name].chance(20 * MS + after)
+        return router._caches.endpoints[name].admission_probability(20 * MS + after)
 
     assert chance(200.0, 0) == 1.0  # an aim of 300 ms is kept
     assert chance(480.0, 0) == pytest.approx(0.5)
@@ -96,7 +96,7 @@
     # Found on join+mass: 200 routers sent 5,000 requests in 2 s that had no time left to be answered in.
     router = started(settings(**REPORTS), fleet(1))
     serve(router, "first", "k", 0, {fleet(1)[0].id: (150.0, 12.0)})  # 600 ms
-    router._caches.nodes[fleet(1)[0].id].bound = float("inf")
+    router._caches.endpoints[fleet(1)[0].id].reported.set_limit(float("inf"))
     now = 20 * MS + after
     actions = router.handle(request("r", now, tenant=None, deadline_ns=now + int(left * S)), now)
     assert bool(sends(actions)) is goes
@@ -110,7 +110,7 @@
         refused = changed(ended(first, Outcome.CONNECT_FAILED, latency=MS), idle_connections_closed=deserted)
         second = only_send(router.handle(refused, MS))
         assert (second.endpoint_id == first.endpoint_id) is not deserted
-        assert router._caches.nodes[first.endpoint_id].down is deserted
+        assert router._caches.endpoints[first.endpoint_id].ejected is deserted
 
 
 def test_a_hot_slot_has_more_owners_only_while_its_own_are_over_their_load() -> None:
@@ -122,21 +122,21 @@
     one = router._requests["one"]
     router.handle(ended(send, Outcome.OK), 6 * S)
 
-    def owners() -> set[Holder]:
-        return {router._candidates(one)[0] for _ in range(300)}
+    def owners() -> set[TrackedEndpoint]:
+        return {router._selector.candidates(one.slot, one.slot_popularity, 6 * S)[0] for _ in range(300)}
 
     usual = owners()
     assert 2 <= len(usual) <= 6
     for node in usual:
-        node.wait = 200.0 * MS
+        node.reported.latest_ns = 200.0 * MS
     assert usual < owners()
     assert len(owners()) <= 2 * len(usual)
     for node in usual:
-        node.wait = 100.0 * MS  # not over half the aim
+        node.reported.latest_ns = 100.0 * MS  # not over half the aim
     assert owners() == usual
 
 
-def test_reports_without_those_fields_change_nothing() -> None:
+def test_load_reports_without_known_fields_change_nothing() -> None:
     router = started(settings(tenants=(), load_report_fields=("inflight",)), fleet(6))
     send = only_send(router.handle(request("r", tenant=None), 0))
     assert router.handle(changed(ended(send, Outcome.OK), load_report=(900.0,)), 20 * MS) == []
@@ -150,7 +150,7 @@
         tally.count_attempt("origin", "ok", fresh=False, late=True, fetched="left-pad")
         tally.add_growth("dials", 3)
         log.read(router, f"12:00 n0 INFO {tally.log_line(at, {'shy': 1.0})}\nsomething else\ntally {{}}\n")
-    first, second = (log.seconds[at] for at in sorted(log.seconds))
+    first, second = (log.intervals[at] for at in sorted(log.intervals))
     assert first.routers == {"n0", "n1"}
     assert second.routers == {"n1"}
     assert first.counts["cache.ok.fresh"] == 2
@@ -158,20 +158,23 @@
     assert first.counts["fetched twice"] == 1  # the same key by two routers in one second
     assert first.busiest(1) == [("s-1", [2, 0, 0])]
     assert log.totals()["origin.ok.late"] == 3
-    assert log.unread == 3
+    assert log.malformed_lines == 3
 
 
-def test_each_attempt_says_what_it_was_made_for() -> None:
+def test_each_attempt_states_its_purpose() -> None:
     router = started(settings(tenants=()), fleet(5))
     first = only_send(router.handle(request("r", tenant=None), 0))
     again = only_send(router.handle(ended(first, Outcome.RESET, latency=MS), MS))
     other = only_send(router.handle(ended(again, Outcome.OVERLOADED, 1, latency=MS), 2 * MS))
     fetch = only_send(router.handle(ended(other, Outcome.MISS, 2), 30 * MS))
-    assert [send.purpose for send in (first, again, other, fetch)] == ["first", "again", "next", "fetch"]
+    words = [send.purpose.value for send in (first, again, other, fetch)]
+    assert words == ["first", "again", "next", "fetch"]
     router = started(settings(tenants=()), fleet(1))
-    router._caches.nodes[fleet(1)[0].id].down = True
-    assert only_send(router.handle(request("t", S, tenant=None), S)).purpose == "trial"
-    assert only_send(router.handle(request("w", S, cls="edit", tenant=None), S)).purpose == "write"
+    router._caches.endpoints[fleet(1)[0].id].health.ejected = True
+    assert only_send(router.handle(request("t", S, tenant=None), S)).purpose is AttemptPurpose.TRIAL
+    assert (
+        only_send(router.handle(request("w", S, cls="edit", tenant=None), S)).purpose is AttemptPurpose.WRITE
+    )
 
 
 def test_a_tally_counts_tries_and_attempts_by_their_reason() -> None:
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -23,24 +23,28 @@
 import pytest
 import uvloop
 
-from holdgw.harness.day import Day, Step, draw
 from holdgw.harness.deployment import Peers
+from holdgw.harness.orchestrator import Orchestrator
 from holdgw.harness.report import make_report
 from holdgw.harness.routers import RouterProcess
 from holdgw.harness.scenario import member_names, node_names, read_scenario
-from holdgw.harness.stage import Stage
+from holdgw.harness.schedule import Schedule, ScheduledFault
+from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.peers import datagram, merged_view, sequenced_report
-from holdgw.peers.aggregated_exchange import AggregatedExchange, Role
+from holdgw.peers.aggregated_exchange import AggregatedExchange, ExchangeConfig, Role
 from holdgw.peers.aggregator import Outgoing
 from holdgw.peers.datagram import DecodeError
+from holdgw.peers.dissemination import Send
 from holdgw.peers.heavy_hitters import COUNT_HALF_LIFE_S
+from holdgw.peers.load_encoding import ServerSample
 from holdgw.peers.load_merge import MAX_MEAN_RATIO, MIN_SLOT_SHARE
-from holdgw.peers.load_report import LoadReport, ServerSample, hash_server
+from holdgw.peers.load_report import LoadReport, hash_server
 from holdgw.peers.load_view import MAX_ROUTER_SHARE, LoadView, Observations
-from holdgw.peers.membership import Membership, Send
+from holdgw.peers.membership import Membership
 from holdgw.peers.merged_view import SHARE_STEP, ViewPart
-from holdgw.peers.report_table import NS_PER_S, REPORT_MAX_AGE
+from holdgw.peers.report_table import REPORT_MAX_AGE
 from holdgw.peers.sequenced_report import MAX_SAMPLES, MAX_SLOTS, SequencedReport
+from holdgw.peers.timing import NS_PER_S
 from tests.helpers import MS
 from tests.processes.test_aggregation import LIMIT_S, ROUTERS, Seen, changes, view
 from tests.processes.test_faults import DAY, ROOT, kept
@@ -75,10 +79,8 @@
         self.aggregators = [among.each.index(one) for one in among.aggregators]
         self.membership = Membership(number, size, zone, number, now)
         self.load_view = LoadView(number, self.membership.boot_id)
-        self.exchange = AggregatedExchange(
-            number, size, self.membership, self.aggregators, role, self.load_view, number, now,
-            int(TICK_S * 1000) * MS,
-        )  # fmt: skip
+        place = ExchangeConfig(number, size, self.aggregators, role, int(TICK_S * 1000) * MS)
+        self.exchange = AggregatedExchange(place, self.membership, self.load_view, number, now)
         self.alter: Alter = lambda _to, data: [data]
         self.slots: dict[int, int] = {}
         """What it observes in a second, by slot."""
@@ -133,12 +135,12 @@
             self._transport.sendto(data, self.among.each[to])
 
 
-class FalseStage(Stage):
+class FalseStage(Orchestrator):
     """The process of one member, if any is named, has no peers, or is not started: the test speaks for it."""
 
     speaker: Speaker
 
-    def __init__(self, day: Day, logs: Path, spoken: str | None) -> None:
+    def __init__(self, day: Schedule, logs: Path, spoken: str | None) -> None:
         super().__init__(day, WATCHING, ROOT, logs)
         self._spoken = spoken
         self.lied_from = self.lied_until = 0.0
@@ -211,7 +213,7 @@
 def play(scene: Scene, length: float, logs: Path, spoken: str | None) -> FalseStage:
     """Play a day through which the scene goes; the rules hold, whatever the scene does."""
     text = DAY.format(length=length) + "[peers]\nallowed = true\naggregators = 2\n"
-    stage = FalseStage(draw(read_scenario(text, "test"), 1), logs, spoken)
+    stage = FalseStage(draw_schedule(read_scenario(text, "test"), 1), logs, spoken)
 
     async def main() -> None:
         playing = asyncio.ensure_future(stage.play())
@@ -484,7 +486,7 @@
             "requests": (1 << 32) - 1 if self.full else 0,
             **changes,
         }
-        part = ViewPart(held=0, part=0, parts=1, waits=waits, slot_shares=dict.fromkeys(CLAIMED, 1.0), **told)
+        part = ViewPart(age=0, part=0, parts=1, waits=waits, slot_shares=dict.fromkeys(CLAIMED, 1.0), **told)
         return merged_view.finish(merged_view.encode_body(part), 0)
 
     def false_report(self, reporter: int) -> bytes:
@@ -571,7 +573,7 @@
 
     async def scene(stage: FalseStage) -> None:
         await stage.covered()
-        await stage.carry_out(Step(0.0, "restart", RESTARTED, {"signal": "KILL"}))
+        await stage.carry_out(ScheduledFault(0.0, "restart", RESTARTED, {"signal": "KILL"}))
         again = time.monotonic()
         # What its first process reported counts for 3 s, and a view for as long.
         while time.monotonic() < again + 2 * REPORT_MAX_AGE / NS_PER_S:
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -19,20 +19,20 @@
 import sys
 import holdgw.router.dispatcher
 from holdgw.harness.scenario import load_scenario
-from holdgw.simulation.play import simulate
+from holdgw.simulation.fleet_run import simulate
 print(holdgw.router.dispatcher.__file__)
 for name, seed in (("storm", 3), ("storm", 7), ("release-morning", 2)):
     print(simulate(load_scenario(name).cut(6.0), seed).digest)
 """
 BY_SOCKETS = (
-    "test_router",
-    "test_rules",
+    "policy/test_routing_policy",
+    "policy/test_rules",
     "test_resp",
     "test_sockets",
     "test_long_values",
-    "test_suppressor",
-    "test_worker_pool",
-    "test_takeover",
+    "policy/test_origin_limiter",
+    "cores/test_worker_pool",
+    "operation/test_takeover",
 )
 
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,8 +15,21 @@
 from holdgw.policy import Action, AttemptEnded, Event, Idempotency, Outcome, RequestClass, RoutingPolicy
 from holdgw.router import client_connection, client_listener, connection_pool, program
 from holdgw.router.config import Config, load_config
+from tests.emulated_nodes import (
+    HIT,
+    LIMIT_S,
+    MISS,
+    SERVED,
+    Agent,
+    Cache,
+    Node,
+    Origin,
+    command,
+    entry,
+    read,
+    run,
+)
 from tests.helpers import MS, S, settings
-from tests.peers import HIT, LIMIT_S, MISS, SERVED, Agent, Cache, Node, Origin, command, entry, read, run
 
 PAGE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"
 
@@ -208,7 +221,7 @@
         first = asyncio.create_task(node.ask(read("r1"), len(SERVED)))
         await asyncio.wait_for(asked.wait(), LIMIT_S)
         second = asyncio.create_task(node.ask(read("r2", "other"), len(SERVED)))
-        while len(node.host._requests) < 2:
+        while len(node.host.open_requests.by_id) < 2:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
         go.set()
@@ -593,8 +606,10 @@
 
 def trusted(node: Node) -> Node:
     """Have the module send to its server whatever came of the attempts before."""
-    holder = node.host._policy._caches.nodes["s1"]
-    holder._chance, holder._mute, holder.down = 1.0, 0, False
+    holder = node.host._policy._caches.endpoints["s1"]
+    holder.health._probability = 1.0
+    holder.health._failures.unanswered = 0
+    holder.health.ejected = False
     return node
 
 
