--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -75,7 +75,7 @@
         platform: Platform | None = None,
     ) -> None:
         super().__init__(worker_config(config, slot), platform)
-        self.pool.per_server = max(
+        self.pool.max_per_endpoint = max(
             MAX_CONNECTIONS_PER_ENDPOINT // slot.worker_count, MIN_CONNECTIONS_PER_ENDPOINT
         )
         self._host_system = host_system
--- a/holdgw/router/attempt.py
+++ b/holdgw/router/attempt.py
@@ -6,7 +6,7 @@
 from holdgw.operation.metrics import Disposition
 from holdgw.policy import AttemptEnded, AttemptPurpose, CacheStatus, Outcome, StreamStarted
 from holdgw.router import origin_protocol
-from holdgw.router.connection_pool import Exchange
+from holdgw.router.exchange import Exchange
 from holdgw.router.exchange_owner import ExchangeOwner
 from holdgw.router.open_request import OpenRequest
 from holdgw.router.streamed_value import StreamedValue
@@ -165,8 +165,8 @@
             cache_status=cache_status,
             load_report=self._owner.parse_load_report(report) if self._owner.uses_load_reports else None,
             queued_ns=(self._written_ns or now_ns) - self._created_ns,
-            first_on_connection=self.fresh,
-            response_started=self.begun,
+            first_on_connection=self.first_on_connection,
+            response_started=self.response_started,
             idle_connections_closed=outcome is Outcome.CONNECT_FAILED
             and self._owner.idle_connections_closed(self._endpoint_id),
         )
@@ -183,7 +183,7 @@
         late = self._written_ns > 0 and self._owner.now_ns() - self._written_ns > objective_ns
         key = self._request.command.key.decode(errors="replace") if self._to_origin else None
         purpose = self._purpose.value
-        counters.count_attempt(self._endpoint_id, outcome.value, self.fresh, late, key, purpose)
+        counters.count_attempt(self._endpoint_id, outcome.value, self.first_on_connection, late, key, purpose)
 
     def _count_answer(self, counters: IntervalCounters) -> None:
         latency_ns = self._owner.now_ns() - self._request.arrived_ns
--- a/holdgw/router/cache_connection.py
+++ b/holdgw/router/cache_connection.py
@@ -7,7 +7,8 @@
 import hiredis
 
 from holdgw.policy import CacheStatus, Outcome
-from holdgw.router.connection_pool import Connection, EndpointPool
+from holdgw.router.endpoint_connection import EndpointConnection
+from holdgw.router.endpoint_pool import EndpointPool
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE, bulk
 
 MAX_REST_BYTES = 8 << 10
@@ -42,7 +43,7 @@
     return b"".join((header, b"$0\r\n\r\n", rest))
 
 
-class CacheConnection(Connection):
+class CacheConnection(EndpointConnection):
     """A connection to one cache server.
 
     hiredis believes any length, buffers all that comes for it, and does not check that a value ends where its
@@ -50,10 +51,10 @@
     value, or take the following answer for its end.
     """
 
-    patient = True
+    can_await_late_answer = True
 
-    def __init__(self, server: EndpointPool) -> None:
-        super().__init__(server)
+    def __init__(self, endpoint: EndpointPool) -> None:
+        super().__init__(endpoint)
         self._reader = hiredis.Reader()
         self._buffer = bytearray()  # an answer up to the end of its value
         self._value: bytes | None = None  # encoded, as a bulk string
@@ -62,7 +63,7 @@
         self._value_taken = False  # what comes is the rest of the answer, for hiredis
         self._rest_bytes = 0
 
-    def answer_came(self, data: bytes) -> None:
+    def read_answer(self, data: bytes) -> None:
         """Read a part of an answer."""
         in_answer = self._streamed_bytes_left or self._value_taken or self._buffer
         if not in_answer and self._read_common_answer(data):
@@ -112,9 +113,9 @@
                 return False
         if header[2] is None:
             encoded_start = value_start - len(header[3]) - len(b"$\r\n")
-            self.finish(Outcome.OK, data[encoded_start:value_end], status, report)
+            self.complete(Outcome.OK, data[encoded_start:value_end], status, report)
         else:
-            self.finish(Outcome.MISS, None, status, report)
+            self.complete(Outcome.MISS, None, status, report)
         return True
 
     def _take_value(self) -> bytes | None:
@@ -128,7 +129,7 @@
             return None
         length = int(header[1])
         if length > LONGEST_VALUE:
-            self.spoil("sent a value that is too long")
+            self.fail_malformed("sent a value that is too long")
             return None
         if length > MAX_VALUE:
             return self._start_stream(header.end(), length)
@@ -141,14 +142,14 @@
         may_be_miss = NULL_BULK.startswith(buffer[ELEMENT_COUNT_BYTES : ELEMENT_COUNT_BYTES + len(NULL_BULK)])
         is_negative = b"\n$-" in buffer[:MAX_NULL_HEADER_BYTES]
         if len(buffer) >= MAX_VALUE_HEADER_BYTES or (is_negative and not may_be_miss):
-            self.spoil("sent an answer with a broken header")
+            self.fail_malformed("sent an answer with a broken header")
 
     def _cut_value(self, start: int, end: int) -> bytes | None:
         buffer = self._buffer
         if len(buffer) < end + len(CRLF):
             return None
         if buffer[end : end + len(CRLF)] != CRLF:
-            self.spoil("sent a value of another length than it says")
+            self.fail_malformed("sent a value of another length than it says")
             return None
         self._value = bulk(bytes(buffer[start:end]))
         return _with_empty_value(buffer[:ELEMENT_COUNT_BYTES], buffer[end + len(CRLF) :])
@@ -159,7 +160,7 @@
         self._streamed_header = bytes(self._buffer[:ELEMENT_COUNT_BYTES])
         self._buffer.clear()
         self._streamed_bytes_left = length + len(CRLF)
-        self.value_begins(length)
+        self.start_value(length)
         return self._stream_part(first_part) or None
 
     def _stream_part(self, data: bytes) -> bytes:
@@ -173,7 +174,7 @@
         if self.exchange is None or not value_is_out or len(self._buffer) < len(CRLF):
             return b""
         if self._buffer[: len(CRLF)] != CRLF:
-            self.spoil("sent a value of another length than it says")
+            self.fail_malformed("sent a value of another length than it says")
             return b""
         rest = _with_empty_value(self._streamed_header, self._buffer[len(CRLF) :])
         self._streamed_bytes_left = 0
@@ -186,11 +187,11 @@
         try:
             answer = self._reader.gets()
         except hiredis.HiredisError as error:
-            self.spoil(f"broke the protocol: {error}")
+            self.fail_malformed(f"broke the protocol: {error}")
             return
         if answer is False:
             if self._rest_bytes > MAX_REST_BYTES:
-                self.spoil("sent more beside the value than an answer has")
+                self.fail_malformed("sent more beside the value than an answer has")
             return
         # The answer is good, but bytes behind it would be taken for the next request's answer.
         self.retired = self.retired or self._reader.has_data()
@@ -207,16 +208,16 @@
             word = answer[1] if len(answer) > 1 else None
             status = CACHE_STATUSES.get(word) if isinstance(word, bytes) else None
             report = answer[2] if len(answer) > 2 and isinstance(answer[2], bytes) else None
-            outcome = Outcome.OK if value is not None or self.streaming else Outcome.MISS
-            self.finish(outcome, value, status, report)
+            outcome = Outcome.OK if value is not None or self.is_streaming else Outcome.MISS
+            self.complete(outcome, value, status, report)
         elif isinstance(answer, bytes) and self.exchange is not None and self.exchange.is_health_check:
-            self.finish(Outcome.OK, None, None, answer)
+            self.complete(Outcome.OK, None, None, answer)
         else:
-            self.spoil("sent an answer of an unknown form")
+            self.fail_malformed("sent an answer of an unknown form")
 
     def _finish_by_error(self, text: str) -> None:
         """Finish by an error line; its last word may be a load report."""
         last_word = text.rpartition(" ")[2]
         report = last_word.encode() if "=" in last_word else None
         outcome = Outcome.OVERLOADED if text.startswith("BUSY") else Outcome.ERROR
-        self.finish(outcome, None, None, report)
+        self.complete(outcome, None, None, report)
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -150,7 +150,7 @@
             counters.add_growth(f"given up: {reason.value}", count)
         for (class_name, disposition), count in self.metrics.results.items():
             counters.add_growth(f"{class_name} {disposition.value}", count)
-        for name, count in self._pool.counts.items():
+        for name, count in self._pool.counters.by_name().items():
             counters.add_growth(name, count)
         return {**self._pool.tables(), **self._policy.metrics(self.now_ns())}
 
--- a/holdgw/router/health_check.py
+++ b/holdgw/router/health_check.py
@@ -4,7 +4,7 @@
 
 from holdgw.policy import CacheStatus, HealthCheckEnded, Outcome
 from holdgw.router import origin_protocol
-from holdgw.router.connection_pool import Exchange
+from holdgw.router.exchange import Exchange
 from holdgw.router.exchange_owner import ExchangeOwner
 from holdgw.wire import resp
 from holdgw.wire.address import Address
--- a/holdgw/router/origin_connection.py
+++ b/holdgw/router/origin_connection.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from holdgw.policy import Outcome
-from holdgw.router.connection_pool import Connection, EndpointPool
+from holdgw.router.endpoint_connection import EndpointConnection
+from holdgw.router.endpoint_pool import EndpointPool
 from holdgw.router.origin_protocol import LOAD_REPORT_HEADER, NOT_STARTED, NOT_STARTED_HEADER
 from holdgw.wire.http import HttpError, HttpReader
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE, bulk
@@ -22,7 +23,7 @@
 
     def body_begins(self, length: int) -> None:
         """A long value begins."""
-        self._connection.value_begins(length)
+        self._connection.start_value(length)
 
     def body_part(self, data: bytes) -> None:
         """A part of a long value came."""
@@ -37,23 +38,23 @@
         return self._connection.reserve_bytes(size)
 
 
-class OriginConnection(Connection):
+class OriginConnection(EndpointConnection):
     """A connection to the origin, with one request on it at a time."""
 
-    def __init__(self, server: EndpointPool) -> None:
-        super().__init__(server)
+    def __init__(self, endpoint: EndpointPool) -> None:
+        super().__init__(endpoint)
         self._reader = _AnswerReader(self)
         self._reserved_bytes = 0
 
     def reserve_bytes(self, size: int) -> bool:
         """Reserve `size` bytes of the pool's memory for the answer; returns whether they were to be had."""
-        if not self.server.pool.reserve_bytes(size):
+        if not self.endpoint.pool.reserve_bytes(size):
             return False
         self._reserved_bytes += size
         return True
 
     def _release_reserved(self) -> None:
-        self.server.pool.release_bytes(self._reserved_bytes)
+        self.endpoint.pool.release_bytes(self._reserved_bytes)
         self._reserved_bytes = 0
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -63,12 +64,12 @@
         self._release_reserved()
         super().connection_lost(exc)
 
-    def answer_came(self, data: bytes) -> None:
+    def read_answer(self, data: bytes) -> None:
         """Read a part of an answer."""
         try:
             is_complete = self._reader.read(data)
         except HttpError as error:
-            self.spoil(f"broke the protocol: {error}")
+            self.fail_malformed(f"broke the protocol: {error}")
             return
         if is_complete and self.exchange is not None:
             self._finish_by_answer()
@@ -81,11 +82,11 @@
         value = bulk(bytes(reader.body))
         self._release_reserved()
         self.retired = not reader.answer_done() or self.retired
-        if self.streaming and self.exchange is not None:
+        if self.is_streaming and self.exchange is not None:
             self.exchange.value_complete()
         if status == STATUS_OK:
-            self.finish(Outcome.OK, value, None, report)
+            self.complete(Outcome.OK, value, None, report)
         elif status in STATUSES_NOT_STARTED and is_not_started:
-            self.finish(Outcome.OVERLOADED, None, None, report)
+            self.complete(Outcome.OVERLOADED, None, None, report)
         else:
-            self.finish(Outcome.ERROR, None, None, report)
+            self.complete(Outcome.ERROR, None, None, report)
--- a/holdgw/router/streamed_value.py
+++ b/holdgw/router/streamed_value.py
@@ -4,8 +4,8 @@
 
 from holdgw.operation.metrics import Disposition
 from holdgw.policy import NS_PER_S, Outcome
-from holdgw.router.connection_pool import Exchange
 from holdgw.router.error_answers import FAILED
+from holdgw.router.exchange import Exchange
 from holdgw.router.exchange_owner import ExchangeOwner
 from holdgw.router.open_request import OpenRequest
 from holdgw.router.timer_wheel import Timer
@@ -63,14 +63,14 @@
     def pause(self) -> None:
         """Read no more of the value for now: the client takes nothing."""
         if self._exchange.connection is not None:
-            self._exchange.connection.pause()
+            self._exchange.connection.pause_reading()
 
     def resume(self) -> None:
         """Read on: the client takes parts again."""
         connection = self._exchange.connection
-        if connection is not None and connection.paused:
+        if connection is not None and connection.reading_paused:
             self._progress_ns = self._owner.now_ns()
-            connection.resume()
+            connection.resume_reading()
 
     def cancel_timer(self) -> None:
         """Stop looking for a stalled endpoint."""
@@ -88,7 +88,7 @@
     def _check_progress(self) -> None:
         now_ns = self._owner.now_ns()
         connection = self._exchange.connection
-        if connection is not None and connection.paused:
+        if connection is not None and connection.reading_paused:
             self._progress_ns = now_ns  # the client is slow, and its own connection limits that
         due_ns = self._progress_ns + STREAM_STALL_NS
         if now_ns >= due_ns:
