--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -131,13 +131,13 @@
     ),
     "drain-unheard": Mutant(
         "a server that drains is taken for one that is ready",
-        "holdgw.router.discovery",
+        "holdgw.router.endpoint_list",
         '"draining": EndpointState.DRAINING',
         '"draining": EndpointState.READY',
     ),
     "reset-list-as-delta": Mutant(
         "a whole list is taken for a change: servers that left it stay",
-        "holdgw.router.discovery",
+        "holdgw.router.endpoint_list",
         'kind = UpdateKind.FULL if body["reset"] else UpdateKind.DELTA',
         "kind = UpdateKind.DELTA",
     ),
@@ -188,8 +188,8 @@
     "watch-kept": Mutant(
         "the watch of the address before a reload is never closed",
         "holdgw.router.discovery",
-        "            self._old.close()\n            self._old = None",
-        "            self._old = None",
+        "            self._previous_watch.close()\n            self._previous_watch = None",
+        "            self._previous_watch = None",
     ),
     "request-kept": Mutant(
         "a request that its client left is never forgotten",
--- a/bench/slopes_lists.py
+++ b/bench/slopes_lists.py
@@ -25,7 +25,8 @@
 from holdgw.harness.scenario import load_scenario
 from holdgw.policy import RequestClass, RoutingPolicy, Settings
 from holdgw.router.config import load_config
-from holdgw.router.discovery import Clock, Discovery, read_listing
+from holdgw.router.discovery import Discovery
+from holdgw.router.endpoint_list import Clock, read_endpoint_list
 
 SERVERS = (12, 24, 48, 96, 192)
 TIMES = 200
@@ -58,7 +59,7 @@
     """Bytes of a whole list, and the processor time of reading it and of taking it in."""
     body, clock = orjson.dumps(listing(count)), Clock()
     readings.add("list bytes", count, len(body) / 1e3)
-    seconds, found = cpu_of(lambda: [read_listing(orjson.loads(body), clock) for _ in range(TIMES)])
+    seconds, found = cpu_of(lambda: [read_endpoint_list(orjson.loads(body), clock) for _ in range(TIMES)])
     readings.add("list read", count, seconds / TIMES * 1e3)
     settings = Settings(
         classes=(RequestClass("read", latency_objective_ns=300_000_000, deadline_ns=1_000_000_000),)
@@ -129,7 +130,7 @@
         client = Discovery(addresses[name], True, Clock(), take(name), again(i))
         client.resume_from(model.views[name].version)
         for _ in range(ANSWERED):
-            client._watch.wait.timed_out(0.0)
+            client._watch.timeout.timed_out(0.0)
         client.subscribe()
         clients.append(client)
         await asyncio.sleep(SETTLE_S / routers)
--- a/holdgw/cores/__main__.py
+++ b/holdgw/cores/__main__.py
@@ -9,7 +9,7 @@
 from holdgw.cores.supervisor import Supervisor
 from holdgw.cores.worker_pool import InsufficientResourcesError, check_resources
 from holdgw.router.config import ConfigError, load_config
-from holdgw.router.discovery import Clock, read_listing
+from holdgw.router.endpoint_list import Clock, read_endpoint_list
 from holdgw.router.log import configure_logging
 from holdgw.router.process import EXIT_USAGE, report_usage_error, run_until_exit
 
@@ -22,7 +22,7 @@
         config = load_config(os.environ)
         check_resources(workers, config.memory_bytes, config.max_descriptors)
         if config.known_endpoints is not None:
-            read_listing(config.known_endpoints, Clock())
+            read_endpoint_list(config.known_endpoints, Clock())
     except (ConfigError, InsufficientResourcesError, ValueError) as error:
         return report_usage_error(error)
     configure_logging(config.name)
--- a/holdgw/cores/endpoint_feed.py
+++ b/holdgw/cores/endpoint_feed.py
@@ -18,7 +18,8 @@
     UpdateKind,
 )
 from holdgw.router.config import Config
-from holdgw.router.discovery import Clock, Discovery, read_listing
+from holdgw.router.discovery import Discovery
+from holdgw.router.endpoint_list import Clock, read_endpoint_list
 from holdgw.router.platform import Platform
 
 
@@ -57,7 +58,7 @@
         """Begin with the cached list of the configuration, if it names one."""
         if self._config.known_endpoints is None:
             return
-        cached = read_listing(self._config.known_endpoints, self._clock, UpdateKind.CACHED)
+        cached = read_endpoint_list(self._config.known_endpoints, self._clock, UpdateKind.CACHED)
         self._discovery.resume_from(cached.generation)
         self._apply(cached)
 
--- a/holdgw/emulators/node.py
+++ b/holdgw/emulators/node.py
@@ -366,7 +366,7 @@
             return b"-ERR unknown command\r\n"
         try:
             command = parse_request(words)
-            work = self.workload.work(command.info.fields["c"], command.id, self.name)
+            work = self.workload.work(command.info.class_name, command.id, self.name)
         except (ValueError, KeyError) as error:
             return b"-SYNTAX %b\r\n" % str(error).encode()
         kind = Kind.READ if command.value is None else Kind.WRITE
--- a/holdgw/router/__main__.py
+++ b/holdgw/router/__main__.py
@@ -7,7 +7,7 @@
 import sys
 
 from holdgw.router.config import ConfigError, load_config
-from holdgw.router.discovery import Clock, read_listing
+from holdgw.router.endpoint_list import Clock, read_endpoint_list
 from holdgw.router.log import configure_logging
 from holdgw.router.process import report_usage_error, run_until_exit
 from holdgw.router.program import serve
@@ -23,7 +23,7 @@
     try:
         config = load_config(os.environ)
         if config.known_endpoints is not None:
-            read_listing(config.known_endpoints, Clock())
+            read_endpoint_list(config.known_endpoints, Clock())
     except (ConfigError, ValueError) as error:
         return report_usage_error(error)
     configure_logging(config.name)
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -79,7 +79,7 @@
         return "unknown class"
     if command.info.timeout_ms * NS_PER_MS > MAX_TIMEOUT_FACTOR * request_class.deadline_ns:
         return "d is longer than the class allows"
-    if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY and "k" not in command.info.fields:
+    if request_class.idempotency is Idempotency.IDEMPOTENCY_KEY and not command.info.has_idempotency_key:
         return "k must give the idempotency key"
     return ""
 
@@ -196,7 +196,7 @@
         now_ns = self.now_ns()
         unread_ns = self._unread_for_ns(reply, now_ns)
         deadline_ns = now_ns + command.info.timeout_ms * NS_PER_MS - unread_ns
-        fault = find_fault(command, self._classes.get(command.info.fields["c"]))
+        fault = find_fault(command, self._classes.get(command.info.class_name))
         if fault:
             reply.send_error_and_close(fault)
         elif self.open_requests.knows(request_id) or (
@@ -219,28 +219,27 @@
         return unread_ns
 
     def _open(self, request: OpenRequest, now_ns: int) -> None:
-        fields = request.command.info.fields
-        is_retry = fields.get("r") == "1"
+        info = request.command.info
         request.reply.request = request
         self.open_requests.by_id[request.id] = request
         if self.interval_counters is not None:
             hasty = request.deadline_ns - now_ns < self.latency_objective_ns(request.class_name)
-            self.interval_counters.count_client_request(is_retry, hasty)
+            self.interval_counters.count_client_request(info.is_retry, hasty)
         self.dispatch(
             RequestArrived(
                 request_id=request.id,
                 request_class=request.class_name,
                 deadline_ns=request.deadline_ns,
-                tenant=fields.get("t"),
+                tenant=info.tenant,
                 key=request.command.key.decode(),
                 is_write=request.command.value is not None,
-                is_retry=is_retry,
+                is_retry=info.is_retry,
             )
         )
 
     def reject(self, command: Command, reply: Reply) -> None:
         """Reject a request that there is no capacity for."""
-        self.metrics.count_answer(command.info.fields["c"], Disposition.DECLINED)
+        self.metrics.count_answer(command.info.class_name, Disposition.DECLINED)
         reply.send(BUSY)
 
     def client_disconnected(self, reply: Reply) -> None:
--- a/holdgw/router/open_request.py
+++ b/holdgw/router/open_request.py
@@ -42,7 +42,7 @@
         self.reply = reply
         self.deadline_ns = deadline_ns
         self.arrived_ns = arrived_ns
-        self.class_name = command.info.fields["c"]
+        self.class_name = command.info.class_name
         self.attempts = 0
         self.attempts_in_flight = 0
         self.answered = False
--- a/holdgw/router/program.py
+++ b/holdgw/router/program.py
@@ -23,8 +23,9 @@
 from holdgw.router.config import Config
 from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.descriptor_limits import descriptor_limits
-from holdgw.router.discovery import Clock, Discovery, read_listing
+from holdgw.router.discovery import Discovery
 from holdgw.router.dispatcher import Dispatcher
+from holdgw.router.endpoint_list import Clock, read_endpoint_list
 from holdgw.router.graceful_shutdown import GracefulShutdown
 from holdgw.router.log import log_callback_errors
 from holdgw.router.peer_metrics import peer_metrics
@@ -134,7 +135,7 @@
         if config.passed_descriptor is not None and folder:
             await self.takeover.begin(Path(folder))
         if config.known_endpoints is not None:
-            known = read_listing(config.known_endpoints, self.clock, UpdateKind.CACHED)
+            known = read_endpoint_list(config.known_endpoints, self.clock, UpdateKind.CACHED)
             self.discovery.resume_from(known.generation)
             self._dispatch_update(self.overrides.apply(known))
         self.loop.add_signal_handler(signal.SIGHUP, self._reload)
--- a/holdgw/router/watch_timeout.py
+++ b/holdgw/router/watch_timeout.py
@@ -1,39 +1,41 @@
-"""How long a watch asks discovery to wait for news, where that is one service for all routers; pure.
+"""The timeout of a watch where discovery is one service that all routers poll; no I/O, no clock.
 
-Each call costs the service work. A short wait finds a silent watch soon, but is a call from every router in
-that time; a service that can't take so many answers late, and then turns calls away. No router knows how many
-others there are; what it sees is how late its own answers come. So the wait is `DELAYS` times the longest
-delay seen, which fades by `FADE` a call; at the start and after a failed call it is the longest one. That is
-fast increase and slow decrease by delay, as in TCP Vegas (Brakmo and Peterson, 1995).
+Each call costs the service work. A short timeout finds a silent watch soon, but means a call from every
+router in that time; an overloaded service answers late, and then rejects calls. No router knows how many
+others there are, but each sees how late its own answers come. So the timeout is `DELAY_FACTOR` times the
+longest delay seen, which decays by `DELAY_DECAY` a call; at the start and after a failed call it is the
+longest allowed. That is fast increase and slow decrease by delay, as in TCP Vegas (Brakmo and Peterson,
+1995).
 
 After a burst in which all routers call at once their delays are spread evenly from 0 to the time A in which
-the service takes one call from each. What they ask for then is the part (1 + ln(A / D)) / DELAYS of what it
-can take, D being the shortest wait / DELAYS: 0.25 for an A of 8 s and waits from 3 s on.
+the service takes one call from each. The load they then offer is the fraction (1 + ln(A / D)) / DELAY_FACTOR
+of its capacity, D being the shortest timeout / DELAY_FACTOR: 0.25 for an A of 8 s and timeouts from 3 s on.
 """
 
 from __future__ import annotations
 
-DELAYS = 20.0
-FADE = 0.95
+DELAY_FACTOR = 20.0
+DELAY_DECAY = 0.95
 
 
 class WatchTimeout:
-    """The wait to ask for at one service, by its answers so far."""
+    """The timeout of watches at one service, by its answers so far."""
 
     def __init__(self, shortest_s: float, longest_s: float) -> None:
-        # Danger: a fleet that starts together, at a service not known to have room, would overload it.
-        self._shortest_s, self._most_delay_s = shortest_s, longest_s / DELAYS
-        self._delay_s = self._most_delay_s
+        """Begin with the longest timeout: a fleet that starts together could overload the service."""
+        self._shortest_s = shortest_s
+        self._max_delay_s = longest_s / DELAY_FACTOR
+        self._delay_s = self._max_delay_s
 
     @property
     def wait_s(self) -> float:
-        """The wait of the next call, in seconds."""
-        return max(DELAYS * self._delay_s, self._shortest_s)
+        """The timeout of the next call, in seconds."""
+        return max(DELAY_FACTOR * self._delay_s, self._shortest_s)
 
     def timed_out(self, delay_s: float) -> None:
-        """A call came back without news, `delay_s` seconds after its wait was over."""
-        self._delay_s = min(max(delay_s, FADE * self._delay_s), self._most_delay_s)
+        """A call returned without a change, `delay_s` seconds after its timeout."""
+        self._delay_s = min(max(delay_s, DELAY_DECAY * self._delay_s), self._max_delay_s)
 
     def failed(self) -> None:
-        """A call was turned away, broke or was given up: the service may have too many."""
-        self._delay_s = self._most_delay_s
+        """A call was rejected, broke or was abandoned: the service may be overloaded."""
+        self._delay_s = self._max_delay_s
--- a/holdgw/wire/http.py
+++ b/holdgw/wire/http.py
@@ -53,9 +53,9 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            # Danger: what follows a whole answer is none of its business; to fail on it would throw a
-            # good answer away. The connection is of no further use. It could do harm only where a length
-            # is stated too short, and then what follows makes the answer's end no less what was stated.
+            # What follows a complete answer is not part of it: to fail on it would throw a good answer away.
+            # The connection is of no further use. Where the stated length is too short, the answer still ends
+            # where it was stated to.
             if self._whole:
                 self._more = True
                 return True
@@ -67,8 +67,8 @@
 
     def ended(self) -> bool:
         """The connection ended in good order; returns whether that ends an answer, which is whole then."""
-        # RFC 9112, section 6.3: with neither a length nor chunks the close ends the body. Danger: a body cut
-        # short looks whole; so it must have announced the close, and a reset is none.
+        # RFC 9112, section 6.3: with neither a length nor chunks the close ends the body. A body that was cut
+        # short would look complete; so the answer must have announced the close, and a reset is none.
         if self._to_end and not self._whole:
             self._whole = self._more = True
             return True
--- a/holdgw/wire/resp.py
+++ b/holdgw/wire/resp.py
@@ -36,24 +36,38 @@
 class Info:
     """A command's list of names and values, parsed; shared by all commands that have the same list."""
 
-    __slots__ = ("_prefix", "_suffix", "fields", "timeout_ms")
+    __slots__ = (
+        "_prefix",
+        "_suffix",
+        "class_name",
+        "has_idempotency_key",
+        "is_retry",
+        "tenant",
+        "timeout_ms",
+    )
 
     def __init__(self, text: bytes) -> None:
-        """Raises ValueError, with the text for the client."""
+        """Parse the list; raises ValueError, with the text for the client."""
         if not _plain(text) or b" " in text:
             raise ValueError("the list must be plain text without spaces")
-        self.fields = dict[str, str]()
+        fields = dict[str, str]()
         for part in text.decode("ascii").split(","):
             field, _, value = part.partition("=")
-            if not field or not value or field in self.fields:
+            if not field or not value or field in fields:
                 raise ValueError("expected a list of names and values, each once")
-            self.fields[field] = value
-        timeout = self.fields.get("d", "")
+            fields[field] = value
+        timeout = fields.get("d", "")
         if not timeout.isdecimal() or len(timeout) > 9 or not int(timeout):
             raise ValueError("d must be a number of milliseconds")
-        if not self.fields.get("c"):
+        if not fields.get("c"):
             raise ValueError("c must name a class")
         self.timeout_ms = int(timeout)
+        """How long the client waits for the answer, milliseconds."""
+        self.class_name: str = fields["c"]
+        """The request class."""
+        self.tenant: str | None = fields.get("t")
+        self.is_retry: bool = fields.get("r") == "1"
+        self.has_idempotency_key: bool = "k" in fields
         start = (b"," + text).index(b",d=") + len(b"d=")
         self._prefix, self._suffix = text[:start], text[start + len(timeout) :]  # around the value of `d`
 
@@ -62,7 +76,7 @@
         return b"%b%d%b" % (self._prefix, timeout_ms, self._suffix)
 
 
-# Danger: every list that a stranger makes up would be kept: so a bounded number is, and only short ones.
+# Clients can make up any number of lists: only so many are remembered, and only short ones.
 _known_info = lru_cache(maxsize=KNOWN_LISTS)(Info)
 
 
@@ -114,8 +128,8 @@
         if self.framing_error:
             return None
         words = None
-        # Danger: to look again at each byte of a command that trickles would cost a client's CPU in
-        # squares; it is looked at when what it is known to need is there.
+        # A command that arrives byte by byte is parsed again only once the bytes it is known to need are
+        # there; parsing at each byte would take time in the square of its length.
         if len(self._held) - self._at >= self._need:
             try:
                 words = self._command()
@@ -181,8 +195,8 @@
     if len(words) != (5 if is_write else 4):
         raise ValueError(f"wrong number of arguments for {name.decode()}")
     key, request, info = words[1:4]
-    # Danger: these words become HTTP lines at the origin, where a line break would forge a header; and a
-    # cache server closes on what it can't read, whatever else waits there. What is odd is answered here.
+    # These words become HTTP lines at the origin, where a line break would forge a header; and a cache server
+    # closes a connection on what it can't read, with all that waits there. So they are checked here.
     if not _ID.fullmatch(request):
         raise ValueError("id must be plain text without spaces or commas")
     try:
@@ -214,11 +228,11 @@
 
 
 def parse_load(report: bytes, names: tuple[str, ...]) -> tuple[float, ...] | None:
-    """Read a load report into the order of the settings; None where it is not whole."""
+    """Read a load report into the order of the settings; None where a value is missing or no number."""
     try:
         told = dict(part.split("=", 1) for part in report.decode("ascii").split(","))
         load = tuple(float(told[name]) for name in names)
     except (ValueError, KeyError):
         return None
-    # Danger: inf and nan are numbers to float(), and would poison every sum they enter.
+    # float() reads inf and nan, which would spoil every sum they enter.
     return load if load and all(map(math.isfinite, load)) else None
--- a/tests/emulated_nodes.py
+++ b/tests/emulated_nodes.py
@@ -17,8 +17,8 @@
 from holdgw.policy import Settings, UpdateKind
 from holdgw.router.client_listener import ClientListener
 from holdgw.router.connection_pool import ConnectionPool
-from holdgw.router.discovery import Clock, read_listing
 from holdgw.router.dispatcher import Dispatcher
+from holdgw.router.endpoint_list import Clock, read_endpoint_list
 from tests.helpers import settings
 
 LIMIT_S = 60.0  # a hang: far beyond what any step takes, also on a machine ten times as busy as it has cores
@@ -175,7 +175,7 @@
 
     async def start(self, *instances: dict[str, Any]) -> None:
         body = {"generation": 1, "reset": True, "instances": list(instances)}
-        self.host.apply_endpoint_update(read_listing(body, Clock(), UpdateKind.FULL))
+        self.host.apply_endpoint_update(read_endpoint_list(body, Clock(), UpdateKind.FULL))
         self.address = await self.clients.listen(("127.0.0.1", 0))
 
     async def dial(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
--- a/tests/policy/test_disabled_features.py
+++ b/tests/policy/test_disabled_features.py
@@ -20,6 +20,7 @@
 from holdgw.router import discovery
 from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.dispatcher import Dispatcher
+from holdgw.router.endpoint_list import read_endpoint_list
 from holdgw.simulation.fleet_run import simulate
 from holdgw.wire.resp import parse_load
 from tests.helpers import MS, ended, fleet, only_send, request, settings, started
@@ -195,7 +196,7 @@
     # Reports did not: the module knew them by the platform's names only, and the stand-ins said others.
     waits: list[float] = []
     lists: list[Any] = []
-    told, listed = RoutingPolicy._apply_load_report, discovery.read_listing
+    told, listed = RoutingPolicy._apply_load_report, read_endpoint_list
 
     def seen(router: RoutingPolicy, node: Any, load: tuple[float, ...]) -> None:
         told(router, node, load)
@@ -206,7 +207,7 @@
         return listed(body, *words)
 
     monkeypatch.setattr(RoutingPolicy, "_apply_load_report", seen)
-    monkeypatch.setattr(discovery, "read_listing", heard)
+    monkeypatch.setattr(discovery, "read_endpoint_list", heard)
     scenario = load_scenario(Path("bench/scenarios/fleet-zone.toml"))
     simulate(changed(scenario.cut(1.0), load=changed(scenario.load, rate=100.0)), 1)
     assert max(waits) > 0
--- a/tests/router/test_endings.py
+++ b/tests/router/test_endings.py
@@ -38,6 +38,7 @@
     connection_pool,
     descriptor_limits,
     discovery,
+    endpoint_list,
     graceful_shutdown,
     program,
 )
@@ -343,7 +344,7 @@
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         told = [entry("s1", stage.cache.port, state="draining")]
         body = {"generation": 2, "reset": False, "instances": told}
-        node.host.apply_endpoint_update(discovery.read_listing(body, discovery.Clock()))
+        node.host.apply_endpoint_update(endpoint_list.read_endpoint_list(body, endpoint_list.Clock()))
         loop.up.set()
         assert await asked == SERVED  # by the origin
         assert not stage.cache.seen
@@ -732,7 +733,7 @@
         watching = discovery.Discovery(
             ("127.0.0.1", agent.port),
             False,
-            discovery.Clock(),
+            endpoint_list.Clock(),
             lambda listing: lists.put_nowait(listing.generation),
             lambda: None,
         )
@@ -751,7 +752,7 @@
 def test_the_longest_waits_added_up_stay_within_what_counts_as_told() -> None:
     told = 6.0
     pushed = discovery.PUSHED_WAIT_MS / 1000 + discovery.CALL_SLACK_S
-    assert pushed + 2 * (discovery.RETRY_S + discovery.QUICK_S) < told
+    assert pushed + 2 * (discovery.RETRY_S + discovery.QUICK_TIMEOUT_S) < told
     first_pause = 1.0
     assert discovery.POLL_SLACK_S + first_pause <= 2.0  # behind a call's wait, by the page
     longest = 0
@@ -770,7 +771,7 @@
 
 def test_a_silent_watch_where_discovery_is_asked_is_found_out_in_six_seconds() -> None:
     assert discovery.POLL_WAIT_MS / 1000 + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
-    wait = discovery._Watch(("127.0.0.1", 9), 0, first=True).wait
+    wait = discovery._Watch(("127.0.0.1", 9), 0, needs_full_list=True).timeout
     for _ in range(60):
         wait.timed_out(0.1)  # by a service that has room
     assert wait.wait_s + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
@@ -786,7 +787,7 @@
         watching = discovery.Discovery(
             ("127.0.0.1", old.port),
             False,
-            discovery.Clock(),
+            endpoint_list.Clock(),
             lambda listing: lists.put_nowait((listing.generation, listing.addresses["s1"][1])),
             lambda: None,
         )
@@ -868,7 +869,7 @@
 
 def test_no_list_is_taken_from_bytes_that_are_none() -> None:
     with pytest.raises(ValueError, match="not a list"):
-        discovery.read_listing(orjson.loads(b"[]"), discovery.Clock())
+        endpoint_list.read_endpoint_list(orjson.loads(b"[]"), endpoint_list.Clock())
 
 
 # Floods
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -29,7 +29,7 @@
 from holdgw.harness.scenario import read_scenario
 from holdgw.harness.schedule import ORIGIN
 from holdgw.harness.schedule_drawing import draw_schedule
-from holdgw.router.discovery import Clock
+from holdgw.router.endpoint_list import Clock
 from holdgw.simulation.search import play_seed
 from tests.helpers import trouble
 
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -47,3 +47,41 @@
         if any(words in path.read_text() for words in formula)
     ]
     assert found == []
+
+
+WIRE_NAMES = {
+    "holdgw/wire/resp.py": ('.get("d"', 'fields["c"]', '.get("t")', '.get("r")', '"k" in'),
+    "holdgw/router/endpoint_list.py": (
+        '"instanceId"',
+        '"hostPort"',
+        '"lifecycle"',
+        '"machineType"',
+        '"startedAtMs"',
+    ),
+    "holdgw/policy/settings_reader.py": (
+        '"aimNs"',
+        '"giveUpNs"',
+        '"dedupWindowNs"',
+        '"quotaPerS"',
+        '"coldShare"',
+    ),
+    "holdgw/operation/metrics.py": (
+        '"results"',
+        '"lb_',
+    ),
+}
+"""By module: how it reads or writes names of the operations pages; no other module of a router does."""
+EDGE_PACKAGES = ("cores", "operation", "peers", "policy", "router", "wire")
+
+
+@pytest.mark.parametrize("module", sorted(WIRE_NAMES))
+def test_a_name_of_the_wire_stands_in_one_module_only(module: str) -> None:
+    for name in WIRE_NAMES[module]:
+        found = {
+            str(path.relative_to(ROOT))
+            for package in EDGE_PACKAGES
+            for path in (ROOT / "holdgw" / package).rglob("*.py")
+            if name in path.read_text()
+        }
+        assert found <= {module}, name
+    assert any(name in (ROOT / module).read_text() for name in WIRE_NAMES[module])
--- a/tests/test_watch_timeout.py
+++ b/tests/test_watch_timeout.py
@@ -12,7 +12,7 @@
 import orjson
 import pytest
 
-from holdgw.router import discovery, watch_timeout
+from holdgw.router import discovery, endpoint_list, watch_timeout
 from holdgw.router.watch_timeout import WatchTimeout
 from tests.emulated_nodes import LIMIT_S, Peer, run
 
@@ -186,14 +186,14 @@
     monkeypatch.setattr(discovery, "POLL_WAIT_MS", 10)
     monkeypatch.setattr(discovery, "MAX_POLL_WAIT_MS", 400)
     monkeypatch.setattr(discovery, "POLL_SLACK_S", LIMIT_S)
-    monkeypatch.setattr(watch_timeout, "DELAYS", 0.02)
-    monkeypatch.setattr(watch_timeout, "FADE", 0.5)
+    monkeypatch.setattr(watch_timeout, "DELAY_FACTOR", 0.02)
+    monkeypatch.setattr(watch_timeout, "DELAY_DECAY", 0.5)
 
     async def test() -> None:
         service, failed = Waits(begun_ms), asyncio.Event()
         await service.start()
         watching = discovery.Discovery(
-            ("127.0.0.1", service.port), True, discovery.Clock(), lambda _: None, failed.set, service.now
+            ("127.0.0.1", service.port), True, endpoint_list.Clock(), lambda _: None, failed.set, service.now
         )
         watching.resume_from(5)
         watching.subscribe()
