--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -276,7 +276,7 @@
     "deserted-off": Mutant(
         "a refused connection where connections rested is no death",
         "holdgw.policy.endpoint_health",
-        "        if result.idle_connections_closed or ",
+        "        if result.refused_after_idle_close or ",
         "        if ",
         scenario="bench/scenarios/fleet-join.toml",
     ),
--- a/holdgw/policy/actions.py
+++ b/holdgw/policy/actions.py
@@ -62,7 +62,7 @@
 
 
 class CheckHealth(Struct, frozen=True, gc=False):
-    """Run a health check of an endpoint."""
+    """Run a health check of an endpoint; not returned by this policy, which learns from attempts alone."""
 
     endpoint_id: str
 
--- a/holdgw/policy/endpoint_health.py
+++ b/holdgw/policy/endpoint_health.py
@@ -10,8 +10,10 @@
   are well (unresponsive).
 
 It gets nothing for 1.2 s after each failure (`EJECTED_PROBABILITY` times `RECOVERY_NS`); then requests come
-as trials, with a probability that grows from 0. The first good answer ends the ejection; another connection
-failure, reset or time-out begins it anew. What is sent after that grows with the admission probability.
+as trials, with a probability that grows from 0. The first OK or MISS that is not late ends the ejection; a
+late answer, or a rejection by the endpoint, leaves it as it is; another connection failure, reset or time-out
+begins it anew. What is sent after that grows with the admission probability. An endpoint whose list entry
+changes begins without the ejection (`SlotTable.update`).
 """
 
 from __future__ import annotations
@@ -42,7 +44,7 @@
         ended_at_ns: int,
         sent_at_ns: int = 0,
         others_well: bool = False,
-        idle_connections_closed: bool = False,
+        refused_after_idle_close: bool = False,
     ) -> None:
         self.outcome = outcome
         self.late = late
@@ -51,7 +53,7 @@
         self.sent_at_ns = sent_at_ns
         self.others_well = others_well
         """Whether few of the other endpoints are overloaded."""
-        self.idle_connections_closed = idle_connections_closed
+        self.refused_after_idle_close = refused_after_idle_close
         """Whether the connection was refused after the endpoint had closed its idle connections."""
 
     @property
@@ -97,7 +99,7 @@
         lose a request for every further one. Time-outs count only while the other endpoints are well: where
         many are overloaded, a missing answer is a sign of load.
         """
-        if result.idle_connections_closed or self._connect_failures >= MAX_CONSECUTIVE_CONNECT_FAILURES:
+        if result.refused_after_idle_close or self._connect_failures >= MAX_CONSECUTIVE_CONNECT_FAILURES:
             return True
         if self._resets >= MAX_CONSECUTIVE_RESETS or self._errors >= MAX_CONSECUTIVE_ERRORS:
             return True
--- a/holdgw/policy/events.py
+++ b/holdgw/policy/events.py
@@ -111,7 +111,7 @@
     response_started: bool = False
     """Some of an answer had come: the attempt ran."""
     idle_connections_closed: bool = False
-    """The endpoint had closed idle connections before their time, and none has been made since."""
+    """With CONNECT_FAILED only: the endpoint had closed its idle connections; none has been made since."""
 
 
 class RequestCancelled(Struct, frozen=True, gc=False):
--- a/holdgw/policy/fetch_coalescing.py
+++ b/holdgw/policy/fetch_coalescing.py
@@ -12,8 +12,9 @@
     (`complete`). The leader is the request whose attempt fetches.
 
     The fetch is over when the leader has its answer, when the streamed answer has begun, and also when the
-    leader gives up or its client leaves: then nothing is stored, the waiters are treated as if they had just
-    missed, and the first of them becomes the leader of a new fetch.
+    leader gives up or its client leaves. Then it no longer counts as the key's: an attempt that is already
+    written goes on at the origin, and its end serves no waiter. The waiters are treated as if they had just
+    missed: the first one that the origin limiter admits leads a new fetch, one that it denies is rejected.
     """
 
     def __init__(self) -> None:
--- a/holdgw/policy/rejections.py
+++ b/holdgw/policy/rejections.py
@@ -12,7 +12,10 @@
 
 
 class RejectionReason(Enum):
-    """Why the policy gave a request up; the values are the words of the interval counters "given up: ..."."""
+    """Why the policy gave a request up, by a rejection or a failure (`RetryPolicy.may_reject`).
+
+    The values are the words of the interval counters "given up: ...".
+    """
 
     DEADLINE = "time"
     """Its deadline came while it waited for another's fetch, in the queue of writes, or for a retry."""
@@ -46,7 +49,10 @@
         self._rng = rng
 
     def final_answer(self, request_id: str, reason: RejectionReason, may_reject: bool) -> Reject | Fail:
-        """Count a request that is given up; `may_reject`: a retry by its client does no harm."""
+        """Count a request that is given up, and return its answer.
+
+        `may_reject`: a retry by its client does no harm.
+        """
         self.counts[reason] = self.counts.get(reason, 0) + 1
         if not may_reject:
             return Fail(request_id)
--- a/holdgw/policy/retry_policy.py
+++ b/holdgw/policy/retry_policy.py
@@ -135,7 +135,10 @@
     def classify_loss(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, now: int
     ) -> Loss:
-        """Whether an attempt's answer was lost; charges the retry budget for a timeout."""
+        """Whether an attempt's answer was lost.
+
+        Also takes 1 from the retry budget for an attempt timeout, and adds 1 for a loss that is proven.
+        """
         if event.outcome is Outcome.TIMEOUT:
             took_ns = event.latency_ns - event.queued_ns
             return self._classify_timeout(request, endpoint, took_ns, now)
--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -184,7 +184,7 @@
 
         Beginning anew at the generous initial limits would flood the origin at every upgrade, and an
         endpoint that is failing would get its full share again. The state comes from a process that is
-        still running, so it is never old, and it fades here as if it had been learned here.
+        still running, as of when this one connected to it, and fades as if learned here.
         """
         for name, endpoint_state in state.endpoints.items():
             endpoint = self._caches.endpoints.get(name)
@@ -250,7 +250,7 @@
         if self._now >= request.deadline_ns:
             self._give_up(request, RejectionReason.DEADLINE)
         elif request.is_write:
-            self._fetch(request)
+            self._send_to_origin(request)
 
     # A request's beginning and end.
 
@@ -262,7 +262,7 @@
         request = PendingRequest(event, request_class, limiter, slot)
         self._requests[request.id] = request
         if request.is_write and self._settings.origin_kind is not None:
-            self._fetch(request)
+            self._send_to_origin(request)
             return
         request.slot_popularity = self._slot_popularity.record_request(slot)
         self._observations.count_request(slot)
@@ -349,10 +349,13 @@
         if self._fetches.join(request):
             self._wait(request, request.deadline_ns - self._now)
         else:
-            self._fetch(request)
+            self._send_to_origin(request)
 
-    def _fetch(self, request: PendingRequest, admitted: bool = False) -> None:
-        """Send to the origin, if its limits allow; `admitted`: they have allowed this call before."""
+    def _send_to_origin(self, request: PendingRequest, admitted: bool = False) -> None:
+        """Send a write or a read's fetch, if the origin's limits allow; a write over its limit is queued.
+
+        `admitted`: they have allowed this call before.
+        """
         request.is_waiting = False
         origins = self._origins.rank(request.slot, self._now)
         if not origins or not self._may_send(request, origins[0]):
@@ -474,7 +477,7 @@
     def _judge_origin(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, loss: Loss
     ) -> None:
-        """Raise or cut the origin's limits; all tenants' at once, since they share it."""
+        """Raise or cut the origin's limits, all tenants' at once, and send queued writes that fit then."""
         verdict = self._origin_concurrency.record_attempt(
             event.outcome,
             event.latency_ns,
@@ -502,7 +505,7 @@
             write = self._origin_concurrency.dequeue()
             if write is None:
                 return
-            self._fetch(write)
+            self._send_to_origin(write)
 
     def _continue(
         self,
@@ -517,9 +520,9 @@
         if step is NextStep.FETCH:
             self._fetch_missing(request)
         elif step is NextStep.FETCH_AGAIN:
-            self._fetch(request, admitted=True)
+            self._send_to_origin(request, admitted=True)
         elif step is NextStep.FETCH_FAILED:
-            self._fetch_failed(request, event.outcome)
+            self._origin_attempt_failed(request, event.outcome)
         else:
             if step is NextStep.READ_STORED_VALUE and request.leads_fetch:
                 self._complete_fetch(request, stored=True)
@@ -527,7 +530,7 @@
                 request.failed_endpoints.append(endpoint)
             self._route(request)
 
-    def _fetch_failed(self, request: PendingRequest, outcome: Outcome) -> None:
+    def _origin_attempt_failed(self, request: PendingRequest, outcome: Outcome) -> None:
         """Retry a write after a delay; a read is its client's to retry, to spare the origin."""
         delay_ns = self._origin_concurrency.retry_delay_ns(self._rng)
         has_time = self._now + delay_ns < request.deadline_ns
--- a/holdgw/policy/slot_table.py
+++ b/holdgw/policy/slot_table.py
@@ -45,7 +45,10 @@
         self._rankings: dict[int, tuple[int, list[ScoredEndpoint]]] = {}
 
     def update(self, ready: list[Endpoint], left: list[str]) -> None:
-        """Take endpoints in and out; one whose entry has changed is tracked anew."""
+        """Take endpoints in and out; one whose entry has changed is tracked anew.
+
+        Its health, its ejection and its attempts in flight are forgotten then.
+        """
         changed = [
             entry
             for entry in ready
--- a/holdgw/router/attempt.py
+++ b/holdgw/router/attempt.py
@@ -188,6 +188,6 @@
     def _count_answer(self, counters: IntervalCounters) -> None:
         latency_ns = self._owner.now_ns() - self._request.arrived_ns
         source = "fetched" if self._to_origin else "kept"
-        is_retry = self._number > self._to_origin  # a fetch follows a cache's miss
+        is_later_attempt = self._number > self._to_origin  # a fetch follows a cache's miss
         late = latency_ns > self._owner.latency_objective_ns(self._request.class_name)
-        counters.add(f"served {source}{', again' if is_retry else ''}{', late' if late else ''}")
+        counters.add(f"served {source}{', again' if is_later_attempt else ''}{', late' if late else ''}")
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -238,7 +238,7 @@
         )
 
     def reject(self, command: Command, reply: Reply) -> None:
-        """Reject a request that there is no capacity for."""
+        """Reject a request that is past its deadline or over a limit, without a Retry-After."""
         self.metrics.count_answer(command.info.class_name, Disposition.DECLINED)
         reply.send(BUSY)
 
@@ -305,7 +305,10 @@
     # The endpoint list
 
     def apply_endpoint_update(self, update: EndpointUpdate) -> None:
-        """Apply an endpoint update: the routing policy receives it before anything that follows from it."""
+        """Apply an endpoint update: queue the policy's event, update the pool, then let the policy handle it.
+
+        So the policy receives the update before the ends of exchanges that follow from it.
+        """
         self._events.append(update.change)
         was_handling = self._handling
         self._handling = True
--- a/holdgw/wire/http.py
+++ b/holdgw/wire/http.py
@@ -32,7 +32,7 @@
         """A part of that body came."""
 
     def room_for(self, size: int) -> bool:
-        """Whether so many bytes more of a body may be held past the usual most."""
+        """Whether `size` more bytes of a body may be buffered past the usual limit."""
         return False
 
     def _next_answer(self) -> None:
--- a/holdgw/wire/resp.py
+++ b/holdgw/wire/resp.py
@@ -10,7 +10,7 @@
 import re
 from functools import lru_cache
 
-MAX_VALUE = 64 << 10  # what is held whole; a longer value is passed on as it comes
+MAX_VALUE = 64 << 10  # bytes that are buffered; a longer value is streamed
 LONGEST_VALUE = 16 << 20  # past which a length is no length; the longest values in use have 4 MiB
 MAX_PARTS = 5  # a KV.SET's
 MAX_WORD = 4 << 10  # all words of a command but its value together: far more than any has
@@ -99,10 +99,10 @@
 
 
 class CommandReader:
-    """Cuts a client's bytes into commands, each a list of its words; holds at most one that is not whole."""
+    """Cuts a client's bytes into commands, each a list of its words; buffers at most one that is partial."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
+        self._buffer = bytearray()
         self._at = 0  # where the command under way begins
         self._need = 1  # bytes from there on that it is known to need
         self.framing_error = ""
@@ -111,39 +111,39 @@
     def feed(self, data: bytes) -> None:
         """Take bytes."""
         if not self.framing_error:
-            self._held += data
+            self._buffer += data
 
     @property
     def buffered(self) -> bytes:
-        """What is held: of a command under way, and of any whole ones not cut yet."""
-        return bytes(self._held[self._at :])
+        """The bytes that are buffered: of a partial command, and of complete ones not returned yet."""
+        return bytes(self._buffer[self._at :])
 
     @property
     def has_partial_command(self) -> bool:
-        """Whether something of a command is held."""
-        return len(self._held) > self._at
+        """Whether bytes of a command are buffered."""
+        return len(self._buffer) > self._at
 
     def next_command(self) -> list[bytes] | None:
-        """The next whole command; None where there is none yet, or `broken` is set."""
+        """The next complete command; None where there is none yet, or `framing_error` is set."""
         if self.framing_error:
             return None
         words = None
         # A command that arrives byte by byte is parsed again only once the bytes it is known to need are
         # there; parsing at each byte would take time in the square of its length.
-        if len(self._held) - self._at >= self._need:
+        if len(self._buffer) - self._at >= self._need:
             try:
                 words = self._command()
             except FramingError as error:
                 self.framing_error = str(error)
-                self._held.clear()
+                self._buffer.clear()
                 self._at = 0
         if words is None and self._at:
-            del self._held[: self._at]
+            del self._buffer[: self._at]
             self._at = 0
         return words
 
     def _command(self) -> list[bytes] | None:
-        data, begin = self._held, self._at
+        data, begin = self._buffer, self._at
         usual = _GET.match(data, begin)
         if usual is not None:
             key, request, info = usual[2], usual[4], usual[6]
@@ -230,8 +230,8 @@
 def parse_load(report: bytes, names: tuple[str, ...]) -> tuple[float, ...] | None:
     """Read a load report into the order of the settings; None where a value is missing or no number."""
     try:
-        told = dict(part.split("=", 1) for part in report.decode("ascii").split(","))
-        load = tuple(float(told[name]) for name in names)
+        values = dict(part.split("=", 1) for part in report.decode("ascii").split(","))
+        load = tuple(float(values[name]) for name in names)
     except (ValueError, KeyError):
         return None
     # float() reads inf and nan, which would spoil every sum they enter.
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -71,14 +71,14 @@
 def test_one_refused_connection_ejects_where_idle_connections_were_closed() -> None:
     # A process that ends closes its idle connections first: the next refusal tells that it is gone.
     health = EndpointHealth()
-    health.record(AttemptResult(Outcome.CONNECT_FAILED, False, S, idle_connections_closed=True))
+    health.record(AttemptResult(Outcome.CONNECT_FAILED, False, S, refused_after_idle_close=True))
     assert health.ejected
 
 
 def test_ejected_endpoint_gets_nothing_for_1_2_s_and_then_trials() -> None:
     # The endpoint is gone and may come back at any time: a request now and then finds out when.
     health = EndpointHealth()
-    health.record(AttemptResult(Outcome.CONNECT_FAILED, False, S, idle_connections_closed=True))
+    health.record(AttemptResult(Outcome.CONNECT_FAILED, False, S, refused_after_idle_close=True))
     assert health.probability(S) == EJECTED_PROBABILITY
     assert health.probability(S + 1_190 * MS) < 0.0
     assert 0.0 < health.probability(S + 1_210 * MS) < 0.001
