--- a/holdgw/wire/unread.py
+++ b/holdgw/wire/unread.py
@@ -15,9 +15,7 @@
 
 
 def unread_ns(transport: asyncio.BaseTransport | None) -> int:
-    """How long ago the last bytes came, nanoseconds, true to `TICK_NS`; 0 where the kernel does not tell, or
-    just now.
-    """
+    """How long ago the last bytes came, nanoseconds, true to `TICK_NS`; 0 where the kernel does not tell."""
     sock = transport.get_extra_info("socket") if transport is not None else None
     if sock is None or TCP_INFO is None:
         return 0
@@ -31,7 +29,8 @@
 
 
 def came_at(transport: asyncio.BaseTransport | None, now: float) -> float:
-    """When bytes that are read at `now` had come to this machine, at the latest, seconds: earlier than that
-    where this process had no core, or stood still, for longer than a tick.
+    """When bytes that are read at `now` had come to this machine, at the latest, seconds.
+
+    That is before `now` where this process had no core, or stood still, for longer than a tick.
     """
     return now - max(unread_ns(transport) - TICK_NS, 0) / NS_PER_S
