--- a/tests/test_harness.py
+++ b/tests/harness/test_harness.py
@@ -33,7 +33,7 @@
 from holdgw.simulation.search import play_seed
 from tests.helpers import trouble
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent.parent
 ROUTER = f"exec {sys.executable} -m holdgw.router"
 LIMIT_S = 90.0
 SMALL = """
--- a/tests/router/test_endings.py
+++ b/tests/router/test_endings.py
@@ -60,7 +60,7 @@
     run,
 )
 from tests.helpers import S, settings
-from tests.test_sockets import config_of
+from tests.router.test_sockets import config_of
 
 PAGE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"
 NO_LINGER = struct.pack("ii", 1, 0)
--- a/tests/test_sockets.py
+++ b/tests/router/test_sockets.py
@@ -398,7 +398,7 @@
 
 
 def config_of(path: Path, discovery: int) -> Config:
-    facts = orjson.loads((Path(__file__).parent / "facts.json").read_bytes())
+    facts = orjson.loads((Path(__file__).parent.parent / "facts.json").read_bytes())
     told = {
         "name": "n0",
         "listen": "127.0.0.1:1",
--- a/tests/test_simulation_cores.py
+++ b/tests/simulation/test_simulation_cores.py
@@ -11,7 +11,7 @@
 from holdgw.policy.slow_start import SlowStart
 from holdgw.simulation.search import play_seed, search
 
-STORM = load_scenario(str(Path(__file__).resolve().parent.parent / "bench/scenarios/cores-storm.toml"))
+STORM = load_scenario(str(Path(__file__).resolve().parent.parent.parent / "bench/scenarios/cores-storm.toml"))
 
 
 # 67: a killed supervisor that does nearly nothing outlived its kill; the next one found its address in use.
--- a/tests/test_simulation_play.py
+++ b/tests/simulation/test_simulation_play.py
@@ -33,7 +33,7 @@
 from holdgw.simulation.search import last_events, play_seed, search
 from holdgw.simulation.shrink import as_toml, shrink
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parent.parent.parent
 TINY = """
 name = "tiny"
 length_s = {length}
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -6,7 +6,7 @@
 
 from bench.figures import FIGURES
 from bench.mutants import MUTANTS
-from tests.test_simulation_play import in_a_process
+from tests.simulation.test_simulation_play import in_a_process
 
 AGGREGATION = (
     "view-age-ignored",
