--- a/tests/test_suite.py
+++ b/tests/test_suite.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import os
+import shutil
 import subprocess
 import sys
 from pathlib import Path
@@ -39,3 +40,49 @@
     ran = {path.name: path.read_text() for path in tmp_path.glob("ran-*")}
     assert sorted(ran) == [f"ran-{number}" for number in range(4)]
     assert len(set(ran.values())) == 1, ran
+
+
+KNOWN_RED = """tests/test_red.py::test_by_the_named_assertion [3 - 1 <= 1]: too far apart; issue 0
+tests/test_red.py::test_by_another_assertion [3 - 1 <= 1]: too far apart; issue 0
+tests/test_red.py::test_passing [3 - 1 <= 1]: too far apart; issue 0
+"""
+RED = """
+def test_by_the_named_assertion():
+    shown = "figures"
+    assert 3 - 1 <= 1, shown
+
+
+def test_by_another_assertion():
+    assert 3 - 1 <= 1 - 1
+
+
+def test_passing():
+    assert 3 - 1 <= 2
+
+
+def test_unlisted():
+    assert 3 - 1 <= 1
+"""
+
+
+def test_a_known_failure_is_passed_over_by_its_one_assertion_only(tmp_path: Path) -> None:
+    """A listed test fails by every assertion but the one that its line names, and may pass."""
+    (tmp_path / "tests").mkdir()
+    (tmp_path / "KNOWN-RED.txt").write_text(KNOWN_RED)
+    (tmp_path / "tests/test_red.py").write_text(RED)
+    shutil.copy(Path(__file__).with_name("conftest.py"), tmp_path / "tests")
+    environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")}
+    words = ("-q", "-rfx", "-p", "no:cacheprovider", "--rootdir", ".", "-n", "1")
+    ran = subprocess.run(
+        [sys.executable, "-m", "pytest", *words, "tests"],
+        cwd=tmp_path,
+        env=environment,
+        capture_output=True,
+        text=True,
+        check=False,
+    )
+    assert "2 failed, 1 passed, 1 xfailed in " in ran.stdout, ran.stdout + ran.stderr
+    assert "XFAIL tests/test_red.py::test_by_the_named_assertion" in ran.stdout
+    assert "FAILED tests/test_red.py::test_by_another_assertion" in ran.stdout
+    assert "FAILED tests/test_red.py::test_unlisted" in ran.stdout
+    assert "KNOWN RED tests/test_red.py::test_passing [3 - 1 <= 1]: too far apart; issue 0" in ran.stdout
