--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -1,4 +1,4 @@
-"""Feeds the routing policy its events, one at a time, and carries out its actions."""
+"""Passes events to the routing policy, one at a time, and carries out its actions."""
 
 from __future__ import annotations
 
@@ -54,27 +54,28 @@
 from holdgw.wire.unread import NS_PER_MS
 
 SWEEP_INTERVAL_S = 0.02
+"""Time between two checks for event-loop lag and overdue requests."""
 MIN_LOGGED_LAG_NS = NS_PER_S
 OVERDUE_NS = 10 * NS_PER_MS
-"""Time past its deadline after which a request is answered, whatever the routing policy does."""
+"""Time past its deadline after which the dispatcher answers a request that the routing policy has not."""
 MAX_TIMEOUT_FACTOR = 2
-"""The longest timeout that a client may name, as a multiple of its request class's deadline."""
+"""The longest timeout that a client may set, as a multiple of its request class's deadline."""
 
 log = logging.getLogger("holdgw")
 
 
 class SharedState(Protocol):
-    """What the worker processes of one router have in common."""
+    """The state that the worker processes of one router share."""
 
     def claim(self, request_id: bytes) -> bool:
-        """Reserve a request id for this worker; returns whether no worker had it lately."""
+        """Reserve a request id for this worker; returns False if any worker has used it recently."""
 
     def catch_up(self) -> None:
-        """Apply the endpoint update that is on its way to this worker, if there is one."""
+        """Apply endpoint updates that were sent to this worker and are not applied yet."""
 
 
-def find_fault(command: Command, request_class: RequestClass | None) -> str:
-    """The text for a client whose command the settings don't allow; empty where they do."""
+def command_error(command: Command, request_class: RequestClass | None) -> str:
+    """Return the error text for a command that the settings don't allow; empty if they allow it."""
     if request_class is None:
         return "unknown class"
     if command.info.timeout_ms * NS_PER_MS > MAX_TIMEOUT_FACTOR * request_class.deadline_ns:
@@ -85,7 +86,7 @@
 
 
 class Dispatcher(ExchangeOwner):
-    """Holds the open requests and the routing policy, and owns the timers and exchanges between them."""
+    """Owns the open requests, the routing policy and its timers, and starts exchanges with endpoints."""
 
     def __init__(
         self,
@@ -96,17 +97,17 @@
         max_open: int,
         now_ns: Callable[[], int] = time.monotonic_ns,
     ) -> None:
-        """`max_open`: most requests open at a time; `now_ns`: a monotonic clock in nanoseconds."""
+        """`max_open`: the most requests open at a time; `now_ns`: a monotonic clock in nanoseconds."""
         disabled = disabled_features(settings)
         metrics = Metrics((request_class.name for request_class in settings.classes), disabled)
         super().__init__(settings, now_ns, TimerWheel(loop, now_ns), metrics, OpenRequestTable(max_open))
         self.loop = loop
         self.ready = False
-        """Whether there is an endpoint list; until then clients' PING is answered with an error."""
+        """Whether there is an endpoint list; until then a client's PING is answered with an error."""
         self.subscribe: Callable[[], None] = lambda: None
-        """Begins a watch where discovery is polled; set by the owner of the watch."""
+        """Starts a watch where discovery is polled; set by the owner of the watch."""
         self.shared: SharedState | None = None
-        """None: this process is the whole router."""
+        """None if this process is the whole router."""
         self._policy = RoutingPolicy(settings, seed)
         self.uses_load_reports = self._policy.uses_load_reports
         self._pool = pool
@@ -129,10 +130,10 @@
             self._overdue_check.cancel()
         self.timer_wheel.close()
 
-    # Figures
+    # Metrics
 
     def tables(self) -> dict[str, int]:
-        """The number of entries in each table: requests, those past their deadline, and the policy's."""
+        """The sizes of the tables of dispatcher and routing policy, and the counts of overdue requests."""
         overdue = self.open_requests.past_deadline(self.now_ns() - OVERDUE_NS)
         return {
             "requests": len(self.open_requests.by_id),
@@ -145,7 +146,7 @@
         }
 
     def count_running_totals(self, counters: IntervalCounters) -> dict[str, float]:
-        """Count the growth of what has its own running totals; returns the states of now."""
+        """Add the growth of the running totals to `counters`; returns the current values of the gauges."""
         for reason, count in self._policy.rejections_by_reason.items():
             counters.add_growth(f"given up: {reason.value}", count)
         for (class_name, disposition), count in self.metrics.results.items():
@@ -162,47 +163,48 @@
     # What the routing policy has observed
 
     def origin_demand(self) -> dict[str, float]:
-        """Each tenant's calls for the origin a second, admitted or not."""
+        """Each tenant's demand for the origin in calls per second, admitted or not."""
         return self._policy.origin_demand(self.now_ns())
 
     def ejected(self) -> list[str]:
-        """The cache servers that get trial requests only."""
+        """The ids of the ejected cache servers, which get trial requests only."""
         return self._policy.ejected()
 
     def take_observations(self) -> tuple[dict[str, tuple[float, int]], dict[int, int]]:
-        """What was observed since the last call, for other routers.
+        """Return the observations since the last call, for other routers.
 
-        By endpoint: the reported response time in nanoseconds, and when; by slot: requests.
+        By endpoint id: the reported response time and the time of the report, both in nanoseconds; by slot:
+        the number of requests.
         """
         return self._policy.take_observations()
 
     def rebalancing_metrics(self) -> dict[str, float]:
-        """The number of donors and receivers of slots, and the smallest slot retention."""
+        """The numbers of donors and receivers of slots, and the smallest slot retention."""
         return self._policy.rebalancing_metrics()
 
     def handover_state(self) -> HandoverState:
-        """What another process of this router may go on from."""
+        """The routing policy's state, for another process of this router to restore."""
         return self._policy.handover_state(self.now_ns())
 
     def restore(self, state: HandoverState) -> None:
-        """Go on from another process's handover state."""
+        """Restore another process's handover state."""
         self._policy.restore(state, self.now_ns())
 
     # Requests
 
     def request_arrived(self, command: Command, reply: Reply) -> None:
-        """Take a request: from here on it is owed one final answer."""
+        """Open a request or answer it at once; each request gets exactly one final answer."""
         request_id = command.id.decode("ascii")
         now_ns = self.now_ns()
         unread_ns = self._unread_for_ns(reply, now_ns)
         deadline_ns = now_ns + command.info.timeout_ms * NS_PER_MS - unread_ns
-        fault = find_fault(command, self._classes.get(command.info.class_name))
-        if fault:
-            reply.send_error_and_close(fault)
+        error_text = command_error(command, self._classes.get(command.info.class_name))
+        if error_text:
+            reply.send_error_and_close(error_text)
         elif self.open_requests.knows(request_id) or (
             self.shared is not None and not self.shared.claim(command.id)
         ):
-            # Two requests of one id would share attempts, and one would get the other's answer.
+            # Two requests with one id would share attempts, and one would get the other's answer.
             reply.send_error_and_close("duplicate id")
         elif self.open_requests.is_full() or deadline_ns <= now_ns:
             self.reject(command, reply)
@@ -210,11 +212,11 @@
             self._open(OpenRequest(request_id, command, reply, deadline_ns, now_ns - unread_ns), now_ns)
 
     def _unread_for_ns(self, reply: Reply, now_ns: int) -> int:
-        """How long the command may have waited unread, which counts towards its deadline."""
+        """How long the command may have waited unread; this time counts towards its deadline."""
         unread_ns = reply.possible_wait_ns or self._lag_monitor.possible_lag_ns(now_ns)
         if not unread_ns and self._lag_monitor.lagged_recently(now_ns):
-            # After a stall clients' connections are accepted one by one for longer than a sweep: then only
-            # the kernel knows when a command came.
+            # After a stall, accepting clients' connections one by one can take longer than a sweep interval:
+            # then only the kernel knows when a command arrived.
             return reply.unread_ns()
         return unread_ns
 
@@ -223,8 +225,8 @@
         request.reply.request = request
         self.open_requests.by_id[request.id] = request
         if self.interval_counters is not None:
-            hasty = request.deadline_ns - now_ns < self.latency_objective_ns(request.class_name)
-            self.interval_counters.count_client_request(info.is_retry, hasty)
+            has_tight_deadline = request.deadline_ns - now_ns < self.latency_objective_ns(request.class_name)
+            self.interval_counters.count_client_request(info.is_retry, has_tight_deadline)
         self.dispatch(
             RequestArrived(
                 request_id=request.id,
@@ -243,21 +245,21 @@
         reply.send(BUSY)
 
     def client_disconnected(self, reply: Reply) -> None:
-        """The client that waits for this reply has left."""
+        """Cancel the request of a client that disconnected while it waited for this reply."""
         request = reply.request
         if not isinstance(request, OpenRequest):
             return
         request.answered = True
         self.open_requests.release_if_done(request)
         self.dispatch(RequestCancelled(request.id))
-        # An attempt that waits for a connection would otherwise be written later, for nobody.
+        # An attempt that waits for a connection would otherwise be sent later, with no client to answer.
         if request.last_attempt is not None:
             request.last_attempt.cancel()
         if request.stream is not None:
             request.stream.client_disconnected()
 
     def unread_since(self) -> int:
-        """The time since when bytes may lie unread in this process, nanoseconds of its monotonic clock."""
+        """The earliest time at which bytes still unread in this process may have arrived, monotonic ns."""
         now_ns = self.now_ns()
         return now_ns - self._lag_monitor.possible_lag_ns(now_ns)
 
@@ -276,26 +278,27 @@
         lag_ns = self._lag_monitor.beat(self.now_ns())
         if lag_ns > MIN_LOGGED_LAG_NS:
             log.warning("event loop stalled lag_s=%.1f", lag_ns / NS_PER_S)
-        # After a stall this runs before the timers that fell due meanwhile, and would fail requests that the
-        # routing policy is about to reject. Those timers run before what is called soon.
+        # After a stall the sweep runs before the timers that came due meanwhile. A check here would fail
+        # requests that the routing policy is about to reject; `call_soon` defers the check until those timers
+        # have run.
         self._overdue_check = self.loop.call_soon(self._answer_overdue)
 
     def _answer_overdue(self) -> None:
-        """Answer what a fault in the routing policy, or a lost timer, has left past its deadline."""
+        """Answer overdue requests, which a fault in the routing policy or a lost timer left unanswered."""
         overdue = self.open_requests.past_deadline(self.now_ns() - OVERDUE_NS)
         for request in [request for request in overdue if not request.answered]:
             log.warning("request overdue, answering with an error class=%s", request.class_name)
             self._answer(request.id, FAILED, Disposition.ABORTED)
             self.dispatch(RequestCancelled(request.id))
 
-    # The exchanges' side
+    # Called by exchanges (ExchangeOwner)
 
     def parse_load_report(self, report: bytes | None) -> tuple[float, ...] | None:
-        """The numbers of a load report in the order of the settings; None where there is none to read."""
+        """The numbers of a load report in the order of the settings; None if there is no readable report."""
         return resp.parse_load(report, self.settings.load_report_fields) if report else None
 
     def latency_objective_ns(self, class_name: str) -> int:
-        """The latency objective of a request class, nanoseconds."""
+        """The latency objective of a request class in nanoseconds."""
         return self._classes[class_name].latency_objective_ns
 
     def idle_connections_closed(self, endpoint_id: str) -> bool:
@@ -305,9 +308,10 @@
     # The endpoint list
 
     def apply_endpoint_update(self, update: EndpointUpdate) -> None:
-        """Apply an endpoint update: queue the policy's event, update the pool, then let the policy handle it.
+        """Apply an endpoint update to the connection pool and the routing policy.
 
-        So the policy receives the update before the ends of exchanges that follow from it.
+        The policy's event is queued before the pool is updated: so the policy receives the update before the
+        ends of exchanges that the pool's update causes.
         """
         self._events.append(update.change)
         was_handling = self._handling
@@ -320,7 +324,7 @@
 
     def _update_pool(self, update: EndpointUpdate) -> None:
         is_complete = update.change.kind is not UpdateKind.DELTA
-        # A dict and no set: the order in which exchanges end must not depend on the hashes of names.
+        # A dict instead of a set: the order in which exchanges end must not depend on the hashes of names.
         removed = dict.fromkeys(self._pool.endpoints()) if is_complete else {}
         for endpoint in update.change.endpoints:
             if endpoint.state is not EndpointState.READY:
@@ -335,19 +339,19 @@
                 self._origins.discard(endpoint.id)
                 self._pool.add_endpoint(endpoint.id, address, CacheConnection)
         for endpoint_id in removed:
-            # What waits for a connection there ends now; it would reach a draining endpoint much later.
+            # Ends exchanges that wait for a connection, which would reach a draining endpoint much later.
             self._pool.remove_endpoint(endpoint_id)
 
     def discovery_failed(self) -> None:
-        """A poll failed where the routing policy decides when to poll again."""
+        """Tell the routing policy, which decides when to poll again, that a poll failed."""
         self.dispatch(EndpointsChanged(UpdateKind.FAILED))
 
     # Events and actions
 
     def dispatch(self, event: Event) -> None:
-        """Give the routing policy an event; one that actions bring about waits until they are carried out."""
-        # A worker that was held up may find clients' commands and an endpoint update at once, the commands
-        # first: without this it would send to an endpoint that it was told long ago is draining.
+        """Pass the routing policy an event; one caused by an action is queued until all actions are done."""
+        # A worker that was stalled may find clients' commands and an endpoint update at once, and read the
+        # commands first: without this it would send attempts to an endpoint announced long ago as draining.
         if self.shared is not None and not self._handling:
             self.shared.catch_up()
         self._events.append(event)
@@ -370,7 +374,10 @@
             self._handling = False
 
     def _answer_after_fault(self, event: Event) -> None:
-        """A fault in the routing policy must not leave a client without its answer."""
+        """Fail the request whose event raised an exception in the routing policy, if no attempt is in flight.
+
+        Otherwise its client would get no answer.
+        """
         if isinstance(event, RequestArrived | AttemptEnded):
             request = self.open_requests.by_id.get(event.request_id)
             if request is not None and not request.attempts_in_flight:
