--- a/holdgw/router/__init__.py
+++ b/holdgw/router/__init__.py
@@ -1,1 +1,1 @@
-"""The real router: it turns sockets into events of the policy, and the policy's actions into sockets."""
+"""The router process: turns socket I/O into events of the routing policy, and its actions into socket I/O."""
--- a/holdgw/router/__main__.py
+++ b/holdgw/router/__main__.py
@@ -1,4 +1,4 @@
-"""The router: `python -m holdgw.router`. SIGTERM ends it by a graceful shutdown, SIGHUP reloads."""
+"""The router: `python -m holdgw.router`. SIGTERM starts a graceful shutdown, SIGHUP a reload."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 def main() -> int:
     """Run the router; returns the exit code."""
-    # Until the loop handles it, SIGHUP would end the process. A reload that is asked for so early is not
-    # missed: the file is read after this.
+    # Until the event loop handles SIGHUP, the signal would end the process. No reload is missed by ignoring
+    # it here: the file is read later.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = load_config(os.environ)
--- a/holdgw/router/aggregator_program.py
+++ b/holdgw/router/aggregator_program.py
@@ -1,7 +1,7 @@
-"""A dedicated aggregator: a member among the routers that merges their load reports, and nothing else.
+"""A dedicated aggregator: a member that merges the load reports of the routers, and routes nothing.
 
 `python -m holdgw.router.aggregator_program` reads the same configuration as a router, accepts no clients, and
-does not call discovery. SIGTERM ends it, once it has notified the others that it leaves.
+does not call discovery. On SIGTERM it notifies the other members that it leaves, and ends.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class AggregatorProgram:
-    """The aggregator's parts; `run` is its whole life, and closes them."""
+    """The aggregator's components; `run` starts them, serves until SIGTERM, and closes them."""
 
     def __init__(self, config: Config, peers: PeerConfig, platform: Platform | None = None) -> None:
         self.config = config
@@ -52,11 +52,11 @@
     # The owner's side of PeerNode (peers.gossip.PeerOwner): an aggregator has no load of its own
 
     def take_observations(self) -> Observations:
-        """Nothing."""
+        """Nothing: an aggregator sends no requests."""
         return Observations({}, {})
 
     def demands(self) -> dict[str, float]:
-        """Nothing."""
+        """Nothing: an aggregator has no clients."""
         return {}
 
     def apply_load_snapshot(self, snapshot: LoadSnapshot) -> None:
@@ -65,7 +65,7 @@
     # The calls of the admin endpoint (operation.admin_endpoint.AdminOperations)
 
     def can_serve(self) -> bool:
-        """Whether it aggregates."""
+        """Whether the aggregator has not been told to shut down."""
         return not self._shutdown_requested.is_set()
 
     def metrics_text(self) -> bytes:
@@ -82,7 +82,7 @@
 
 
 def aggregator_config(config: Config) -> PeerConfig:
-    """This process's place among the peers; raises ConfigError where it is no aggregator there."""
+    """Return this process's place among the peers; raises ConfigError if it is no listed aggregator."""
     if config.peers is None:
         raise ConfigError("the settings allow no peers, or the file names none")
     if config.peers.number not in config.peers.aggregators:
--- a/holdgw/router/config.py
+++ b/holdgw/router/config.py
@@ -1,6 +1,6 @@
-"""The configuration: the JSON file named by LB_CONFIG, and the environment variables that go before it.
+"""The configuration: the JSON file named by LB_CONFIG, and the environment variables that override it.
 
-This is the one module that knows the names of the file's keys.
+No other module knows the names of the file's keys.
 """
 
 from __future__ import annotations
@@ -23,46 +23,46 @@
 DEFAULT_MEMORY_MIB = 192
 DEFAULT_MAX_DESCRIPTORS = 1024
 MAX_DESCRIPTOR_DIGITS = 6
-BITS_OF_MIB = 20
+MIB_SHIFT = 20
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text is one plain line."""
+    """The configuration is invalid; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration in the router's own terms."""
+    """The configuration of a router or an aggregator, checked and with defaults filled in."""
 
     name: str
-    """The router's name in its log."""
+    """The name in each log line."""
     listen_address: Address
-    """Where clients connect, unless `passed_descriptor` is set."""
+    """The address at which clients connect, unless `passed_descriptor` is set."""
     discovery_address: Address
     seed: int
     """The seed of the routing policy's random choices."""
     settings: Settings
     """The routing policy's settings."""
     max_open_requests: int
-    """Most requests open at a time; more are rejected."""
+    """The most requests open at a time; further ones are rejected."""
     dial_timeout_ns: int
-    """Time for a connection to an endpoint to come up."""
+    """Timeout for establishing a connection to an endpoint."""
     hedging_allowed: bool
     """Whether a request may have two attempts in flight at a time."""
     idle_timeout_ns: int
-    """Time after which cache servers close an idle connection, at the latest."""
+    """The longest time after which cache servers close an idle connection."""
     memory_bytes: int
-    """Memory over which the process is killed."""
+    """Memory limit above which the system kills the process."""
     max_descriptors: int
     """The process's limit of file descriptors."""
     admin_address: Address | None
-    """The admin endpoint's address; None: there is none."""
+    """The admin endpoint's address; None if there is no admin endpoint."""
     passed_descriptor: int | None
-    """The clients' listening socket, where the system holds it and passes it on; None: it does not."""
+    """Descriptor of a listening socket for clients that the system passes to the process, if any."""
     peers: PeerConfig | None
-    """The other routers, where the settings allow any exchange with them."""
+    """This router's place among its peers; None if the settings allow no exchange with them."""
     known_endpoints: dict[str, Any] | None
-    """An endpoint list in discovery's form, maybe old, to begin with."""
+    """An endpoint list in discovery's format to start with, possibly outdated."""
 
     @property
     def max_deadline_s(self) -> float:
@@ -75,8 +75,8 @@
 ) -> Config:
     """Read the configuration; raises ConfigError.
 
-    Environment variables go before the file's keys, but not when it is read `again`: they are as old as the
-    process, and would hide what a new file names.
+    Environment variables override the file's keys, except when the file is read `again`: the variables date
+    from the start of the process, and would hide values that have changed in the file.
     """
     path = environ.get("LB_CONFIG")
     if not path:
@@ -105,17 +105,19 @@
         discovery_address=parse_address("discovery", environ.get("LB_DISCOVERY") or document["discovery"]),
         seed=int(str(document.get("seed") or "0"), 16),
         settings=read_settings(settings),
-        max_open_requests=_positive("ceilings.maxOpen", ceilings.get("maxOpen"), DEFAULT_MAX_OPEN_REQUESTS),
-        dial_timeout_ns=_positive(
+        max_open_requests=_read_positive_int(
+            "ceilings.maxOpen", ceilings.get("maxOpen"), DEFAULT_MAX_OPEN_REQUESTS
+        ),
+        dial_timeout_ns=_read_positive_int(
             "ceilings.dialTimeoutNs", ceilings.get("dialTimeoutNs"), DEFAULT_DIAL_TIMEOUT_NS
         ),
         hedging_allowed=bool(ceilings.get("secondCopies")),
-        idle_timeout_ns=_positive(
+        idle_timeout_ns=_read_positive_int(
             "ceilings.idleCloseNs", ceilings.get("idleCloseNs"), DEFAULT_IDLE_TIMEOUT_NS
         ),
-        memory_bytes=_positive("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MIB)
-        << BITS_OF_MIB,
-        max_descriptors=_positive("limits.sockets", limits.get("sockets"), DEFAULT_MAX_DESCRIPTORS),
+        memory_bytes=_read_positive_int("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MIB)
+        << MIB_SHIFT,
+        max_descriptors=_read_positive_int("limits.sockets", limits.get("sockets"), DEFAULT_MAX_DESCRIPTORS),
         admin_address=parse_address("ops", admin_address) if admin_address else None,
         passed_descriptor=_read_descriptor("LB_PASSED_SOCKET", environ.get("LB_PASSED_SOCKET")),
         peers=_read_peers(document, settings) if has_peers else None,
@@ -127,31 +129,31 @@
     return isinstance(value, (int, float)) and not isinstance(value, bool)
 
 
-def _positive(where: str, value: Any, default: int) -> int:
+def _read_positive_int(name: str, value: Any, default: int) -> int:
     if value is None:
         return default
     if not _is_number(value) or value < 1:
-        raise ValueError(f"{where}: expected a number of at least 1, got {value!r}")
+        raise ValueError(f"{name}: expected a number of at least 1, got {value!r}")
     return int(value)
 
 
-def _read_descriptor(where: str, text: str | None) -> int | None:
+def _read_descriptor(name: str, text: str | None) -> int | None:
     if not text:
         return None
     if not text.isdecimal() or len(text) > MAX_DESCRIPTOR_DIGITS:
-        raise ValueError(f"{where}: expected a descriptor's number, got {text!r}")
+        raise ValueError(f"{name}: expected the number of a descriptor, got {text!r}")
     return int(text)
 
 
 def _read_peers(document: dict[str, Any], settings: dict[str, Any]) -> PeerConfig | None:
-    """This router's place among its peers; None where the file names no other router."""
+    """This router's place among its peers; None if the file names no other router."""
     named = require_type("peers", document.get("peers") or [], list)
     addresses = tuple(parse_address("peers", address) for address in named)
     number = settings.get("me", 0)
     if len(addresses) < 2:
         return None
     if isinstance(number, bool) or not isinstance(number, int) or not 0 <= number < len(addresses):
-        raise ValueError(f"settings.me: expected a place in the {len(addresses)} peers, got {number!r}")
+        raise ValueError(f"settings.me: expected an index into the {len(addresses)} peers, got {number!r}")
     zones = settings.get("failureDomains") or []
     zone = zones.index(settings["zone"]) if settings.get("zone") in zones else 0
     return PeerConfig(
@@ -160,12 +162,12 @@
         addresses,
         zone,
         _read_aggregators(document, addresses),
-        update_bytes_per_s=_read_update_bytes(document.get("peer_update_bytes")),
+        update_bytes_per_s=_read_update_rate(document.get("peer_update_bytes")),
     )
 
 
-def _read_update_bytes(value: Any) -> float:
-    """What membership's updates may cost, bytes a second; the default where the file names nothing."""
+def _read_update_rate(value: Any) -> float:
+    """The bandwidth limit of membership updates in bytes per second; the default if the file sets none."""
     if value is None:
         return UPDATE_BYTES_PER_S
     if not _is_number(value) or not value >= MIN_BYTES_PER_S:
@@ -176,7 +178,7 @@
 
 
 def _read_aggregators(document: dict[str, Any], addresses: tuple[Address, ...]) -> tuple[int, ...]:
-    """The numbers of the members that aggregate load reports; none where the file names none."""
+    """The numbers of the members that aggregate load reports; empty if the file names none."""
     numbers = set[int]()
     for named in require_type("peer_aggregators", document.get("peer_aggregators") or [], list):
         address = parse_address("peer_aggregators", named)
--- a/holdgw/router/program.py
+++ b/holdgw/router/program.py
@@ -1,4 +1,4 @@
-"""One router process: its parts, and their life from the start to the graceful shutdown."""
+"""One router process: creates its components and runs them from startup to graceful shutdown."""
 
 from __future__ import annotations
 
@@ -36,23 +36,23 @@
 COUNTERS_VARIABLE = "HOLDGW_TALLY"
 COUNTERS_INTERVAL_S = 1.0
 KNOWN_ENDPOINTS_WAIT_S = 1.0
-"""Time for discovery's first list, after which the one in the configuration must do."""
-UNSTATED_LENGTH_MEMORY_PARTS = 8
-"""One such part of the memory is for long values that can't be passed on as they come."""
-UNSENT_MEMORY_PARTS = 8
-"""One such part of the memory is for answers that clients have not taken."""
+"""Time to wait for discovery's first list; after it the router serves by the one in the configuration."""
+BUFFERED_VALUE_MEMORY_DIVISOR = 8
+"""The memory limit divided by this is the most that long values take which can't be streamed."""
+UNSENT_MEMORY_DIVISOR = 8
+"""The memory limit divided by this is the most that answers take which clients have not read."""
 
 log = logging.getLogger("holdgw")
 
 
 class Program:
-    """A router's parts; `run` is its whole life, and closes them."""
+    """A router's components; `run` starts them, serves until shutdown, and closes them."""
 
     def __init__(self, config: Config, platform: Platform | None = None) -> None:
         self.config = config
         self.platform = platform or Platform()
         self.loop = asyncio.get_running_loop()
-        self._states_to_restore: list[HandoverState] = []  # until there is an endpoint list
+        self._states_to_restore: list[HandoverState] = []  # kept until there is an endpoint list
         self._adoptions: dict[asyncio.Task[None], None] = {}
         self._shutdown_requested = asyncio.Event()
         self._shutting_down = False
@@ -72,7 +72,7 @@
         self.admin_endpoint = AdminEndpoint(self.loop, self)
         self.takeover = Takeover(self.loop, self)
         self.peers = self._create_peers()
-        """This router among its peers; None where it has none."""
+        """This router as a member among its peers; None if it has no peers."""
         if self.platform.environ.get(COUNTERS_VARIABLE):
             self.dispatcher.interval_counters = IntervalCounters()
             self._log_counters()
@@ -85,7 +85,7 @@
             limits.endpoints,
             config.dial_timeout_ns / NS_PER_S,
             config.idle_timeout_ns / NS_PER_S,
-            config.memory_bytes // UNSTATED_LENGTH_MEMORY_PARTS,
+            config.memory_bytes // BUFFERED_VALUE_MEMORY_DIVISOR,
             config.hedging_allowed,
         )
         self.dispatcher = Dispatcher(
@@ -101,7 +101,7 @@
             self.dispatcher,
             limits.clients,
             self.platform.peer_closed,
-            config.memory_bytes // UNSENT_MEMORY_PARTS,
+            config.memory_bytes // UNSENT_MEMORY_DIVISOR,
         )
 
     def _create_peers(self) -> PeerNode | None:
@@ -111,12 +111,12 @@
         tenants = (tenant.name for tenant in config.settings.tenants)
         return PeerNode(self.loop, config.peers, config.seed, self.platform.monotonic_ns, self, tenants)
 
-    # Life
+    # Lifecycle
 
     async def run(self, listening: asyncio.Future[Address] | None = None) -> None:
         """Serve until SIGTERM, and then until all requests are answered.
 
-        `listening` gets the address that clients are accepted at. Raises OSError where none can be.
+        `listening` is set to the address at which clients connect. Raises OSError where it can't be bound.
         """
         await self._start(listening)
         await self._shutdown_requested.wait()
@@ -131,9 +131,9 @@
         config = self.config
         log_callback_errors(self.loop)
         self.loop.add_signal_handler(signal.SIGTERM, self._shutdown_requested.set)
-        folder = self.platform.environ.get("TMPDIR")
-        if config.passed_descriptor is not None and folder:
-            await self.takeover.begin(Path(folder))
+        directory = self.platform.environ.get("TMPDIR")
+        if config.passed_descriptor is not None and directory:
+            await self.takeover.begin(Path(directory))
         if config.known_endpoints is not None:
             known = read_endpoint_list(config.known_endpoints, self.clock, UpdateKind.CACHED)
             self.discovery.resume_from(known.generation)
@@ -148,7 +148,7 @@
             self._ready_timer = self.loop.call_later(KNOWN_ENDPOINTS_WAIT_S, self._become_ready)
 
     async def _start_serving(self, listening: asyncio.Future[Address] | None) -> None:
-        """Accept clients, and follow discovery."""
+        """Start to accept clients and to follow discovery."""
         listener = passed_listener(self.config.passed_descriptor)
         address = await self.clients.listen(self.config.listen_address, listener)
         if listening is not None:
@@ -170,7 +170,7 @@
         self.pool.close()
 
     def _reload(self) -> None:
-        """Read the configuration again; all but the address of discovery needs a restart."""
+        """Read the configuration again and apply discovery's address; all else needs a restart."""
         new = reload_config(self.platform, self.dispatcher.metrics)
         if new is None:
             return
@@ -184,9 +184,9 @@
             passed_descriptor=config.passed_descriptor,
         )
         if comparable != config:
-            log.warning("reload: only the address of discovery is applied, the rest needs a restart")
+            log.warning("reload: only the address of discovery is applied, other changes need a restart")
 
-    # Figures
+    # Metrics
 
     def _log_counters(self) -> None:
         counters = self.dispatcher.interval_counters
@@ -201,7 +201,7 @@
         log.info("%s", counters.log_line(self.platform.unix_ns() / NS_PER_S, states))
 
     def tables(self) -> dict[str, int]:
-        """The number of entries in each of the router's tables, for tests of what is left behind."""
+        """The number of entries in each of the router's tables, for tests that check for leaks."""
         return {
             "adopting": len(self._adoptions),
             "clients": self.clients.connection_count,
@@ -223,7 +223,7 @@
                 self.peers.load_view.set_servers(self.pool.endpoints())
 
     def _become_ready(self) -> None:
-        """There is an endpoint list: restore what waited for it, and announce it to the old process."""
+        """Restore the states that waited for an endpoint list, and notify the old process."""
         if self.dispatcher.ready:
             return
         self.dispatcher.ready = True
@@ -236,17 +236,17 @@
     # The owner's side of PeerNode (peers.gossip.PeerOwner)
 
     def take_observations(self) -> Observations:
-        """What the routing policy observed since the last call."""
+        """The routing policy's observations since the last call."""
         waits, slot_requests = self.dispatcher.take_observations()
         sampled_waits = {endpoint_id: SampledWait(wait, at) for endpoint_id, (wait, at) in waits.items()}
         return Observations(sampled_waits, slot_requests)
 
     def demands(self) -> dict[str, float]:
-        """Each tenant's calls for the origin a second."""
+        """Each tenant's demand for the origin in calls per second."""
         return self.dispatcher.origin_demand()
 
     def apply_load_snapshot(self, snapshot: LoadSnapshot) -> None:
-        """Give the routing policy a snapshot of the load view."""
+        """Pass a snapshot of the load view to the routing policy."""
         slot_shares = dict(snapshot.slot_shares)
         self.dispatcher.dispatch(
             LoadSnapshotChanged(snapshot.waits, slot_shares, snapshot.requests, snapshot.own_requests)
@@ -270,7 +270,7 @@
         )
 
     def enter_maintenance(self, endpoint_id: str) -> None:
-        """Set an administrative override, here and at the router's other processes.
+        """Set an administrative override in all processes of this router.
 
         Raises UnknownEndpointError.
         """
@@ -279,7 +279,7 @@
         self.takeover.broadcast(OverrideChanged(endpoint_id, True, now_ns))
 
     def exit_maintenance(self, endpoint_id: str) -> None:
-        """Clear an administrative override, here and at the router's other processes.
+        """Clear an administrative override in all processes of this router.
 
         Raises UnknownEndpointError.
         """
@@ -290,46 +290,46 @@
     # The owner's side of Takeover (operation.takeover.TakeoverOwner)
 
     def overridden_endpoints(self) -> dict[str, int]:
-        """The administrative overrides, by endpoint id: since when, monotonic ns."""
+        """The administrative overrides: by endpoint id, the monotonic time in ns at which each was set."""
         return self.overrides.overridden
 
     def handover_state(self) -> HandoverState:
-        """What the routing policy passes to another process."""
+        """The routing policy's state, for another process of this router to restore."""
         return self.dispatcher.handover_state()
 
     def apply_override(self, change: OverrideChanged) -> None:
-        """Apply an override that was set or cleared at another process of this router."""
+        """Apply an override that was set or cleared in another process of this router."""
         if change.overridden:
             self._dispatch_update(self.overrides.restore_override(change.endpoint_id, change.at_ns))
         elif change.endpoint_id in self.overrides.overridden:
             self._dispatch_update(self.overrides.exit_maintenance(change.endpoint_id, change.at_ns))
 
     def restore_state(self, state: HandoverState) -> None:
-        """Restore a part of another process's state, once there is an endpoint list."""
+        """Restore a part of another process's handover state, once there is an endpoint list."""
         if self.dispatcher.ready:
             self.dispatcher.restore(state)
         else:
             self._states_to_restore.append(state)
 
     def links_changed(self) -> None:
-        """Divide the descriptors anew: another process of this router has come or gone."""
+        """Divide the descriptors again after another process of this router connected or ended."""
         limits = descriptor_limits(self.config.max_descriptors, 2 if self.takeover.linked else 1)
         self.clients.set_limit(limits.clients)
         self.pool.set_limit(limits.endpoints)
 
     def handover_link(self) -> ProcessLink[Any] | None:
-        """The link to the process that clients' connections go to when this one ends."""
+        """The link to the new process that takes over clients' connections, if there is one."""
         return self.takeover.new_process
 
-    # Clients' connections from elsewhere
+    # Clients' connections that this process did not accept itself
 
     def adopt_client(
         self, handover: ClientHandover | None, descriptor: int, unread_since_ns: int = 0
     ) -> None:
-        """Serve a client's connection that another process or the listener's queue gave.
+        """Serve a client's connection taken over from another process or from the accept queue.
 
-        `unread_since_ns`: without a `handover`, since when its bytes may lie unread, monotonic ns; 0: they
-        have not waited.
+        `unread_since_ns`: without a `handover`, the earliest time at which its unread bytes may have arrived,
+        monotonic ns; 0 if they have not waited.
         """
         if handover is not None:
             unread_since_ns = handover.unread_since_ns
