--- a/holdgw/router/discovery_client.py
+++ b/holdgw/router/discovery_client.py
@@ -10,7 +10,7 @@
 from holdgw.wire.address import Address
 from holdgw.wire.http import HttpError, HttpReader, request
 
-MAX_BODY_BYTES = 8 << 20  # tens of thousands of entries
+MAX_BODY_BYTES = 8 << 20  # enough for tens of thousands of endpoints
 
 
 class _HttpConnection(asyncio.Protocol, HttpReader):
@@ -22,10 +22,10 @@
         self._answer: asyncio.Future[tuple[int, bytes]] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's own class is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
 
     def send_request(self, target: str, host: str) -> asyncio.Future[tuple[int, bytes]]:
-        """Send a GET request; the future gives the answer's status and body."""
+        """Send a GET request; the future's result is the answer's status and body."""
         assert self.transport is not None
         self._answer = asyncio.get_running_loop().create_future()
         self.transport.write(request("GET", target, host))
@@ -72,8 +72,8 @@
         Raises:
             TimeoutError: There is no answer within `timeout_s` seconds.
             OSError: The connection failed.
-            HttpError: The answer is no HTTP.
-            ValueError: The status is not 200, or the body is no JSON.
+            HttpError: The answer is not valid HTTP.
+            ValueError: The status is not 200, or the body is not valid JSON.
         """
         try:
             async with asyncio.timeout(timeout_s):
@@ -83,7 +83,7 @@
                 host, port = self._address
                 status, body = await self._connection.send_request(target, f"{host}:{port}")
         except BaseException:
-            # The late answer of an abandoned call would be taken for the next one's.
+            # On a reused connection the late answer to an abandoned call would be taken for the next answer.
             self.close()
             raise
         if status != 200:
@@ -91,6 +91,6 @@
         return orjson.loads(body)
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection."""
         if self._connection is not None:
             self._connection.close()
--- a/holdgw/router/endpoint_list.py
+++ b/holdgw/router/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Reads endpoint lists in discovery's JSON form; the one module that knows its field names."""
+"""Reads endpoint lists in discovery's JSON format; no other module knows its field names."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Clock:
-    """Converts Unix times to times of the monotonic clock, always by the same difference."""
+    """Converts Unix times to monotonic times, by the difference between both clocks at its creation."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self._difference_ns = unix_ns() - monotonic_ns()
 
     def monotonic(self, unix_ms: int) -> int:
-        """The monotonic time in nanoseconds; 0 stays 0, for long ago."""
+        """Return the monotonic time in nanoseconds; 0, which stands for long ago, stays 0."""
         return unix_ms * NS_PER_MS - self._difference_ns if unix_ms else 0
 
 
@@ -39,10 +39,10 @@
     Args:
         body: The decoded document.
         clock: Converts the start times of endpoints.
-        kind: What the update is taken for; None: as the document says.
+        kind: The kind of the update; None for the kind that the document states.
 
     Raises:
-        ValueError: It is no list, or none of its entries can be read.
+        ValueError: The document is not a list, or none of its entries can be read.
     """
     endpoints: dict[str, Endpoint] = {}
     addresses: dict[str, Address] = {}
@@ -54,8 +54,9 @@
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"not a list of servers: {type(error).__name__}: {error}") from None
     for entry in entries:
-        # One malformed entry must not void the others, draining endpoints among them: the same list would be
-        # polled again and again. A list of malformed entries alone is refused, as it would empty ours.
+        # One malformed entry must not invalidate the others, which may report draining endpoints: the same
+        # list would be polled again and again. A list with only malformed entries is refused, because it
+        # would empty the endpoint list.
         try:
             endpoint = _read_endpoint(entry, clock)
             if endpoint.state is not EndpointState.GONE:
--- a/holdgw/router/graceful_shutdown.py
+++ b/holdgw/router/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: clients are answered, then closed or handed over to another process."""
+"""Graceful shutdown: answers all clients, then closes their connections or hands them over."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from holdgw.router.client_listener import ClientListener
 
 ACCEPT_AFTER_SIGTERM_S = 0.5
-"""Time for which connections are still accepted: new ones keep coming for up to 0.4 s."""
+"""Time for which connections are still accepted: clients keep connecting for up to 0.4 s."""
 PARTIAL_COMMAND_WAIT_S = 0.65
-"""Time from SIGTERM on after which a command that is not complete is no longer waited for."""
+"""Time after SIGTERM for which the router waits for the rest of a partly received command."""
 SHUTDOWN_SLACK_S = 0.65
-"""Time beyond the longest deadline; SIGKILL comes no sooner than 0.7 s beyond it."""
+"""Time beyond the longest deadline; SIGKILL follows no sooner than 0.7 s beyond that deadline."""
 POLL_INTERVAL_S = 0.01
 
 log = logging.getLogger("holdgw")
 
 
 class ShutdownOwner(Protocol):
-    """What a shutdown calls of the process that it ends."""
+    """The process that is shut down, as `GracefulShutdown` uses it."""
 
     def handover_link(self) -> ProcessLink[Any] | None:
-        """The link to the process that takes clients' connections over; None: they are closed."""
+        """The link to the process that takes over clients' connections; None if they are to be closed."""
 
     def adopt_client(self, handover: ClientHandover | None, descriptor: int) -> None:
-        """Serve a connection that has been accepted; nothing has been read of it."""
+        """Serve an accepted connection from which nothing has been read."""
 
 
 class GracefulShutdown:
-    """One shutdown, created when it starts; it is over before the process is killed."""
+    """One shutdown, created when it starts; it ends before the process would be killed."""
 
     def __init__(
         self,
@@ -49,15 +49,15 @@
         self._partial_commands_until_s = started_s + PARTIAL_COMMAND_WAIT_S
 
     async def run(self) -> None:
-        """Return once no client is connected, or the time is over."""
+        """Return once no client is connected, or the time limit has passed."""
         if self._owner.handover_link() is not None:
             await self._hand_over()
         else:
             await self._drain()
 
     async def _drain(self) -> None:
-        """Close every client's connection as soon as all that was received on it is answered."""
-        # Clients are sent here for a while yet; a listener that is closed would reset their connections.
+        """Close each client's connection once all commands received on it are answered."""
+        # Clients are still directed here for a while; closing the listener now would reset their connections.
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         queued = self._clients.accept_queued()
         self._clients.stop_accepting()
@@ -68,8 +68,8 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _hand_over(self) -> None:
-        """Give every client's connection to the other process as soon as all on it is answered."""
-        self._clients.stop_accepting()  # the other process accepts on the same socket
+        """Hand each client's connection to the new process once all commands on it are answered."""
+        self._clients.stop_accepting()  # the new process accepts on the same socket
         handed_over = 0
         while self._clients.connection_count and self._loop.time() < self._end_by_s:
             link = self._owner.handover_link()
--- a/holdgw/router/log.py
+++ b/holdgw/router/log.py
@@ -1,4 +1,4 @@
-"""The log on standard error, with a bound on its rate: a fault that repeats must not take the CPU."""
+"""Logging to standard error with a rate limit, so that a recurring fault can't use up the CPU."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class _RateLimit(logging.Filter):
-    """Passes the first lines of each second, and counts the rest."""
+    """Passes the first MAX_LINES_PER_S lines of each second, and counts the others."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,7 +34,7 @@
 
 
 def configure_logging(name: str) -> None:
-    """Send the log of this process to standard error, each line with the router's name."""
+    """Log this process's messages to standard error, each line with the router's name."""
     handler = logging.StreamHandler()
     handler.setFormatter(logging.Formatter(f"%(asctime)s {name} %(levelname)s %(message)s"))
     handler.addFilter(_RateLimit())
@@ -45,7 +45,7 @@
 
 
 def log_callback_errors(loop: asyncio.AbstractEventLoop) -> None:
-    """Send the exceptions of the loop's callbacks to the log, and so through its rate limit."""
+    """Log exceptions in the event loop's callbacks, subject to the rate limit."""
     log = logging.getLogger("holdgw")
     loop.set_exception_handler(
         lambda _, context: log.error("%s", context["message"], exc_info=context.get("exception"))
--- a/holdgw/router/peer_metrics.py
+++ b/holdgw/router/peer_metrics.py
@@ -1,4 +1,4 @@
-"""What the metrics say of a router or an aggregator as a member among its peers."""
+"""The metrics of a router or an aggregator as a member among its peers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def peer_metrics(peers: PeerNode) -> PeerMetrics:
-    """The figures of a member now."""
+    """The current metrics of a member."""
     return PeerMetrics(
         members=peers.state_counts(),
         load_view=peers.view_counts(),
--- a/holdgw/router/platform.py
+++ b/holdgw/router/platform.py
@@ -1,6 +1,6 @@
-"""What a router takes from the system it runs on, beside its event loop: clocks, environment, files, sockets.
+"""A router's interface to the operating system beside its event loop: clocks, environment, files, sockets.
 
-A simulated process is given others of each; a real one takes the defaults.
+A real process uses the defaults; a simulated process is given substitutes.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def peer_closed(transport: Any) -> bool:
-    """Whether the other side of a connection has closed or reset it, even behind bytes not read yet."""
+    """Whether the other side has closed or reset a connection, even if unread bytes precede the close."""
     sock = transport.get_extra_info("socket")
     descriptor = sock.fileno() if sock is not None else -1
     if descriptor < 0:
@@ -37,7 +37,7 @@
 
 
 def accept_queued(listeners: Iterable[Any], max_count: int) -> list[int]:
-    """Accept connections that wait at listeners, `max_count` at most; the caller owns the descriptors."""
+    """Accept at most `max_count` connections queued at listeners; the caller owns the descriptors."""
     accepted: list[int] = []
     for listener in listeners:
         descriptor = listener.fileno()
@@ -49,25 +49,25 @@
             while len(accepted) < max_count:
                 accepted.append(sock.accept()[0].detach())
         except OSError:
-            pass  # none is left, or there is no descriptor for it
+            pass  # the queue is empty, or the process has no free descriptor
         finally:
             sock.detach()
     return accepted
 
 
 def passed_listener(descriptor: int | None) -> socket.socket | None:
-    """The listening socket that the system passed in, if any; raises OSError where it is no such socket."""
+    """The listening socket that the system passed to the process, if any; raises OSError if it isn't one."""
     if descriptor is None:
         return None
     sock = socket.socket(fileno=descriptor)
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        raise OSError(f"LB_PASSED_SOCKET: descriptor {descriptor} listens to nobody")
+        raise OSError(f"LB_PASSED_SOCKET: descriptor {descriptor} is not a listening socket")
     return sock
 
 
 @dataclass(frozen=True, slots=True)
 class Platform:
-    """The system's side. Both clocks count nanoseconds; only `unix_ns` may jump or go back."""
+    """The system as a router sees it. Both clocks count nanoseconds; only `unix_ns` may jump or go back."""
 
     monotonic_ns: Callable[[], int] = time.monotonic_ns
     unix_ns: Callable[[], int] = time.time_ns
--- a/holdgw/router/process.py
+++ b/holdgw/router/process.py
@@ -1,4 +1,4 @@
-"""The beginning and the end of a router's processes, whatever they serve as."""
+"""Startup and exit of all kinds of router processes: usage errors, the event loop, exit codes."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def report_usage_error(error: Exception) -> int:
-    """Print why a process can't start; returns its exit code."""
+    """Print why the process can't start; returns its exit code."""
     print(f"holdgw: {error}", file=sys.stderr)
     return EXIT_USAGE
 
 
 def describe_build() -> str:
-    """Which of the package's loaded modules are compiled, in one line for the log."""
+    """Say how many of the package's loaded modules are compiled, in one line for the log."""
     modules = [module for name, module in sys.modules.items() if name.startswith("holdgw.")]
     compiled = sum(not (getattr(module, "__file__", None) or ".py").endswith(".py") for module in modules)
     if compiled:
@@ -33,12 +33,13 @@
 
 
 def run_until_exit(main: Callable[[], Coroutine[Any, Any, None]]) -> int:
-    """Run a process's main coroutine on its event loop; returns the exit code."""
-    # A collection of all generations visits every module's objects, 10 to 20 ms in which every client waits.
-    # What exists now exists until the end, and need not be visited.
+    """Run the process's main coroutine on its event loop; returns the exit code."""
+    # A garbage collection of all generations visits the objects of all modules, which stalls every client for
+    # 10 to 20 ms. Objects that exist now live until the process ends, and need not be visited.
     gc.collect()
     gc.freeze()
-    # A build without a compiler falls back to the sources, which otherwise shows by the load only.
+    # A build without a compiler falls back to the Python sources; without this line only the higher CPU load
+    # would show that.
     log.info("%s", describe_build())
     try:
         uvloop.run(main())
@@ -49,6 +50,6 @@
 
 
 def python_with(module: str, *arguments: str) -> list[str]:
-    """The command that runs a module of this package with this process's interpreter and module path."""
+    """The command line that runs a module with this process's interpreter and module path."""
     flags = ["-P"] if sys.flags.safe_path else []
     return [sys.executable, *flags, "-m", module, *arguments]
--- a/holdgw/router/reload.py
+++ b/holdgw/router/reload.py
@@ -12,12 +12,12 @@
 
 
 def reload_config(platform: Platform, metrics: Metrics) -> Config | None:
-    """Read the configuration again; None, logged and counted, where it can't be read."""
+    """Read the configuration again; logs and counts the result, and returns None if it is invalid."""
     try:
         config = load_config(platform.environ, again=True, read=platform.read)
     except ConfigError as error:
         metrics.reloads_rejected += 1
-        log.error("reload: rejected, the old configuration stays error=%s", error)
+        log.error("reload: rejected, the old configuration stays in use error=%s", error)
         return None
     metrics.reloads_applied += 1
     log.info("reload: applied discovery=%s:%d", *config.discovery_address)
--- a/holdgw/router/timer_wheel.py
+++ b/holdgw/router/timer_wheel.py
@@ -1,8 +1,9 @@
-"""Timers by the millisecond, all on one timer of the event loop.
+"""Timers with a resolution of one millisecond, all driven by one timer of the event loop.
 
-Nearly every timer is cancelled, because an attempt has its answer long before. An entry in a table costs a
-tenth of a timer of the event loop. (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels", 1987, scheme
-6; a heap orders the ticks in use, for a quiet router has few of them, and far apart.)
+Nearly every timer is cancelled, because an attempt is answered long before its timeout. An entry in a table
+costs a tenth of a timer of the event loop. The method is scheme 6 of Varghese and Lauck, "Hashed and
+Hierarchical Timing Wheels", 1987; a heap orders the ticks in use, because at low load these are few and far
+apart.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from holdgw.policy import NS_PER_S
 
 TICK_NS = 1_000_000
-"""Resolution; the event loop's own timers are no finer."""
+"""Resolution of the timers; the event loop's own timers have no finer one."""
 LOOP_ROUNDING_S = 0.0005
 """Half the event loop's resolution: it rounds delays to the nearest millisecond."""
 
 
 class Timer:
-    """One timer; its callback is called once or not at all."""
+    """One timer; its callback is called at most once."""
 
     __slots__ = ("_wheel", "callback", "tick")
 
@@ -28,17 +29,17 @@
         self._wheel = wheel
         self.tick = tick
         self.callback: Callable[[], None] | None = callback
-        """None: called or cancelled."""
+        """None once called or cancelled."""
 
     def cancel(self) -> None:
-        """Never call back."""
+        """Cancel the callback, if it has not been called."""
         if self.callback is not None:
             self.callback = None
             self._wheel.remove(self)
 
 
 class TimerWheel:
-    """All timers of one owner, who closes it."""
+    """The timers of one owner, which closes the wheel."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, now_ns: Callable[[], int]) -> None:
         """`now_ns`: a monotonic clock in nanoseconds."""
@@ -55,7 +56,7 @@
         return sum(map(len, self._timers_by_tick.values()))
 
     def call_at(self, due_ns: int, callback: Callable[[], None]) -> Timer:
-        """Call back once the clock shows `due_ns`, never before and at most a few milliseconds later."""
+        """Call back once the clock shows `due_ns`, never before that and at most a few milliseconds later."""
         tick = -(-due_ns // TICK_NS)
         timer = Timer(self, tick, callback)
         if self._closed:
@@ -71,13 +72,13 @@
         return timer
 
     def remove(self, timer: Timer) -> None:
-        """Forget a timer. Its tick stays until its time has come: at most one for each millisecond."""
+        """Remove a timer. Its tick stays in the heap until it is due: at most one for each millisecond."""
         timers = self._timers_by_tick.get(timer.tick)
         if timers is not None:
             timers.pop(timer, None)
 
     def close(self) -> None:
-        """Forget all timers; those set later are never called."""
+        """Remove all timers; those set later are never called."""
         self._closed = True
         if self._loop_timer is not None:
             self._loop_timer.cancel()
@@ -98,14 +99,14 @@
         due: list[Timer] = []
         while self._ticks and self._ticks[0] * TICK_NS <= now_ns:
             due += self._timers_by_tick.pop(heappop(self._ticks))
-        # The ticks are not looked at again here: a callback that sets a timer for now would be called in this
-        # turn, and so on without end.
+        # The heap is not checked again here: a callback that always sets a timer for now would keep this call
+        # from returning.
         for timer in due:
             self._call(timer)
         self._arm_again()
 
     def _call(self, timer: Timer) -> None:
-        """Call a timer back; an exception there must not cost the others their callbacks."""
+        """Call a timer's callback; an exception there must not keep the other timers from being called."""
         callback = timer.callback
         timer.callback = None
         if callback is not None:
@@ -116,7 +117,7 @@
                 self._loop.call_exception_handler(context)
 
     def _arm_again(self) -> None:
-        # Not in `_fire`: there the type checker, and so the compiled code, holds the timer for None,
-        # though a callback may have set it.
+        # A method of its own: within `_fire` the type checker, and so the compiled code, takes `_loop_timer`
+        # for None, though a callback may have set it.
         if self._ticks and self._loop_timer is None:
             self._arm()
--- a/tests/operation/test_admin_endpoint.py
+++ b/tests/operation/test_admin_endpoint.py
@@ -181,7 +181,7 @@
         ours, theirs = socket.socketpair()
         config(tmp_path, 9)
         environ = {"LB_CONFIG": str(tmp_path / "config.json"), "LB_PASSED_SOCKET": str(os.dup(ours.fileno()))}
-        with pytest.raises(OSError, match="listens to nobody"):
+        with pytest.raises(OSError, match="is not a listening socket"):
             await Program(load_config(environ)).run()
         ours.close()
         theirs.close()
