--- a/holdgw/router/config.py
+++ b/holdgw/router/config.py
@@ -129,19 +129,19 @@
     return isinstance(value, (int, float)) and not isinstance(value, bool)
 
 
-def _read_positive_int(name: str, value: Any, default: int) -> int:
+def _read_positive_int(setting_name: str, value: Any, default: int) -> int:
     if value is None:
         return default
     if not _is_number(value) or value < 1:
-        raise ValueError(f"{name}: expected a number of at least 1, got {value!r}")
+        raise ValueError(f"{setting_name}: expected a number of at least 1, got {value!r}")
     return int(value)
 
 
-def _read_descriptor(name: str, text: str | None) -> int | None:
+def _read_descriptor(setting_name: str, text: str | None) -> int | None:
     if not text:
         return None
     if not text.isdecimal() or len(text) > MAX_DESCRIPTOR_DIGITS:
-        raise ValueError(f"{name}: expected the number of a descriptor, got {text!r}")
+        raise ValueError(f"{setting_name}: expected the number of a descriptor, got {text!r}")
     return int(text)
 
 
