--- a/holdgw/router/config.py
+++ b/holdgw/router/config.py
@@ -75,8 +75,8 @@
 ) -> Config:
     """Read the configuration; raises ConfigError.
 
-    Environment variables override the file's keys, except when the file is read `again`: the variables date
-    from the start of the process, and would hide values that have changed in the file.
+    Environment variables override the file's keys, except on a reload: the variables date from the start of
+    the process, and would hide values that have changed in the file.
     """
     path = environ.get("LB_CONFIG")
     if not path:
