--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -394,7 +394,7 @@
                 "",
             ),
         ),
-        test="tests/router/test_endings.py::test_nothing_begins_for_a_client_that_left_while_waiting_for_a_place",
+        test="tests/router/test_endings.py::test_no_attempt_is_sent_for_a_client_that_left_while_waiting_for_a_connection",
     ),
     "drain-at-decision": Mutant(
         "a drain is looked at when a request is decided on, and no more when it is written",
@@ -410,7 +410,7 @@
                 "connection.retired = endpoint.address != address",
             ),
         ),
-        test="tests/router/test_endings.py::test_a_dial_to_a_server_that_drains_meanwhile_carries_nothing",
+        test="tests/router/test_endings.py::test_a_connection_to_an_endpoint_that_began_draining_sends_nothing",
     ),
     "close-unread": Mutant(
         "a connection is closed without reading what is left",
@@ -418,14 +418,14 @@
         "        self.transport.write_eof()\n",
         "        self.transport.close()\n",
         test="tests/router/test_endings.py::"
-        "test_a_request_that_crosses_the_end_of_a_resting_connection_is_none_and_resets_nothing",
+        "test_a_request_arriving_as_an_idle_connection_is_closed_is_ignored_without_a_reset",
     ),
     "pause-unbounded": Mutant(
         "pauses between calls to discovery grow without a bound that counts the call's own wait",
         "holdgw.policy.endpoint_subscription",
         "        return min(NS_PER_S << min(self._failures, MAX_DOUBLINGS), MAX_BACKOFF_NS)\n",
         "        return NS_PER_S << min(self._failures, MAX_DOUBLINGS)\n",
-        test="tests/router/test_endings.py::test_the_longest_waits_added_up_stay_within_what_counts_as_told",
+        test="tests/router/test_endings.py::test_the_sum_of_the_longest_waits_stays_within_the_notification_bound",
     ),
     "reset-is-an-end": Mutant(
         "a reset ends a body without a length",
@@ -433,7 +433,7 @@
         "        if exc is None and self.exchange is not None and self._reader.ended():\n",
         "        if self.exchange is not None and self._reader.ended():\n",
         test="tests/router/test_endings.py::"
-        "test_a_page_without_a_length_ends_with_its_connection_and_not_with_a_reset",
+        "test_an_answer_without_a_length_ends_with_a_close_and_not_with_a_reset",
     ),
     "cold-undivided": Mutant(
         "each router has the whole of a cold server's budget",
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -34,7 +34,7 @@
 from bench.scale_report import drawn, plain
 from bench.scale_rig import Cast, Played, Program, Rig
 from holdgw.harness.deployment import build, run_command
-from holdgw.router.process import python_with
+from holdgw.router.process import python_command
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = ROOT / "deploy/balancer.toml"
@@ -281,7 +281,7 @@
     """Measure, print, draw; returns the exit code."""
     told = options()
     if told.sources:
-        program = Program("exec " + " ".join(python_with("holdgw.router")), ROOT, str(ROOT))
+        program = Program("exec " + " ".join(python_command("holdgw.router")), ROOT, str(ROOT))
     else:
         program = Program(run_command(DEPLOY), ROOT, f"{ROOT / '.native'}:{ROOT}")
     code = 0
--- a/bench/slopes_lists.py
+++ b/bench/slopes_lists.py
@@ -80,7 +80,7 @@
     path.write_bytes(orjson.dumps(told))
     readings.add("configuration bytes", routers, path.stat().st_size / 1e3)
     environ = {"LB_CONFIG": str(path)}
-    seconds, _ = cpu_of(lambda: [load_config(environ, again=True) for _ in range(TIMES)])
+    seconds, _ = cpu_of(lambda: [load_config(environ, is_reload=True) for _ in range(TIMES)])
     readings.add("configuration read", routers, seconds / TIMES * 1e3)
 
 
--- a/holdgw/cli/run.py
+++ b/holdgw/cli/run.py
@@ -9,7 +9,7 @@
 import typer
 
 from holdgw.router.__main__ import main as run_router
-from holdgw.router.process import python_with
+from holdgw.router.process import python_command
 
 
 def run(
@@ -23,4 +23,4 @@
         raise typer.Exit(run_router())
     # The same process, without this command's libraries: a supervisor lives as long as the router.
     sys.stdout.flush()
-    os.execv(sys.executable, python_with("holdgw.cores", str(cores)))
+    os.execv(sys.executable, python_command("holdgw.cores", str(cores)))
--- a/holdgw/cores/host_system.py
+++ b/holdgw/cores/host_system.py
@@ -20,7 +20,7 @@
 from holdgw.router.client_listener import ClientListener, duplicate_descriptor
 from holdgw.router.config import Config, ConfigError
 from holdgw.router.platform import passed_listener
-from holdgw.router.process import python_with
+from holdgw.router.process import python_command
 from holdgw.wire.address import Address
 
 INDEX_VARIABLE = "HOLDGW_PLACE"
@@ -236,7 +236,7 @@
         slot = WorkerSlot(index, workers, there.fileno(), self._table_descriptor)
         try:
             process = await asyncio.create_subprocess_exec(
-                *python_with("holdgw.cores.worker"),
+                *python_command("holdgw.cores.worker"),
                 env={**environ, **slot.variables(), "PYTHONHASHSEED": self._hash_seed},
                 pass_fds=(there.fileno(), self._table_descriptor),
             )
--- a/holdgw/router/config.py
+++ b/holdgw/router/config.py
@@ -71,7 +71,7 @@
 
 
 def load_config(
-    environ: Mapping[str, str], again: bool = False, read: Callable[[str], bytes] = read_file
+    environ: Mapping[str, str], is_reload: bool = False, read: Callable[[str], bytes] = read_file
 ) -> Config:
     """Read the configuration; raises ConfigError.
 
@@ -83,7 +83,7 @@
         raise ConfigError("LB_CONFIG is not set")
     try:
         document = require_type("the file", orjson.loads(read(path)), dict)
-        return _read_config(document, {} if again else environ)
+        return _read_config(document, {} if is_reload else environ)
     except OSError as error:
         raise ConfigError(f"LB_CONFIG: {error}") from None
     except KeyError as error:
--- a/holdgw/router/process.py
+++ b/holdgw/router/process.py
@@ -49,7 +49,7 @@
     return EXIT_OK
 
 
-def python_with(module: str, *arguments: str) -> list[str]:
+def python_command(module: str, *arguments: str) -> list[str]:
     """The command line that runs a module with this process's interpreter and module path."""
     flags = ["-P"] if sys.flags.safe_path else []
     return [sys.executable, *flags, "-m", module, *arguments]
--- a/holdgw/router/reload.py
+++ b/holdgw/router/reload.py
@@ -14,7 +14,7 @@
 def reload_config(platform: Platform, metrics: Metrics) -> Config | None:
     """Read the configuration again; logs and counts the result, and returns None if it is invalid."""
     try:
-        config = load_config(platform.environ, again=True, read=platform.read)
+        config = load_config(platform.environ, is_reload=True, read=platform.read)
     except ConfigError as error:
         metrics.reloads_rejected += 1
         log.error("reload: rejected, the old configuration stays in use error=%s", error)
--- a/tests/processes/test_endings.py
+++ b/tests/processes/test_endings.py
@@ -20,7 +20,7 @@
 from holdgw.router.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT
 from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Cache, command, entry, read, run
 from tests.helpers import S
-from tests.router.test_endings import Mute
+from tests.router.test_endings import UnresponsiveAgent
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("processes, faults")]
 
@@ -37,7 +37,7 @@
         self.folder = folder
         self.go = asyncio.Event()
         self.caches = [Cache(self._answer), Cache(self._answer)]
-        self.agent = Mute([])
+        self.agent = UnresponsiveAgent([])
         self.processes: list[asyncio.subprocess.Process] = []
         self.addresses: list[tuple[str, int]] = []
 
@@ -235,14 +235,14 @@
         async with fleet(tmp_path) as play:
             play.go.set()
             await asyncio.wait_for(play.agent.watched.wait(), LIMIT_S)
-            play.agent.mute = 1 << 30
+            play.agent.ignores = 1 << 30
             idle = [await play.dial(i) for _ in range(SOCKETS) for i in range(ROUTERS)]
             # It comes back, and knows one server alone, to which no router has a connection.
             new = Cache(play._answer)
             await new.start()
             play.agent.instances = [entry("s9", new.port)]
             play.agent.generation += 1
-            play.agent.mute = 0
+            play.agent.ignores = 0
             async with asyncio.timeout(LIMIT_S):
                 asked = 0
                 for i in range(ROUTERS):
@@ -272,10 +272,10 @@
             drains = entry("s0", play.caches[0].port, state="draining")
             play.agent.instances = [drains, *play.agent.instances[1:]]
             play.agent.generation += 1
-            play.agent.mute, play.agent.refuse = ROUTERS, ROUTERS  # what they ask next fails as well
-            asked = play.agent.wholes
+            play.agent.ignores, play.agent.rejects = ROUTERS, ROUTERS  # what they ask next fails as well
+            asked = play.agent.lists
             async with asyncio.timeout(LIMIT_S):
-                while play.agent.refuse or play.agent.mute or play.agent.wholes < asked + 3 * ROUTERS:
+                while play.agent.rejects or play.agent.ignores or play.agent.lists < asked + 3 * ROUTERS:
                     await asyncio.sleep(0.01)
             # Every router asks again and again, and what it is given it has by the next word on its line.
             served = 0
--- a/tests/router/test_aggregator_program.py
+++ b/tests/router/test_aggregator_program.py
@@ -56,7 +56,7 @@
         aggregator_config(config(tmp_path, allowed=False, peer_aggregators=PEERS[1:]))
 
 
-def test_the_update_budget_is_the_files_or_the_default_and_one_too_low_is_an_error(tmp_path: Path) -> None:
+def test_the_update_budget_has_a_default_and_a_value_too_low_is_an_error(tmp_path: Path) -> None:
     plain, told = config(tmp_path).peers, config(tmp_path, peer_update_bytes=250).peers
     assert plain is not None
     assert plain.update_bytes_per_s == UPDATE_BYTES_PER_S
--- a/tests/router/test_attempt_timeout.py
+++ b/tests/router/test_attempt_timeout.py
@@ -104,7 +104,7 @@
     return [int(dict(part.split(b"=", 1) for part in info.split(b","))[b"d"]) for info in infos]
 
 
-def test_each_attempt_at_a_read_tells_what_is_left_to_cache_and_origin() -> None:
+def test_each_attempt_at_a_read_sends_the_remaining_time_to_cache_and_origin() -> None:
     async def play(stage: Stage) -> None:
         stage.origin.breaks = 2
         assert await stage.node.ask(read("r"), len(SERVED)) == SERVED
@@ -114,7 +114,7 @@
     staged(play, MISS)
 
 
-def test_a_further_attempt_at_a_cache_tells_what_is_left() -> None:
+def test_a_second_attempt_at_a_cache_sends_the_remaining_time() -> None:
     async def play(stage: Stage) -> None:
         stage.answers = [b"x", HIT]  # what is no answer is asked for again where it was made
         assert await stage.node.ask(read("r"), len(SERVED)) == SERVED
@@ -123,7 +123,7 @@
     staged(play)
 
 
-def test_each_attempt_at_a_write_tells_what_is_left() -> None:
+def test_each_attempt_at_a_write_sends_the_remaining_time() -> None:
     async def play(stage: Stage) -> None:
         stage.origin.breaks = 1
         write = command(b"KV.SET", b"k", b"w", b"c=edit,t=a,d=900,k=11", b"v")
@@ -145,7 +145,7 @@
         "c=read,x=d=900,t=a,d=%d,h=900",
     ],
 )
-def test_the_list_goes_on_unchanged_but_for_the_value_of_d_wherever_it_stands(info: str) -> None:
+def test_the_request_info_is_forwarded_unchanged_except_for_the_value_of_d(info: str) -> None:
     async def play(stage: Stage) -> None:
         assert await stage.node.ask(read("r", info % WAIT_MS), len(SERVED)) == SERVED
         assert stage.cache_infos == [(info % 900).encode()]
@@ -185,7 +185,7 @@
     ("left_ns", "told"),
     [(600 * MS, 600), (600 * MS - 1, 599), (2 * MS - 1, 1), (MS, 1), (MS - 1, None), (1, None), (0, None)],
 )
-def test_an_attempt_whose_dial_comes_up_late_tells_what_is_left_then(
+def test_an_attempt_on_a_late_connection_sends_the_time_left_then(
     target: str, left_ns: int, told: int | None
 ) -> None:
     async def play(stage: Stage) -> None:
@@ -198,7 +198,7 @@
 
 
 @pytest.mark.parametrize(("ticks", "told"), [(0, 25), (1, 15), (2, 5), (3, None)])
-def test_a_clock_of_coarse_ticks_tells_neither_zero_nor_more_than_is_left(
+def test_a_coarse_clock_sends_neither_zero_nor_more_than_the_remaining_time(
     ticks: int, told: int | None
 ) -> None:
     tick = 10 * MS
@@ -210,7 +210,7 @@
     staged(play)
 
 
-def test_an_attempt_that_waited_for_a_connection_tells_what_is_left_then() -> None:
+def test_an_attempt_that_waited_for_a_connection_sends_the_time_left_then() -> None:
     async def play(stage: Stage) -> None:
         stage.node.pool.max_per_endpoint = 1
         go = asyncio.Event()
@@ -232,7 +232,7 @@
     staged(play)
 
 
-def test_a_request_read_after_the_process_stood_still_tells_no_more_than_is_left() -> None:
+def test_a_request_read_after_a_stall_sends_no_more_than_the_remaining_time() -> None:
     async def play(stage: Stage) -> None:
         reader, writer = await stage.node.dial()
         await until(lambda: stage.node.clients.connection_count == 1)
@@ -246,7 +246,7 @@
     staged(play, MISS)
 
 
-def test_a_request_that_waited_for_a_worker_tells_no_more_than_is_left() -> None:
+def test_a_request_that_waited_for_a_worker_sends_no_more_than_the_remaining_time() -> None:
     async def play(stage: Stage) -> None:
         here, there = socket.socketpair()
         reader, writer = await asyncio.open_connection(sock=here)
--- a/tests/router/test_endings.py
+++ b/tests/router/test_endings.py
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize("count", [1, 200])
 @pytest.mark.parametrize("reset", [False, True])
-def test_nothing_begins_for_a_client_that_left_while_waiting_for_a_place(
+def test_no_attempt_is_sent_for_a_client_that_left_while_waiting_for_a_connection(
     count: int, reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(connection_pool, "MAX_CONNECTIONS_PER_ENDPOINT", 1)
@@ -172,7 +172,7 @@
     staged(play, limit=512)
 
 
-def test_a_dial_that_comes_up_late_carries_nothing_for_a_client_that_left() -> None:
+def test_a_connection_established_late_sends_nothing_for_a_client_that_left() -> None:
     async def play(stage: Stage) -> None:
         loop = GatedLoop()
         stage.node.pool._loop = cast(Any, loop)
@@ -189,7 +189,7 @@
     staged(play)
 
 
-def test_those_who_wait_for_the_fetch_of_a_client_that_left_are_served() -> None:
+def test_waiters_of_a_coalesced_fetch_are_served_after_its_leader_left() -> None:
     async def play(stage: Stage) -> None:
         stage.answer = MISS
         stage.go.set()
@@ -220,7 +220,7 @@
 
 
 @pytest.mark.parametrize("why", PAUSED)
-def test_nothing_more_begins_for_a_client_that_left_while_it_was_not_read(
+def test_no_attempt_is_sent_for_a_client_that_left_while_reading_was_paused(
     why: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(attempt, "DISCONNECT_CHECK_AFTER_NS", 1 << 60 if "answered" in why else -1)
@@ -255,7 +255,7 @@
     staged(play)
 
 
-def test_a_write_that_waits_for_its_next_try_is_none_for_a_client_that_left() -> None:
+def test_a_write_waiting_for_its_retry_is_cancelled_when_its_client_leaves() -> None:
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as closed:
             port = closed.getsockname()[1]
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize("read_here", [False, True])
-def test_no_second_copy_begins_for_a_client_that_left_while_its_timer_ran(
+def test_no_hedged_request_is_sent_for_a_client_that_left_before_the_attempt_timeout(
     read_here: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(attempt, "DISCONNECT_CHECK_AFTER_NS", -1)
@@ -318,7 +318,7 @@
 # The moment of writing
 
 
-def test_what_was_decided_in_time_is_not_written_when_its_time_is_over() -> None:
+def test_an_attempt_is_not_written_after_the_deadline_of_its_request() -> None:
     async def play(stage: Stage) -> None:
         loop = GatedLoop()
         stage.node.pool._loop = cast(Any, loop)
@@ -334,7 +334,7 @@
     staged(play)
 
 
-def test_a_dial_to_a_server_that_drains_meanwhile_carries_nothing() -> None:
+def test_a_connection_to_an_endpoint_that_began_draining_sends_nothing() -> None:
     async def play(stage: Stage) -> None:
         loop = GatedLoop()
         node = stage.node
@@ -355,7 +355,7 @@
 
 
 @pytest.mark.parametrize("over", [False, True])
-def test_a_repeat_is_written_only_while_the_first_one_is_remembered(over: bool) -> None:
+def test_a_retry_is_written_only_within_the_dedup_window(over: bool) -> None:
     async def test() -> None:
         cls = RequestClass(
             "put",
@@ -421,7 +421,7 @@
 
 @pytest.mark.parametrize("end", END)
 @pytest.mark.parametrize("crossing", [read("r2"), read("r2")[:9], read("r2") * 300])
-def test_a_request_that_crosses_the_end_of_a_resting_connection_is_none_and_resets_nothing(
+def test_a_request_arriving_as_an_idle_connection_is_closed_is_ignored_without_a_reset(
     end: str, crossing: bytes
 ) -> None:
     async def play(stage: Stage) -> None:
@@ -442,7 +442,7 @@
     staged(play)
 
 
-def test_a_client_that_floods_or_never_ends_its_side_holds_its_connection_for_a_moment_only(
+def test_a_client_that_floods_or_never_closes_delays_the_close_only_briefly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(connection_close, "MAX_DISCARDED_BYTES", 4096)
@@ -474,7 +474,7 @@
     staged(play)
 
 
-def test_a_slow_client_gets_its_whole_answer_though_the_router_ends(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_slow_client_gets_its_whole_answer_during_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_close, "LINGER_TIMEOUT_S", 0.05)
     value = b"v" * 65536
     whole = b"$65536\r\n%b\r\n" % value
@@ -509,7 +509,7 @@
 # The end of a process
 
 
-def test_what_waits_in_the_accept_queue_as_the_door_closes_is_served() -> None:
+def test_connections_in_the_accept_queue_are_served_when_accepting_ends() -> None:
     async def play(stage: Stage) -> None:
         stage.go.set()
         sock = socket.create_connection(stage.node.address)
@@ -527,7 +527,7 @@
     staged(play)
 
 
-def test_the_accept_queue_is_taken_up_to_the_room_there_is() -> None:
+def test_no_more_queued_connections_are_accepted_than_the_limit() -> None:
     with socket.create_server(("127.0.0.1", 0), backlog=8) as listening:
         callers = [socket.create_connection(listening.getsockname()) for _ in range(5)]
         taken = accept_queued([listening], 3)
@@ -540,7 +540,7 @@
             caller.close()
 
 
-def test_a_router_told_twice_to_end_and_to_read_its_file_again_ends_once_all_is_answered(
+def test_repeated_sigterm_and_a_reload_end_the_router_once_all_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_AFTER_SIGTERM_S", 0.05)
@@ -586,9 +586,7 @@
     run(test)
 
 
-def test_a_router_told_to_end_before_it_is_ready_ends(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_router_that_is_not_ready_ends_on_sigterm(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_AFTER_SIGTERM_S", 0.05)
 
     async def test() -> None:
@@ -613,7 +611,7 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_page_without_a_length_ends_with_its_connection_and_not_with_a_reset(
+def test_an_answer_without_a_length_ends_with_a_close_and_not_with_a_reset(
     reset: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_listener, "IDLE_TIMEOUT_S", IDLE_S)
@@ -650,7 +648,7 @@
     run(test)
 
 
-def test_a_second_answer_behind_the_first_costs_its_connection_and_is_nobodys() -> None:
+def test_an_unrequested_second_answer_closes_its_connection_and_is_discarded() -> None:
     async def play(stage: Stage) -> None:
         stage.go.set()
         node = stage.node
@@ -664,7 +662,9 @@
     staged(play)
 
 
-def test_a_time_out_and_the_answer_in_one_turn_are_one_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_timeout_and_an_answer_in_one_loop_iteration_give_one_answer(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(client_listener, "IDLE_TIMEOUT_S", IDLE_S)
 
     async def play(stage: Stage) -> None:
@@ -691,14 +691,14 @@
 # Lists
 
 
-class Mute(Agent):
+class UnresponsiveAgent(Agent):
     """Discovery that answers no watch, and only so many of the other calls."""
 
     def __init__(self, instances: list[dict[str, Any]]) -> None:
         super().__init__(instances)
-        self.mute = 0  # calls for the whole list that are to be left without an answer
-        self.refuse = 0  # and those to be answered 503
-        self.wholes = 0
+        self.ignores = 0  # calls for the whole list that are to be left without an answer
+        self.rejects = 0  # and those to be answered 503
+        self.lists = 0
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -706,19 +706,19 @@
             if b"index=" in head:
                 self.watched.set()
                 continue
-            self.wholes += 1
+            self.lists += 1
             self.asked.set()
-            if self.mute:
-                self.mute -= 1
-            elif self.refuse:
-                self.refuse -= 1
+            if self.ignores:
+                self.ignores -= 1
+            elif self.rejects:
+                self.rejects -= 1
                 writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             else:
                 self.tell(writer)
 
 
 @pytest.mark.parametrize(("mute", "refuse"), [(0, 0), (3, 0), (0, 3), (2, 2)])
-def test_a_watch_that_falls_silent_and_calls_that_fail_after_it_keep_no_change_from_us(
+def test_changes_arrive_despite_an_unanswered_watch_and_failed_calls_after_it(
     mute: int, refuse: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery, "PUSHED_WAIT_MS", 20)
@@ -726,8 +726,8 @@
     monkeypatch.setattr(discovery, "LIST_TIMEOUT_S", 1000.0)  # the patient call alone would never get there
 
     async def test() -> None:
-        agent = Mute([entry("s1", 9)])
-        agent.mute = mute  # from the first second on
+        agent = UnresponsiveAgent([entry("s1", 9)])
+        agent.ignores = mute  # from the first second on
         await agent.start()
         lists: asyncio.Queue[int] = asyncio.Queue()
         watching = discovery.Discovery(
@@ -742,14 +742,14 @@
             agent.generation = version
             while await asyncio.wait_for(lists.get(), LIMIT_S) != version:
                 pass
-            agent.mute, agent.refuse = mute, refuse
+            agent.ignores, agent.rejects = mute, refuse
         watching.close()
         agent.stop()
 
     run(test)
 
 
-def test_the_longest_waits_added_up_stay_within_what_counts_as_told() -> None:
+def test_the_sum_of_the_longest_waits_stays_within_the_notification_bound() -> None:
     told = 6.0
     pushed = discovery.PUSHED_WAIT_MS / 1000 + discovery.CALL_SLACK_S
     assert pushed + 2 * (discovery.RETRY_S + discovery.QUICK_TIMEOUT_S) < told
@@ -769,7 +769,7 @@
     assert action.delay_ns <= first_pause * S
 
 
-def test_a_silent_watch_where_discovery_is_asked_is_found_out_in_six_seconds() -> None:
+def test_an_unanswered_watch_at_a_polled_service_is_detected_within_six_seconds() -> None:
     assert discovery.POLL_WAIT_MS / 1000 + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
     wait = discovery._Watch(("127.0.0.1", 9), 0, needs_full_list=True).timeout
     for _ in range(60):
@@ -777,9 +777,9 @@
     assert wait.wait_s + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
 
 
-def test_a_list_from_before_a_move_goes_when_the_new_service_has_given_one(tmp_path: Path) -> None:
+def test_the_old_services_list_is_replaced_once_the_new_service_sends_one(tmp_path: Path) -> None:
     async def test() -> None:
-        old, new = Mute([entry("s1", 9)]), Mute([entry("s1", 10)])
+        old, new = UnresponsiveAgent([entry("s1", 9)]), UnresponsiveAgent([entry("s1", 10)])
         old.generation, new.generation = 500, 3  # with older versions, and the same server elsewhere
         await old.start()
         await new.start()
@@ -806,7 +806,7 @@
 # Descriptors
 
 
-def test_clients_that_are_refused_leave_the_descriptors_of_discovery_and_servers(tmp_path: Path) -> None:
+def test_rejected_clients_leave_descriptors_for_discovery_and_endpoints(tmp_path: Path) -> None:
     async def test() -> None:
         for sockets in (256, 512, 1024):
             config = replace(config_of(tmp_path / "c.json", 1), max_descriptors=sockets)
@@ -822,7 +822,7 @@
     run(test)
 
 
-def test_a_burst_that_waits_in_the_accept_queue_never_holds_more_descriptors_than_there_are(
+def test_a_burst_of_queued_connections_stays_within_the_descriptor_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     made = client_connection.ClientConnection.connection_made
@@ -847,7 +847,7 @@
     staged(play, limit=8)
 
 
-def test_newcomers_find_room_beside_connections_that_linger(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_new_clients_are_accepted_beside_lingering_connections(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connection, "FIRST_COMMAND_S", 0.0)
     monkeypatch.setattr(client_listener, "MIN_IDLE_S", 0.0)
     monkeypatch.setattr(client_listener, "MAX_REJECTING_CONNECTIONS", 2)
@@ -867,7 +867,7 @@
     staged(play, limit=4)
 
 
-def test_no_list_is_taken_from_bytes_that_are_none() -> None:
+def test_a_document_that_is_not_an_endpoint_list_is_refused() -> None:
     with pytest.raises(ValueError, match="not a list"):
         endpoint_list.read_endpoint_list(orjson.loads(b"[]"), endpoint_list.Clock())
 
@@ -875,7 +875,7 @@
 # Floods
 
 
-def test_clients_that_ask_much_and_take_nothing_are_ended_before_they_fill_the_memory() -> None:
+def test_clients_that_read_no_answers_are_closed_before_memory_runs_out() -> None:
     whole = b"$65536\r\n%b\r\n" % (b"v" * 65536)
 
     async def play(stage: Stage) -> None:
@@ -900,7 +900,7 @@
     staged(play)
 
 
-def test_thousands_of_half_heads_leave_room_for_those_who_ask() -> None:
+def test_thousands_of_partial_commands_leave_room_for_complete_requests() -> None:
     async def play(stage: Stage) -> None:
         stage.go.set()
         for i in range(1500):
@@ -917,7 +917,7 @@
 # Connections to servers
 
 
-def test_a_connection_that_goes_for_its_descriptor_owes_nothing_and_who_waits_for_it_is_served() -> None:
+def test_evicting_an_idle_connection_loses_no_request_and_serves_the_waiting_one() -> None:
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
             return HIT
@@ -939,7 +939,7 @@
     run(test)
 
 
-def test_a_dial_that_is_given_up_ends_who_waits_for_it_and_leaves_no_descriptor() -> None:
+def test_a_dial_that_times_out_ends_its_waiters_and_frees_its_descriptor() -> None:
     async def play(stage: Stage) -> None:
         loop, pool = GatedLoop(), stage.node.pool
         pool._loop, pool._dial_timeout_s = cast(Any, loop), 0.01
@@ -956,7 +956,7 @@
 
 
 @pytest.mark.parametrize("effect", list(Idempotency))
-def test_a_resting_connection_that_its_server_closes_as_a_request_is_written(effect: Idempotency) -> None:
+def test_an_idle_connection_closed_by_its_endpoint_as_a_request_is_written(effect: Idempotency) -> None:
     async def test() -> None:
         cls = RequestClass(
             "put", latency_objective_ns=S, deadline_ns=S, idempotency=effect, dedup_window_ns=S // 2
@@ -988,7 +988,7 @@
     run(test)
 
 
-def test_every_ending_on_the_page_names_tests_that_there_are() -> None:
+def test_every_ending_on_the_page_names_existing_tests() -> None:
     root = Path(__file__).resolve().parents[1]
     there = {
         name for path in root.rglob("*.py") for name in re.findall(r"^def (test_\w+)", path.read_text(), re.M)
--- a/tests/router/test_event_loop_lag.py
+++ b/tests/router/test_event_loop_lag.py
@@ -55,7 +55,7 @@
     assert not monitor.lagged_recently(2_200 * MS + RECENT_LAG_NS)
 
 
-def test_a_deadline_counts_from_when_the_bytes_came_where_they_are_read_late_after_a_lag() -> None:
+def test_a_deadline_counts_from_the_arrival_of_bytes_that_are_read_late_after_a_lag() -> None:
     """The loop stands still while a command waits on a connection that is not read, for beats after the lag.
 
     The command's client has waited longer than its timeout: it is rejected, and no cache server gets it. The
--- a/tests/router/test_watch_timeout.py
+++ b/tests/router/test_watch_timeout.py
@@ -109,7 +109,7 @@
 
 @pytest.mark.parametrize("news_s", [60.0, 1e9])
 @pytest.mark.parametrize("all_call_s", [2.0, 4.0, 8.0])
-def test_an_overbooked_service_fails_at_most_a_tenth_more_calls_than_with_the_longest_wait(
+def test_an_overloaded_service_fails_at_most_a_tenth_more_calls_than_with_the_longest_wait(
     all_call_s: float, news_s: float
 ) -> None:
     longest = Service(fixed(LONGEST_S), all_call_s, news_s).play()
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("all_call_s", [0.05, 0.5])
-def test_a_service_with_room_is_asked_with_the_shortest_wait(all_call_s: float) -> None:
+def test_a_service_with_capacity_is_polled_with_the_shortest_wait(all_call_s: float) -> None:
     played = Service(adaptive, all_call_s, 1e9).play()
     assert not played.failed
     assert {caller.wait.wait_s for caller in played.callers} == {SHORTEST_S}
@@ -180,7 +180,7 @@
         1_026,  # as differences of seconds these waits would be over some 1e-16 s too soon
     ],
 )
-def test_a_watch_asks_for_shorter_waits_by_answers_in_time_and_for_the_longest_after_a_failure(
+def test_prompt_answers_shorten_the_wait_of_a_watch_and_a_failure_restores_the_longest(
     monkeypatch: pytest.MonkeyPatch, begun_ms: int
 ) -> None:
     monkeypatch.setattr(discovery, "POLL_WAIT_MS", 10)
