--- a/tests/crashing_router.py
+++ b/tests/crashing_router.py
@@ -1,4 +1,4 @@
-"""A test double: the router as it is, until it ends by itself amid the day."""
+"""A router that exits with code 7 after 4 s, for tests of the harness."""
 
 from __future__ import annotations
 
--- a/tests/router/test_aggregator_program.py
+++ b/tests/router/test_aggregator_program.py
@@ -1,4 +1,4 @@
-"""The aggregator process: its configuration, its admin endpoint and its end."""
+"""The aggregator process: its configuration, its admin endpoint and its shutdown."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def config(tmp_path: Path, allowed: bool = True, me: int = 2, **more: Any) -> Config:
-    told = {
+    document = {
         "name": "m1",
         "listen": "127.0.0.1:1",
         "discovery": "127.0.0.1:9",
@@ -32,18 +32,18 @@
         "settings": {"classes": CLASSES, "me": me, "ceilings": {"peers": allowed}},
     }
     path = tmp_path / "config.json"
-    path.write_bytes(orjson.dumps({**told, **more}))
+    path.write_bytes(orjson.dumps({**document, **more}))
     return load_config({"LB_CONFIG": str(path)})
 
 
 def test_aggregators_are_found_among_the_peers_by_address_and_none_without_the_key(tmp_path: Path) -> None:
-    found = config(tmp_path, peer_aggregators=[PEERS[2], PEERS[0], PEERS[2]]).peers
-    assert found is not None
-    assert found.aggregators == (0, 2)
+    peers = config(tmp_path, peer_aggregators=[PEERS[2], PEERS[0], PEERS[2]]).peers
+    assert peers is not None
+    assert peers.aggregators == (0, 2)
     assert aggregator_config(config(tmp_path, peer_aggregators=PEERS[1:])).number == 2
-    plain = config(tmp_path).peers
-    assert plain is not None
-    assert plain.aggregators == ()
+    without_key = config(tmp_path).peers
+    assert without_key is not None
+    assert without_key.aggregators == ()
 
 
 def test_an_aggregator_that_is_no_peer_or_not_allowed_is_a_configuration_error(tmp_path: Path) -> None:
@@ -57,18 +57,18 @@
 
 
 def test_the_update_budget_has_a_default_and_a_value_too_low_is_an_error(tmp_path: Path) -> None:
-    plain, told = config(tmp_path).peers, config(tmp_path, peer_update_bytes=250).peers
-    assert plain is not None
-    assert plain.update_bytes_per_s == UPDATE_BYTES_PER_S
-    assert told is not None
-    assert told.update_bytes_per_s == 250.0
-    for wrong in (199, -400, True, "400"):
+    default, configured = config(tmp_path).peers, config(tmp_path, peer_update_bytes=250).peers
+    assert default is not None
+    assert default.update_bytes_per_s == UPDATE_BYTES_PER_S
+    assert configured is not None
+    assert configured.update_bytes_per_s == 250.0
+    for invalid in (199, -400, True, "400"):
         with pytest.raises(ConfigError, match="peer_update_bytes: expected a number of at least 200"):
-            config(tmp_path, peer_update_bytes=wrong)
+            config(tmp_path, peer_update_bytes=invalid)
 
 
 async def status(address: tuple[str, int], path: str) -> bytes:
-    """What the admin endpoint answers; empty while it does not listen."""
+    """Return the admin endpoint's answer; empty while the endpoint does not listen."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError:
@@ -82,7 +82,7 @@
 def test_the_aggregator_process_answers_its_admin_endpoint_until_sigterm_and_exits_with_0(
     tmp_path: Path,
 ) -> None:
-    async def scene() -> None:
+    async def steps() -> None:
         ops, listen = unused_address(), unused_address(socket.SOCK_DGRAM)
         peers = [*PEERS[:2], "{}:{}".format(*listen)]
         more: dict[str, Any] = {"peers": peers, "peer_listen": peers[2], "peer_aggregators": peers[2:]}
@@ -110,4 +110,4 @@
                 process.kill()
                 await process.wait()
 
-    run(scene)
+    run(steps)
--- a/tests/router/test_attempt_timeout.py
+++ b/tests/router/test_attempt_timeout.py
@@ -1,7 +1,7 @@
-"""What each attempt tells its server of the client's remaining time, over loopback sockets and a test clock.
+"""The remaining time that each attempt sends to its endpoint, over loopback sockets and a test clock.
 
-No attempt may tell more than is left when it is written: first and further ones, to cache servers and to the
-origin, however late they are written or their request was read.
+No attempt may send more time than is left when it is written. This holds for first attempts and retries, to
+cache servers and to the origin, however late an attempt is written or its request was read.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Clock:
-    """Nanoseconds that pass only where a test says so."""
+    """A clock in nanoseconds that only the test advances."""
 
     def __init__(self) -> None:
         self.now = 1_000 * MS
@@ -32,7 +32,7 @@
 
 
 class RecordingOrigin(Peer):
-    """An origin that keeps each request's list, and breaks the connections of the first `breaks` ones."""
+    """An origin that records Request-Info headers, and breaks the connections of the first `breaks` ones."""
 
     def __init__(self, work: Callable[[], None]) -> None:
         super().__init__()
@@ -52,17 +52,18 @@
             writer.write(PAGE)
 
 
-class Stage:
-    """A router on a test clock, one cache server and an origin; each attempt takes `work_ns`, by default
-    `WORK_NS`.
+class RouterSetup:
+    """A router on a test clock, one cache server and an origin.
+
+    Each attempt takes `work_ns` nanoseconds, by default `WORK_NS`.
     """
 
-    WORK_NS = 100 * MS + 1  # no whole milliseconds: what is left is rounded down
+    WORK_NS = 100 * MS + 1  # not whole milliseconds: the remaining time is rounded down
 
     def __init__(self, answer: bytes) -> None:
         self.clock, self.work_ns = Clock(), self.WORK_NS
         self.cache, self.origin = Cache(self._answer), RecordingOrigin(self._work)
-        self.answers = [answer]  # the last one again and again
+        self.answers = [answer]  # the last one is repeated
         self.node = Node(now=self.clock)
 
     def _work(self) -> None:
@@ -72,7 +73,7 @@
         self._work()
         return self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
 
-    async def __aenter__(self) -> Stage:
+    async def __aenter__(self) -> RouterSetup:
         await self.cache.start()
         await self.origin.start()
         await self.node.start(entry("s1", self.cache.port), entry("o", self.origin.port, "origin"))
@@ -88,10 +89,10 @@
         return [words[3] for words in self.cache.seen]
 
 
-def staged(play: Callable[[Stage], Awaitable[None]], answer: bytes = HIT) -> None:
+def run_with_setup(steps: Callable[[RouterSetup], Awaitable[None]], answer: bytes = HIT) -> None:
     async def test() -> None:
-        async with Stage(answer) as stage:
-            await play(stage)
+        async with RouterSetup(answer) as setup:
+            await steps(setup)
 
     run(test)
 
@@ -105,34 +106,34 @@
 
 
 def test_each_attempt_at_a_read_sends_the_remaining_time_to_cache_and_origin() -> None:
-    async def play(stage: Stage) -> None:
-        stage.origin.breaks = 2
-        assert await stage.node.ask(read("r"), len(SERVED)) == SERVED
-        assert timeouts(stage.cache_infos) == [900]
-        assert timeouts(stage.origin.infos) == [799, 699, 599]
+    async def steps(setup: RouterSetup) -> None:
+        setup.origin.breaks = 2
+        assert await setup.node.ask(read("r"), len(SERVED)) == SERVED
+        assert timeouts(setup.cache_infos) == [900]
+        assert timeouts(setup.origin.infos) == [799, 699, 599]
 
-    staged(play, MISS)
+    run_with_setup(steps, MISS)
 
 
 def test_a_second_attempt_at_a_cache_sends_the_remaining_time() -> None:
-    async def play(stage: Stage) -> None:
-        stage.answers = [b"x", HIT]  # what is no answer is asked for again where it was made
-        assert await stage.node.ask(read("r"), len(SERVED)) == SERVED
-        assert timeouts(stage.cache_infos + stage.origin.infos) == [900, 799]
+    async def steps(setup: RouterSetup) -> None:
+        setup.answers = [b"x", HIT]  # an invalid answer is retried at the same cache server
+        assert await setup.node.ask(read("r"), len(SERVED)) == SERVED
+        assert timeouts(setup.cache_infos + setup.origin.infos) == [900, 799]
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_each_attempt_at_a_write_sends_the_remaining_time() -> None:
-    async def play(stage: Stage) -> None:
-        stage.origin.breaks = 1
+    async def steps(setup: RouterSetup) -> None:
+        setup.origin.breaks = 1
         write = command(b"KV.SET", b"k", b"w", b"c=edit,t=a,d=900,k=11", b"v")
-        assert await stage.node.ask(write, len(SERVED)) == SERVED
-        first, second = timeouts(stage.origin.infos)
+        assert await setup.node.ask(write, len(SERVED)) == SERVED
+        first, second = timeouts(setup.origin.infos)
         assert first == 900
         assert second <= 799
 
-    staged(play)
+    run_with_setup(steps)
 
 
 @pytest.mark.parametrize(
@@ -146,115 +147,120 @@
     ],
 )
 def test_the_request_info_is_forwarded_unchanged_except_for_the_value_of_d(info: str) -> None:
-    async def play(stage: Stage) -> None:
-        assert await stage.node.ask(read("r", info % WAIT_MS), len(SERVED)) == SERVED
-        assert stage.cache_infos == [(info % 900).encode()]
-        assert stage.origin.infos == [(info % 799).encode()]
+    async def steps(setup: RouterSetup) -> None:
+        assert await setup.node.ask(read("r", info % WAIT_MS), len(SERVED)) == SERVED
+        assert setup.cache_infos == [(info % 900).encode()]
+        assert setup.origin.infos == [(info % 799).encode()]
+
+    run_with_setup(steps, MISS)
 
-    staged(play, MISS)
 
+async def read_on_late_connection(
+    setup: RouterSetup, delay: int, target: str, wait_ms: int = WAIT_MS
+) -> bytes:
+    """Send a read while the connection to its target is established `delay` ns after the request arrived.
 
-async def delayed(stage: Stage, delay: int, target: str, wait_ms: int = WAIT_MS) -> bytes:
-    """Ask; the dial to the target comes up `delay` ns after the request came. Returns the answer's begin."""
-    loop, node = GatedLoop(), stage.node
+    Returns the first 4 bytes of the answer.
+    """
+    loop, node = GatedLoop(), setup.node
     if target == "origin":
-        delay -= stage.WORK_NS  # the cache server's, whose connection is up
-        # To the router a clock that jumps is a stall of its own, after which it asks the kernel since when a
-        # request lay there: by the machine's clock, in steps of 4 ms. So it must not jump before the request.
-        stage.work_ns = 0
+        delay -= setup.WORK_NS  # the time of the attempt at the cache server, which is connected already
+        # The router takes a jump of its clock for a stall, after which it asks the kernel when a request
+        # arrived: by the machine's clock, in steps of 4 ms. So the clock must not jump before the request.
+        setup.work_ns = 0
         assert await node.ask(read("warm-up"), len(SERVED)) == SERVED
-        stage.work_ns = stage.WORK_NS
+        setup.work_ns = setup.WORK_NS
         (origin,) = [server for server in node.pool._endpoints.values() if server.id == "o"]
         for connection in list(origin.idle):
             connection.close()
         await until(lambda: node.pool.tables()["connections"] == 1)
-        stage.cache.seen.clear()
-        stage.origin.infos.clear()
+        setup.cache.seen.clear()
+        setup.origin.infos.clear()
     node.pool._loop = cast(Any, loop)
-    asked = asyncio.create_task(node.ask(read("r", f"c=read,t=a,d={wait_ms}"), 4))
+    client = asyncio.create_task(node.ask(read("r", f"c=read,t=a,d={wait_ms}"), 4))
     await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
-    stage.clock.now += delay
-    # Nor may the answer take longer than is left: the router's sweep would come between, and answer first.
-    stage.work_ns = 0
+    setup.clock.now += delay
+    # Nor may the answer take longer than the remaining time: the router's sweep would answer first.
+    setup.work_ns = 0
     loop.up.set()
-    return await asked
+    return await client
 
 
 @pytest.mark.parametrize("target", ["cache", "origin"])
 @pytest.mark.parametrize(
-    ("left_ns", "told"),
+    ("left_ns", "expected_ms"),
     [(600 * MS, 600), (600 * MS - 1, 599), (2 * MS - 1, 1), (MS, 1), (MS - 1, None), (1, None), (0, None)],
 )
 def test_an_attempt_on_a_late_connection_sends_the_time_left_then(
-    target: str, left_ns: int, told: int | None
+    target: str, left_ns: int, expected_ms: int | None
 ) -> None:
-    async def play(stage: Stage) -> None:
-        begin = await delayed(stage, WAIT_MS * MS - left_ns, target)
-        seen = stage.cache_infos if target == "cache" else stage.origin.infos
-        assert timeouts(seen) == ([] if told is None else [told])
-        assert (begin == SERVED[:4]) is (told is not None)
+    async def steps(setup: RouterSetup) -> None:
+        answer_start = await read_on_late_connection(setup, WAIT_MS * MS - left_ns, target)
+        infos = setup.cache_infos if target == "cache" else setup.origin.infos
+        assert timeouts(infos) == ([] if expected_ms is None else [expected_ms])
+        assert (answer_start == SERVED[:4]) is (expected_ms is not None)
 
-    staged(play, HIT if target == "cache" else MISS)
+    run_with_setup(steps, HIT if target == "cache" else MISS)
 
 
-@pytest.mark.parametrize(("ticks", "told"), [(0, 25), (1, 15), (2, 5), (3, None)])
+@pytest.mark.parametrize(("ticks", "expected_ms"), [(0, 25), (1, 15), (2, 5), (3, None)])
 def test_a_coarse_clock_sends_neither_zero_nor_more_than_the_remaining_time(
-    ticks: int, told: int | None
+    ticks: int, expected_ms: int | None
 ) -> None:
     tick = 10 * MS
 
-    async def play(stage: Stage) -> None:
-        await delayed(stage, ticks * tick, "cache", wait_ms=25)
-        assert timeouts(stage.cache_infos) == ([] if told is None else [told])
+    async def steps(setup: RouterSetup) -> None:
+        await read_on_late_connection(setup, ticks * tick, "cache", wait_ms=25)
+        assert timeouts(setup.cache_infos) == ([] if expected_ms is None else [expected_ms])
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_an_attempt_that_waited_for_a_connection_sends_the_time_left_then() -> None:
-    async def play(stage: Stage) -> None:
-        stage.node.pool.max_per_endpoint = 1
-        go = asyncio.Event()
+    async def steps(setup: RouterSetup) -> None:
+        setup.node.pool.max_per_endpoint = 1
+        answer_released = asyncio.Event()
 
         async def answer(_: list[bytes]) -> bytes:
-            await go.wait()
+            await answer_released.wait()
             return HIT
 
-        stage.cache.answer = answer
-        first = asyncio.create_task(stage.node.ask(read("r1"), len(SERVED)))
-        await until(lambda: len(stage.cache.seen) == 1)
-        second = asyncio.create_task(stage.node.ask(read("r2"), len(SERVED)))
-        await until(lambda: stage.node.pool.tables()["waiting"] == 1)
-        stage.clock.now += 300 * MS
-        go.set()
+        setup.cache.answer = answer
+        first = asyncio.create_task(setup.node.ask(read("r1"), len(SERVED)))
+        await until(lambda: len(setup.cache.seen) == 1)
+        second = asyncio.create_task(setup.node.ask(read("r2"), len(SERVED)))
+        await until(lambda: setup.node.pool.tables()["waiting"] == 1)
+        setup.clock.now += 300 * MS
+        answer_released.set()
         assert [await first, await second] == [SERVED, SERVED]
-        assert timeouts(stage.cache_infos) == [900, 600]
+        assert timeouts(setup.cache_infos) == [900, 600]
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_a_request_read_after_a_stall_sends_no_more_than_the_remaining_time() -> None:
-    async def play(stage: Stage) -> None:
-        reader, writer = await stage.node.dial()
-        await until(lambda: stage.node.clients.connection_count == 1)
+    async def steps(setup: RouterSetup) -> None:
+        reader, writer = await setup.node.dial()
+        await until(lambda: setup.node.clients.connection_count == 1)
         write_now(writer, read("r"))
-        stage.clock.now += 300 * MS  # in the same turn of the loop: nothing of the router has run
+        setup.clock.now += 300 * MS  # in the same event loop iteration, before any code of the router runs
         assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         writer.close()
-        assert 0 < timeouts(stage.cache_infos)[0] <= 600
-        assert 0 < timeouts(stage.origin.infos)[0] <= 499
+        assert 0 < timeouts(setup.cache_infos)[0] <= 600
+        assert 0 < timeouts(setup.origin.infos)[0] <= 499
 
-    staged(play, MISS)
+    run_with_setup(steps, MISS)
 
 
 def test_a_request_that_waited_for_a_worker_sends_no_more_than_the_remaining_time() -> None:
-    async def play(stage: Stage) -> None:
+    async def steps(setup: RouterSetup) -> None:
         here, there = socket.socketpair()
         reader, writer = await asyncio.open_connection(sock=here)
         writer.write(read("r"))
-        await stage.node.clients.adopt(None, there.detach(), possible_wait_ns=200 * MS)
+        await setup.node.clients.adopt(None, there.detach(), possible_wait_ns=200 * MS)
         assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         writer.close()
-        assert timeouts(stage.cache_infos) == [700]
-        assert timeouts(stage.origin.infos) == [599]
+        assert timeouts(setup.cache_infos) == [700]
+        assert timeouts(setup.origin.infos) == [599]
 
-    staged(play, MISS)
+    run_with_setup(steps, MISS)
--- a/tests/router/test_endings.py
+++ b/tests/router/test_endings.py
@@ -1,7 +1,8 @@
-"""Every path that ends something, over loopback sockets: what is owed at that instant, and what settles it.
+"""Every path that ends a request, connection or process, over loopback sockets.
 
-Each crossing is forced by the order of events: a stand-in that holds back its answer or its dial, bytes that
-are written in the very turn in which the router acts, a time set to nothing. docs/endings.md names the tests.
+docs/endings.md names the tests. They force each race by the order of events: an emulated peer delays its
+answer, a gated event loop delays a connection, bytes are written in the same event loop iteration in which
+the router acts, or a deadline is set to 0.
 """
 
 from __future__ import annotations
@@ -64,39 +65,39 @@
 
 PAGE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"
 NO_LINGER = struct.pack("ii", 1, 0)
-IDLE_S = 1.0  # an idle client is closed after so long where a test reads up to the end
+IDLE_S = 1.0  # idle timeout of clients in tests that read until the router closes the connection
 
 
-async def until(what: Callable[[], bool]) -> None:
-    """Wait for what other tasks bring about."""
+async def until(condition: Callable[[], bool]) -> None:
+    """Wait until a condition holds that other tasks bring about."""
     async with asyncio.timeout(LIMIT_S):
-        while not what():
+        while not condition():
             await asyncio.sleep(0.002)
 
 
-def ids(cache: Cache) -> list[str]:
+def request_ids(cache: Cache) -> list[str]:
     return [words[2].decode() for words in cache.seen]
 
 
-class Stage:
-    """A router, one cache server whose answers wait for `go`, and an origin."""
+class RouterSetup:
+    """A router, one cache server that delays its answers until `answers_released`, and an origin."""
 
     def __init__(self, page: bytes = PAGE, answer: bytes = HIT, limit: int = 64) -> None:
-        self.go, self.asked = asyncio.Event(), asyncio.Event()
+        self.answers_released, self.request_received = asyncio.Event(), asyncio.Event()
         self.answer: bytes | None = answer
         self.cache, self.origin = Cache(self._answer), Origin(page)
         self.node = Node(limit=limit)
 
     async def _answer(self, _: list[bytes]) -> bytes | None:
-        self.asked.set()
-        await self.go.wait()
+        self.request_received.set()
+        await self.answers_released.wait()
         return self.answer
 
-    async def __aenter__(self) -> Stage:
+    async def __aenter__(self) -> RouterSetup:
         await self.cache.start()
         await self.origin.start()
-        listed = entry("s1", self.cache.port), entry("o", self.origin.port, "origin")
-        await self.node.start(*listed)
+        entries = entry("s1", self.cache.port), entry("o", self.origin.port, "origin")
+        await self.node.start(*entries)
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -107,24 +108,24 @@
     def connection(self, i: int = 0) -> client_connection.ClientConnection:
         return self.node.clients.connections[i]
 
-    async def alone(self, count: int = 0) -> None:
-        """Until the router has so many connections to clients."""
+    async def wait_for_client_count(self, count: int = 0) -> None:
+        """Wait until the router has `count` connections to clients."""
         await until(lambda: self.node.clients.connection_count == count)
 
 
-Play = Callable[[Stage], Awaitable[None]]
+Steps = Callable[[RouterSetup], Awaitable[None]]
 
 
-def staged(play: Play, **how: Any) -> None:
+def run_with_setup(steps: Steps, **options: Any) -> None:
     async def test() -> None:
-        async with Stage(**how) as stage:
-            await play(stage)
+        async with RouterSetup(**options) as setup:
+            await steps(setup)
 
     run(test)
 
 
 class GatedLoop:
-    """A loop whose dials come up when they are let."""
+    """An event loop that delays each outgoing connection until `up` is set."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -133,13 +134,13 @@
     def __getattr__(self, name: str) -> Any:
         return getattr(self._loop, name)
 
-    async def create_connection(self, *told: Any, **how: Any) -> Any:
+    async def create_connection(self, *arguments: Any, **options: Any) -> Any:
         self.dialled.set()
         await self.up.wait()
-        return await self._loop.create_connection(*told, **how)
+        return await self._loop.create_connection(*arguments, **options)
 
 
-# Clients that leave while their request waits
+# Clients that disconnect while their request waits
 
 
 @pytest.mark.parametrize("count", [1, 200])
@@ -149,55 +150,55 @@
 ) -> None:
     monkeypatch.setattr(connection_pool, "MAX_CONNECTIONS_PER_ENDPOINT", 1)
 
-    async def play(stage: Stage) -> None:
-        first = asyncio.create_task(stage.node.ask(read("r0"), len(SERVED)))
-        await asyncio.wait_for(stage.asked.wait(), LIMIT_S)
-        leavers = [await stage.node.dial() for _ in range(count)]
-        for i, (_, writer) in enumerate(leavers):
+    async def steps(setup: RouterSetup) -> None:
+        first = asyncio.create_task(setup.node.ask(read("r0"), len(SERVED)))
+        await asyncio.wait_for(setup.request_received.wait(), LIMIT_S)
+        leaving = [await setup.node.dial() for _ in range(count)]
+        for i, (_, writer) in enumerate(leaving):
             writer.write(read(f"g{i}", f"k{i}"))
-        await until(lambda: len(stage.node.host.open_requests.by_id) == 1 + count)
-        for _, writer in leavers:
+        await until(lambda: len(setup.node.host.open_requests.by_id) == 1 + count)
+        for _, writer in leaving:
             if reset:
                 sock = writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
             writer.close()
-        await stage.alone(1)
-        assert stage.node.pool.tables()["waiting"] in (0, count)  # those left are over
-        assert len(stage.node.host.open_requests.by_id) == 1
-        stage.go.set()
+        await setup.wait_for_client_count(1)
+        assert setup.node.pool.tables()["waiting"] in (0, count)  # cancelled attempts may still be queued
+        assert len(setup.node.host.open_requests.by_id) == 1
+        setup.answers_released.set()
         assert await first == SERVED
-        assert await stage.node.ask(read("r1"), len(SERVED)) == SERVED
-        assert ids(stage.cache) == ["r0", "r1"]
+        assert await setup.node.ask(read("r1"), len(SERVED)) == SERVED
+        assert request_ids(setup.cache) == ["r0", "r1"]
 
-    staged(play, limit=512)
+    run_with_setup(steps, limit=512)
 
 
 def test_a_connection_established_late_sends_nothing_for_a_client_that_left() -> None:
-    async def play(stage: Stage) -> None:
+    async def steps(setup: RouterSetup) -> None:
         loop = GatedLoop()
-        stage.node.pool._loop = cast(Any, loop)
-        stage.go.set()
-        _, writer = await stage.node.dial()
+        setup.node.pool._loop = cast(Any, loop)
+        setup.answers_released.set()
+        _, writer = await setup.node.dial()
         writer.write(read("gone"))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         writer.close()
-        await stage.alone()
+        await setup.wait_for_client_count()
         loop.up.set()
-        assert await stage.node.ask(read("r1"), len(SERVED)) == SERVED
-        assert ids(stage.cache) == ["r1"]
+        assert await setup.node.ask(read("r1"), len(SERVED)) == SERVED
+        assert request_ids(setup.cache) == ["r1"]
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_waiters_of_a_coalesced_fetch_are_served_after_its_leader_left() -> None:
-    async def play(stage: Stage) -> None:
-        stage.answer = MISS
-        stage.go.set()
-        node = stage.node
+    async def steps(setup: RouterSetup) -> None:
+        setup.answer = MISS
+        setup.answers_released.set()
+        node = setup.node
         assert await node.ask(read("r0", "warm"), len(SERVED)) == SERVED
-        assert stage.origin.seen == 1
+        assert setup.origin.seen == 1
         loop = GatedLoop()
-        for server in node.pool._endpoints.values():  # the next fetch has to dial
+        for server in node.pool._endpoints.values():  # so the next fetch needs a new connection
             for connection in list(server.idle) if server.id == "o" else ():
                 connection.close()
         await until(lambda: node.pool.tables()["connections"] == 1)
@@ -206,53 +207,55 @@
         leader.write(read("gone"))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         follower = asyncio.create_task(node.ask(read("r2"), len(SERVED)))
-        await until(lambda: ids(stage.cache)[-1] == "r2" and bool(node.host._policy._fetches._waiters["k"]))
+        await until(
+            lambda: request_ids(setup.cache)[-1] == "r2" and bool(node.host._policy._fetches._waiters["k"])
+        )
         leader.close()
         await until(lambda: "gone" not in node.host.open_requests.by_id)
         loop.up.set()
         assert await follower == SERVED
-        assert stage.origin.seen == 2
+        assert setup.origin.seen == 2
 
-    staged(play)
+    run_with_setup(steps)
 
 
-PAUSED = ["behind a fault", "too many", "too many, answered", "takes nothing", "at the router's end"]
+PAUSE_REASONS = ["behind a fault", "too many", "too many, answered", "takes nothing", "at the router's end"]
 
 
-@pytest.mark.parametrize("why", PAUSED)
+@pytest.mark.parametrize("reason", PAUSE_REASONS)
 def test_no_attempt_is_sent_for_a_client_that_left_while_reading_was_paused(
-    why: str, monkeypatch: pytest.MonkeyPatch
+    reason: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(attempt, "DISCONNECT_CHECK_AFTER_NS", 1 << 60 if "answered" in why else -1)
+    monkeypatch.setattr(attempt, "DISCONNECT_CHECK_AFTER_NS", 1 << 60 if "answered" in reason else -1)
     monkeypatch.setattr(client_connection, "MAX_PIPELINE", 3)
 
-    async def play(stage: Stage) -> None:
-        # It closes the connection, and the request is sent again while its client is there; or answers, and
-        # the next command has its turn.
-        stage.answer = HIT if "answered" in why else None
-        _, writer = await stage.node.dial()
-        more = command(b"NOSUCH") if why == "behind a fault" else b""
+    async def steps(setup: RouterSetup) -> None:
+        # None closes the connection: the request would be sent again if its client were still connected.
+        # With an answer, the next command would be handled.
+        setup.answer = HIT if "answered" in reason else None
+        _, writer = await setup.node.dial()
+        more = command(b"NOSUCH") if reason == "behind a fault" else b""
         writer.write(read("r1") + more)
-        if "too many" in why:
+        if "too many" in reason:
             writer.write(read("r2", "k2") + read("r3", "k3") + read("r4", "k4"))
-        await asyncio.wait_for(stage.asked.wait(), LIMIT_S)
-        connection = stage.connection()
+        await asyncio.wait_for(setup.request_received.wait(), LIMIT_S)
+        connection = setup.connection()
         assert connection.transport is not None
-        if why == "takes nothing":
+        if reason == "takes nothing":
             connection.pause_writing()
-        elif why == "at the router's end":
-            stage.node.clients.close_gracefully(even_mid_command=True)
-        begun = 3 if "too many" in why else 1
-        await until(lambda: not connection._reading and len(stage.cache.seen) == begun)
+        elif reason == "at the router's end":
+            setup.node.clients.close_gracefully(even_mid_command=True)
+        attempt_count = 3 if "too many" in reason else 1
+        await until(lambda: not connection._reading and len(setup.cache.seen) == attempt_count)
         writer.transport.abort()
         await until(lambda: peer_closed(connection.transport))
-        assert not connection.closed  # it has not been read that it left
-        stage.go.set()
-        await stage.alone()
-        assert await stage.node.ask(read("r9"), 4) in (b"-BUS", b"$5\r\n")
-        assert not {"r1", "r2", "r3", "r4"} & {*ids(stage.cache)[begun:]}
+        assert not connection.closed  # the router has not read the end of the connection yet
+        setup.answers_released.set()
+        await setup.wait_for_client_count()
+        assert await setup.node.ask(read("r9"), 4) in (b"-BUS", b"$5\r\n")
+        assert not {"r1", "r2", "r3", "r4"} & {*request_ids(setup.cache)[attempt_count:]}
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_a_write_waiting_for_its_retry_is_cancelled_when_its_client_leaves() -> None:
@@ -260,12 +263,12 @@
         with socket.create_server(("127.0.0.1", 0)) as closed:
             port = closed.getsockname()[1]
         node = Node()
-        await node.start(entry("o", port, "origin"))  # it refuses connections
+        await node.start(entry("o", port, "origin"))  # nothing listens on this port
         router = node.host._policy
-        router._origin_concurrency.latency_ns = 1e9  # the delay goes by it
+        router._origin_concurrency.latency_ns = 1e9  # the retry's delay depends on the latency
         _, writer = await node.dial()
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=edit,t=a,d=2000,k=11", b"v"))
-        await until(lambda: any(one.is_waiting for one in router._requests.values()))
+        await until(lambda: any(request.is_waiting for request in router._requests.values()))
         dials = node.pool.counters.dials
         writer.close()
         await until(lambda: not node.clients.connection_count)
@@ -277,85 +280,86 @@
     run(test)
 
 
-@pytest.mark.parametrize("read_here", [False, True])
+@pytest.mark.parametrize("disconnect_is_read", [False, True])
 def test_no_hedged_request_is_sent_for_a_client_that_left_before_the_attempt_timeout(
-    read_here: bool, monkeypatch: pytest.MonkeyPatch
+    disconnect_is_read: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(attempt, "DISCONNECT_CHECK_AFTER_NS", -1)
 
-    async def play(stage: Stage) -> None:
-        node = stage.node
+    async def steps(setup: RouterSetup) -> None:
+        node = setup.node
         first = [asyncio.create_task(node.ask(read(name), len(SERVED))) for name in ("r1", "r2")]
-        await until(lambda: len(stage.cache.seen) == 2)
-        stage.go.set()
+        await until(lambda: len(setup.cache.seen) == 2)
+        setup.answers_released.set()
         assert await asyncio.gather(*first) == [SERVED, SERVED]
-        assert await node.ask(read("r3"), len(SERVED)) == SERVED  # only a server of known pace is asked twice
-        assert node.pool.tables()["connections_idle"] == 2  # and the second copy needs no dial
-        stage.go.clear()
+        # Only an endpoint of known latency is hedged.
+        assert await node.ask(read("r3"), len(SERVED)) == SERVED
+        assert node.pool.tables()["connections_idle"] == 2  # so the hedged request needs no new connection
+        setup.answers_released.clear()
         _, writer = await node.dial()
         writer.write(read("gone"))
-        await until(lambda: ids(stage.cache)[-1] == "gone")
+        await until(lambda: request_ids(setup.cache)[-1] == "gone")
         attempt = node.host.open_requests.by_id["gone"].last_attempt
         assert attempt is not None
         assert node.host._policy._requests["gone"].attempt_timeout_ns > 0
-        if read_here:
+        if disconnect_is_read:
             writer.close()
-            await stage.alone(0)
+            await setup.wait_for_client_count(0)
         else:
             with socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno())) as sock:
-                sock.shutdown(socket.SHUT_RDWR)  # the router reads it in a later turn than this
+                sock.shutdown(socket.SHUT_RDWR)  # the router reads this in a later iteration
         attempt._timed_out()
         writer.close()
-        await stage.alone(0)
-        stage.go.set()
+        await setup.wait_for_client_count(0)
+        setup.answers_released.set()
         assert await node.ask(read("r4"), len(SERVED)) == SERVED
-        assert ids(stage.cache)[2:] == ["r3", "gone", "r4"]
+        assert request_ids(setup.cache)[2:] == ["r3", "gone", "r4"]
         assert not node.host.open_requests.by_id
 
-    staged(play)
+    run_with_setup(steps)
 
 
-# The moment of writing
+# Attempts at the time of writing
 
 
 def test_an_attempt_is_not_written_after_the_deadline_of_its_request() -> None:
-    async def play(stage: Stage) -> None:
+    async def steps(setup: RouterSetup) -> None:
         loop = GatedLoop()
-        stage.node.pool._loop = cast(Any, loop)
-        stage.go.set()
-        asked = asyncio.create_task(stage.node.ask(read("late"), 7))
+        setup.node.pool._loop = cast(Any, loop)
+        setup.answers_released.set()
+        client = asyncio.create_task(setup.node.ask(read("late"), 7))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
-        (request,) = stage.node.host.open_requests.by_id.values()
-        request.deadline_ns = 0  # over, and its timer has yet to run
+        (request,) = setup.node.host.open_requests.by_id.values()
+        request.deadline_ns = 0  # has passed, but its timer has not fired yet
         loop.up.set()
-        assert await asked == b"-BUSY\r\n"
-        assert not stage.cache.seen
+        assert await client == b"-BUSY\r\n"
+        assert not setup.cache.seen
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_a_connection_to_an_endpoint_that_began_draining_sends_nothing() -> None:
-    async def play(stage: Stage) -> None:
+    async def steps(setup: RouterSetup) -> None:
         loop = GatedLoop()
-        node = stage.node
+        node = setup.node
         node.pool._loop = cast(Any, loop)
-        stage.go.set()
-        asked = asyncio.create_task(node.ask(read("r1"), len(SERVED)))
+        setup.answers_released.set()
+        client = asyncio.create_task(node.ask(read("r1"), len(SERVED)))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
-        told = [entry("s1", stage.cache.port, state="draining")]
-        body = {"generation": 2, "reset": False, "instances": told}
+        instances = [entry("s1", setup.cache.port, state="draining")]
+        body = {"generation": 2, "reset": False, "instances": instances}
         node.host.apply_endpoint_update(endpoint_list.read_endpoint_list(body, endpoint_list.Clock()))
         loop.up.set()
-        assert await asked == SERVED  # by the origin
-        assert not stage.cache.seen
-        assert stage.origin.seen == 1
+        assert await client == SERVED  # from the origin
+        assert not setup.cache.seen
+        assert setup.origin.seen == 1
         await until(lambda: node.pool.tables()["connections"] == 1)
 
-    staged(play)
+    run_with_setup(steps)
 
 
-@pytest.mark.parametrize("over", [False, True])
-def test_a_retry_is_written_only_within_the_dedup_window(over: bool) -> None:
+@pytest.mark.parametrize("window_is_over", [False, True])
+def test_a_retry_is_written_only_within_the_dedup_window(window_is_over: bool) -> None:
     async def test() -> None:
         cls = RequestClass(
             "put",
@@ -365,29 +369,29 @@
             dedup_window_ns=S // 2,
         )
         node, origin = Node(config=settings(classes=(cls,))), Origin(PAGE)
-        origin.breaks = 1  # the first attempt is reset, and may have run
+        origin.breaks = 1  # the first attempt's connection breaks, so the write may have been executed
         await origin.start()
         await node.start(entry("o", origin.port, "origin"))
         loop = GatedLoop()
         reader, writer = await node.dial()
         dial = node.pool._dial_for
 
-        def gated(server: EndpointPool) -> None:
+        def gate_later_dials(server: EndpointPool) -> None:
             if origin.seen:
                 node.pool._loop = cast(Any, loop)
             dial(server)
 
-        cast(Any, node.pool)._dial_for = gated
+        cast(Any, node.pool)._dial_for = gate_later_dials
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=put,t=a,d=900,k=11", b"v"))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         (request,) = node.host.open_requests.by_id.values()
         attempt = request.last_attempt
         assert attempt is not None
         assert attempt._write_by_ns > 0
-        if over:
-            attempt._write_by_ns = 1  # over, and its timer has yet to run
+        if window_is_over:
+            attempt._write_by_ns = 1  # has passed, but its timer has not fired yet
         loop.up.set()
-        if over:
+        if window_is_over:
             node.host._policy._classes["put"] = replace(cls, dedup_window_ns=0)
             request.deadline_ns = 0
             assert (await asyncio.wait_for(reader.readline(), LIMIT_S)).startswith(b"-")
@@ -406,40 +410,40 @@
 
 
 def write_now(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Write at once, so that the router has it unread in this very turn."""
+    """Write at once, so that in this event loop iteration the data lies unread at the router."""
     sock = socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno()))
     with sock:
         assert sock.send(data) == len(data)
 
 
-END: dict[str, Callable[[Stage], None]] = {
-    "shutdown": lambda stage: stage.node.clients.close_gracefully(even_mid_command=False),
-    "late in the shutdown": lambda stage: stage.node.clients.close_gracefully(even_mid_command=True),
-    "idle for long": lambda stage: stage.connection().enforce_timeouts(1e12, 1.0),
+CLOSE_ACTIONS: dict[str, Callable[[RouterSetup], None]] = {
+    "shutdown": lambda setup: setup.node.clients.close_gracefully(even_mid_command=False),
+    "late in the shutdown": lambda setup: setup.node.clients.close_gracefully(even_mid_command=True),
+    "idle for long": lambda setup: setup.connection().enforce_timeouts(1e12, 1.0),
 }
 
 
-@pytest.mark.parametrize("end", END)
-@pytest.mark.parametrize("crossing", [read("r2"), read("r2")[:9], read("r2") * 300])
+@pytest.mark.parametrize("end", CLOSE_ACTIONS)
+@pytest.mark.parametrize("late_bytes", [read("r2"), read("r2")[:9], read("r2") * 300])
 def test_a_request_arriving_as_an_idle_connection_is_closed_is_ignored_without_a_reset(
-    end: str, crossing: bytes
+    end: str, late_bytes: bytes
 ) -> None:
-    async def play(stage: Stage) -> None:
-        stage.go.set()
-        reader, writer = await stage.node.dial()
+    async def steps(setup: RouterSetup) -> None:
+        setup.answers_released.set()
+        reader, writer = await setup.node.dial()
         writer.write(read("r1"))
-        await until(lambda: bool(stage.cache.seen) and stage.connection().is_idle)
-        write_now(writer, crossing)
-        END[end](stage)
-        # The answer and the end, and no reset: that would be an exception here.
+        await until(lambda: bool(setup.cache.seen) and setup.connection().is_idle)
+        write_now(writer, late_bytes)
+        CLOSE_ACTIONS[end](setup)
+        # The answer and the end of the connection; a reset would raise an exception here.
         assert await asyncio.wait_for(reader.read(), LIMIT_S) == SERVED
         with suppress(OSError):
             writer.write(read("r3"))  # after the shutdown
             writer.write_eof()
-        await stage.alone()
-        assert ids(stage.cache) == ["r1"]
+        await setup.wait_for_client_count()
+        assert request_ids(setup.cache) == ["r1"]
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_a_client_that_floods_or_never_closes_delays_the_close_only_briefly(
@@ -449,95 +453,97 @@
     monkeypatch.setattr(connection_close, "LINGER_TIMEOUT_S", 0.2)
     closes: list[connection_close.LingeringClose] = []
 
-    def recorded(*arguments: Any) -> connection_close.LingeringClose:
+    def record_close(*arguments: Any) -> connection_close.LingeringClose:
         closes.append(connection_close.LingeringClose(*arguments))
         return closes[-1]
 
-    monkeypatch.setattr(client_connection, "LingeringClose", recorded)
+    monkeypatch.setattr(client_connection, "LingeringClose", record_close)
 
-    async def play(stage: Stage) -> None:
-        stage.go.set()
-        pairs = [await stage.node.dial() for _ in range(2)]
+    async def steps(setup: RouterSetup) -> None:
+        setup.answers_released.set()
+        pairs = [await setup.node.dial() for _ in range(2)]
         for i, (_, writer) in enumerate(pairs):
             writer.write(read(f"r{i}", f"k{i}"))
-        await until(lambda: stage.node.clients.connection_count == 2 and stage.connection(0).is_idle)
-        await until(lambda: stage.connection(1).is_idle)
-        both = [stage.connection(0), stage.connection(1)]
-        stage.node.clients.close_gracefully(even_mid_command=False)
+        await until(lambda: setup.node.clients.connection_count == 2 and setup.connection(0).is_idle)
+        await until(lambda: setup.connection(1).is_idle)
+        both = [setup.connection(0), setup.connection(1)]
+        setup.node.clients.close_gracefully(even_mid_command=False)
         pairs[0][1].write(b"x" * (8 << 20))
-        await until(lambda: any(one.discarded_bytes > 4096 for one in closes) or both[0].closed)
-        await stage.alone()
+        await until(lambda: any(close.discarded_bytes > 4096 for close in closes) or both[0].closed)
+        await setup.wait_for_client_count()
         assert len(closes) == 2
-        assert max(one.discarded_bytes for one in closes) < 1 << 20
-        assert ids(stage.cache) == ["r0", "r1"]
+        assert max(close.discarded_bytes for close in closes) < 1 << 20
+        assert request_ids(setup.cache) == ["r0", "r1"]
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_a_slow_client_gets_its_whole_answer_during_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_close, "LINGER_TIMEOUT_S", 0.05)
     value = b"v" * 65536
-    whole = b"$65536\r\n%b\r\n" % value
-    many = 32
-
-    async def play(stage: Stage) -> None:
-        stage.answer = b"*1\r\n" + whole
-        stage.go.set()
-        reader, writer = await stage.node.dial()
-        await stage.alone(1)
-        transport = stage.connection().transport
+    answer = b"$65536\r\n%b\r\n" % value
+    request_count = 32
+
+    async def steps(setup: RouterSetup) -> None:
+        setup.answer = b"*1\r\n" + answer
+        setup.answers_released.set()
+        reader, writer = await setup.node.dial()
+        await setup.wait_for_client_count(1)
+        transport = setup.connection().transport
         assert transport is not None
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         cast(Any, writer.transport).pause_reading()
-        writer.write(b"".join(read(f"r{i}") for i in range(many)))
-        await until(lambda: stage.node.clients.connection_count == 1 and stage.connection().write_blocked)
-        stage.node.clients.close_gracefully(even_mid_command=True)
-        await until(lambda: not stage.connection().replies)
-        begun = asyncio.get_running_loop().time()
-        await until(lambda: asyncio.get_running_loop().time() > begun + 4 * connection_close.LINGER_TIMEOUT_S)
+        writer.write(b"".join(read(f"r{i}") for i in range(request_count)))
+        await until(lambda: setup.node.clients.connection_count == 1 and setup.connection().write_blocked)
+        setup.node.clients.close_gracefully(even_mid_command=True)
+        await until(lambda: not setup.connection().replies)
+        started_s = asyncio.get_running_loop().time()
+        await until(
+            lambda: asyncio.get_running_loop().time() > started_s + 4 * connection_close.LINGER_TIMEOUT_S
+        )
         cast(Any, writer.transport).resume_reading()
-        got = await asyncio.wait_for(reader.read(), LIMIT_S)
-        assert got
-        assert len(got) % len(whole) == 0
-        assert len(got) // len(whole) == len(stage.cache.seen)
+        received = await asyncio.wait_for(reader.read(), LIMIT_S)
+        assert received
+        assert len(received) % len(answer) == 0
+        assert len(received) // len(answer) == len(setup.cache.seen)
         writer.close()
 
-    staged(play)
+    run_with_setup(steps)
 
 
-# The end of a process
+# Shutdown of a process
 
 
 def test_connections_in_the_accept_queue_are_served_when_accepting_ends() -> None:
-    async def play(stage: Stage) -> None:
-        stage.go.set()
-        sock = socket.create_connection(stage.node.address)
-        sock.sendall(read("r1"))  # in this turn: nobody has accepted it
-        queued = stage.node.clients.accept_queued()
-        stage.node.clients.stop_accepting()
+    async def steps(setup: RouterSetup) -> None:
+        setup.answers_released.set()
+        sock = socket.create_connection(setup.node.address)
+        sock.sendall(read("r1"))  # in this event loop iteration, so the connection is not accepted yet
+        queued = setup.node.clients.accept_queued()
+        setup.node.clients.stop_accepting()
         assert len(queued) == 1
-        await stage.node.clients.adopt(None, queued[0])
-        stage.node.clients.close_gracefully(even_mid_command=False)
+        await setup.node.clients.adopt(None, queued[0])
+        setup.node.clients.close_gracefully(even_mid_command=False)
         reader, writer = await asyncio.open_connection(sock=sock)
         assert await asyncio.wait_for(reader.read(), LIMIT_S) == SERVED
         writer.close()
-        await stage.alone()
+        await setup.wait_for_client_count()
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_no_more_queued_connections_are_accepted_than_the_limit() -> None:
     with socket.create_server(("127.0.0.1", 0), backlog=8) as listening:
-        callers = [socket.create_connection(listening.getsockname()) for _ in range(5)]
-        taken = accept_queued([listening], 3)
-        assert len(taken) == 3
+        clients = [socket.create_connection(listening.getsockname()) for _ in range(5)]
+        accepted = accept_queued([listening], 3)
+        assert len(accepted) == 3
         assert len(accept_queued([listening], 9)) == 2
         assert not accept_queued([listening], 9)
-        for number in taken:
-            os.close(number)
-        for caller in callers:
-            caller.close()
+        for descriptor in accepted:
+            os.close(descriptor)
+        for client in clients:
+            client.close()
 
 
 def test_repeated_sigterm_and_a_reload_end_the_router_once_all_is_answered(
@@ -547,11 +553,11 @@
     monkeypatch.setenv("LB_CONFIG", str(tmp_path / "config.json"))
 
     async def test() -> None:
-        go, asked = asyncio.Event(), asyncio.Event()
+        answers_released, request_received = asyncio.Event(), asyncio.Event()
 
         async def answer(_: list[bytes]) -> bytes:
-            asked.set()
-            await go.wait()
+            request_received.set()
+            await answers_released.wait()
             return HIT
 
         cache = Cache(answer)
@@ -559,23 +565,25 @@
         agent, other = Agent([entry("s1", cache.port)]), Agent([entry("s1", cache.port)])
         await agent.start()
         await other.start()
-        told = config_of(tmp_path / "config.json", agent.port)
+        base_config = config_of(tmp_path / "config.json", agent.port)
         cls = RequestClass("read", latency_objective_ns=9 * S, deadline_ns=20 * S)
-        config = replace(told, listen_address=("127.0.0.1", 0), settings=settings(classes=(cls,)))
+        config = replace(base_config, listen_address=("127.0.0.1", 0), settings=settings(classes=(cls,)))
         listening: asyncio.Future[tuple[str, int]] = asyncio.get_running_loop().create_future()
         router = asyncio.create_task(program.serve(config, listening))
         address = await asyncio.wait_for(listening, LIMIT_S)
         await asyncio.wait_for(agent.watched.wait(), LIMIT_S)
         reader, writer = await asyncio.open_connection(*address)
         writer.write(read("r1", wait=20_000))
-        await asyncio.wait_for(asked.wait(), LIMIT_S)
+        await asyncio.wait_for(request_received.wait(), LIMIT_S)
         os.kill(os.getpid(), signal.SIGTERM)
         config_of(tmp_path / "config.json", other.port)
         os.kill(os.getpid(), signal.SIGHUP)
-        await asyncio.wait_for(other.watched.wait(), LIMIT_S)  # it follows its new file to the end
+        await asyncio.wait_for(
+            other.watched.wait(), LIMIT_S
+        )  # the reloaded address is followed until the end
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.sleep(0)
-        go.set()
+        answers_released.set()
         assert await asyncio.wait_for(reader.read(), LIMIT_S) == SERVED
         await asyncio.wait_for(router, LIMIT_S)
         writer.close()
@@ -619,7 +627,7 @@
     async def test() -> None:
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue"
 
-        class Ends(Peer):
+        class UnframedOrigin(Peer):
             seen = 0
 
             async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -632,15 +640,15 @@
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
                     writer.transport.abort()
 
-        origin, node = Ends(), Node()
+        origin, node = UnframedOrigin(), Node()
         await origin.start()
         await node.start(entry("o", origin.port, "origin"))
-        told = await node.ask(read("r1"), len(SERVED))
+        answer = await node.ask(read("r1"), len(SERVED))
         if reset:
-            assert told == b"-BUSY\r\n"
+            assert answer == b"-BUSY\r\n"
             assert origin.seen > 1
         else:
-            assert told == SERVED
+            assert answer == SERVED
             assert origin.seen == 1
         node.stop()
         origin.stop()
@@ -649,17 +657,17 @@
 
 
 def test_an_unrequested_second_answer_closes_its_connection_and_is_discarded() -> None:
-    async def play(stage: Stage) -> None:
-        stage.go.set()
-        node = stage.node
+    async def steps(setup: RouterSetup) -> None:
+        setup.answers_released.set()
+        node = setup.node
         assert await node.ask(read("r1"), len(SERVED)) == SERVED
-        for writer in list(stage.cache._writers):
+        for writer in list(setup.cache._writers):
             writer.write(b"*3\r\n$5\r\nwrong\r\n$3\r\nhit\r\n$-1\r\n")
         await until(lambda: node.pool.tables()["connections"] == 0)
         assert await node.ask(read("r2"), len(SERVED)) == SERVED
-        assert stage.cache.connections == 2
+        assert setup.cache.connections == 2
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_a_timeout_and_an_answer_in_one_loop_iteration_give_one_answer(
@@ -667,38 +675,38 @@
 ) -> None:
     monkeypatch.setattr(client_listener, "IDLE_TIMEOUT_S", IDLE_S)
 
-    async def play(stage: Stage) -> None:
-        node = stage.node
-        asked = asyncio.create_task(node.ask(read("r1"), 100))
-        await asyncio.wait_for(stage.asked.wait(), LIMIT_S)
+    async def steps(setup: RouterSetup) -> None:
+        node = setup.node
+        client = asyncio.create_task(node.ask(read("r1"), 100))
+        await asyncio.wait_for(setup.request_received.wait(), LIMIT_S)
         (request,) = node.host.open_requests.by_id.values()
         attempt = request.last_attempt
         assert attempt is not None
         connection = attempt.connection
         assert connection is not None
         attempt._timed_out()
-        connection.data_received(HIT)  # read in the turn in which its time was over
+        connection.data_received(HIT)  # read in the iteration in which the attempt timed out
         assert node.host.outstanding in (0, 1)
-        stage.go.set()
-        told = await asyncio.wait_for(asked, LIMIT_S) if node.host.outstanding else b""
-        assert told.count(b"\r\n") <= 2
+        setup.answers_released.set()
+        answer = await asyncio.wait_for(client, LIMIT_S) if node.host.outstanding else b""
+        assert answer.count(b"\r\n") <= 2
         results = {key: count for key, count in node.host.metrics.results.items() if count}
         assert sum(results.values()) == 1
 
-    staged(play)
+    run_with_setup(steps)
 
 
-# Lists
+# Endpoint lists
 
 
 class UnresponsiveAgent(Agent):
-    """Discovery that answers no watch, and only so many of the other calls."""
+    """Discovery that answers no watch, and fails a set number of calls for the complete list."""
 
     def __init__(self, instances: list[dict[str, Any]]) -> None:
         super().__init__(instances)
-        self.ignores = 0  # calls for the whole list that are to be left without an answer
-        self.rejects = 0  # and those to be answered 503
-        self.lists = 0
+        self.ignores = 0  # number of calls for the complete list to leave without an answer
+        self.rejects = 0  # number of such calls to answer with 503 after these
+        self.lists = 0  # number of such calls received
 
     async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
@@ -717,17 +725,18 @@
                 self.tell(writer)
 
 
-@pytest.mark.parametrize(("mute", "refuse"), [(0, 0), (3, 0), (0, 3), (2, 2)])
+@pytest.mark.parametrize(("ignores", "rejects"), [(0, 0), (3, 0), (0, 3), (2, 2)])
 def test_changes_arrive_despite_an_unanswered_watch_and_failed_calls_after_it(
-    mute: int, refuse: int, monkeypatch: pytest.MonkeyPatch
+    ignores: int, rejects: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery, "PUSHED_WAIT_MS", 20)
     monkeypatch.setattr(discovery, "CALL_SLACK_S", 0.02)
-    monkeypatch.setattr(discovery, "LIST_TIMEOUT_S", 1000.0)  # the patient call alone would never get there
+    # The call with the long timeout alone would never get a list.
+    monkeypatch.setattr(discovery, "LIST_TIMEOUT_S", 1000.0)
 
     async def test() -> None:
         agent = UnresponsiveAgent([entry("s1", 9)])
-        agent.ignores = mute  # from the first second on
+        agent.ignores = ignores  # from the start
         await agent.start()
         lists: asyncio.Queue[int] = asyncio.Queue()
         watching = discovery.Discovery(
@@ -742,7 +751,7 @@
             agent.generation = version
             while await asyncio.wait_for(lists.get(), LIMIT_S) != version:
                 pass
-            agent.ignores, agent.rejects = mute, refuse
+            agent.ignores, agent.rejects = ignores, rejects
         watching.close()
         agent.stop()
 
@@ -750,11 +759,11 @@
 
 
 def test_the_sum_of_the_longest_waits_stays_within_the_notification_bound() -> None:
-    told = 6.0
+    notification_bound_s = 6.0
     pushed = discovery.PUSHED_WAIT_MS / 1000 + discovery.CALL_SLACK_S
-    assert pushed + 2 * (discovery.RETRY_S + discovery.QUICK_TIMEOUT_S) < told
-    first_pause = 1.0
-    assert discovery.POLL_SLACK_S + first_pause <= 2.0  # behind a call's wait, by the page
+    assert pushed + 2 * (discovery.RETRY_S + discovery.QUICK_TIMEOUT_S) < notification_bound_s
+    first_pause_s = 1.0
+    assert discovery.POLL_SLACK_S + first_pause_s <= 2.0  # beyond a call's wait, as documented
     longest = 0
     router = RoutingPolicy(settings(subscription_required=True, poll_within_ns=3600 * S), 7)
     for i in range(40):
@@ -762,25 +771,26 @@
             assert isinstance(action, SetTimer)
             longest = max(longest, action.delay_ns)
             router.handle(TimerFired("subscribe"), i * S)
-    assert told > longest / S + discovery.POLL_SLACK_S
+    assert notification_bound_s > longest / S + discovery.POLL_SLACK_S
     first = RoutingPolicy(settings(subscription_required=True, poll_within_ns=3600 * S), 7)
     (action,) = first.handle(EndpointsChanged(UpdateKind.FAILED), 0)
     assert isinstance(action, SetTimer)
-    assert action.delay_ns <= first_pause * S
+    assert action.delay_ns <= first_pause_s * S
 
 
 def test_an_unanswered_watch_at_a_polled_service_is_detected_within_six_seconds() -> None:
     assert discovery.POLL_WAIT_MS / 1000 + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
     wait = discovery._Watch(("127.0.0.1", 9), 0, needs_full_list=True).timeout
     for _ in range(60):
-        wait.timed_out(0.1)  # by a service that has room
+        wait.timed_out(0.1)  # the delay at a service with capacity
     assert wait.wait_s + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
 
 
 def test_the_old_services_list_is_replaced_once_the_new_service_sends_one(tmp_path: Path) -> None:
     async def test() -> None:
         old, new = UnresponsiveAgent([entry("s1", 9)]), UnresponsiveAgent([entry("s1", 10)])
-        old.generation, new.generation = 500, 3  # with older versions, and the same server elsewhere
+        # The new service has lower versions, and lists s1 at another address.
+        old.generation, new.generation = 500, 3
         await old.start()
         await new.start()
         lists: asyncio.Queue[tuple[int, int]] = asyncio.Queue()
@@ -811,10 +821,10 @@
         for sockets in (256, 512, 1024):
             config = replace(config_of(tmp_path / "c.json", 1), max_descriptors=sockets)
             router = program.Program(config)
-            for_clients, for_servers = descriptor_limits.descriptor_limits(sockets)
-            held = for_clients + client_listener.MAX_REJECTING_CONNECTIONS + for_servers
-            assert held + descriptor_limits.OWN_DESCRIPTORS <= sockets
-            assert router.clients._limit == for_clients
+            client_limit, endpoint_limit = descriptor_limits.descriptor_limits(sockets)
+            in_use = client_limit + client_listener.MAX_REJECTING_CONNECTIONS + endpoint_limit
+            assert in_use + descriptor_limits.OWN_DESCRIPTORS <= sockets
+            assert router.clients._limit == client_limit
             router.clients.close()
             router.dispatcher.close()
             router.pool.close()
@@ -825,26 +835,31 @@
 def test_a_burst_of_queued_connections_stays_within_the_descriptor_limit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made = client_connection.ClientConnection.connection_made
-    most = accepted = 0
+    connection_made = client_connection.ClientConnection.connection_made
+    max_descriptors = accepted = 0
 
-    def counted(connection: client_connection.ClientConnection, transport: asyncio.BaseTransport) -> None:
-        nonlocal most, accepted
+    def count_connection(
+        connection: client_connection.ClientConnection, transport: asyncio.BaseTransport
+    ) -> None:
+        nonlocal max_descriptors, accepted
         accepted += 1
-        most = max(most, len(os.listdir("/proc/self/fd")))
-        made(connection, transport)
+        max_descriptors = max(max_descriptors, len(os.listdir("/proc/self/fd")))
+        connection_made(connection, transport)
 
-    monkeypatch.setattr(client_connection.ClientConnection, "connection_made", counted)
+    monkeypatch.setattr(client_connection.ClientConnection, "connection_made", count_connection)
 
-    async def play(stage: Stage) -> None:
+    async def steps(setup: RouterSetup) -> None:
         before = len(os.listdir("/proc/self/fd"))
-        callers = [socket.create_connection(stage.node.address) for _ in range(300)]  # in one turn
-        await until(lambda: accepted == len(callers))
-        assert 0 < most - before - len(callers) <= 8 + client_listener.MAX_REJECTING_CONNECTIONS + 1
-        for caller in callers:
-            caller.close()
+        # All connect in one event loop iteration.
+        clients = [socket.create_connection(setup.node.address) for _ in range(300)]
+        await until(lambda: accepted == len(clients))
+        assert (
+            0 < max_descriptors - before - len(clients) <= 8 + client_listener.MAX_REJECTING_CONNECTIONS + 1
+        )
+        for client in clients:
+            client.close()
 
-    staged(play, limit=8)
+    run_with_setup(steps, limit=8)
 
 
 def test_new_clients_are_accepted_beside_lingering_connections(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -852,19 +867,19 @@
     monkeypatch.setattr(client_listener, "MIN_IDLE_S", 0.0)
     monkeypatch.setattr(client_listener, "MAX_REJECTING_CONNECTIONS", 2)
 
-    async def play(stage: Stage) -> None:
-        stage.go.set()
+    async def steps(setup: RouterSetup) -> None:
+        setup.answers_released.set()
         pairs = []
         for i in range(12):
-            pairs.append(await stage.node.dial())
+            pairs.append(await setup.node.dial())
             pairs[-1][1].write(read(f"r{i}", f"k{i}"))
             assert await asyncio.wait_for(pairs[-1][0].readexactly(len(SERVED)), LIMIT_S) == SERVED
-            assert stage.node.clients.connection_count <= 4 + 2
-        assert len(stage.cache.seen) == 12
+            assert setup.node.clients.connection_count <= 4 + 2
+        assert len(setup.cache.seen) == 12
         for _, writer in pairs:
             writer.close()
 
-    staged(play, limit=4)
+    run_with_setup(steps, limit=4)
 
 
 def test_a_document_that_is_not_an_endpoint_list_is_refused() -> None:
@@ -872,49 +887,49 @@
         endpoint_list.read_endpoint_list(orjson.loads(b"[]"), endpoint_list.Clock())
 
 
-# Floods
+# Overload by clients
 
 
 def test_clients_that_read_no_answers_are_closed_before_memory_runs_out() -> None:
-    whole = b"$65536\r\n%b\r\n" % (b"v" * 65536)
-
-    async def play(stage: Stage) -> None:
-        stage.answer = b"*1\r\n" + whole
-        stage.go.set()
-        stage.node.clients._max_unsent_bytes = 1 << 20
-        usual = await stage.node.dial()
-        usual[1].write(read("r0"))
-        assert await asyncio.wait_for(usual[0].readexactly(len(whole)), LIMIT_S) == whole
-        _, taker = await stage.node.dial()
-        await stage.alone(2)
-        transport = stage.connection(1).transport
+    answer = b"$65536\r\n%b\r\n" % (b"v" * 65536)
+
+    async def steps(setup: RouterSetup) -> None:
+        setup.answer = b"*1\r\n" + answer
+        setup.answers_released.set()
+        setup.node.clients._max_unsent_bytes = 1 << 20
+        reading_client = await setup.node.dial()
+        reading_client[1].write(read("r0"))
+        assert await asyncio.wait_for(reading_client[0].readexactly(len(answer)), LIMIT_S) == answer
+        _, stalled_writer = await setup.node.dial()
+        await setup.wait_for_client_count(2)
+        transport = setup.connection(1).transport
         assert transport is not None
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 65536)
-        taker.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-        cast(Any, taker.transport).pause_reading()
-        taker.write(b"".join(read(f"f{i}") for i in range(200)))
-        await stage.alone(1)
-        usual[1].write(read("r1"))
-        assert await asyncio.wait_for(usual[0].readexactly(len(whole)), LIMIT_S) == whole
+        stalled_writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
+        cast(Any, stalled_writer.transport).pause_reading()
+        stalled_writer.write(b"".join(read(f"f{i}") for i in range(200)))
+        await setup.wait_for_client_count(1)
+        reading_client[1].write(read("r1"))
+        assert await asyncio.wait_for(reading_client[0].readexactly(len(answer)), LIMIT_S) == answer
 
-    staged(play)
+    run_with_setup(steps)
 
 
 def test_thousands_of_partial_commands_leave_room_for_complete_requests() -> None:
-    async def play(stage: Stage) -> None:
-        stage.go.set()
+    async def steps(setup: RouterSetup) -> None:
+        setup.answers_released.set()
         for i in range(1500):
-            _, writer = await stage.node.dial()
+            _, writer = await setup.node.dial()
             writer.write(b"*4\r\n$6\r\nKV.")
             if i % 100 == 99:
-                assert await stage.node.ask(read(f"r{i}"), 4) in (b"-BUS", b"$5\r\n")
-            assert stage.node.clients.connection_count <= 64 + client_listener.MAX_REJECTING_CONNECTIONS
-        assert len(stage.cache.seen) > 3
+                assert await setup.node.ask(read(f"r{i}"), 4) in (b"-BUS", b"$5\r\n")
+            assert setup.node.clients.connection_count <= 64 + client_listener.MAX_REJECTING_CONNECTIONS
+        assert len(setup.cache.seen) > 3
 
-    staged(play)
+    run_with_setup(steps)
 
 
-# Connections to servers
+# Connections to endpoints
 
 
 def test_evicting_an_idle_connection_loses_no_request_and_serves_the_waiting_one() -> None:
@@ -940,19 +955,19 @@
 
 
 def test_a_dial_that_times_out_ends_its_waiters_and_frees_its_descriptor() -> None:
-    async def play(stage: Stage) -> None:
-        loop, pool = GatedLoop(), stage.node.pool
+    async def steps(setup: RouterSetup) -> None:
+        loop, pool = GatedLoop(), setup.node.pool
         pool._loop, pool._dial_timeout_s = cast(Any, loop), 0.01
-        stage.go.set()
-        asked = asyncio.create_task(stage.node.ask(read("r1"), len(SERVED)))
+        setup.answers_released.set()
+        client = asyncio.create_task(setup.node.ask(read("r1"), len(SERVED)))
         await until(lambda: pool.counters.dials_timed_out > 0)
         pool._dial_timeout_s = LIMIT_S
         loop.up.set()
-        assert await asked == SERVED
+        assert await client == SERVED
         await until(lambda: pool.tables()["dials"] == 0)
         assert pool.tables()["descriptors_counted"] == pool.tables()["connections"]
 
-    staged(play)
+    run_with_setup(steps)
 
 
 @pytest.mark.parametrize("effect", list(Idempotency))
@@ -964,10 +979,10 @@
         node, origin = Node(config=settings(classes=(cls,))), Origin(PAGE)
         await origin.start()
         await node.start(entry("o", origin.port, "origin"))
-        told = b"c=put,t=a,d=900" + b",k=11" * (effect is Idempotency.IDEMPOTENCY_KEY)
+        info = b"c=put,t=a,d=900" + b",k=11" * (effect is Idempotency.IDEMPOTENCY_KEY)
 
         def put(name: bytes) -> bytes:
-            return command(b"KV.SET", b"k", name, told, b"v")
+            return command(b"KV.SET", b"k", name, info, b"v")
 
         assert await node.ask(put(b"w1"), len(SERVED)) == SERVED
         reader, writer = await node.dial()
@@ -975,11 +990,11 @@
         await asyncio.sleep(0)
         for server in origin._writers:
             server.transport.abort()
-        write_now(writer, put(b"w2"))  # the router reads both in one turn, and may read this first
+        write_now(writer, put(b"w2"))  # the router reads both in one iteration, in either order
         answer = await asyncio.wait_for(reader.readline(), LIMIT_S)
         assert origin.seen <= 2
         assert answer == b"$5\r\n" if origin.seen == 2 else answer.startswith(b"-")
-        if answer.startswith(b"-BUSY"):  # it says that another try does no harm
+        if answer.startswith(b"-BUSY"):  # -BUSY tells the client that a retry is safe
             assert effect is not Idempotency.NOT_IDEMPOTENT
         writer.close()
         node.stop()
@@ -990,7 +1005,7 @@
 
 def test_every_ending_on_the_page_names_existing_tests() -> None:
     root = Path(__file__).resolve().parents[1]
-    there = {
+    existing = {
         name for path in root.rglob("*.py") for name in re.findall(r"^def (test_\w+)", path.read_text(), re.M)
     }
     rows = [
@@ -1002,4 +1017,4 @@
     for row in rows:
         named = re.findall(r"`(test_\w+)`", row)
         assert named, row
-        assert set(named) <= there, row
+        assert set(named) <= existing, row
--- a/tests/router/test_event_loop_lag.py
+++ b/tests/router/test_event_loop_lag.py
@@ -1,4 +1,4 @@
-"""LagMonitor: how long what is read after a lag of the event loop may have waited."""
+"""LagMonitor: how long data read after a lag of the event loop may have waited."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 @pytest.mark.parametrize("first", ["read", "beat"])
 def test_what_is_read_after_a_lag_may_have_waited_since_the_beat_before_it(first: str) -> None:
     monitor = monitor_without_lag(200 * MS)
-    wakes = 2_200 * MS
-    if first == "beat":  # the loop may look at its timers before its sockets
-        assert monitor.beat(wakes) == wakes - 200 * MS
-    assert monitor.possible_lag_ns(wakes) == wakes - 200 * MS
-    assert monitor.possible_lag_ns(wakes + MS) == wakes + MS - 200 * MS
+    lag_end = 2_200 * MS
+    if first == "beat":  # the event loop may run its timers before it reads its sockets
+        assert monitor.beat(lag_end) == lag_end - 200 * MS
+    assert monitor.possible_lag_ns(lag_end) == lag_end - 200 * MS
+    assert monitor.possible_lag_ns(lag_end + MS) == lag_end + MS - 200 * MS
 
 
 def test_a_second_beat_after_a_lag_ends_the_possible_wait() -> None:
@@ -56,13 +56,13 @@
 
 
 def test_a_deadline_counts_from_the_arrival_of_bytes_that_are_read_late_after_a_lag() -> None:
-    """The loop stands still while a command waits on a connection that is not read, for beats after the lag.
+    """The event loop stalls while a command waits on a connection that is not read until some beats later.
 
-    The command's client has waited longer than its timeout: it is rejected, and no cache server gets it. The
-    next command has its whole time.
+    The client has waited longer than its timeout, so the command is rejected and no cache server gets it. The
+    next command has its full timeout.
     """
 
-    async def scene() -> None:
+    async def steps() -> None:
         async def hit(_: list[bytes]) -> bytes:
             return HIT
 
@@ -79,7 +79,7 @@
             connection.transport.pause_reading()
             await loop.sock_sendall(client, read("q1", wait=250))
             time.sleep(0.3)
-            await asyncio.sleep(0.06)  # two monitor and more
+            await asyncio.sleep(0.06)  # more than two beats of the monitor
             connection.transport.resume_reading()
             answer = await asyncio.wait_for(loop.sock_recv(client, 100), 20.0)
             assert answer.startswith(b"-BUSY")
@@ -89,4 +89,4 @@
         node.stop()
         cache.stop()
 
-    run(scene)
+    run(steps)
--- a/tests/router/test_timer_wheel.py
+++ b/tests/router/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""TimerWheel: no timer is early, lost or called twice."""
+"""TimerWheel: no timer is called early or twice, and none is lost."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Clock:
-    """A clock that is set, and the one timer of a loop that goes by it."""
+    """A test clock, and an event loop with a single timer that runs by this clock."""
 
     def __init__(self) -> None:
         self.now = 7 * TICK_NS + 3
@@ -62,10 +62,10 @@
     for i, (at, wait, _) in sorted(enumerate(plan), key=lambda pair: pair[1][0]):
         clock.run_until(max(start_ns + at, clock.now))
         set_at_ns[i] = clock.now
-        one = timers.call_at(clock.now + wait, lambda i=i: called.setdefault(i, []).append(clock.now))  # type: ignore[misc]
+        timer = timers.call_at(clock.now + wait, lambda i=i: called.setdefault(i, []).append(clock.now))  # type: ignore[misc]
         if plan[i][2]:
-            one.cancel()
-            one.cancel()
+            timer.cancel()
+            timer.cancel()
     clock.run_until(clock.now + 100 * TICK_NS)
     assert len(timers) == 0
     assert clock.callback is None
@@ -74,20 +74,20 @@
             assert i not in called
         else:
             due = set_at_ns[i] + wait
-            (when,) = called[i]
-            assert due <= when <= max(due, set_at_ns[i]) + 2 * TICK_NS
+            (called_at,) = called[i]
+            assert due <= called_at <= max(due, set_at_ns[i]) + 2 * TICK_NS
 
 
 def test_a_timer_set_for_now_by_a_callback_is_called_in_the_next_turn() -> None:
     clock, timers = wheel()
     times: list[int] = []
 
-    def again() -> None:
+    def set_again() -> None:
         times.append(clock.timers)
         if len(times) < 3:
-            timers.call_at(clock.now, again)
+            timers.call_at(clock.now, set_again)
 
-    timers.call_at(clock.now, again)
+    timers.call_at(clock.now, set_again)
     clock.run_until(clock.now + 5 * TICK_NS)
     assert len(set(times)) == 3
 
@@ -101,8 +101,8 @@
 
     timers.call_at(clock.now, fails)
     timers.call_at(clock.now, lambda: called.append("kept"))
-    timers.call_at(clock.now, lambda: neighbour.cancel())
-    neighbour = timers.call_at(clock.now, lambda: called.append("cancelled"))
+    timers.call_at(clock.now, lambda: cancelled.cancel())
+    cancelled = timers.call_at(clock.now, lambda: called.append("cancelled"))
     clock.run_until(clock.now + 5 * TICK_NS)
     assert called == ["kept"]
     assert [str(fault["exception"]) for fault in clock.faults] == ["planted"]
--- a/tests/router/test_watch_timeout.py
+++ b/tests/router/test_watch_timeout.py
@@ -1,4 +1,4 @@
-"""The wait that a watch asks for at one service for all routers: short where it has room, long where not."""
+"""WatchTimeout: watches at a polled service wait briefly while it has capacity, and long while it has not."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.emulated_nodes import LIMIT_S, Peer, run
 
 SHORTEST_S, LONGEST_S = discovery.POLL_WAIT_MS / 1000, discovery.MAX_POLL_WAIT_MS / 1000
-TURNED_AWAY_S = 2.0  # a service turns a call away that would wait for its turn longer than this
+MAX_QUEUE_DELAY_S = 2.0  # the service rejects a call that would wait in its queue for longer than this
 
 
 def adaptive() -> WatchTimeout:
@@ -31,17 +31,17 @@
 @dataclass
 class Caller:
     wait: WatchTimeout
-    call: int = 0  # its number: what is said of an earlier one is over
-    knows: int = 0
+    call: int = 0  # number of the current call; events of earlier calls are ignored
+    seen_version: int = 0  # of the list
 
 
 @dataclass
 class Service:
-    """One service, first come first served, that takes a call from each router within `all_call_s`."""
+    """A service that answers calls in order of arrival, one from each router within `all_call_s` seconds."""
 
     wait: Callable[[], WatchTimeout]
     all_call_s: float
-    news_s: float  # between two changes of the list
+    change_interval_s: float  # between two changes of the list
     routers: int = 100
     length_s: float = 600.0
     seed: int = 1
@@ -51,35 +51,35 @@
     free_at: float = 0.0
     callers: list[Caller] = field(default_factory=list)
 
-    def play(self) -> Service:
-        """Play the whole length; counts calls, and those that failed."""
+    def simulate(self) -> Service:
+        """Simulate `length_s` seconds, and count the calls and those that failed."""
         rng, serial = random.Random(self.seed), count()
         self.callers = [Caller(self.wait()) for _ in range(self.routers)]
-        agenda: list[tuple[float, int, Callable[[float], None]]] = []
+        events: list[tuple[float, int, Callable[[float], None]]] = []
 
-        def after(at: float, act: Callable[[float], None]) -> None:
-            heapq.heappush(agenda, (at, next(serial), act))
+        def schedule(at: float, act: Callable[[float], None]) -> None:
+            heapq.heappush(events, (at, next(serial), act))
 
         def fail(caller: Caller, now: float) -> None:
             self.failed += 1
             caller.wait.failed()
-            after(now + rng.uniform(0.25, 1.0), lambda at: begin(caller, at))
+            schedule(now + rng.uniform(0.25, 1.0), lambda at: begin(caller, at))
 
         def begin(caller: Caller, now: float) -> None:
             self.calls += 1
             caller.call += 1
             number, wait_s = caller.call, caller.wait.wait_s
-            if self.free_at - now > TURNED_AWAY_S:
+            if self.free_at - now > MAX_QUEUE_DELAY_S:
                 fail(caller, now)
                 return
             self.free_at = max(self.free_at, now) + self.all_call_s / self.routers
-            after(self.free_at, lambda at: serve(caller, number, at))
-            after(self.free_at + wait_s, lambda at: end(caller, number, at, at - now - wait_s))
-            after(now + wait_s + discovery.POLL_SLACK_S, lambda at: give_up(caller, number, at))
+            schedule(self.free_at, lambda at: serve(caller, number, at))
+            schedule(self.free_at + wait_s, lambda at: end(caller, number, at, at - now - wait_s))
+            schedule(now + wait_s + discovery.POLL_SLACK_S, lambda at: give_up(caller, number, at))
 
         def serve(caller: Caller, number: int, now: float) -> None:
-            if number == caller.call and caller.knows < self.version:
-                caller.knows = self.version
+            if number == caller.call and caller.seen_version < self.version:
+                caller.seen_version = self.version
                 begin(caller, now)
 
         def end(caller: Caller, number: int, now: float, delay: float) -> None:
@@ -95,26 +95,26 @@
         def change(now: float) -> None:
             self.version += 1
             for caller in self.callers:
-                after(now, lambda at, one=caller, number=caller.call: serve(one, number, at))  # type: ignore[misc]
-            after(now + self.news_s, change)
+                schedule(now, lambda at, one=caller, number=caller.call: serve(one, number, at))  # type: ignore[misc]
+            schedule(now + self.change_interval_s, change)
 
         for caller in self.callers:
-            after(rng.uniform(0.25, 1.0), lambda at, one=caller: begin(one, at))  # type: ignore[misc]
-        after(self.news_s, change)
-        while agenda[0][0] < self.length_s:
-            now, _, act = heapq.heappop(agenda)
+            schedule(rng.uniform(0.25, 1.0), lambda at, one=caller: begin(one, at))  # type: ignore[misc]
+        schedule(self.change_interval_s, change)
+        while events[0][0] < self.length_s:
+            now, _, act = heapq.heappop(events)
             act(now)
         return self
 
 
-@pytest.mark.parametrize("news_s", [60.0, 1e9])
+@pytest.mark.parametrize("change_interval_s", [60.0, 1e9])
 @pytest.mark.parametrize("all_call_s", [2.0, 4.0, 8.0])
 def test_an_overloaded_service_fails_at_most_a_tenth_more_calls_than_with_the_longest_wait(
-    all_call_s: float, news_s: float
+    all_call_s: float, change_interval_s: float
 ) -> None:
-    longest = Service(fixed(LONGEST_S), all_call_s, news_s).play()
-    shortest = Service(fixed(SHORTEST_S), all_call_s, news_s).play()
-    adapted = Service(adaptive, all_call_s, news_s).play()
+    longest = Service(fixed(LONGEST_S), all_call_s, change_interval_s).simulate()
+    shortest = Service(fixed(SHORTEST_S), all_call_s, change_interval_s).simulate()
+    adapted = Service(adaptive, all_call_s, change_interval_s).simulate()
     assert adapted.failed <= 1.1 * longest.failed
     if all_call_s > SHORTEST_S:
         assert shortest.failed > 1.5 * longest.failed
@@ -122,9 +122,9 @@
 
 @pytest.mark.parametrize("all_call_s", [0.05, 0.5])
 def test_a_service_with_capacity_is_polled_with_the_shortest_wait(all_call_s: float) -> None:
-    played = Service(adaptive, all_call_s, 1e9).play()
-    assert not played.failed
-    assert {caller.wait.wait_s for caller in played.callers} == {SHORTEST_S}
+    simulated = Service(adaptive, all_call_s, 1e9).simulate()
+    assert not simulated.failed
+    assert {caller.wait.wait_s for caller in simulated.callers} == {SHORTEST_S}
 
 
 def test_the_wait_begins_long_grows_by_one_late_answer_and_shrinks_by_many_quick_ones() -> None:
@@ -144,16 +144,17 @@
     assert wait.wait_s == LONGEST_S
 
 
-class Waits(Peer):
-    """A service that answers each watch on the very millisecond at which its wait is over, by a clock that it
-    moves itself, and the third with 503; keeps the waits.
+class RecordingService(Peer):
+    """A service that answers each watch exactly at the end of its wait, and the third one with 503.
+
+    It advances the test's clock itself, and records the waits.
     """
 
     def __init__(self, now_ms: int) -> None:
         super().__init__()
         self.now_ms = now_ms
         self.waits_ms: list[int] = []
-        self.asked_often = asyncio.Event()
+        self.five_calls_received = asyncio.Event()
 
     def now(self) -> float:
         """The clock, in seconds."""
@@ -169,19 +170,19 @@
             self.now_ms += self.waits_ms[-1]
             body = orjson.dumps({"generation": 5, "reset": False, "instances": []})
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        self.asked_often.set()
+        self.five_calls_received.set()
         await asyncio.Event().wait()
 
 
 @pytest.mark.parametrize(
-    "begun_ms",
+    "start_ms",
     [
         1_000,
-        1_026,  # as differences of seconds these waits would be over some 1e-16 s too soon
+        1_026,  # as differences of seconds these waits would end about 1e-16 s too soon
     ],
 )
 def test_prompt_answers_shorten_the_wait_of_a_watch_and_a_failure_restores_the_longest(
-    monkeypatch: pytest.MonkeyPatch, begun_ms: int
+    monkeypatch: pytest.MonkeyPatch, start_ms: int
 ) -> None:
     monkeypatch.setattr(discovery, "POLL_WAIT_MS", 10)
     monkeypatch.setattr(discovery, "MAX_POLL_WAIT_MS", 400)
@@ -190,7 +191,7 @@
     monkeypatch.setattr(watch_timeout, "DELAY_DECAY", 0.5)
 
     async def test() -> None:
-        service, failed = Waits(begun_ms), asyncio.Event()
+        service, failed = RecordingService(start_ms), asyncio.Event()
         await service.start()
         watching = discovery.Discovery(
             ("127.0.0.1", service.port), True, endpoint_list.Clock(), lambda _: None, failed.set, service.now
@@ -199,7 +200,7 @@
         watching.subscribe()
         await asyncio.wait_for(failed.wait(), LIMIT_S)
         watching.subscribe()
-        await asyncio.wait_for(service.asked_often.wait(), LIMIT_S)
+        await asyncio.wait_for(service.five_calls_received.wait(), LIMIT_S)
         assert service.waits_ms == [400, 200, 100, 400, 200]
         watching.close()
         service.stop()
--- a/tests/watching_router.py
+++ b/tests/watching_router.py
@@ -1,4 +1,4 @@
-"""A test double: the router as it is, which writes what it observes and what it goes by to its log."""
+"""A router that also logs its observations and the load snapshots that it applies, for tests."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 from holdgw.router.program import Program
 
 OBSERVED, SNAPSHOT = "observed ", "snapshot "
-"""What its lines begin with; JSON follows."""
+"""Prefixes of the log lines; JSON follows."""
 
 
-class _Watch:
-    """Stands between the router's program and its peers."""
+class _Recorder:
+    """Logs the calls that the router's peers make to its program, and passes them on."""
 
     def __init__(self) -> None:
         self._take, self._apply = Program.take_observations, Program.apply_load_snapshot
 
     def take_observations(self, router: Program) -> Observations:
-        """What the router observed."""
-        found = self._take(router)
-        waits = {name: sampled.wait for name, sampled in found.waits.items()}
-        _write(OBSERVED, {"waits": waits, "slots": dict(found.slot_requests)})
-        return found
+        """Log and return the router's observations."""
+        observations = self._take(router)
+        waits = {name: sampled.wait for name, sampled in observations.waits.items()}
+        _write(OBSERVED, {"waits": waits, "slots": dict(observations.slot_requests)})
+        return observations
 
     def apply_load_snapshot(self, router: Program, snapshot: LoadSnapshot) -> None:
-        """What the router goes by, and its own certain counts beside it."""
+        """Log a load snapshot with the router's own certain counts, and apply the snapshot."""
         assert router.peers is not None
         assert router.peers.exchange is not None
         assert router.peers.exchange.client is not None
         now = time.monotonic_ns()
         views, load_view = router.peers.exchange.client.views, router.peers.load_view
-        told = {
+        record = {
             "waits": {name: one.wait for name, one in snapshot.waits.items()},
             "shares": dict(snapshot.slot_shares),
             "requests": snapshot.requests,
@@ -45,18 +45,18 @@
             "own_waits": [load_view.names[server] for server in load_view.own_waits(now)],
             "fresh": [number for number, held in views._views.items() if held.is_fresh(now)],
         }
-        _write(SNAPSHOT, told)
+        _write(SNAPSHOT, record)
         self._apply(router, snapshot)
 
 
-def _write(what: str, told: dict[str, object]) -> None:
-    line = orjson.dumps({"at": time.monotonic(), **told}, option=orjson.OPT_NON_STR_KEYS)
-    sys.stderr.write(f"{what}{line.decode()}\n")
+def _write(prefix: str, record: dict[str, object]) -> None:
+    line = orjson.dumps({"at": time.monotonic(), **record}, option=orjson.OPT_NON_STR_KEYS)
+    sys.stderr.write(f"{prefix}{line.decode()}\n")
     sys.stderr.flush()
 
 
 if __name__ == "__main__":
-    watch = _Watch()
-    setattr(Program, "take_observations", lambda router: watch.take_observations(router))  # noqa: B010
-    setattr(Program, "apply_load_snapshot", lambda router, told: watch.apply_load_snapshot(router, told))  # noqa: B010
+    recorder = _Recorder()
+    setattr(Program, "take_observations", lambda router: recorder.take_observations(router))  # noqa: B010
+    setattr(Program, "apply_load_snapshot", lambda router, load: recorder.apply_load_snapshot(router, load))  # noqa: B010
     sys.exit(program.main())
