--- a/holdgw/router/config.py
+++ b/holdgw/router/config.py
@@ -60,7 +60,7 @@
     passed_descriptor: int | None
     """Descriptor of a listening socket for clients that the system passes to the process, if any."""
     peers: PeerConfig | None
-    """This router's place among its peers; None if the settings allow no exchange with them."""
+    """This router's place among its peers; None without peers or where the settings allow none."""
     known_endpoints: dict[str, Any] | None
     """An endpoint list in discovery's format to start with, possibly outdated."""
 
