--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -67,9 +67,10 @@
     if call.when != "call" or call.excinfo is None or not call.excinfo.errisinstance(AssertionError):
         return None
     raised = call.excinfo.traceback[-1]
+    test = item.nodeid.partition("@")[0]  # pytest-xdist appends the group
     for listed, cause in known_red().items():
         named = NOW_AND_THEN.fullmatch(listed)
-        if named is None or named[1] != item.nodeid or raised.path != item.path:
+        if named is None or named[1] != test or raised.path != item.path:
             continue
         if re.fullmatch(re.escape(f"assert {named[2]}") + r"(, \w+)?", str(raised.statement).strip()):
             return cause
--- a/tests/test_suite.py
+++ b/tests/test_suite.py
@@ -47,6 +47,10 @@
 tests/test_red.py::test_passing [3 - 1 <= 1]: too far apart; issue 0
 """
 RED = """
+import pytest
+
+
+@pytest.mark.xdist_group("one, two")
 def test_by_the_named_assertion():
     shown = "figures"
     assert 3 - 1 <= 1, shown
@@ -72,7 +76,7 @@
     (tmp_path / "tests/test_red.py").write_text(RED)
     shutil.copy(Path(__file__).with_name("conftest.py"), tmp_path / "tests")
     environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")}
-    words = ("-q", "-rfx", "-p", "no:cacheprovider", "--rootdir", ".", "-n", "1")
+    words = ("-q", "-rfx", "-p", "no:cacheprovider", "--rootdir", ".", "-n", "1", "--dist", "loadgroup")
     ran = subprocess.run(
         [sys.executable, "-m", "pytest", *words, "tests"],
         cwd=tmp_path,
@@ -82,7 +86,7 @@
         check=False,
     )
     assert "2 failed, 1 passed, 1 xfailed in " in ran.stdout, ran.stdout + ran.stderr
-    assert "XFAIL tests/test_red.py::test_by_the_named_assertion" in ran.stdout
+    assert "XFAIL tests/test_red.py::test_by_the_named_assertion@one, two" in ran.stdout
     assert "FAILED tests/test_red.py::test_by_another_assertion" in ran.stdout
     assert "FAILED tests/test_red.py::test_unlisted" in ran.stdout
     assert "KNOWN RED tests/test_red.py::test_passing [3 - 1 <= 1]: too far apart; issue 0" in ran.stdout
