--- a/holdgw/policy/endpoint_health.py
+++ b/holdgw/policy/endpoint_health.py
@@ -43,7 +43,7 @@
         late: bool,
         ended_at_ns: int,
         sent_at_ns: int = 0,
-        others_well: bool = False,
+        others_healthy: bool = False,
         refused_after_idle_close: bool = False,
     ) -> None:
         self.outcome = outcome
@@ -51,7 +51,7 @@
         """Whether it took longer than the latency objective by the endpoint's own doing."""
         self.ended_at_ns = ended_at_ns
         self.sent_at_ns = sent_at_ns
-        self.others_well = others_well
+        self.others_healthy = others_healthy
         """Whether few of the other endpoints are overloaded."""
         self.refused_after_idle_close = refused_after_idle_close
         """Whether the connection was refused after the endpoint had closed its idle connections."""
@@ -103,7 +103,7 @@
             return True
         if self._resets >= MAX_CONSECUTIVE_RESETS or self._errors >= MAX_CONSECUTIVE_ERRORS:
             return True
-        return self.unanswered >= MAX_CONSECUTIVE_UNANSWERED and result.others_well
+        return self.unanswered >= MAX_CONSECUTIVE_UNANSWERED and result.others_healthy
 
 
 class EndpointHealth:
@@ -169,4 +169,4 @@
 
     def _is_sign_of_load(self, result: AttemptResult) -> bool:
         """Whether a time-out tells of load: it was late, and the endpoint does not look unresponsive."""
-        return result.late and not (self._failures.unanswered and result.others_well)
+        return result.late and not (self._failures.unanswered and result.others_healthy)
--- a/holdgw/policy/endpoint_selection.py
+++ b/holdgw/policy/endpoint_selection.py
@@ -82,7 +82,7 @@
             lambda slot, fraction: self.rank(slot, fraction, now_ns),
             self._endpoints.is_ranked,
             list(self._endpoints.endpoints.values()),
-            self._endpoints.warming_up(now_ns),
+            self._endpoints.warming_up_seeds(now_ns),
             now_ns,
             self._min_donor_response_time_ns,
         )
--- a/holdgw/policy/load_reports.py
+++ b/holdgw/policy/load_reports.py
@@ -7,7 +7,7 @@
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 
 NS_PER_MS = 1e6
-QUEUE_SLOTS = 4.0  # places that queued requests are taken to wait for
+ASSUMED_CONCURRENCY = 4.0  # places that queued requests are taken to wait for
 RESPONSE_TIME_SAMPLES = 32  # reports over which the mean response time is smoothed
 # An endpoint is overloaded over both: this fraction of the latency objective, so many times the mean time.
 OVERLOAD_OBJECTIVE_FRACTION = 0.5
@@ -61,7 +61,7 @@
             return None
         latency_ms = values[self._indexes[0]]
         queued = values[self._indexes[1]]
-        return latency_ms * NS_PER_MS * (1.0 + queued / QUEUE_SLOTS)
+        return latency_ms * NS_PER_MS * (1.0 + queued / ASSUMED_CONCURRENCY)
 
     def record(self, endpoint: TrackedEndpoint, response_time_ns: float, at_ns: int) -> None:
         """Take the response time that an endpoint reported at a time, to this router or to another one."""
--- a/holdgw/policy/load_shedding.py
+++ b/holdgw/policy/load_shedding.py
@@ -26,11 +26,11 @@
         self._rng = rng
 
     @property
-    def most_are_well(self) -> bool:
+    def most_healthy(self) -> bool:
         """Whether few of the endpoints are overloaded."""
         return self.overloaded_fraction <= MAX_OVERLOADED_FOR_EJECTION
 
-    def is_too_late(self, endpoint: TrackedEndpoint, time_left_ns: int, now_ns: int) -> bool:
+    def would_miss_deadline(self, endpoint: TrackedEndpoint, time_left_ns: int, now_ns: int) -> bool:
         """Whether the request's deadline passes before the endpoint would answer, by its load report.
 
         Clients that give a request up early come again, and the endpoint goes on with what nobody waits for:
@@ -40,7 +40,7 @@
         reported = endpoint.reported
         return reported.latest_ns > time_left_ns and reported.expected_ns(now_ns) > time_left_ns
 
-    def record_met(self, endpoint: TrackedEndpoint, probability: float) -> None:
+    def record_candidate(self, endpoint: TrackedEndpoint, probability: float) -> None:
         """Count an endpoint that a request has met, with its admission probability."""
         overloaded = not endpoint.health.ejected and probability < 1.0
         self.overloaded_fraction += (overloaded - self.overloaded_fraction) / OVERLOADED_SAMPLES
--- a/holdgw/policy/retry_policy.py
+++ b/holdgw/policy/retry_policy.py
@@ -11,13 +11,15 @@
 from holdgw.policy.units import NS_PER_S
 
 MAX_TRANSIT_NS = NS_PER_S // 20  # from when a request is written until its endpoint has it, at most
-QUICK_FRACTION = 0.5  # of the latency objective: a connection that breaks within it has cost no time
-TIMEOUT_FRACTION = 0.5  # of the latency objective: an attempt timeout is at least so long
-TIMEOUT_LATENCIES = 5.0  # an attempt timeout is at least so many smoothed latencies of the endpoint
-LOST_LATENCIES = 4.0  # an answer that is out for so many, while other answers come, is lost in transit
+QUICK_BREAK_OBJECTIVE_FRACTION = (
+    0.5  # of the latency objective: a connection that breaks within it has cost no time
+)
+PROMPT_OBJECTIVE_FRACTION = 0.5  # of the latency objective: an attempt timeout is at least so long
+TIMEOUT_LATENCY_FACTOR = 5.0  # an attempt timeout is at least so many smoothed latencies of the endpoint
+LOST_LATENCY_FACTOR = 4.0  # an answer that is out for so many, while other answers come, is lost in transit
 TIMEOUT_MAX_OVERLOADED_FRACTION = 0.1  # of the endpoints: past it no attempt timeout is set
-BUDGET_PER_ANSWER = 0.01  # one attempt in a hundred may be given up as lost
-MAX_BUDGET = 4.0
+RETRY_BUDGET_PER_ANSWER = 0.01  # one attempt in a hundred may be given up as lost
+MAX_RETRY_BUDGET = 4.0
 
 
 class Loss(Enum):
@@ -54,15 +56,15 @@
     end of each (`classify_loss`, then `record_answer` or `next_step`), and before a final answer
     (`may_reject`).
 
-    The retry budget holds attempts that may be given up as lost in transit: at most MAX_BUDGET. An answer
-    adds BUDGET_PER_ANSWER, a loss that is proven adds 1, and an attempt that is given up by its timeout
-    takes 1.
+    The retry budget is the number of attempts that may be abandoned as lost in transit, at most
+    MAX_RETRY_BUDGET. An answer adds RETRY_BUDGET_PER_ANSWER, a proven loss adds 1, and an attempt that ends
+    by its attempt timeout takes 1.
     """
 
     def __init__(self, settings: Settings) -> None:
         self._max_attempts = settings.max_attempts
-        self._caches_are_filled = settings.origin_kind is not None
-        self.budget = MAX_BUDGET
+        self._fetches_misses = settings.origin_kind is not None
+        self.budget = MAX_RETRY_BUDGET
 
     def may_attempt(self, request: PendingRequest, now: int) -> bool:
         """Whether the request has an attempt and time left."""
@@ -129,7 +131,9 @@
         if overloaded_fraction > TIMEOUT_MAX_OVERLOADED_FRACTION:
             return 0
         objective_ns = request.request_class.latency_objective_ns
-        timeout_ns = int(max(objective_ns * TIMEOUT_FRACTION, endpoint.latency_ns * TIMEOUT_LATENCIES))
+        timeout_ns = int(
+            max(objective_ns * PROMPT_OBJECTIVE_FRACTION, endpoint.latency_ns * TIMEOUT_LATENCY_FACTOR)
+        )
         return timeout_ns if now + 2 * timeout_ns < request.deadline_ns else 0
 
     def classify_loss(
@@ -144,7 +148,7 @@
             return self._classify_timeout(request, endpoint, took_ns, now)
         if event.outcome.is_connection_failure:
             objective_ns = request.request_class.latency_objective_ns
-            if event.latency_ns <= objective_ns * QUICK_FRACTION:
+            if event.latency_ns <= objective_ns * QUICK_BREAK_OBJECTIVE_FRACTION:
                 return Loss.QUICK_BREAK
         lost = event.outcome in (Outcome.MALFORMED, Outcome.RESET)
         return Loss.IN_TRANSIT if lost else Loss.NONE
@@ -156,7 +160,7 @@
             self.budget -= 1
             return Loss.IN_TRANSIT
         if self._is_lost_in_transit(request, endpoint, took_ns):
-            self.budget = min(MAX_BUDGET, self.budget + 1)
+            self.budget = min(MAX_RETRY_BUDGET, self.budget + 1)
             return Loss.IN_TRANSIT
         return Loss.NONE
 
@@ -169,15 +173,15 @@
         nothing.
         """
         objective_ns = request.request_class.latency_objective_ns
-        is_overdue = 0 < endpoint.latency_ns * LOST_LATENCIES < took_ns
-        is_quick = endpoint.latency_ns < objective_ns * TIMEOUT_FRACTION
+        is_overdue = 0 < endpoint.latency_ns * LOST_LATENCY_FACTOR < took_ns
+        is_quick = endpoint.latency_ns < objective_ns * PROMPT_OBJECTIVE_FRACTION
         return is_overdue and is_quick and endpoint.health.answered_at_ns > request.sent_at_ns
 
     def record_answer(self, request: PendingRequest, took_ns: int) -> None:
         """Add to the retry budget; a prompt answer to a retry after a loss proves that the first was lost."""
-        prompt_ns = request.request_class.latency_objective_ns * TIMEOUT_FRACTION
+        prompt_ns = request.request_class.latency_objective_ns * PROMPT_OBJECTIVE_FRACTION
         proven = request.retried_after_loss and took_ns <= prompt_ns
-        self.budget = min(MAX_BUDGET, self.budget + (1.0 if proven else BUDGET_PER_ANSWER))
+        self.budget = min(MAX_RETRY_BUDGET, self.budget + (1.0 if proven else RETRY_BUDGET_PER_ANSWER))
 
     def next_step(
         self, request: PendingRequest, event: AttemptEnded, loss: Loss, was_at_origin: bool
@@ -190,7 +194,7 @@
         loss is retried once. An endpoint that breaks connections because it is overloaded gets a read up to
         four times, until six breaks in a row eject it.
         """
-        if event.outcome is Outcome.MISS and not was_at_origin and self._caches_are_filled:
+        if event.outcome is Outcome.MISS and not was_at_origin and self._fetches_misses:
             return NextStep.FETCH
         if loss is Loss.QUICK_BREAK:
             return self._after_loss(request, event, was_at_origin)
--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -66,12 +66,12 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
         self._rng = random.Random(seed)
-        self._classes = {one.name: one for one in settings.classes}
+        self._classes = {cls.name: cls for cls in settings.classes}
         self._origin_limiters = {
             tenant.name: OriginLimiter(tenant, settings.routers, self._rng, settings.workers)
             for tenant in (*settings.tenants, Tenant(UNKNOWN_TENANT, weight=1.0))
         }
-        shortest_objective_ns = min(one.latency_objective_ns for one in settings.classes)
+        shortest_objective_ns = min(cls.latency_objective_ns for cls in settings.classes)
         self._caches = SlotTable(settings)
         self._origins = SlotTable(settings)
         self._requests: dict[str, PendingRequest] = {}
@@ -248,7 +248,7 @@
         if request is None or not request.is_waiting:
             return
         if self._now >= request.deadline_ns:
-            self._give_up(request, RejectionReason.DEADLINE)
+            self._reject_or_fail(request, RejectionReason.DEADLINE)
         elif request.is_write:
             self._send_to_origin(request)
 
@@ -278,7 +278,7 @@
         request.is_waiting = True
         self._actions.append(SetTimer(delay_ns, request.id))
 
-    def _give_up(self, request: PendingRequest, reason: RejectionReason) -> None:
+    def _reject_or_fail(self, request: PendingRequest, reason: RejectionReason) -> None:
         """Answer a request for which nothing more can be done."""
         may_reject = self._retries.may_reject(request)
         self._actions.append(self._rejections.final_answer(request.id, reason, may_reject))
@@ -298,7 +298,7 @@
     def _route(self, request: PendingRequest) -> None:
         """Send to the slot's preferred endpoint; to the next one if it has failed or is ejected."""
         if not self._retries.may_attempt(request, self._now):
-            self._give_up(request, RejectionReason.NO_ATTEMPT_LEFT)
+            self._reject_or_fail(request, RejectionReason.NO_ATTEMPT_LEFT)
             return
         candidates = self._selector.candidates(request.slot, request.slot_popularity, self._now)
         retaining = [
@@ -322,17 +322,17 @@
         if has_capacity:
             self._fetch_missing(request)
         else:  # only a warming endpoint could take it, and has no capacity
-            self._give_up(request, RejectionReason.WARMING_UP)
+            self._reject_or_fail(request, RejectionReason.WARMING_UP)
 
     def _send_or_reject(
         self, request: PendingRequest, endpoint: TrackedEndpoint, ranking: list[TrackedEndpoint]
     ) -> bool:
         """Send to an endpoint, or reject for its load; False: it is ejected, and another is to be tried."""
-        if self._load_shedder.is_too_late(endpoint, request.deadline_ns - self._now, self._now):
-            self._give_up(request, RejectionReason.ENDPOINT_TOO_SLOW)
+        if self._load_shedder.would_miss_deadline(endpoint, request.deadline_ns - self._now, self._now):
+            self._reject_or_fail(request, RejectionReason.ENDPOINT_TOO_SLOW)
             return True
         probability = endpoint.admission_probability(self._now)
-        self._load_shedder.record_met(endpoint, probability)
+        self._load_shedder.record_candidate(endpoint, probability)
         if endpoint.is_donor:
             endpoint.release_slots(ranking[ranking.index(endpoint) + 1 :], self._now)
         if self._load_shedder.admits(endpoint, probability, request.origin_limiter.quota_overuse):
@@ -341,7 +341,7 @@
         if endpoint.ejected:
             return False
         # Another endpoint would miss, unless the slot migrates for good.
-        self._give_up(request, RejectionReason.ENDPOINT_OVERLOADED)
+        self._reject_or_fail(request, RejectionReason.ENDPOINT_OVERLOADED)
         return True
 
     def _fetch_missing(self, request: PendingRequest) -> None:
@@ -359,7 +359,7 @@
         request.is_waiting = False
         origins = self._origins.rank(request.slot, self._now)
         if not origins or not self._may_send(request, origins[0]):
-            self._give_up(request, RejectionReason.NO_ORIGIN)
+            self._reject_or_fail(request, RejectionReason.NO_ORIGIN)
             return
         if request.is_write:
             if not self._origin_concurrency.admits_write(origins[0].in_flight):
@@ -368,7 +368,7 @@
                 return
             request.origin_limiter.record_call(self._now)
         elif not admitted and not request.origin_limiter.admit(self._now):
-            self._give_up(request, RejectionReason.ORIGIN_LIMIT)
+            self._reject_or_fail(request, RejectionReason.ORIGIN_LIMIT)
             return
         self._fetches.lead(request)
         request.is_at_origin = True
@@ -423,13 +423,13 @@
             if outcome.is_answer:
                 endpoint.health.record_answer(self._now)
         if was_at_origin:
-            self._judge_origin(request, endpoint, event, loss)
+            self._record_origin_attempt(request, endpoint, event, loss)
         else:
-            self._judge_cache(request, endpoint, event, loss)
+            self._record_cache_attempt(request, endpoint, event, loss)
         if event.request_answered or request.is_answered:
             self._finish(request, stored=was_at_origin and outcome is Outcome.OK)
         else:
-            self._continue(request, endpoint, event, loss, was_at_origin)
+            self._take_next_step(request, endpoint, event, loss, was_at_origin)
 
     def _record_good_answer(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, was_at_origin: bool
@@ -450,7 +450,7 @@
             self._observations.record_response_time(endpoint.entry.id, response_time_ns, self._now)
             self._load_reports.record(endpoint, response_time_ns, self._now)
 
-    def _judge_cache(
+    def _record_cache_attempt(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, loss: Loss
     ) -> None:
         """Take a cache server's load report, and an attempt's end for its health.
@@ -469,12 +469,12 @@
                 late,
                 self._now,
                 request.sent_at_ns,
-                self._load_shedder.most_are_well,
+                self._load_shedder.most_healthy,
                 event.idle_connections_closed,
             )
         )
 
-    def _judge_origin(
+    def _record_origin_attempt(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, loss: Loss
     ) -> None:
         """Raise or cut the origin's limits, all tenants' at once, and send queued writes that fit then."""
@@ -507,7 +507,7 @@
                 return
             self._send_to_origin(write)
 
-    def _continue(
+    def _take_next_step(
         self,
         request: PendingRequest,
         endpoint: TrackedEndpoint,
@@ -537,7 +537,7 @@
         if request.is_write and has_time and outcome is not Outcome.TIMEOUT:
             self._wait(request, delay_ns)
         else:
-            self._give_up(request, RejectionReason.FETCH_FAILED)
+            self._reject_or_fail(request, RejectionReason.FETCH_FAILED)
 
     def _complete_fetch(self, leader: PendingRequest, stored: bool) -> None:
         """End a coalesced fetch: its waiters read what it stored, or the first of them fetches instead."""
--- a/holdgw/policy/slot_demand.py
+++ b/holdgw/policy/slot_demand.py
@@ -7,7 +7,7 @@
 
 from holdgw.policy.units import NS_PER_S
 
-DEMAND_MEMORY_S = 20.0  # in which what was counted fades to a third: slots migrate for what lasts
+DEMAND_DECAY_S = 20.0  # in which what was counted fades to a third: slots migrate for what lasts
 SNAPSHOT_SPAN_S = 3.6  # of requests behind one snapshot: snapshots closer together tell of the same ones
 MAX_TRACKED_SLOTS = 2048  # of the highest demand
 MAX_SAMPLE_WEIGHT = 1e6  # then all counts are scaled down
@@ -43,7 +43,7 @@
         """Take fractions of all requests by slot, and from how many requests they were counted."""
         elapsed_s = (now_ns - self._updated_at_ns) / NS_PER_S if self._updated_at_ns else 0.0
         self._updated_at_ns = now_ns
-        self._sample_weight *= math.exp(elapsed_s / DEMAND_MEMORY_S)
+        self._sample_weight *= math.exp(elapsed_s / DEMAND_DECAY_S)
         weighted = samples * min(elapsed_s / SNAPSHOT_SPAN_S, 1.0) * self._sample_weight
         self._weighted_samples += weighted
         for slot, fraction in fractions.items():
--- a/holdgw/policy/slot_rebalancing.py
+++ b/holdgw/policy/slot_rebalancing.py
@@ -110,11 +110,11 @@
                 return
             self._remaining = self._demand.slots_over(MIN_SLOT_LOAD, len(endpoints))
             self._loads = SlotLoads()
-        self._place_some(rank, is_ranked, endpoints)
+        self._place_batch(rank, is_ranked, endpoints)
         if not self._remaining:
             self._finish_plan(endpoints, warming_up, now_ns, min_donor_response_time_ns)
 
-    def _place_some(
+    def _place_batch(
         self,
         rank: Callable[[int, float], tuple[Sequence[Endpoint], int]],
         is_ranked: Callable[[int], bool],
--- a/holdgw/policy/slot_table.py
+++ b/holdgw/policy/slot_table.py
@@ -44,7 +44,7 @@
         # By slot: how many of `_changes` its ranking knows, and the ranking.
         self._rankings: dict[int, tuple[int, list[ScoredEndpoint]]] = {}
 
-    def update(self, ready: list[Endpoint], left: list[str]) -> None:
+    def update(self, ready: list[Endpoint], removed: list[str]) -> None:
         """Take endpoints in and out; one whose entry has changed is tracked anew.
 
         Its health, its ejection and its attempts in flight are forgotten then.
@@ -54,7 +54,7 @@
             for entry in ready
             if entry.id not in self.endpoints or self.endpoints[entry.id].entry != entry
         ]
-        gone = {*left, *(entry.id for entry in changed)}
+        gone = {*removed, *(entry.id for entry in changed)}
         self._changes += [(name, None) for name in gone if self.endpoints.pop(name, None) is not None]
         for entry in changed:
             endpoint = TrackedEndpoint(entry, self._weighted)
@@ -75,7 +75,7 @@
         """Whether some endpoint may still warm up."""
         return now_ns < self._warming_until_ns
 
-    def warming_up(self, now_ns: int) -> set[int]:
+    def warming_up_seeds(self, now_ns: int) -> set[int]:
         """Return the seeds of the endpoints that warm up."""
         if not self.any_warming_up(now_ns):
             return set()
@@ -92,10 +92,10 @@
         Warming endpoints count at their warm-up weight, for load and misses alike: a new one is given slots
         only as it warms up (rule 4).
         """
-        known_changes, ranking = self._rankings.get(slot, (0, []))
-        if known_changes < len(self._changes):
+        applied_changes, ranking = self._rankings.get(slot, (0, []))
+        if applied_changes < len(self._changes):
             if ranking:
-                ranking = self._apply_changes(slot, ranking, self._changes[known_changes:])
+                ranking = self._apply_changes(slot, ranking, self._changes[applied_changes:])
             self._rankings[slot] = len(self._changes), ranking
         if len(ranking) < min(depth, len(self.endpoints)):
             scored = ((self._score(slot, endpoint), endpoint) for endpoint in self.endpoints.values())
--- a/holdgw/policy/slow_start.py
+++ b/holdgw/policy/slow_start.py
@@ -14,7 +14,7 @@
 
 CAPACITY_FRACTION = 0.42  # of the overload factor: what an endpoint can do is known from the others only
 INITIAL_WINDOW_FRACTION = 0.5  # of what a window brings may be sent as soon as the endpoint is listed
-ANSWER_MEMORY_NS = 10 * NS_PER_S  # over which answers are counted: longer than a burst
+ANSWER_DECAY_NS = 10 * NS_PER_S  # over which answers are counted: longer than a burst
 
 
 class AnswerRate:
@@ -32,28 +32,28 @@
 
     def record_answer(self, now_ns: int) -> None:
         """Count an answer; what was counted before fades."""
-        self._answers = self._answers * math.exp((self._counted_at_ns - now_ns) / ANSWER_MEMORY_NS) + 1
+        self._answers = self._answers * math.exp((self._counted_at_ns - now_ns) / ANSWER_DECAY_NS) + 1
         self._counted_at_ns = now_ns
 
     def answers(self, now_ns: int) -> float:
         """Return the faded count of answers."""
-        return self._answers * math.exp((self._counted_at_ns - now_ns) / ANSWER_MEMORY_NS)
+        return self._answers * math.exp((self._counted_at_ns - now_ns) / ANSWER_DECAY_NS)
 
     def restore(self, answers: float, now_ns: int) -> None:
         """Go on from the count of another process of this router, which is complete."""
         self._answers = answers
         self._counted_at_ns = now_ns
-        self.started_at_ns = now_ns - 2 * ANSWER_MEMORY_NS
+        self.started_at_ns = now_ns - 2 * ANSWER_DECAY_NS
 
     def per_endpoint_ns(self, endpoints: int, now_ns: int) -> float:
         """Return the answers a nanosecond of one of so many endpoints."""
         elapsed_ns = min(self.started_at_ns - now_ns, -NS_PER_S)
-        counted_fraction = -math.expm1(elapsed_ns / ANSWER_MEMORY_NS)
-        return self._answers / counted_fraction / ANSWER_MEMORY_NS / endpoints
+        counted_fraction = -math.expm1(elapsed_ns / ANSWER_DECAY_NS)
+        return self._answers / counted_fraction / ANSWER_DECAY_NS / endpoints
 
     def is_complete(self, now_ns: int) -> bool:
         """Whether answers have been counted for as long as they are remembered."""
-        return now_ns - self.started_at_ns > ANSWER_MEMORY_NS
+        return now_ns - self.started_at_ns > ANSWER_DECAY_NS
 
 
 class SlowStart:
@@ -87,10 +87,10 @@
             return True
         capacity = weight * self._settings.warm_up_overload_factor * CAPACITY_FRACTION
         if all(self._endpoints.warm_up_weight(other, now_ns) < 1.0 for other in ranking):
-            return self._is_drawn(request, capacity)
+            return self._is_admitted_by_draw(request, capacity)
         return self._has_token(endpoint, capacity, now_ns)
 
-    def _is_drawn(self, request: PendingRequest, capacity: float) -> bool:
+    def _is_admitted_by_draw(self, request: PendingRequest, capacity: float) -> bool:
         """Whether a request is among those that warming endpoints take where no other has the keys.
 
         What such endpoints usually get is not known. Each request is drawn once, so that all routers together
--- a/holdgw/policy/tracked_endpoint.py
+++ b/holdgw/policy/tracked_endpoint.py
@@ -117,9 +117,9 @@
             usual_in_flight=self.usual_in_flight,
         )
 
-    def restore(self, learnt: EndpointHandover, now_ns: int) -> None:
+    def restore(self, state: EndpointHandover, now_ns: int) -> None:
         """Go on from what another process of this router has learnt."""
-        self.health.restore(learnt.admission_probability, learnt.ejected, learnt.failure_fraction, now_ns)
-        self.slots.restore(learnt.slot_retention, now_ns)
-        self.latency_ns = learnt.latency_ns
-        self.usual_in_flight = learnt.usual_in_flight
+        self.health.restore(state.admission_probability, state.ejected, state.failure_fraction, now_ns)
+        self.slots.restore(state.slot_retention, now_ns)
+        self.latency_ns = state.latency_ns
+        self.usual_in_flight = state.usual_in_flight
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -26,12 +26,12 @@
 ]
 
 
-def after(*outcomes: Outcome, others_well: bool = True, late: bool = False) -> EndpointHealth:
+def after(*outcomes: Outcome, others_healthy: bool = True, late: bool = False) -> EndpointHealth:
     """The health after such attempts, one a millisecond, all sent after the endpoint's last answer."""
     health = EndpointHealth()
     for number, outcome in enumerate(outcomes, start=1):
         now_ns = S + number * MS
-        health.record(AttemptResult(outcome, late, now_ns, now_ns, others_well))
+        health.record(AttemptResult(outcome, late, now_ns, now_ns, others_healthy))
     return health
 
 
@@ -56,7 +56,7 @@
 
 def test_timeouts_do_not_eject_while_other_endpoints_are_overloaded() -> None:
     # In an overload answers stay out everywhere: to eject for it would leave no endpoint.
-    assert not after(*[Outcome.TIMEOUT] * 10, others_well=False).ejected
+    assert not after(*[Outcome.TIMEOUT] * 10, others_healthy=False).ejected
 
 
 def test_timeouts_do_not_eject_an_endpoint_that_answers_others_meanwhile() -> None:
