--- a/holdgw/policy/slot_demand.py
+++ b/holdgw/policy/slot_demand.py
@@ -1,4 +1,4 @@
-"""How much is asked for each slot, as snapshots of many routers' requests tell it; it fades with time."""
+"""Slot demand: each slot's fraction of all requests, from load snapshots of many routers, with decay."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 from holdgw.policy.units import NS_PER_S
 
-DEMAND_DECAY_S = 20.0  # in which what was counted fades to a third: slots migrate for what lasts
-SNAPSHOT_SPAN_S = 3.6  # of requests behind one snapshot: snapshots closer together tell of the same ones
-MAX_TRACKED_SLOTS = 2048  # of the highest demand
-MAX_SAMPLE_WEIGHT = 1e6  # then all counts are scaled down
+DEMAND_DECAY_S = 20.0  # time constant of the exponential decay; slots should migrate for lasting demand only
+SNAPSHOT_SPAN_S = 3.6  # time whose requests one snapshot covers; closer snapshots partly cover the same ones
+MAX_TRACKED_SLOTS = 2048  # when there are more, the half with the highest demand is kept
+MAX_SAMPLE_WEIGHT = 1e6  # when it is exceeded, all counts are scaled down
 
 
 class SlotDemand:
-    """Counts requests by slot, those of late for more.
+    """Counts requests by slot, with exponential decay.
 
-    Counts that fade are not touched: newer requests count for more, at a weight that grows with time.
+    Instead of reducing the stored counts, the class gives newer requests a weight that grows with time.
     """
 
     def __init__(self) -> None:
         self._weighted_requests: dict[int, float] = {}  # by slot
-        self._weighted_samples = 0.0  # requests that they were counted from
-        self._sample_weight = 1.0  # of a request that is counted now
+        self._weighted_samples = 0.0  # all requests sampled, at the same weights
+        self._sample_weight = 1.0  # weight of a request counted now
         self._updated_at_ns = 0
 
     @property
     def is_empty(self) -> bool:
-        """Whether no slot is known."""
+        """Whether no slot has any demand."""
         return not self._weighted_requests
 
     @property
     def samples(self) -> float:
-        """The faded number of requests behind the fractions."""
+        """The decayed number of sampled requests from which the fractions are estimated."""
         return self._weighted_samples / self._sample_weight
 
     @property
@@ -40,7 +40,7 @@
         return max(self._weighted_samples, self._sample_weight)
 
     def add(self, fractions: Mapping[int, float], samples: float, now_ns: int) -> None:
-        """Take fractions of all requests by slot, and from how many requests they were counted."""
+        """Add a snapshot: fractions of all requests by slot, and the number of requests sampled for them."""
         elapsed_s = (now_ns - self._updated_at_ns) / NS_PER_S if self._updated_at_ns else 0.0
         self._updated_at_ns = now_ns
         self._sample_weight *= math.exp(elapsed_s / DEMAND_DECAY_S)
@@ -52,17 +52,17 @@
             self._scale_down()
 
     def fraction(self, slot: int) -> float:
-        """Return the slot's fraction of all requests, 0 to 1; 0 where it is not known."""
+        """Return the slot's fraction of all requests, 0 to 1; 0 if it is unknown."""
         return self._weighted_requests.get(slot, 0.0) / self._total
 
     def slots_over(self, load: float, endpoints: int) -> list[int]:
-        """Return the slots with at least so much of an endpoint's fair load, the least popular first."""
+        """Return the slots with at least `load` of an endpoint's fair load, those of least demand first."""
         least = load * self._total / endpoints
         found = [(count, slot) for slot, count in self._weighted_requests.items() if count >= least]
         return [slot for _, slot in sorted(found)]
 
     def _scale_down(self) -> None:
-        """Keep half of the slots, those of the highest demand, at a sample weight of 1."""
+        """Reset the sample weight to 1, and keep only the slots of highest demand, half of the maximum."""
         counts = self._weighted_requests
         kept = sorted(counts, key=counts.__getitem__, reverse=True)[: MAX_TRACKED_SLOTS // 2]
         self._weighted_requests = {slot: counts[slot] / self._sample_weight for slot in kept}
--- a/holdgw/policy/slot_table.py
+++ b/holdgw/policy/slot_table.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous hashing of slots over the ready endpoints, remembered slot by slot."""
+"""The slot table: ranks the ready endpoints for each slot by weighted rendezvous hashing, with a cache."""
 
 from __future__ import annotations
 
@@ -11,43 +11,44 @@
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 from holdgw.policy.warm_up import WarmUpCurve
 
-SLOTS = 8192  # far more than endpoints, so that a slot's load is small beside an endpoint's
-RANKING_DEPTH = 8  # ranked endpoints remembered for a slot: more than the attempts of any request
-SPARE_RANKS = 4  # and more, so that some may leave before all are ranked anew
-MAX_RANKS = 2 * RANKING_DEPTH + SPARE_RANKS  # kept for a slot as endpoints come
-MAX_PENDING_CHANGES = 64  # comings and goings remembered; past that slots are ranked anew when asked for
+SLOTS = 8192  # many more than endpoints, so that the load of one slot is small compared with an endpoint's
+RANKING_DEPTH = 8  # endpoints in a slot's ranking: more than any request has attempts
+SPARE_RANKS = 4  # additional cached ranks, so that some endpoints may leave before the slot is ranked anew
+MAX_RANKS = 2 * RANKING_DEPTH + SPARE_RANKS  # cached for a slot while endpoints join
+MAX_PENDING_CHANGES = 64  # joins and leaves applied to cached rankings; after more, the cache is cleared
 MASK_64_BITS = (1 << 64) - 1
 
 ScoredEndpoint = tuple[float, TrackedEndpoint]
-"""An endpoint with its score for a slot; the highest score is ranked first."""
+"""A score for a slot, and the endpoint that has it; the highest score is ranked first."""
 Change = tuple[str, TrackedEndpoint | None]
-"""The name of an endpoint that has left, or come: then with the endpoint."""
+"""An endpoint's id, and the endpoint if it has joined; None: it has left."""
 
 
 class SlotTable:
-    """Ranks the ready endpoints for each slot: the same ranking at every router.
+    """Ranks the ready endpoints for each slot; the ranking is the same at every router.
 
-    Asked for a slot's ranking; told of changes to the endpoint list. A change costs nothing until a slot is
-    asked for: to go through every slot for each endpoint that comes takes a tenth of a second, in which all
-    requests wait.
+    The policy passes every change of the endpoint list to `update`, and asks for a slot's ranking by `rank`.
+    A change is applied to a slot's cached ranking only when that slot is next asked for: ranking every slot
+    for each endpoint that joins would block the event loop for a tenth of a second.
     """
 
     def __init__(self, settings: Settings) -> None:
         self.endpoints: dict[str, TrackedEndpoint] = {}
-        """The ready endpoints by name; written by `update` alone."""
+        """The ready endpoints by id; only `update` changes them."""
         self.max_endpoints_listed = 1
-        """The most endpoints that were ready at a time."""
+        """The highest number of endpoints that were ready at the same time."""
         self._weighted = settings.weights_state_capacity
         self._warm_up = WarmUpCurve(settings)
         self._warming_until_ns = 0
         self._changes: list[Change] = []
-        # By slot: how many of `_changes` its ranking knows, and the ranking.
+        # By slot: how many of `_changes` are applied to its cached ranking, and the ranking.
         self._rankings: dict[int, tuple[int, list[ScoredEndpoint]]] = {}
 
     def update(self, ready: list[Endpoint], removed: list[str]) -> None:
-        """Take endpoints in and out; one whose entry has changed is tracked anew.
+        """Add and remove endpoints.
 
-        Its health, its ejection and its attempts in flight are forgotten then.
+        An endpoint whose list entry has changed is replaced by a new one, without the old one's health,
+        ejection and attempts in flight.
         """
         changed = [
             entry
@@ -68,29 +69,29 @@
         self._warming_until_ns = newest + self._warm_up.duration_ns
 
     def warm_up_weight(self, endpoint: TrackedEndpoint, now_ns: int) -> float:
-        """Return the fraction of its full weight that an endpoint has, from the initial weight to 1."""
+        """Return an endpoint's warm-up weight: the fraction of its weight, from the initial weight to 1."""
         return self._warm_up.weight(endpoint.entry.started_ns, now_ns)
 
     def any_warming_up(self, now_ns: int) -> bool:
-        """Whether some endpoint may still warm up."""
+        """Whether some endpoint may still be warming up."""
         return now_ns < self._warming_until_ns
 
     def warming_up_seeds(self, now_ns: int) -> set[int]:
-        """Return the seeds of the endpoints that warm up."""
+        """Return the seeds of the endpoints that are warming up."""
         if not self.any_warming_up(now_ns):
             return set()
         endpoints = self.endpoints.values()
         return {endpoint.seed for endpoint in endpoints if self.warm_up_weight(endpoint, now_ns) < 1.0}
 
     def is_ranked(self, slot: int) -> bool:
-        """Whether the slot's ranking is remembered."""
+        """Whether the slot's ranking is cached."""
         return slot in self._rankings
 
     def rank(self, slot: int, now_ns: int, depth: int = RANKING_DEPTH) -> list[TrackedEndpoint]:
-        """Return the slot's best endpoints, at least `depth` if there are so many, the best one first.
+        """Return the endpoints ranked for a slot, best first: at least `depth`, if there are so many.
 
-        Warming endpoints count at their warm-up weight, for load and misses alike: a new one is given slots
-        only as it warms up (rule 4).
+        The score of an endpoint that is warming up is multiplied by its warm-up weight, so that it gets slots
+        only as it warms up (rule 4). This limits its load and its misses alike.
         """
         applied_changes, ranking = self._rankings.get(slot, (0, []))
         if applied_changes < len(self._changes):
@@ -109,7 +110,7 @@
         return [endpoint for _, endpoint in ranking]
 
     def _score(self, slot: int, endpoint: TrackedEndpoint) -> float:
-        """Return an endpoint's score for a slot: a hash in (0, 1) turned exponential, times its weight."""
+        """Return an endpoint's score for a slot: its weight over an exponential variate drawn by a hash."""
         mixed = (endpoint.seed ^ (slot + 1) * 0x9E3779B97F4A7C15) * 0xD6E8FEB86659FD93 & MASK_64_BITS
         mixed = (mixed ^ mixed >> 32) * 0xD6E8FEB86659FD93 & MASK_64_BITS
         return -endpoint.weight / math.log(((mixed ^ mixed >> 32) + 1) / (MASK_64_BITS + 2))
@@ -117,7 +118,7 @@
     def _apply_changes(
         self, slot: int, ranking: list[ScoredEndpoint], changes: list[Change]
     ) -> list[ScoredEndpoint]:
-        """Return the ranking after endpoints have left and come."""
+        """Return the ranking after endpoints have joined and left."""
         for name, endpoint in changes:
             if endpoint is None:
                 ranking = [scored for scored in ranking if scored[1].entry.id != name]
