--- a/holdgw/policy/retry_policy.py
+++ b/holdgw/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: whether, where and when a request may be sent again, and what an attempt's end calls for."""
+"""Retries: whether, where and when a request may be sent again, and the next step after an attempt."""
 
 from __future__ import annotations
 
@@ -10,51 +10,52 @@
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 from holdgw.policy.units import NS_PER_S
 
-MAX_TRANSIT_NS = NS_PER_S // 20  # from when a request is written until its endpoint has it, at most
-QUICK_BREAK_OBJECTIVE_FRACTION = (
-    0.5  # of the latency objective: a connection that breaks within it has cost no time
-)
-PROMPT_OBJECTIVE_FRACTION = 0.5  # of the latency objective: an attempt timeout is at least so long
-TIMEOUT_LATENCY_FACTOR = 5.0  # an attempt timeout is at least so many smoothed latencies of the endpoint
-LOST_LATENCY_FACTOR = 4.0  # an answer that is out for so many, while other answers come, is lost in transit
-TIMEOUT_MAX_OVERLOADED_FRACTION = 0.1  # of the endpoints: past it no attempt timeout is set
-RETRY_BUDGET_PER_ANSWER = 0.01  # one attempt in a hundred may be given up as lost
+MAX_TRANSIT_NS = NS_PER_S // 20  # at most, between the write of a request and its arrival at the endpoint
+# A connection that breaks within this fraction of the latency objective has cost no time.
+QUICK_BREAK_OBJECTIVE_FRACTION = 0.5
+# An answer within this fraction of the latency objective is prompt; no attempt timeout is shorter.
+PROMPT_OBJECTIVE_FRACTION = 0.5
+TIMEOUT_LATENCY_FACTOR = 5.0  # an attempt timeout is at least this multiple of the smoothed latency
+# An answer that is missing after this multiple of the smoothed latency, while the endpoint answers other
+# requests, is lost in transit.
+LOST_LATENCY_FACTOR = 4.0
+TIMEOUT_MAX_OVERLOADED_FRACTION = 0.1  # of overloaded endpoints: no attempt timeout above it
+RETRY_BUDGET_PER_ANSWER = 0.01  # allows one attempt in a hundred to be abandoned as lost in transit
 MAX_RETRY_BUDGET = 4.0
 
 
 class Loss(Enum):
-    """Whether an attempt's answer was lost on its way, which says nothing of its endpoint's load."""
+    """Whether an attempt's answer was lost in transit, which is no sign of its endpoint's load."""
 
     NONE = "none"
     QUICK_BREAK = "quick break"
-    """The connection broke at once: no time is lost."""
+    """The connection broke at once, so no time is lost."""
     IN_TRANSIT = "in transit"
-    """The answer broke off late, can't be parsed, or stays out though the endpoint is well."""
+    """The answer broke off late, can't be parsed, or is missing although the endpoint is healthy."""
 
 
 class NextStep(Enum):
-    """What a request needs after an attempt that did not answer it."""
+    """What to do with a request whose attempt did not answer it."""
 
     FETCH = "fetch"
-    """The cache server has no value: fetch it from the origin."""
+    """Fetch the value from the origin: the cache server does not have it."""
     FETCH_AGAIN = "fetch again"
-    """Send the same origin call again; it is admitted and counted already."""
+    """Send the same origin call again, which has already been admitted and counted."""
     FETCH_FAILED = "fetch failed"
-    """Retry a write after a delay; give a read up."""
+    """Retry a write after a delay; reject a read."""
     READ_STORED_VALUE = "read stored value"
-    """The origin had begun to answer, so the value is stored at the cache server by now: read it there."""
+    """Read from the cache server: the origin had begun to answer, so the value is stored there by now."""
     SAME_ENDPOINT = "same endpoint"
-    """Send it again where it was."""
+    """Send the request to the same endpoint again."""
     NEXT_ENDPOINT = "next endpoint"
-    """Send it to the next-ranked endpoint; this one has failed."""
+    """Send the request to the next-ranked endpoint, because this one has failed."""
 
 
 class RetryPolicy:
-    """The rules of retries and the retry budget.
+    """Decides on retries, and keeps the retry budget.
 
-    Asked before each attempt (`may_attempt`, `may_send`, `write_within_ns`, `attempt_timeout_ns`), at the
-    end of each (`classify_loss`, then `record_answer` or `next_step`), and before a final answer
-    (`may_reject`).
+    The policy calls `may_attempt`, `may_send`, `write_within_ns` and `attempt_timeout_ns` before an attempt;
+    `classify_loss`, then `record_answer` or `next_step`, at its end; and `may_reject` before a final answer.
 
     The retry budget is the number of attempts that may be abandoned as lost in transit, at most
     MAX_RETRY_BUDGET. An answer adds RETRY_BUDGET_PER_ANSWER, a proven loss adds 1, and an attempt that ends
@@ -67,13 +68,14 @@
         self.budget = MAX_RETRY_BUDGET
 
     def may_attempt(self, request: PendingRequest, now: int) -> bool:
-        """Whether the request has an attempt and time left."""
+        """Whether the request has both an attempt and time left."""
         return request.attempts < self._max_attempts and now < request.deadline_ns
 
     def may_send(self, request: PendingRequest, endpoint: TrackedEndpoint, now: int) -> bool:
-        """Whether sending it there does no harm.
+        """Whether the request may be sent to this endpoint without taking effect twice.
 
-        A request that may have run is sent again only where, and while, its repeat is dropped (rule 2).
+        A request that may have run, and is not idempotent, is sent again only to endpoints that drop its
+        repeat, and only within the dedup window (rule 2).
         """
         if request.first_run_endpoint is None:
             return True
@@ -91,10 +93,10 @@
         return rules.dedup_scope is DedupScope.ZONE or here.cell == there.cell
 
     def write_within_ns(self, request: PendingRequest, now: int) -> int:
-        """Time within which an attempt must be written, for `SendAttempt`; 0: no bound.
+        """Return the time (ns) within which an attempt must be written, for `SendAttempt`; 0: no bound.
 
-        A repeat that is decided on in time may wait for a connection and arrive when the first one is no
-        longer remembered: it would take effect twice.
+        A repeat that was allowed in time may still wait for a connection, and arrive after the dedup window.
+        It would then take effect twice.
         """
         if request.first_run_endpoint is None:
             return 0
@@ -103,11 +105,11 @@
         return self._dedup_time_left_ns(request, now)
 
     def _dedup_time_left_ns(self, request: PendingRequest, now: int) -> int:
-        """How long a repeat may still be written, to be there while the first attempt is remembered."""
+        """Return how long (ns) a repeat may still be written so that it arrives within the dedup window."""
         return request.first_run_at_ns + request.request_class.dedup_window_ns - MAX_TRANSIT_NS - now
 
     def may_reject(self, request: PendingRequest) -> bool:
-        """Whether a retry by the client does no harm, which a rejection promises (rule 2)."""
+        """Whether the client may safely retry, which a rejection promises (rule 2)."""
         rules = request.request_class
         dropped_anywhere = (
             rules.idempotency is Idempotency.IDEMPOTENCY_KEY and rules.dedup_scope is DedupScope.ALL
@@ -118,11 +120,12 @@
     def attempt_timeout_ns(
         self, request: PendingRequest, endpoint: TrackedEndpoint, overloaded_fraction: float, now: int
     ) -> int:
-        """How long an attempt's answer is waited for before it counts as lost in transit; 0: to the deadline.
+        """Return the attempt timeout (ns), after which the answer counts as lost in transit; 0: none.
 
-        A departure from the design: a connection or a single request can fall silent while its endpoint is
-        well, and the whole deadline would pass. There is no timeout where the endpoint or most others are not
-        well, or the retry budget is used up, so that slow endpoints don't get everything twice.
+        This is a departure from the design: a connection or a single request can stall although its endpoint
+        is healthy, and the request would wait until its deadline. No attempt timeout is set where the
+        endpoint or too many others are not healthy, or the retry budget is used up, so that slow endpoints
+        don't get every request twice.
         """
         if request.retried_after_loss or self.budget < 1 or request.attempts + 2 > self._max_attempts:
             return 0
@@ -139,9 +142,9 @@
     def classify_loss(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, now: int
     ) -> Loss:
-        """Whether an attempt's answer was lost.
+        """Return whether an attempt's answer was lost in transit, and update the retry budget.
 
-        Also takes 1 from the retry budget for an attempt timeout, and adds 1 for a loss that is proven.
+        An attempt timeout takes 1 from the budget, and a proven loss adds 1.
         """
         if event.outcome is Outcome.TIMEOUT:
             took_ns = event.latency_ns - event.queued_ns
@@ -165,12 +168,12 @@
         return Loss.NONE
 
     def _is_lost_in_transit(self, request: PendingRequest, endpoint: TrackedEndpoint, took_ns: int) -> bool:
-        """Whether an answer that never came says nothing of its endpoint's load.
+        """Whether a missing answer is no sign of its endpoint's load.
 
-        A connection or a single request can fall silent at an endpoint that is well; to shed the endpoint
-        for it rejects a hundred times what was lost. An overloaded endpoint answers others late, which
-        shows by itself. The guard fails only where one kind of request is slow: its lateness then tells
-        nothing.
+        A connection or a single request can stall at a healthy endpoint. Shedding the endpoint's load for it
+        would reject a hundred times as many requests as were lost. An overloaded endpoint is detected without
+        it, as its other answers are late. The check is wrong only where one kind of request is slow, whose
+        lateness is then ignored.
         """
         objective_ns = request.request_class.latency_objective_ns
         is_overdue = 0 < endpoint.latency_ns * LOST_LATENCY_FACTOR < took_ns
@@ -178,7 +181,7 @@
         return is_overdue and is_quick and endpoint.health.answered_at_ns > request.sent_at_ns
 
     def record_answer(self, request: PendingRequest, took_ns: int) -> None:
-        """Add to the retry budget; a prompt answer to a retry after a loss proves that the first was lost."""
+        """Add to the retry budget; a prompt answer to a retry proves that the first answer was lost."""
         prompt_ns = request.request_class.latency_objective_ns * PROMPT_OBJECTIVE_FRACTION
         proven = request.retried_after_loss and took_ns <= prompt_ns
         self.budget = min(MAX_RETRY_BUDGET, self.budget + (1.0 if proven else RETRY_BUDGET_PER_ANSWER))
@@ -186,13 +189,13 @@
     def next_step(
         self, request: PendingRequest, event: AttemptEnded, loss: Loss, was_at_origin: bool
     ) -> NextStep:
-        """What a request that has no final answer needs after an attempt.
+        """Return the next step of a request whose attempt has ended without a final answer.
 
-        After a loss a request is sent again where it was, a departure from the design: the slot's endpoint
-        holds the key, where the next-ranked one would miss and cost a fetch, and a write's repeat is
-        dropped there. A quick break is bounded by the attempts and by the endpoint's ejection; any other
-        loss is retried once. An endpoint that breaks connections because it is overloaded gets a read up to
-        four times, until six breaks in a row eject it.
+        After a loss the request is sent to the same endpoint again, a departure from the design: this
+        endpoint has the key, while the next-ranked one would miss and need a fetch, and it drops the repeat
+        of a write. Retries after quick breaks are bounded by the number of attempts and by the ejection of
+        the endpoint; any other loss is retried once. An endpoint that breaks connections because it is
+        overloaded gets a read up to four times, until six consecutive resets eject it.
         """
         if event.outcome is Outcome.MISS and not was_at_origin and self._fetches_misses:
             return NextStep.FETCH
@@ -204,11 +207,11 @@
         return NextStep.FETCH_FAILED if was_at_origin else NextStep.NEXT_ENDPOINT
 
     def _after_loss(self, request: PendingRequest, event: AttemptEnded, was_at_origin: bool) -> NextStep:
-        """A fetch that broke before its answer began has stored nothing; any other has stored its value."""
+        """Return the step after a loss; a fetch that broke before its answer began has stored nothing."""
         if not was_at_origin:
             return NextStep.SAME_ENDPOINT
         if request.is_write:
-            # A write can wait, and an origin that restarts needs time.
+            # A write can wait, and a restarting origin needs time.
             refused = event.outcome is Outcome.CONNECT_FAILED
             return NextStep.FETCH_FAILED if refused else NextStep.FETCH_AGAIN
         if event.outcome.is_connection_failure and not event.response_started:
--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -1,4 +1,4 @@
-"""The routing policy: every decision of a router, without I/O and without a clock; events in, actions out."""
+"""The routing policy: makes every decision of a router, without I/O and clock; events in, actions out."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 
 UNKNOWN_TENANT = ""  # requests that name no tenant of the settings
-SUBSCRIBE_TOKEN = "subscribe"  # the timer's; a request's timer has the request's id
-ANY_SLOT = 0  # all writes are queued for one origin
+SUBSCRIBE_TOKEN = "subscribe"  # of the subscription's timer; a request's timer has the request id
+ANY_SLOT = 0  # queued writes all go to the same origin, whatever their slots
 
 
 class TableSizes(NamedTuple):
-    """How much the policy remembers; all of it is 0 once every request has ended."""
+    """Numbers of entries in the policy's tables; all are 0 when every request has ended."""
 
     requests: int
     coalesced_fetches: int
@@ -52,16 +52,16 @@
 
 
 class RoutingPolicy:
-    """One router's decisions: `handle` takes an event and returns the actions to carry out.
+    """Makes one router's decisions: `handle` takes an event and returns the actions to carry out.
 
-    It holds the open requests, and asks one rule at a time: where a request may go (`EndpointSelector`,
-    `SlowStart`, `LoadShedder`), whether it may be fetched (`OriginLimiter`, `OriginConcurrency`,
-    `FetchCoalescing`), what follows an attempt (`RetryPolicy`, `EndpointHealth`) and how it is rejected
-    (`Rejections`). `docs/decisions.md` lists the rules.
+    It holds the open requests, and consults one rule at a time: which endpoint a request is sent to
+    (`EndpointSelector`, `SlowStart`, `LoadShedder`), whether it may be fetched (`OriginLimiter`,
+    `OriginConcurrency`, `FetchCoalescing`), what follows an attempt (`RetryPolicy`, `EndpointHealth`) and how
+    the request is rejected (`Rejections`). `docs/decisions.md` lists the rules.
     """
 
     uses_load_reports = True
-    """Whether the load reports in events make a difference."""
+    """Whether the policy reads the load reports in events."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
@@ -87,11 +87,11 @@
         self._slow_start = SlowStart(settings, self._caches, self._rng)
         self._selector = EndpointSelector(self._caches, self._load_reports, shortest_objective_ns, self._rng)
         self._observations = Observations(settings.gossip_allowed)
-        self._now = 0  # clock time of the event that is handled
-        self._actions: list[Action] = []  # for that event
+        self._now = 0  # clock time (ns) of the event that is being handled
+        self._actions: list[Action] = []  # the answer to that event
 
     def handle(self, event: Event, now: int) -> list[Action]:
-        """Take one event at clock time `now` (ns) and return the actions to carry out, in order."""
+        """Handle one event at clock time `now` (ns); return the actions to carry out, in order."""
         self._now = now
         self._actions = []
         self._slow_start.answer_rate.start(now)
@@ -114,23 +114,24 @@
                 self._request_cancelled(event)
         return self._actions
 
-    # Figures.
+    # Metrics.
 
     @property
     def rejections_by_reason(self) -> dict[RejectionReason, int]:
-        """Requests that were rejected or failed without an answer from an endpoint, since the start."""
+        """Number of requests since the start that the policy itself rejected or failed, by reason."""
         return self._rejections.counts
 
     def ejected(self) -> list[str]:
-        """Return the names of the ready cache endpoints that get trial requests only."""
+        """Return the ids of the ready cache endpoints that are ejected, and get trial requests only."""
         return [name for name, endpoint in self._caches.endpoints.items() if endpoint.ejected]
 
     def metrics(self, now: int) -> dict[str, float]:
-        """Return the policy's figures, by the words of the interval counters.
+        """Return the policy's metrics, by their names in the interval counters.
 
         They are: each tenant's rate limit in origin calls a second, the write concurrency limit (-1: none),
-        the origin's failure fraction, the fraction of overloaded endpoints, the retry budget, and the
-        numbers of cache endpoints that are ejected, that are sent less, and that have given up slots.
+        the origin's failure fraction, the fraction of overloaded endpoints, the retry budget, and the numbers
+        of cache endpoints that are ejected, that have an admission probability below 1, and that have
+        released slots.
         """
         endpoints = self._caches.endpoints.values()
         write_limit = self._origin_concurrency.write_limit
@@ -147,21 +148,22 @@
         }
 
     def table_sizes(self) -> TableSizes:
-        """Return how much the policy remembers."""
+        """Return the numbers of entries in the policy's tables."""
         return TableSizes(len(self._requests), len(self._fetches), len(self._origin_concurrency))
 
     def origin_demand(self, now: int) -> dict[str, float]:
-        """Return each tenant's origin calls a second, admitted or not."""
+        """Return the rate of each tenant's origin calls, admitted or denied, in calls a second."""
         return {name: limiter.observed_rate_per_s(now) for name, limiter in self._origin_limiters.items()}
 
     def rebalancing_metrics(self) -> dict[str, float]:
-        """Return how many endpoints give up slots and take some, and the least fraction that one keeps."""
+        """Return the numbers of donors and receivers of slots, and the lowest slot retention."""
         return self._selector.rebalancer.metrics()
 
     def take_observations(self) -> tuple[dict[str, tuple[float, int]], dict[int, int]]:
-        """Return, and forget, what this router has observed, for others.
+        """Return what this router has observed since the last call, for other routers.
 
-        That is the reported response time by endpoint, with its clock time (both ns), and requests by slot.
+        The first mapping holds each endpoint's reported response time and the clock time of that report, both
+        in nanoseconds; the second one the number of requests by slot.
         """
         return self._observations.take()
 
@@ -180,11 +182,12 @@
         )
 
     def restore(self, state: HandoverState, now: int) -> None:
-        """Continue from another process's state; endpoints and tenants that are unknown here are passed over.
+        """Continue from the state of another process; unknown endpoints and tenants are ignored.
 
-        Beginning anew at the generous initial limits would flood the origin at every upgrade, and an
-        endpoint that is failing would get its full share again. The state comes from a process that is
-        still running, as of when this one connected to it, and fades as if learned here.
+        A process that started with the generous initial limits would flood the origin at every upgrade, and a
+        failing endpoint would get its full share of requests again. The old process is still running; its
+        state is as of the time when this process connected to it, and decays as if this process had learned
+        it.
         """
         for name, endpoint_state in state.endpoints.items():
             endpoint = self._caches.endpoints.get(name)
@@ -200,7 +203,7 @@
         if state.cache_answers:
             self._slow_start.answer_rate.restore(state.cache_answers, now)
 
-    # Events that concern no single request.
+    # Events that are not about a single request.
 
     def _endpoints_changed(self, event: EndpointsChanged) -> None:
         delay_ns = self._subscription.on_update(event.kind)
@@ -224,10 +227,11 @@
                 limiter.set_share(share)
 
     def _load_snapshot_changed(self, event: LoadSnapshotChanged) -> None:
-        """Take the load view of many routers: response times newer than those known, and popularity of slots.
+        """Apply the load view of many routers: response times newer than the known ones, and slot popularity.
 
-        Other routers' reports may be false or old. An endpoint's own report to this router overrides older
-        ones, ejection rests on own attempts alone, and fractions of too few requests are ignored.
+        Reports of other routers may be false or old. A report that the endpoint itself sent to this router
+        overrides older ones, only this router's own attempts eject an endpoint, and fractions of too few
+        requests are ignored.
         """
         for name, (response_time_ns, age_ns) in event.response_times.items():
             endpoint = self._caches.endpoints.get(name)
@@ -252,7 +256,7 @@
         elif request.is_write:
             self._send_to_origin(request)
 
-    # A request's beginning and end.
+    # The start and the end of a request.
 
     def _request_arrived(self, event: RequestArrived) -> None:
         tenant = event.tenant or UNKNOWN_TENANT
@@ -279,13 +283,13 @@
         self._actions.append(SetTimer(delay_ns, request.id))
 
     def _reject_or_fail(self, request: PendingRequest, reason: RejectionReason) -> None:
-        """Answer a request for which nothing more can be done."""
+        """Give the final answer to a request that will not be sent to an endpoint any more."""
         may_reject = self._retries.may_reject(request)
         self._actions.append(self._rejections.final_answer(request.id, reason, may_reject))
         self._finish(request)
 
     def _finish(self, request: PendingRequest, stored: bool = False) -> None:
-        """End a request; `stored`: its fetch has stored the value at the cache server."""
+        """End a request; `stored`: its fetch has stored the value in the cache server."""
         request.is_answered = True
         request.is_waiting = False
         if not request.in_flight:
@@ -293,10 +297,10 @@
         if request.leads_fetch:
             self._complete_fetch(request, stored)
 
-    # Where a request goes.
+    # Choice of the endpoint.
 
     def _route(self, request: PendingRequest) -> None:
-        """Send to the slot's preferred endpoint; to the next one if it has failed or is ejected."""
+        """Send to the slot's preferred endpoint, or to the next one if that has failed or is ejected."""
         if not self._retries.may_attempt(request, self._now):
             self._reject_or_fail(request, RejectionReason.NO_ATTEMPT_LEFT)
             return
@@ -321,13 +325,13 @@
                 return
         if has_capacity:
             self._fetch_missing(request)
-        else:  # only a warming endpoint could take it, and has no capacity
+        else:  # only endpoints that are warming up are left, and they have no capacity
             self._reject_or_fail(request, RejectionReason.WARMING_UP)
 
     def _send_or_reject(
         self, request: PendingRequest, endpoint: TrackedEndpoint, ranking: list[TrackedEndpoint]
     ) -> bool:
-        """Send to an endpoint, or reject for its load; False: it is ejected, and another is to be tried."""
+        """Send to an endpoint, or reject because of its load; False: it is ejected, so try the next one."""
         if self._load_shedder.would_miss_deadline(endpoint, request.deadline_ns - self._now, self._now):
             self._reject_or_fail(request, RejectionReason.ENDPOINT_TOO_SLOW)
             return True
@@ -340,21 +344,21 @@
             return True
         if endpoint.ejected:
             return False
-        # Another endpoint would miss, unless the slot migrates for good.
+        # Any other endpoint would miss, unless the slot migrates to it for good.
         self._reject_or_fail(request, RejectionReason.ENDPOINT_OVERLOADED)
         return True
 
     def _fetch_missing(self, request: PendingRequest) -> None:
-        """Get what no cache server has: by a fetch, or by waiting for the one of its key that is out."""
+        """Fetch from the origin after a miss, or wait for the fetch of the same key that is in flight."""
         if self._fetches.join(request):
             self._wait(request, request.deadline_ns - self._now)
         else:
             self._send_to_origin(request)
 
     def _send_to_origin(self, request: PendingRequest, admitted: bool = False) -> None:
-        """Send a write or a read's fetch, if the origin's limits allow; a write over its limit is queued.
+        """Send a write or a read's fetch, if the origin's limits allow it; a write over its limit is queued.
 
-        `admitted`: they have allowed this call before.
+        `admitted`: the limits have admitted this call already.
         """
         request.is_waiting = False
         origins = self._origins.rank(request.slot, self._now)
@@ -389,13 +393,14 @@
         write_within_ns = self._retries.write_within_ns(request, self._now)
         self._actions.append(SendAttempt(request.id, endpoint.entry.id, timeout_ns, write_within_ns, purpose))
 
-    # What follows an attempt.
+    # The end of an attempt.
 
     def _stream_started(self, event: StreamStarted) -> None:
-        """The endpoint has done its work: how long the rest takes depends on the client and the network.
+        """Count the attempt as no longer in flight, because the endpoint has done its work.
 
-        A client that reads slowly would otherwise count as load of its endpoint, and of the origin, for
-        seconds, and requests that wait for the same fetch would wait for its last byte.
+        The duration of the remaining transfer depends on the client and the network. Otherwise a client that
+        reads slowly would count as load of its endpoint and of the origin for seconds, and requests that wait
+        for the same fetch would wait for its last byte.
         """
         request = self._requests.get(event.request_id)
         if request is None or request.endpoint is None or not request.in_flight or request.is_streaming:
@@ -434,7 +439,7 @@
     def _record_good_answer(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, was_at_origin: bool
     ) -> None:
-        """Take what a good answer tells: that its endpoint is up, its latency, how much caches answer."""
+        """Record a good answer: the endpoint is up, its latency, and the rate of answers from caches."""
         took_ns = event.latency_ns - event.queued_ns
         endpoint.health.record_answer(self._now)
         self._retries.record_answer(request, took_ns)
@@ -444,7 +449,7 @@
             self._slow_start.answer_rate.record_answer(self._now)
 
     def _apply_load_report(self, endpoint: TrackedEndpoint, values: tuple[float, ...]) -> None:
-        """Take an endpoint's load report, which tells of the load that all routers bring there."""
+        """Record an endpoint's load report, which covers the load that all routers put on it."""
         response_time_ns = self._load_reports.response_time_ns(values)
         if response_time_ns is not None:
             self._observations.record_response_time(endpoint.entry.id, response_time_ns, self._now)
@@ -453,9 +458,9 @@
     def _record_cache_attempt(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, loss: Loss
     ) -> None:
-        """Take a cache server's load report, and an attempt's end for its health.
+        """Record a cache server's load report, and the attempt's outcome in its health.
 
-        A loss in transit is no sign of load, and an attempt that was not sent tells nothing.
+        A loss in transit is no sign of load, and an attempt that was not sent carries no information.
         """
         outcome = event.outcome
         if event.load_report is not None:
@@ -477,7 +482,7 @@
     def _record_origin_attempt(
         self, request: PendingRequest, endpoint: TrackedEndpoint, event: AttemptEnded, loss: Loss
     ) -> None:
-        """Raise or cut the origin's limits, all tenants' at once, and send queued writes that fit then."""
+        """Raise or cut the origin's limits, for all tenants at once, then send queued writes that fit."""
         verdict = self._origin_concurrency.record_attempt(
             event.outcome,
             event.latency_ns,
@@ -497,8 +502,8 @@
     def _send_queued_writes(self) -> None:
         """Send queued writes while the origin has capacity.
 
-        It goes by the origin that is listed now: the one of the attempt that ended may have been replaced,
-        and a write that went by its load would be queued again for ever.
+        The origin's load is that of the currently listed origin. The origin of the attempt that ended may
+        have been replaced; by its load, a write would be queued again for ever.
         """
         origins = self._origins.rank(ANY_SLOT, self._now)
         while not origins or self._origin_concurrency.admits_write(origins[0].in_flight):
@@ -515,7 +520,7 @@
         loss: Loss,
         was_at_origin: bool,
     ) -> None:
-        """Do what a request needs that its attempt has not answered."""
+        """Carry out the next step of a request that its attempt has not answered."""
         step = self._retries.next_step(request, event, loss, was_at_origin)
         if step is NextStep.FETCH:
             self._fetch_missing(request)
@@ -531,7 +536,7 @@
             self._route(request)
 
     def _origin_attempt_failed(self, request: PendingRequest, outcome: Outcome) -> None:
-        """Retry a write after a delay; a read is its client's to retry, to spare the origin."""
+        """Retry a write after a delay; reject a read, which the client may retry, to spare the origin."""
         delay_ns = self._origin_concurrency.retry_delay_ns(self._rng)
         has_time = self._now + delay_ns < request.deadline_ns
         if request.is_write and has_time and outcome is not Outcome.TIMEOUT:
@@ -540,7 +545,7 @@
             self._reject_or_fail(request, RejectionReason.FETCH_FAILED)
 
     def _complete_fetch(self, leader: PendingRequest, stored: bool) -> None:
-        """End a coalesced fetch: its waiters read what it stored, or the first of them fetches instead."""
+        """End a coalesced fetch: its waiters read the stored value, or the first of them fetches instead."""
         for waiter in self._fetches.complete(leader):
             if waiter.is_answered:
                 continue
@@ -552,11 +557,11 @@
 
 
 def _is_late(request: PendingRequest, event: AttemptEnded) -> bool:
-    """Whether an answer took longer than the latency objective by its endpoint's own doing.
+    """Whether an answer took longer than the latency objective for a reason of its endpoint's own.
 
-    The first request on a connection bears the cost of setting it up, most of all across zones; to take that
-    for load would shed endpoints that are well wherever connections are short-lived. Only twice the objective
-    tells there.
+    The first request on a connection also bears the cost of its setup, which is highest across zones. If that
+    counted as load, healthy endpoints would be shed wherever connections are short-lived. The first request
+    is therefore late only after twice the objective.
     """
     objective_ns = request.request_class.latency_objective_ns
     limit_ns = 2 * objective_ns if event.first_on_connection else objective_ns
