--- a/holdgw/policy/__init__.py
+++ b/holdgw/policy/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of holdgw: a router that spreads keys over cache servers in front of one slow origin."""
+"""The decisions of holdgw, a router that distributes keys over cache servers in front of one slow origin."""
 
 from holdgw.policy.actions import (
     Action,
--- a/holdgw/policy/actions.py
+++ b/holdgw/policy/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the routing policy asks its dispatcher to do, as the return value of `handle`."""
+"""Actions, which `RoutingPolicy.handle` returns for its dispatcher to carry out."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class AttemptPurpose(Enum):
-    """What an attempt is made for; the values are the words of the interval counters."""
+    """The purpose of an attempt; the values are names of the interval counters."""
 
     FIRST = "first"
     """The request's first attempt."""
     NEXT_ENDPOINT = "next"
-    """A retry at another endpoint: the one before failed."""
+    """A retry at another endpoint, because the previous one failed."""
     SAME_ENDPOINT = "again"
-    """A retry where the attempt before was lost in transit."""
+    """A retry at the same endpoint, because the previous attempt was lost in transit."""
     TRIAL = "trial"
-    """To find out whether an ejected endpoint is well again."""
+    """A trial request, which finds out whether an ejected endpoint has recovered."""
     FETCH = "fetch"
-    """A read at the origin, of what a cache missed."""
+    """A read from the origin after a cache miss."""
     WRITE = "write"
-    """A write at the origin."""
+    """A write to the origin."""
 
 
 class SendAttempt(Struct, frozen=True, gc=False):
@@ -30,18 +30,18 @@
     request_id: str
     endpoint_id: str
     timeout_ns: int = 0
-    """Attempt timeout; 0: until the request's deadline."""
+    """Attempt timeout; 0: the attempt may take until the request's deadline."""
     write_within_ns: int = 0
-    """A request that can't be written within this time must not be written at all; 0: no bound."""
+    """If the request can't be written within this time, it must not be written at all; 0: no bound."""
     purpose: AttemptPurpose = AttemptPurpose.FIRST
 
 
 class Reject(Struct, frozen=True, gc=False):
-    """Final answer: the request had no effect that a retry could double, so the client may retry it."""
+    """Final answer: rejected. The client may retry: the request had no effect that a retry would repeat."""
 
     request_id: str
     retry_after_ns: int = 0
-    """Retry-After; 0: none is stated."""
+    """Retry-After for the client; 0: none."""
 
 
 class Fail(Struct, frozen=True, gc=False):
@@ -58,11 +58,11 @@
 
 
 class Subscribe(Struct, frozen=True, gc=False):
-    """Ask discovery for the endpoint list and for all further updates."""
+    """Request the endpoint list and all further updates from discovery."""
 
 
 class CheckHealth(Struct, frozen=True, gc=False):
-    """Run a health check of an endpoint; not returned by this policy, which learns from attempts alone."""
+    """Run a health check of an endpoint; this policy never returns it, as it relies on attempts alone."""
 
     endpoint_id: str
 
--- a/holdgw/policy/endpoints.py
+++ b/holdgw/policy/endpoints.py
@@ -17,15 +17,15 @@
     DELTA = "delta"
     """Only the entries that changed."""
     FULL = "full"
-    """All entries; an endpoint that is not among them is gone."""
+    """All entries; an endpoint that is not among them has been removed."""
     CACHED = "cached"
-    """All entries as last saved on this machine; they may be old."""
+    """All entries as last saved on this machine, possibly outdated."""
     FAILED = "failed"
-    """Nothing: discovery could not be reached."""
+    """No entries, because discovery could not be reached."""
 
 
 class EndpointState(Enum):
-    """The lifecycle state of a listed endpoint; only a ready one gets requests."""
+    """The lifecycle state of a listed endpoint; only ready endpoints get requests."""
 
     GONE = "gone"
     READY = "ready"
@@ -40,13 +40,13 @@
     state: EndpointState = EndpointState.READY
     weight: float = 1.0
     started_ns: int = 0
-    """Clock time of its start; 0: long ago, so its cache is warm."""
+    """Clock time of the endpoint's start; 0: long ago, so its cache is warm."""
     zone: str = ""
     cell: int = 0
 
 
 class EndpointsChanged(Struct, frozen=True, gc=False, rename={"endpoints": "servers"}):
-    """An event: an update of the endpoint list. FAILED has no entries, and the list stays as it is."""
+    """An event: an update of the endpoint list. A FAILED update has no entries, and changes nothing."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...] = ()
--- a/holdgw/policy/events.py
+++ b/holdgw/policy/events.py
@@ -1,6 +1,6 @@
-"""Events: what a dispatcher tells the routing policy, one at a time, by `RoutingPolicy.handle`.
+"""Events, which a dispatcher passes to the routing policy one at a time by `RoutingPolicy.handle`.
 
-All times are whole nanoseconds on the dispatcher's own monotonic clock.
+All times are whole nanoseconds of the dispatcher's monotonic clock.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
     """The cache server has no value for the key."""
     ERROR = "error"
     MALFORMED = "malformed"
-    """An answer came that can't be parsed: the attempt ran and its endpoint is up, nothing else is known."""
+    """The answer can't be parsed: the attempt ran and its endpoint is up; nothing else is known."""
     OVERLOADED = "overloaded"
-    """The endpoint rejected it because of its load."""
+    """The endpoint rejected the request because of its load."""
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     """The connection broke after the request was written."""
     CANCELLED = "cancelled"
-    """The router ended it: its client had left."""
+    """The router cancelled the attempt, because its client had left."""
     NOT_SENT = "not_sent"
-    """Nothing of it was written."""
+    """Nothing of the request was written."""
 
     @property
     def has_no_effect(self) -> bool:
@@ -42,36 +42,36 @@
 
     @property
     def was_attempted(self) -> bool:
-        """Whether it tells anything of the endpoint: not where it was cancelled unwritten, or never sent."""
+        """Whether the outcome concerns the endpoint: not if the attempt was cancelled or never sent."""
         return self is not Outcome.CANCELLED and self is not Outcome.NOT_SENT
 
     @property
     def is_answer(self) -> bool:
-        """Whether the endpoint answered something, be it an error."""
+        """Whether the endpoint answered anything, even an error."""
         return self.is_good_answer or self in (Outcome.ERROR, Outcome.MALFORMED, Outcome.OVERLOADED)
 
     @property
     def is_good_answer(self) -> bool:
-        """Whether the endpoint did what it was asked."""
+        """Whether the endpoint answered as requested, with a value or a miss."""
         return self is Outcome.OK or self is Outcome.MISS
 
     @property
     def is_connection_failure(self) -> bool:
-        """Whether the connection could not be made, or broke."""
+        """Whether the connection could not be established, or broke."""
         return self is Outcome.CONNECT_FAILED or self is Outcome.RESET
 
 
 class CacheStatus(Enum):
-    """What a cache server says of an outcome."""
+    """Whether the cache server had the value, as its answer states."""
 
     HIT = 1
     MISS = 2
     MISS_FETCH_PENDING = 3
-    """A miss, for which another request has been told to fetch."""
+    """A miss, while another request has been told to fetch the value."""
 
 
 class RequestArrived(Struct, frozen=True, gc=False):
-    """A client's request; one final answer is owed by the deadline."""
+    """A client's request, which must get exactly one final answer by its deadline."""
 
     request_id: str
     request_class: str
@@ -100,22 +100,22 @@
     request_answered: bool
     """Whether the request has its final answer already."""
     latency_ns: int
-    """From `SendAttempt` on, `queued_ns` included."""
+    """Since `SendAttempt`; includes `queued_ns`."""
     cache_status: CacheStatus | None = None
     load_report: tuple[float, ...] | None = None
     """The endpoint's load report, in the order of `Settings.load_report_fields`."""
     queued_ns: int = 0
-    """The part of the latency before the request was written: waiting for a connection, or for its dial."""
+    """The part of the latency before the request was written: the wait for a connection, or for its dial."""
     first_on_connection: bool = False
-    """It was the first on its connection, which takes longer whatever the endpoint's load."""
+    """Whether it was the first on its connection, which takes longer whatever the endpoint's load."""
     response_started: bool = False
-    """Some of an answer had come: the attempt ran."""
+    """Whether part of an answer had arrived, so the attempt ran."""
     idle_connections_closed: bool = False
-    """With CONNECT_FAILED only: the endpoint had closed its idle connections; none has been made since."""
+    """With CONNECT_FAILED only: whether the endpoint closed its idle connections, and none was made since."""
 
 
 class RequestCancelled(Struct, frozen=True, gc=False):
-    """The client has left; no answer is owed any more."""
+    """The client has left, so the request needs no answer any more."""
 
     request_id: str
 
@@ -139,20 +139,20 @@
     """New limit shares of this worker process."""
 
     shares: dict[str, float]
-    """By tenant: this worker's fraction of the router's limit; a tenant that is not named keeps its own."""
+    """By tenant: this worker's fraction of the router's limit; tenants that are not named keep theirs."""
 
 
 class LoadSnapshotChanged(Struct, frozen=True, gc=False):
-    """A new snapshot of the load view that many routers make together; it comes some times a second."""
+    """A new snapshot of the load view that routers build from each other's reports, some times a second."""
 
     response_times: Mapping[str, tuple[float, int]]
-    """By endpoint id: the reported response time, and the age of that figure, both in nanoseconds."""
+    """By endpoint id: the reported response time, and the age of that report, both in nanoseconds."""
     slot_shares: dict[int, float]
-    """By slot: its fraction of all requests; a slot that is not named has too few to be estimated."""
+    """By slot: its fraction of all requests; slots that are not named have too few for an estimate."""
     sampled_requests: float
-    """Requests that the fractions are counted from."""
+    """Number of requests from which the fractions are estimated."""
     own_requests: float = 0.0
-    """Those of them that this router received itself."""
+    """Number of these requests that this router received itself."""
 
 
 Event = (
--- a/holdgw/policy/pending_request.py
+++ b/holdgw/policy/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that the policy has not finished, with the state of its attempts."""
+"""An open request, with the state of its attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class PendingRequest:
-    """An open request; it stays after its final answer until its attempt has ended."""
+    """An open request; after its final answer it is kept until its attempt has ended."""
 
     def __init__(
         self,
@@ -26,26 +26,26 @@
         self.request_class = request_class
         self.origin_limiter = origin_limiter
         self.slot = slot
-        self.slot_popularity = 0.0  # fraction of all requests that are for its slot
-        self.warm_up_draw = 0.0  # drawn once, by which endpoints that warm up take it or not; 0: not yet
-        self.is_answered = False  # it has its final answer, or its client has left
-        self.is_waiting = False  # for another's fetch, in the queue of writes, or for a retry
+        self.slot_popularity = 0.0  # the slot's fraction of all requests
+        self.warm_up_draw = 0.0  # drawn once, to decide whether warming endpoints take it; 0: not drawn
+        self.is_answered = False  # also if its client has left
+        self.is_waiting = False  # for the fetch of another request, in the queue of writes, or for a retry
         self.leads_fetch = False
 
         self.attempts = 0
         self.endpoint: TrackedEndpoint | None = None  # of the last attempt
-        self.sent_at_ns = 0  # the last attempt
-        self.attempt_timeout_ns = 0  # after which the last attempt counts as lost in transit; 0: never
+        self.sent_at_ns = 0  # of the last attempt
+        self.attempt_timeout_ns = 0  # of the last attempt; 0: none
         self.in_flight = False
-        self.is_at_origin = False  # the attempt in flight
-        self.is_streaming = False  # its answer has begun
+        self.is_at_origin = False  # of the attempt in flight
+        self.is_streaming = False  # whether the answer of the attempt in flight has begun
         self.failed_endpoints: list[TrackedEndpoint] = []
-        self.retried_after_loss = False  # once, where an answer was lost in transit
+        self.retried_after_loss = False  # a loss in transit is retried once
         self.first_run_endpoint: TrackedEndpoint | None = None  # of the first attempt that may have run
-        self.first_run_at_ns = 0  # when that attempt was sent
+        self.first_run_at_ns = 0  # when the first attempt that may have run was sent
 
     def begin_attempt(self, endpoint: TrackedEndpoint, now: int) -> AttemptPurpose:
-        """Note that an attempt is sent; returns what it is made for."""
+        """Record that an attempt is sent, and return its purpose."""
         self.attempts += 1
         purpose = self._purpose(endpoint)
         self.endpoint = endpoint
@@ -65,7 +65,7 @@
         return AttemptPurpose.NEXT_ENDPOINT
 
     def end_attempt(self, may_have_run: bool) -> None:
-        """Note that the attempt in flight has ended."""
+        """Record that the attempt in flight has ended."""
         self.in_flight = False
         self.is_at_origin = False
         self.is_streaming = False
--- a/holdgw/policy/settings.py
+++ b/holdgw/policy/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the routing policy, in its own terms; `settings_reader` maps the settings' keys to them."""
+"""Settings of the routing policy; `settings_reader` reads them from the keys of the settings file."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a request does."""
+    """The effect of a repeated request."""
 
     IDEMPOTENT = "safe"
-    """Nothing more than the first did."""
+    """A repeat has no further effect."""
     IDEMPOTENCY_KEY = "keyed"
-    """It is dropped as a duplicate, within the dedup window and the dedup scope."""
+    """A repeat is dropped as a duplicate, within the dedup window and the dedup scope."""
     NOT_IDEMPOTENT = "unsafe"
-    """It takes effect a second time."""
+    """A repeat takes effect a second time."""
 
 
 class DedupScope(Enum):
-    """The endpoints that drop repeats of a request, relative to the one that may have run it."""
+    """Which endpoints drop a repeat: all, or those in the zone or cell of the one that may have run it."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """Settings for one kind of request.
+    """The settings of one request class.
 
     Raises:
         ValueError: a value is out of its range.
@@ -42,13 +42,13 @@
 
     name: str
     latency_objective_ns: int
-    """An answer within this time is worth the most."""
+    """An answer within this time has the highest value."""
     deadline_ns: int
-    """After this time nothing is owed but an error."""
+    """After this time an error is the only answer that is due."""
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     dedup_scope: DedupScope = DedupScope.ALL
     dedup_window_ns: int = 0
-    """How long after the first attempt a repeat is dropped."""
+    """How long after the first attempt endpoints drop a repeat."""
     streamed: bool = False
 
     def __post_init__(self) -> None:
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A customer: its weight in the service, and its quota over all routers together.
+    """A tenant: its weight in the service, and its quota for all routers together.
 
     Raises:
         ValueError: a value is out of its range.
@@ -68,9 +68,9 @@
 
     name: str
     weight: float
-    """0 to 1."""
+    """The tenant's share of the service, 0 to 1."""
     quota_per_s: float = 0.0
-    """Origin calls a second; 0: not stated."""
+    """Origin calls a second; 0: no quota is stated."""
 
     def __post_init__(self) -> None:
         _require(0 <= self.weight <= 1, "tenants.weight", "must lie between 0 and 1")
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a routing policy goes by from its start.
+    """All settings of a routing policy; they do not change while it runs.
 
     Raises:
         ValueError: a value is out of its range.
@@ -89,35 +89,35 @@
     tenants: tuple[Tenant, ...] = ()
     routers: int = 1
     origin_kind: str | None = None
-    """The `kind` of the origin's entries in the endpoint list; None: caches fetch for themselves."""
+    """The `kind` of the origin's entries in the endpoint list; None: cache servers fetch by themselves."""
     weights_state_capacity: bool = False
-    """Whether weights in the endpoint list state the endpoints' capacity."""
+    """Whether weights in the endpoint list are the endpoints' capacities."""
     subscription_required: bool = False
     """Whether the policy has to subscribe to the endpoint list."""
     poll_within_ns: int = 10 * NS_PER_S
-    """A failed poll of the endpoint list must be repeated within this time."""
+    """Time within which a failed poll of the endpoint list must be repeated."""
     warm_up_initial_weight: float = 1.0
-    """Fraction of its weight that an endpoint has as it starts."""
+    """Warm-up weight of an endpoint at its start: a fraction of its weight."""
     warm_up_ns: int = 0
     warm_up_overload_factor: float = 4.0
-    """An endpoint that warms up and is sent more than this multiple of what it can do falls over."""
+    """An endpoint that is warming up fails if it gets more than this multiple of what it can handle."""
     warm_up_overload_window_ns: int = 0
-    """The time over which that is counted; 0: not stated."""
+    """Time over which its requests are counted for that; 0: not stated."""
     max_attempts: int = 4
     retry_after_allowed: bool = False
     """Whether a rejection may state a Retry-After."""
     max_retry_after_ns: int = NS_PER_S
     health_checks_allowed: bool = False
     load_report_fields: tuple[str, ...] = ()
-    """The names of the values in a load report, in order."""
+    """Names of the values in a load report, in their order."""
     unrecognized: tuple[tuple[str, str], ...] = ()
-    """Features that are off because a setting's word is unknown here, each with the reason."""
+    """Features that are disabled because a setting has an unknown value, each with the reason."""
     workers: int = 1
-    """Worker processes of this router, which share its limits."""
+    """Number of worker processes of this router, which share its limits."""
     gossip_allowed: bool = False
-    """Whether routers may exchange gossip; the policy then notes its observations for others."""
+    """Whether routers may exchange gossip; if so, the policy collects observations for other routers."""
     worker_index: int = 0
-    """This process's number among the workers, from 0."""
+    """Index of this process among the workers, from 0."""
 
     def __post_init__(self) -> None:
         _require(bool(self.classes), "classes", "must name at least one class")
--- a/holdgw/policy/tracked_endpoint.py
+++ b/holdgw/policy/tracked_endpoint.py
@@ -1,4 +1,4 @@
-"""A ready endpoint as this router sees it: attempts in flight, latency, health, reported load, slots."""
+"""A ready endpoint with this router's state of it: attempts in flight, latency, health, load, slots."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 
 class TrackedEndpoint:
-    """A ready endpoint with what this router has learnt of it; each part writes its own state."""
+    """A ready endpoint with what this router has learned about it."""
 
     def __init__(self, entry: Endpoint, weighted: bool) -> None:
-        """Track an endpoint of the list; `weighted`: whether the list's weights state capacities."""
+        """Track an endpoint of the list; `weighted`: whether the list's weights are capacities."""
         self.entry = entry
         self.weight = entry.weight if weighted else 1.0
         self.seed = int.from_bytes(blake2b(entry.id.encode(), digest_size=8).digest(), "big")
-        """A number drawn from the name, the same at every router."""
+        """A hash of the endpoint's id, which is the same at every router."""
         self.in_flight = 0
-        """Attempts of this router that are out."""
+        """Number of this router's attempts in flight there."""
         self.usual_in_flight = 0.0
-        """Smoothed number in flight at the time when one more was sent."""
+        """Usual number in flight, smoothed over the attempts sent."""
         self.latency_ns = 0.0
-        """Smoothed latency of answers; 0: none yet."""
+        """Smoothed latency of answers; 0: there was none yet."""
         self.health = EndpointHealth()
         self.slots = SlotRetention(self.seed)
         self.reported = ReportedResponseTime()
@@ -41,21 +41,21 @@
 
     @property
     def ejected(self) -> bool:
-        """Whether it gets trial requests only."""
+        """Whether the endpoint gets trial requests only."""
         return self.health.ejected
 
     @property
     def slot_retention(self) -> float:
-        """The fraction of its slots that it keeps, 0 to 1."""
+        """Fraction of its slots that the endpoint keeps, 0 to 1."""
         return self.slots.fraction
 
     @property
     def reported_response_time_ns(self) -> float:
-        """The time an answer takes there by its last load report; 0: none yet."""
+        """Response time by the endpoint's latest load report; 0: there was none yet."""
         return self.reported.latest_ns
 
     def admission_probability(self, now_ns: int) -> float:
-        """Return the probability with which a request is sent there; 0 or less soon after an ejection."""
+        """Return the probability with which a request is sent there; 0 or less shortly after an ejection."""
         probability = self.health.probability(now_ns)
         if self.reported.over_limit:
             probability = min(probability, self.reported.admission_bound(now_ns))
@@ -71,43 +71,43 @@
         self.in_flight -= 1
 
     def record_latency(self, latency_ns: int) -> None:
-        """Take the latency of an answer on a connection that was already established."""
+        """Record the latency of an answer on a connection that was already established."""
         if self.latency_ns:
             self.latency_ns += (latency_ns - self.latency_ns) / LATENCY_SAMPLES
         else:
             self.latency_ns = float(latency_ns)
 
     def record_response_time(self, response_time_ns: float, overload_ns: float, now_ns: int) -> None:
-        """Take a load report's response time; above `overload_ns` the endpoint releases slots."""
+        """Record a load report's response time; above `overload_ns` the endpoint releases slots."""
         if response_time_ns > overload_ns:
             since_report_ns = now_ns - self.reported.at_ns
             self.slots.release_by_reported_load(response_time_ns / overload_ns, since_report_ns, now_ns)
         self.reported.record(response_time_ns, now_ns)
 
     def retains(self, slot: int, now_ns: int) -> bool:
-        """Whether it keeps the slot; the same ones are released first at every router, and come back last."""
+        """Whether the endpoint keeps the slot; at every router the same slots leave first and return last."""
         return self.slots.retains(slot, self.health.failure_fraction, now_ns)
 
     @property
     def is_donor(self) -> bool:
-        """Whether so many of its answers fail that it is to release slots."""
+        """Whether the failure fraction is so high that the endpoint releases slots."""
         return self.health.failure_fraction > DONOR_FAILURE_FRACTION and not self.health.ejected
 
     def release_slots(self, next_ranked: list[TrackedEndpoint], now_ns: int) -> None:
-        """Release slots to the endpoint ranked next, if that one is well (a departure from the design).
+        """Release slots to the next-ranked endpoint, if that one is healthy (a departure from the design).
 
-        The keys of an endpoint that is slow, or takes only so many requests a second, would be rejected for
-        as long as it is so, beside idle endpoints. Single requests that go elsewhere miss each time; a slot
-        that migrates, the same one at every router, misses once. This also serves where an endpoint fails by
-        degrees, or has too much of the load. Where all are overloaded slots would wander, and miss: hence
-        the receiver has to be well.
+        Otherwise requests for the keys of an endpoint that is slow, or limits its request rate, would be
+        rejected for as long as it is so, although other endpoints are idle. A single request sent elsewhere
+        misses every time; a slot that migrates, the same one at every router, misses once. This also handles
+        an endpoint that fails gradually, or that has too much of the load. The receiver must be healthy
+        because slots would otherwise keep migrating, and missing, where all endpoints are overloaded.
         """
         receiver = next((endpoint for endpoint in next_ranked if not endpoint.ejected), None)
         if receiver is not None and receiver.health.failure_fraction < RECEIVER_FAILURE_FRACTION:
             self.slots.release_by_failures(self.health.failure_fraction, now_ns)
 
     def handover(self, now_ns: int) -> EndpointHandover:
-        """Return what another process of this router may go on from."""
+        """Return the state from which another process of this router continues."""
         return EndpointHandover(
             admission_probability=self.admission_probability(now_ns),
             ejected=self.health.ejected,
@@ -118,7 +118,7 @@
         )
 
     def restore(self, state: EndpointHandover, now_ns: int) -> None:
-        """Go on from what another process of this router has learnt."""
+        """Continue from the state of another process of this router."""
         self.health.restore(state.admission_probability, state.ejected, state.failure_fraction, now_ns)
         self.slots.restore(state.slot_retention, now_ns)
         self.latency_ns = state.latency_ns
