--- a/holdgw/policy/endpoint_selection.py
+++ b/holdgw/policy/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoints a request may go to, in order: owners of a hot slot, receivers of a slot that migrated."""
+"""Orders the endpoints for a request: owners of a hot slot, and the receiver of a slot that migrated."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from holdgw.policy.slot_table import RANKING_DEPTH, SlotTable
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 
-MAX_OWNER_FACTOR = 2.0  # times its owners may a hot slot have while these are overloaded
-DONOR_OBJECTIVE_FRACTION = 0.3  # of the latency objective: a quicker endpoint gives up no more slots
+MAX_OWNER_FACTOR = 2.0  # by which the number of a hot slot's owners may grow while they are overloaded
+# An endpoint whose response time is below this fraction of the latency objective releases no more slots.
+DONOR_OBJECTIVE_FRACTION = 0.3
 
 
 class EndpointSelector:
     """Orders the endpoints for a request's slot.
 
-    Asked once for each attempt; the answer lists the endpoints, the preferred one first, and the attempt goes
-    to the first one of them that may take it.
+    The policy asks once for each attempt, and sends it to the first endpoint in the list that may take it.
     """
 
     def __init__(
@@ -33,9 +33,10 @@
         self._rng = rng
 
     def candidates(self, slot: int, popularity: float, now_ns: int) -> list[TrackedEndpoint]:
-        """Return the endpoints for a slot with such a fraction of all requests, the preferred one first.
+        """Return the endpoints for a slot, the preferred one first.
 
-        A slot too hot for one endpoint is shared by the first of its ranking, a departure from the design.
+        A slot that is too hot for one endpoint is shared by the first endpoints of its ranking, which is a
+        departure from the design. `popularity`: the slot's fraction of all requests.
         """
         ranking, owners = self.rank(slot, popularity, now_ns)
         if owners > 1:
@@ -46,14 +47,14 @@
         return ranking
 
     def rank(self, slot: int, popularity: float, now_ns: int) -> tuple[list[TrackedEndpoint], int]:
-        """Return the endpoints ranked for a slot, and how many of the first own it."""
+        """Return the endpoints ranked for a slot, and how many of them, from the first, own it."""
         owners = owner_count(popularity, len(self._endpoints.endpoints))
         return self._endpoints.rank(slot, now_ns, max(owners, RANKING_DEPTH)), owners
 
     def _with_owners_drawn(
         self, slot: int, ranking: list[TrackedEndpoint], owners: int, now_ns: int
     ) -> list[TrackedEndpoint]:
-        """Put a hot slot's owners in a drawn order; while they are overloaded there are more of them."""
+        """Put a hot slot's owners, of which there are more while they are overloaded, in a random order."""
         reported_ns = sum(endpoint.reported_response_time_ns for endpoint in ranking[:owners])
         load_factor = reported_ns / owners / self._reports.overload_response_time_ns()
         if load_factor > 1.0:
@@ -63,9 +64,9 @@
         return drawn + ranking[owners:]
 
     def _preference(self, endpoint: TrackedEndpoint, now_ns: int) -> tuple[float, float]:
-        """Return a sort key: fewest in flight; ties by a lot in proportion to the weights.
+        """Return a sort key: fewest attempts in flight first; ties in random order, by weight.
 
-        The weight falls with the reported response time; below half the mean of all it makes no difference.
+        The weight is divided by the reported response time, which counts as at least half the mean of all.
         """
         weight = endpoint.weight * self._endpoints.warm_up_weight(endpoint, now_ns)
         mean_ns = self._reports.mean_response_time_ns
@@ -73,9 +74,14 @@
         return endpoint.in_flight, self._rng.expovariate(1.0) / weight
 
     def apply_popularity(self, popularity: Mapping[int, float], samples: float, now_ns: int) -> None:
-        """Plan which slots migrate, by fractions of all requests that rest on so many of them.
+        """Plan which slots migrate.
 
-        Without samples what is known fades, and slots go back to the endpoints ranked first.
+        Without samples the known demand decays, and slots return to their first-ranked endpoints.
+
+        Args:
+            popularity: each slot's fraction of all requests.
+            samples: the number of requests from which the fractions are estimated; 0: there are none.
+            now_ns: the clock time.
         """
         self.rebalancer.add_sample(popularity, samples, now_ns)
         self.rebalancer.plan(
--- a/holdgw/policy/slot_rebalancing.py
+++ b/holdgw/policy/slot_rebalancing.py
@@ -1,8 +1,9 @@
-"""Which slots migrate from an endpoint of high demand (donor) to those of low demand (receivers).
+"""Slot rebalancing: plans which slots migrate from endpoints of high demand (donors) to others (receivers).
 
-The plan goes by demand, which no migration changes, and not by the load that endpoints report: any number of
-routers that act on the same old news do no more than one would, and nothing oscillates. It says what fraction
-of its slots a donor keeps; which slots these are is hashed from slot and endpoint, the same at every router.
+The plan depends on the demand, which migration does not change, and not on the reported load. So any number
+of routers that act on the same old reports do no more than one router would, and nothing oscillates. The
+plan sets the fraction of its slots that a donor keeps. Which slots these are is a hash of slot and endpoint,
+the same at every router.
 """
 
 from __future__ import annotations
@@ -17,62 +18,61 @@
 from holdgw.policy.units import NS_PER_S
 
 PLAN_INTERVAL_NS = 2 * NS_PER_S
-PRIOR_SAMPLES_PER_ENDPOINT = 4.0  # requests that the evidence has to outweigh: few of them differ by chance
-CORRECTION_FRACTION = 0.5  # of what an endpoint has too much or too little, that one plan corrects
-MAX_SPARE_LOAD = 4.0  # fair loads that an endpoint may take, if it is ranked for too few slots
-MAX_RECEIVER_RANK = 8  # endpoints of a slot's ranking that may get it
-STICKY_SLOT_LOAD = 0.1  # of an endpoint's fair load, from which a slot stays where it is
+PRIOR_SAMPLES_PER_ENDPOINT = 4.0  # that evidence must outweigh; a few samples differ by chance
+CORRECTION_FRACTION = 0.5  # of an endpoint's deviation from its fair load, corrected by one plan
+MAX_SPARE_LOAD = 4.0  # fair loads that an endpoint may take if it is ranked first for too few slots
+MAX_RECEIVER_RANK = 8  # receivers are among the first so many endpoints of a slot's ranking
+STICKY_SLOT_LOAD = 0.1  # of an endpoint's fair load; a slot with more load does not migrate
 MIN_DONOR_RETENTION = 0.1  # fraction of its slots that a donor keeps, whatever the demand
 MAX_MIGRATION_PER_S = 0.05  # of an endpoint's slots
-MAX_ELAPSED_S = 6.0  # between two plans, as far as the bound on migration goes
+MAX_ELAPSED_S = 6.0  # longest time between two plans that counts for the bound on migration
 MAX_SLOTS_PER_EVENT = 200
-MAX_SCORES_PER_EVENT = 600  # of endpoints, for slots that were not ranked before: 2 us each
-MIN_SLOT_LOAD = 0.005  # of an endpoint's fair load, under which a slot is not looked at by itself
-NEGLIGIBLE_LOAD = 0.001  # fair loads that no slot migrates for
+MAX_SCORES_PER_EVENT = 600  # endpoints scored for slots without a cached ranking, 2 us each
+MIN_SLOT_LOAD = 0.005  # of an endpoint's fair load; a slot with less load is not considered individually
+NEGLIGIBLE_LOAD = 0.001  # fair loads; no slot migrates for less
 MASK_64_BITS = (1 << 64) - 1
 
 
 class Endpoint(Protocol):
-    """What the plan reads of an endpoint."""
+    """The attributes of an endpoint that the plan reads."""
 
     seed: int
     weight: float
 
     @property
     def ejected(self) -> bool:
-        """Whether it gets trial requests only."""
+        """Whether the endpoint gets trial requests only."""
 
     @property
     def slot_retention(self) -> float:
-        """The fraction of its slots that it keeps by this router's own evidence, 0 to 1."""
+        """Fraction of its slots that the endpoint keeps by this router's own measurements, 0 to 1."""
 
     @property
     def reported_response_time_ns(self) -> float:
-        """The time an answer takes there by its last load report."""
+        """Response time by the endpoint's latest load report."""
 
 
 class SlotRebalancer:
-    """Plans which slots migrate, from samples of the demand, and says for each request where its slot is.
+    """Plans which slots migrate, from samples of the demand, and finds the current endpoint of each slot.
 
-    Told of samples by `add_sample`, some times a second, then asked to go on with its plan by `plan`. Asked
-    for each request by `receiver_rank`: 0 means the first-ranked endpoint, another rank the endpoint that has
-    the slot for now.
+    The policy calls `add_sample`, and then `plan`, some times a second, and `receiver_rank` for each request:
+    rank 0 is the first-ranked endpoint, and any other rank is the receiver that has the slot for now.
     """
 
     def __init__(self) -> None:
         self._demand = SlotDemand()
-        # The plan in force. Spare load is by endpoint's seed, in fair loads: what it is to take beyond its
-        # own slots; a donor's is below 0.
+        # The active plan. Spare load, by endpoint's seed and in fair loads, is the load that an endpoint
+        # takes beyond its own slots; a donor's is below 0.
         self._spare_load: dict[int, float] = {}
         self._retention: dict[int, float] = {}  # by donor's seed: the fraction of its slots that it keeps
         self._sticky: set[int] = set()
         self._planned_at_ns = 0
-        # The plan in the making: slots to go through, from the end, and the loads of the others.
+        # The next plan: slots still to be processed, from the end, and the loads of those processed.
         self._remaining: list[int] = []
         self._loads = SlotLoads()
 
     def add_sample(self, fractions: Mapping[int, float], samples: float, now_ns: int) -> None:
-        """Take fractions of all requests by slot, and from how many requests they were counted."""
+        """Add fractions of all requests by slot, and the number of requests sampled for them."""
         self._demand.add(fractions, samples, now_ns)
 
     def plan(
@@ -84,22 +84,22 @@
         now_ns: int,
         min_donor_response_time_ns: float = 0.0,
     ) -> None:
-        """Go on with the plan of what endpoints release and take.
+        """Continue the next plan of the slots that endpoints release and take.
 
-        Few requests tell little, and to follow them costs a miss for each key that migrates: hence the prior
-        and the bound on migration. Without new samples the demand fades, and slots go back. To rank a slot
-        anew takes 2 us an endpoint, in which all requests wait: hence a plan takes several calls, each with a
-        bound on slots ranked anew, those of the highest demand first.
+        Few samples carry little information, and each key that migrates costs a miss; hence the prior and the
+        bound on migration. Without new samples the demand decays, and slots return. Ranking a slot without a
+        cached ranking takes 2 us per endpoint, during which all requests wait. A plan therefore takes several
+        calls, each of which ranks a bounded number of slots anew, those of the highest demand first.
 
         Args:
-            rank: the endpoints ranked for a slot, and how many of the first own it at such a fraction of all
-                requests.
-            is_ranked: whether a slot's ranking is remembered, and costs little.
+            rank: returns the endpoints ranked for a slot, and how many of them, from the first, own it at the
+                given fraction of all requests.
+            is_ranked: whether a slot's ranking is cached, and costs little.
             endpoints: the ready endpoints.
-            warming_up: the seeds of those that warm up, which get no slots.
+            warming_up: seeds of the endpoints that are warming up, which receive no slots.
             now_ns: the clock time.
-            min_donor_response_time_ns: the reported response time from which on an endpoint releases more
-                slots than before: where all answer at once there is nothing to gain.
+            min_donor_response_time_ns: endpoints with a lower reported response time release no more slots
+                than before, as there is nothing to gain where all answers are quick.
         """
         if self._demand.is_empty or not endpoints:
             self._spare_load = {}
@@ -120,7 +120,7 @@
         is_ranked: Callable[[int], bool],
         endpoints: Sequence[Endpoint],
     ) -> None:
-        """Add up the loads of some of the remaining slots; slots past the bound on ranking are left out."""
+        """Add the loads of a batch of the remaining slots; slots beyond the bound on ranking are left out."""
         total_weight = sum(endpoint.weight for endpoint in endpoints)
         may_be_ranked = max(MAX_SCORES_PER_EVENT // len(endpoints), 1)
         batch = self._remaining[-MAX_SLOTS_PER_EVENT:]
@@ -137,7 +137,7 @@
     def _place(
         self, slot: int, fraction: float, ranking: Sequence[Endpoint], owners: int, total_weight: float
     ) -> None:
-        """Add up the load of one slot, as sticky or where it is by the plan in force."""
+        """Add the load of one slot, as sticky or at its endpoint by the active plan."""
         first = ranking[0]
         if owners > 1 or fraction > STICKY_SLOT_LOAD * first.weight / total_weight:
             self._loads.add_sticky(slot, fraction / owners, [endpoint.seed for endpoint in ranking[:owners]])
@@ -152,7 +152,7 @@
         now_ns: int,
         min_donor_response_time_ns: float,
     ) -> None:
-        """Put the plan in force: endpoints with more than their fair load release slots, others take them."""
+        """Activate the next plan: endpoints above their fair load release slots, and the others take them."""
         elapsed_s = min((now_ns - self._planned_at_ns) / NS_PER_S, MAX_ELAPSED_S)
         self._planned_at_ns = now_ns
         self._loads.extrapolate()
@@ -182,10 +182,10 @@
         self._sticky = self._loads.sticky
 
     def _correction(self, load: float, spare_before: float, confidence: float, elapsed_s: float) -> float:
-        """Return by how much an endpoint's spare load changes, in fair loads, within the bound on migration.
+        """Return the change of an endpoint's spare load, in fair loads, within the bound on migration.
 
-        It goes to where the endpoint has its fair load as far as the samples tell, and to 0 as far as they
-        do not (`confidence`, 0 to 1).
+        The spare load moves towards the value at which the endpoint has its fair load, and towards 0; the
+        confidence in the samples (`confidence`, 0 to 1) weights the two.
         """
         change = (
             confidence * (1.0 - load) * CORRECTION_FRACTION
@@ -197,8 +197,9 @@
     def receiver_rank(self, slot: int, ranking: Sequence[Endpoint]) -> int:
         """Return the rank of the endpoint that has the slot: 0, or that of a receiver.
 
-        This router's own evidence goes before the plan, which does not know which endpoints it can reach, nor
-        how overloaded they are: an ejected endpoint's slots go to the next-ranked, not to a receiver.
+        This router's own measurements take precedence over the plan, which does not know which endpoints this
+        router can reach, nor how overloaded they are. The slots of an ejected endpoint go to the next-ranked
+        one, not to a receiver.
         """
         if not self._spare_load or not ranking or slot in self._sticky:
             return 0
@@ -209,9 +210,9 @@
         return self._placed_rank(slot, ranking, min(planned, first.slot_retention))
 
     def _placed_rank(self, slot: int, ranking: Sequence[Endpoint], retention: float) -> int:
-        """Return the rank of the endpoint that has a slot, at such a retention of the first-ranked one.
+        """Return the rank of the endpoint that has a slot; `retention`: that of the first-ranked endpoint.
 
-        Receivers are drawn by weighted rendezvous hashing, in proportion to their spare load.
+        Weighted rendezvous hashing selects receivers in proportion to their spare load.
         """
         if retention >= 1.0 or not releases_slot(slot, ranking[0].seed, retention):
             return 0
@@ -228,7 +229,7 @@
         return best_rank
 
     def metrics(self) -> dict[str, float]:
-        """Return how many endpoints give up slots and take some, and the least fraction that one keeps."""
+        """Return the numbers of donors and receivers, and the lowest slot retention of a donor."""
         return {
             "giving": len(self._retention),
             "taking": sum(spare > 0.0 for spare in self._spare_load.values()),
@@ -237,7 +238,7 @@
 
 
 def uniform_hash(slot: int, seed: int) -> float:
-    """Return a number in (0, 1) for a slot and an endpoint's seed, the same at every router."""
+    """Hash a slot and an endpoint's seed to a number in (0, 1), the same at every router."""
     mixed = (seed ^ (slot + 0x51ED2701) * 0xBF58476D1CE4E5B9) * 0x94D049BB133111EB & MASK_64_BITS
     mixed = (mixed ^ mixed >> 31) * 0xD6E8FEB86659FD93 & MASK_64_BITS
     return ((mixed ^ mixed >> 32) + 1) / (MASK_64_BITS + 2)
