--- a/holdgw/policy/adapter.py
+++ b/holdgw/policy/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire, one JSON value a line: its events read, its orders written. It makes no decisions."""
+"""Adapter to the simulator's wire format, one JSON value a line: reads events and writes orders."""
 
 from __future__ import annotations
 
@@ -135,13 +135,13 @@
 
 
 class Adapter:
-    """Runs the routing policies of many simulated routers, by number, and answers batches of wire events."""
+    """Runs the routing policies of many simulated routers, by number, and answers batches of events."""
 
     def __init__(self) -> None:
         self._policies: dict[int, RoutingPolicy] = {}
 
     def answer(self, line: bytes) -> bytes:
-        """Answer one batch with one line of orders.
+        """Answer one batch of events with one line of orders.
 
         Raises:
             WireFormatError: the line is malformed.
@@ -177,7 +177,7 @@
         if name == "destroy":
             del self._policies[number]
             return []
-        if name == "inbox":  # simulated routers share nothing: a peer's message is no observation
+        if name == "inbox":  # simulated routers exchange no gossip, so messages of peers are ignored
             return []
         return _orders(policy, _read_event(name, fields), now)
 
@@ -201,7 +201,7 @@
 
 
 def _orders(policy: RoutingPolicy, event: Event, now: int) -> list[Fields]:
-    """The policy's actions as orders of the wire; a failure in the policy is the order `panic`."""
+    """Return the policy's actions as orders; an exception in the policy becomes the order `panic`."""
     try:
         actions = policy.handle(event, now)
     except Exception as error:
@@ -210,7 +210,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer every line of `source` until it ends."""
+    """Answer every line of `source` until the end of the input."""
     adapter = Adapter()
     for line in source:
         sink.write(adapter.answer(line))
--- a/holdgw/policy/endpoint_subscription.py
+++ b/holdgw/policy/endpoint_subscription.py
@@ -1,4 +1,4 @@
-"""When to subscribe to the endpoint list: at the start, and with backoff after each failed poll."""
+"""Decides when to subscribe to the endpoint list: at the start, and with backoff after failed polls."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from holdgw.policy.settings import Settings
 from holdgw.policy.units import NS_PER_S
 
-# A change counts as notified 6 s after discovery had it and could be reached; a longer wait would use up
-# that.
+# A change counts as notified 6 s after discovery had it and could be reached; a longer delay would use up
+# that time.
 MAX_BACKOFF_NS = 2 * NS_PER_S
-MAX_DOUBLINGS = 8  # bounds the shift of the backoff, which MAX_BACKOFF_NS ends long before
+MAX_DOUBLINGS = 8  # bounds the bit shift; MAX_BACKOFF_NS is reached long before
 
 
 class EndpointSubscription:
     """Decides when the next `Subscribe` is due.
 
-    Asked at each endpoint update (`on_update`); its answer is the delay until the next `Subscribe`, with
-    jitter, so that many routers don't poll discovery at once. `on_timer` notes that this delay has passed.
+    The policy calls `on_update` for each endpoint update. It returns the delay until the next `Subscribe`,
+    with jitter, so that many routers don't poll discovery at once. The policy calls `on_timer` after this
+    delay.
     """
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
@@ -26,12 +27,12 @@
         self._poll_within_ns = settings.poll_within_ns
         self._rng = rng
         self._timer_set = False
-        self._failures = 0  # polls in a row that failed
+        self._failures = 0  # consecutive failed polls
 
     def on_update(self, kind: UpdateKind) -> int | None:
-        """The delay (ns) until the next `Subscribe`; None: none is due, or its timer is set already.
+        """Return the delay (ns) until the next `Subscribe`; None: none is due, or its timer is already set.
 
-        It is due after a cached list, with which a router starts, and after every failure.
+        A `Subscribe` is due after a cached list, with which a router starts, and after every failed poll.
         """
         if not self._required:
             return None
@@ -49,5 +50,5 @@
         return min(NS_PER_S << min(self._failures, MAX_DOUBLINGS), MAX_BACKOFF_NS)
 
     def on_timer(self) -> None:
-        """The delay has passed, and `Subscribe` is sent."""
+        """Record that the delay has passed and `Subscribe` is sent."""
         self._timer_set = False
--- a/holdgw/policy/handover_state.py
+++ b/holdgw/policy/handover_state.py
@@ -1,8 +1,8 @@
-"""What a process hands to its successor: the values that the routing policy has learned.
+"""The handover state: the learned values of the routing policy that a new process takes over.
 
-Not compiled (`holdgw/native.py`): msgspec reads these types by their annotations, and of an annotation like
-`dict[str, EndpointHandover]` compiled code keeps the dict alone. `rename` keeps the field names that earlier
-versions wrote, so that processes of different versions can hand over to each other.
+Not compiled (`holdgw/native.py`): msgspec reads these types by their annotations, and compiled code keeps
+only the `dict` of an annotation like `dict[str, EndpointHandover]`. `rename` keeps the field names of earlier
+versions, so that processes of different versions can hand over to each other.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class EndpointHandover(Struct, frozen=True, rename=_ENDPOINT_FIELD_NAMES):
-    """What was learned of one cache server."""
+    """The learned state of one cache server."""
 
     admission_probability: float
     ejected: bool
@@ -36,12 +36,12 @@
     """Fraction of its slots that it keeps, 0 to 1."""
     failure_fraction: float
     latency_ns: float
-    """Smoothed latency of its answers, nanoseconds; 0: none came yet."""
+    """Smoothed latency of its answers, nanoseconds; 0: there was none yet."""
     usual_in_flight: float
 
 
 class TenantHandover(Struct, frozen=True, rename={"rate_limit": "limit"}):
-    """A tenant's origin limiter: its rate limit, and the calls in its window."""
+    """The state of a tenant's origin limiter: its rate limit, and the calls in its window."""
 
     rate_limit: float
     """Origin calls a second."""
@@ -50,19 +50,19 @@
 
 
 class HandoverState(Struct, frozen=True, rename=_STATE_FIELD_NAMES):
-    """What a router has learned and another process of it may continue from; any part may be missing."""
+    """The state from which another process of the router may continue; any part may be missing."""
 
     endpoints: dict[str, EndpointHandover] = field(default_factory=dict)
-    """By endpoint id; cache servers only."""
+    """State by endpoint id; cache servers only."""
     tenants: dict[str, TenantHandover] = field(default_factory=dict)
-    """By tenant name; "" for requests of no known tenant."""
+    """State by tenant name; "" stands for requests without a known tenant."""
     slot_popularity: dict[int, float] = field(default_factory=dict)
-    """Requests lately, by slot."""
+    """Recent requests by slot."""
     tenant_usage: dict[str, float] = field(default_factory=dict)
-    """Requests lately, by tenant."""
+    """Recent requests by tenant."""
     origin_latency_ns: float = 0.0
     """Smoothed latency of good fetches, nanoseconds; 0: unknown."""
     write_concurrency_limit: float = 0.0
-    """Most attempts in flight at the origin before writes are queued; 0: unknown."""
+    """Attempts in flight at the origin from which on writes are queued; 0: unknown."""
     cache_answers: float = 0.0
-    """Answers of cache servers lately, as an exponentially decaying count; 0: unknown."""
+    """Exponentially decaying count of recent answers from cache servers; 0: unknown."""
--- a/holdgw/policy/hot_keys.py
+++ b/holdgw/policy/hot_keys.py
@@ -1,4 +1,4 @@
-"""Popularity of slots and tenants, counted over the latest requests, and the owners of a hot slot."""
+"""Popularity of slots and tenants over recent requests, and the number of owners of a hot slot."""
 
 from __future__ import annotations
 
@@ -10,24 +10,25 @@
 
 Key = TypeVar("Key", int, str)
 
-MAX_COUNTED_REQUESTS = 1024  # then counts are halved: many endpoints' worth, yet seconds when busy
-MAX_SLOT_LOAD = 0.25  # fraction of an endpoint's fair load that one slot may bring before it has more owners
-# A snapshot replaces a router's own counts if it rests on so many requests, and on few of the router's own:
-# it names the most frequent slots alone, and undercounts each, while own counts are complete.
+MAX_COUNTED_REQUESTS = 1024  # at which counts are halved: enough for many endpoints, yet seconds under load
+MAX_SLOT_LOAD = 0.25  # of an endpoint's fair load; a slot with more load gets more owners
+# A snapshot replaces a router's own counts if it is based on enough requests, and only a small fraction of
+# them are the router's own. It covers only the most frequent slots, and undercounts each of them, while the
+# router's own counts are complete.
 MIN_SNAPSHOT_REQUESTS = 100.0
 MAX_OWN_FRACTION = 0.3
 
 
 class PopularityCounter(Generic[Key]):
-    """Counts the latest requests by slot or tenant; counts are halved from time to time."""
+    """Counts recent requests by slot or tenant; all counts are halved from time to time."""
 
     def __init__(self) -> None:
         self.counts: dict[Key, float] = {}
-        """Requests by slot or tenant, with those of longer ago at less."""
+        """Requests by slot or tenant; earlier requests have a smaller weight."""
         self._total = 0.0
 
     def add(self, key: Key) -> float:
-        """Count a request; returns the key's fraction of those before it, 0 to 1."""
+        """Count a request; return the key's fraction of the requests before it, 0 to 1."""
         count = self.counts.get(key, 0.0)
         popularity = count / max(self._total, 1.0)
         self.counts[key] = count + 1
@@ -37,21 +38,21 @@
         return popularity
 
     def _halve(self) -> None:
-        """Halve all counts, and drop those of a single request."""
+        """Halve all counts, and drop those of at most one request."""
         self.counts = {key: count / 2 for key, count in self.counts.items() if count > 1}
         self._total = sum(self.counts.values())
 
     def restore(self, counts: Mapping[Key, float]) -> None:
-        """Add what another process has counted."""
+        """Add the counts of another process."""
         for key, count in counts.items():
             self.counts[key] = self.counts.get(key, 0.0) + count
         self._total += sum(counts.values())
 
 
 class SlotPopularity:
-    """Each slot's fraction of all requests: as many routers see it together, else as this one does.
+    """Each slot's fraction of all requests: of all routers' requests if known, else of this router's.
 
-    Told of each request. Its answer decides how many endpoints own the request's slot.
+    The policy counts each request here; the result decides how many endpoints own its slot.
     """
 
     def __init__(self) -> None:
@@ -64,17 +65,17 @@
         return self._counter.counts
 
     def record_request(self, slot: int) -> float:
-        """Count a request; returns the slot's fraction of all requests, 0 to 1."""
+        """Count a request; return the slot's fraction of all requests, 0 to 1."""
         popularity = self._counter.add(slot)
         if self._shared is not None:
             return self._shared.get(slot, 0.0)
         return popularity
 
     def apply_snapshot(self, snapshot: LoadSnapshotChanged) -> bool:
-        """Use a snapshot of many routers' requests if it tells more than this router's own counts.
+        """Use a snapshot of many routers' requests if it is better than this router's own counts.
 
-        Returns whether it does. One router of two hundred sees a hot key once in ten seconds, too seldom to
-        find it alone; a router with a large part of all requests finds more hot keys by itself.
+        Returns whether it is. One of two hundred routers gets a hot key once in ten seconds, too seldom to
+        detect it alone; a router with a large fraction of all requests finds more hot keys by its own counts.
         """
         sampled = snapshot.sampled_requests
         usable = sampled >= MIN_SNAPSHOT_REQUESTS and snapshot.own_requests < MAX_OWN_FRACTION * sampled
@@ -82,10 +83,10 @@
         return usable
 
     def restore(self, counts: Mapping[int, float]) -> None:
-        """Add what another process has counted."""
+        """Add the counts of another process."""
         self._counter.restore(counts)
 
 
 def owner_count(popularity: float, endpoints: int) -> int:
-    """Return how many of the endpoints ranked for a slot share its requests, at least 1."""
+    """Return how many endpoints own a slot of this popularity, at least 1."""
     return max(math.ceil(popularity * endpoints / MAX_SLOT_LOAD), 1)
--- a/holdgw/policy/load_reports.py
+++ b/holdgw/policy/load_reports.py
@@ -1,4 +1,4 @@
-"""What endpoints report of their load: to this router in answers, and to other routers of the tier."""
+"""Load reports of endpoints: those in answers to this router, and observations for other routers."""
 
 from __future__ import annotations
 
@@ -7,17 +7,18 @@
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 
 NS_PER_MS = 1e6
-ASSUMED_CONCURRENCY = 4.0  # places that queued requests are taken to wait for
+ASSUMED_CONCURRENCY = 4.0  # requests that an endpoint is assumed to serve at the same time
 RESPONSE_TIME_SAMPLES = 32  # reports over which the mean response time is smoothed
-# An endpoint is overloaded over both: this fraction of the latency objective, so many times the mean time.
+# An endpoint is overloaded above both this fraction of the latency objective and this multiple of the mean.
 OVERLOAD_OBJECTIVE_FRACTION = 0.5
 OVERLOAD_MEAN_FACTOR = 1.6
-LIMIT_OBJECTIVE_FRACTION = 0.8  # a response time past which requests are admitted in proportion
-MAX_OBSERVED_SLOTS = 1024  # slots counted for other routers between two calls
+# Above this fraction of the latency objective, admission is inversely proportional to the response time.
+LIMIT_OBJECTIVE_FRACTION = 0.8
+MAX_OBSERVED_SLOTS = 1024  # slots counted for other routers between two calls of `Observations.take`
 
 
 class Observations:
-    """What this router has observed, for other routers of the tier, since that was last taken."""
+    """What this router has observed since the last `take`, for other routers of the tier."""
 
     def __init__(self, enabled: bool) -> None:
         self._enabled = enabled
@@ -30,12 +31,12 @@
             self._slot_requests[slot] = self._slot_requests.get(slot, 0) + 1
 
     def record_response_time(self, endpoint_id: str, response_time_ns: float, now_ns: int) -> None:
-        """Note the response time that an endpoint has reported."""
+        """Record the response time that an endpoint has reported."""
         if self._enabled:
             self._response_times[endpoint_id] = response_time_ns, now_ns
 
     def take(self) -> tuple[dict[str, tuple[float, int]], dict[int, int]]:
-        """Return, and forget, response times (ns, clock time) by endpoint and requests by slot."""
+        """Return and clear the response times (ns, clock time) by endpoint and the requests by slot."""
         taken = self._response_times, self._slot_requests
         self._response_times = {}
         self._slot_requests = {}
@@ -43,20 +44,20 @@
 
 
 class LoadReports:
-    """Takes the load reports of all endpoints, and says from which response time on one is overloaded.
+    """Records the load reports of all endpoints, and determines when an endpoint is overloaded.
 
-    Told of each report in an answer, and of those that other routers received. Asked for the time of overload
-    when a report comes and when the owners of a hot slot are chosen.
+    The policy passes each report in an answer, and those that other routers received. It asks for the
+    overload response time when a report comes and when the owners of a hot slot are chosen.
     """
 
     def __init__(self, settings: Settings, latency_objective_ns: int) -> None:
         self.mean_response_time_ns = 0.0
-        """Smoothed over the reports of all endpoints; 0: none yet."""
+        """Mean response time, smoothed over the reports of all endpoints; 0: there was none yet."""
         self._latency_objective_ns = latency_objective_ns
         self._indexes = load_report_indexes(settings.load_report_fields)
 
     def response_time_ns(self, values: tuple[float, ...]) -> float | None:
-        """Return the response time by a load report's values; None where the settings name no such values."""
+        """Return the response time by a load report's values; None: the settings do not name these values."""
         if self._indexes is None:
             return None
         latency_ms = values[self._indexes[0]]
@@ -64,7 +65,7 @@
         return latency_ms * NS_PER_MS * (1.0 + queued / ASSUMED_CONCURRENCY)
 
     def record(self, endpoint: TrackedEndpoint, response_time_ns: float, at_ns: int) -> None:
-        """Take the response time that an endpoint reported at a time, to this router or to another one."""
+        """Record the response time that an endpoint reported at `at_ns`, to this router or to another one."""
         if self.mean_response_time_ns:
             self.mean_response_time_ns += (
                 response_time_ns - self.mean_response_time_ns
@@ -75,7 +76,7 @@
         endpoint.record_response_time(response_time_ns, self.overload_response_time_ns(), at_ns)
 
     def overload_response_time_ns(self) -> float:
-        """Return the reported response time past which an endpoint is overloaded."""
+        """Return the reported response time (ns) above which an endpoint is overloaded."""
         return max(
             self._latency_objective_ns * OVERLOAD_OBJECTIVE_FRACTION,
             self.mean_response_time_ns * OVERLOAD_MEAN_FACTOR,
--- a/holdgw/policy/settings_reader.py
+++ b/holdgw/policy/settings_reader.py
@@ -1,4 +1,4 @@
-"""The one module that knows the keys of the settings, as the simulator and the settings file write them."""
+"""Reads the settings; only this module has their keys, as the simulator and the settings file write them."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class WireFormatError(Exception):
-    """Malformed input; its text is one line saying what was wrong."""
+    """Malformed input; the message is a single line that states the error."""
 
 
 def require_type(where: str, value: Any, kind: type) -> Any:
-    """Return `value` if it is of the type; a bool is no integer.
+    """Return `value` if it has the type; a bool is not accepted as an integer.
 
     Raises:
-        WireFormatError: it is of another type; the message names `where`.
+        WireFormatError: it has another type; the message names `where`.
     """
     if not isinstance(value, kind) or (kind is int and isinstance(value, bool)):
         raise WireFormatError(f"{where}: expected {_TYPE_NAMES[kind]}, got {type(value).__name__}")
@@ -38,7 +38,7 @@
 
 
 def lookup_word(where: str, table: dict[Any, Any], word: Any) -> Any:
-    """Return what a word of the wire stands for.
+    """Return the table's value for a word of the wire format.
 
     Raises:
         WireFormatError: the table does not have the word; the message names `where`.
@@ -50,7 +50,7 @@
 
 
 def read_settings(facts: Fields) -> Settings:
-    """Read the settings; unknown keys are ignored and null counts as absent.
+    """Read the settings; unknown keys are ignored, and null counts as absent.
 
     Raises:
         KeyError, TypeError, ValueError: a required key is missing, or a value has the wrong type or range.
@@ -88,7 +88,7 @@
 
 
 def _stated_options(ceilings: Fields, rules: Fields) -> Fields:
-    """The optional settings that are stated, by the names of `Settings`; the others keep their defaults."""
+    """Return the optional settings that are stated, by field of `Settings`; others keep their defaults."""
     options = {
         "poll_within_ns": rules.get("askWithinNs"),
         "warm_up_initial_weight": rules.get("coldShare"),
@@ -104,7 +104,7 @@
 
 
 def _origin_kind(facts: Fields, family: Fields) -> str | None:
-    """The origin's machine kind; None where caches fetch for themselves, or where it can't be told."""
+    """Return the origin's machine kind; None: cache servers fetch by themselves, or the kind is unknown."""
     if family.get("mode") != _CACHE_ASIDE:
         return None
     kinds: list[str] = facts.get("kinds") or []
@@ -118,7 +118,7 @@
 
 
 def _unrecognized(facts: Fields, family: Fields) -> tuple[tuple[str, str], ...]:
-    """The features that are off because a word of the settings is unknown here, each with the reason."""
+    """Return the features that are disabled because of an unknown value, each with the reason."""
     found = []
     mode = family.get("mode")
     if mode not in _FAMILY_MODES:
