--- a/tests/policy/test_adapter.py
+++ b/tests/policy/test_adapter.py
@@ -96,7 +96,7 @@
     assert orders(second, 3) == [{"listen": {"want": True}}]
 
 
-def test_every_event_of_the_wire_is_taken() -> None:
+def test_every_event_of_the_wire_format_is_accepted() -> None:
     result = run(
         create(),
         batch(10, ask("r", key=None)),
@@ -145,7 +145,7 @@
         (batch(1, {"create": {"salt": 1, "facts": {}}}), "missing field 'classes'"),
     ],
 )
-def test_malformed_input_is_named_in_one_line_and_ends_the_process(line: object, words: str) -> None:
+def test_malformed_input_is_reported_in_one_line_and_ends_the_process(line: object, words: str) -> None:
     result = run(create(), line)
     assert result.returncode == 2
     assert words in result.stderr
@@ -153,7 +153,7 @@
     assert len(result.stdout.splitlines()) == 1  # the good batch was answered, the bad one was not
 
 
-def test_failure_in_the_decisions_is_a_panic() -> None:
+def test_exception_in_the_policy_is_reported_as_a_panic() -> None:
     result = run(create(), batch(10, ask("r", category="unheard-of")))
     assert result.returncode == 0
     (order,) = orders(result, 1)
--- a/tests/policy/test_cold_start.py
+++ b/tests/policy/test_cold_start.py
@@ -40,18 +40,18 @@
 
 
 @pytest.mark.parametrize("routers", [1, 3, 100])
-def test_all_cold_servers_are_sent_the_part_that_they_bear_by_however_many_routers(routers: int) -> None:
+def test_warming_endpoints_get_the_load_that_they_can_handle_from_any_number_of_routers(routers: int) -> None:
     for age, weight in ((0, 0.3), (5 * S, 0.65)):
         capacity = weight * 2.0 * CAPACITY_FRACTION
         assert part_sent(routers, STARTED + age) == pytest.approx(capacity, abs=0.03)
 
 
-def test_first_endpoint_of_a_new_list_is_sent_the_part_of_one() -> None:
+def test_first_endpoint_of_a_new_list_gets_the_load_of_one_endpoint() -> None:
     """All endpoints are back, and the list names one after another: the first of 20 gets a 20th of that."""
     assert part_sent(100, STARTED, named=1) == pytest.approx(0.3 * 2.0 * CAPACITY_FRACTION / 20, abs=0.006)
 
 
-def test_a_request_is_drawn_for_once_and_not_for_each_server() -> None:
+def test_a_request_is_drawn_once_and_not_for_each_endpoint() -> None:
     """Drawn anew for each of eight ranked endpoints, a request would nearly always find one with capacity."""
     assert part_sent(100, STARTED) < 0.3
 
--- a/tests/policy/test_disabled_features.py
+++ b/tests/policy/test_disabled_features.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("name", shipped())
-def test_the_stand_ins_tell_a_router_what_the_platform_publishes(name: str) -> None:
+def test_emulators_configure_a_router_as_published(name: str) -> None:
     told = told_by(name)
     assert strays("", told, CONFIGURATION) == []
     read = read_settings(told["settings"])
@@ -112,7 +112,7 @@
     assert set(disabled_features(read)) <= {"origin_limits"}
 
 
-def test_a_departure_from_the_published_form_is_seen() -> None:
+def test_a_deviation_from_the_published_format_is_detected() -> None:
     told = told_by("storm")
     told["settings"]["feedback"]["fields"] = ["latency_ms"]
     del told["settings"]["rules"]["coldNs"]
@@ -126,7 +126,7 @@
     }
 
 
-def test_what_a_node_reports_is_what_the_settings_name() -> None:
+def test_emulated_load_report_has_the_fields_that_the_settings_name() -> None:
     names = read_settings(told_by("storm")["settings"]).load_report_fields
     assert parse_load(platform_report(12.5, 3), names) == (12.5, 3.0)
 
@@ -141,7 +141,7 @@
         ("latency_ms", "backlog", "recent_ms"),
     ],
 )
-def test_both_pairs_of_names_mean_the_same_in_any_order(fields: tuple[str, ...]) -> None:
+def test_both_pairs_of_load_report_fields_are_read_in_any_order(fields: tuple[str, ...]) -> None:
     values = {"recent_ms": 150.0, "latency_ms": 150.0, "backlog": 12.0, "queue": 12.0}
     router = started(settings(tenants=(), load_report_fields=fields), fleet(1))
     send = only_send(router.handle(request("r", tenant=None), 0))
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("fields", [(), ("recent_ms",), ("queue", "x0"), ("Latency_ms", "queue")])
-def test_fields_that_do_not_tell_are_said_to(fields: tuple[str, ...]) -> None:
+def test_load_reports_without_latency_or_queue_are_reported_as_disabled(fields: tuple[str, ...]) -> None:
     assert load_report_indexes(fields) is None
     assert "load_reports" in disabled_features(settings(load_report_fields=fields))
 
@@ -170,14 +170,14 @@
         ("origin_limits", {"tenants": [{"name": "a", "portion": 1.0}]}),
     ],
 )
-def test_each_setting_that_switches_a_part_off_is_said(part: str, change: Fields) -> None:
+def test_each_setting_that_disables_a_feature_is_reported(part: str, change: Fields) -> None:
     facts = told_by("storm")["settings"]
     facts["tenants"] = [{"name": "a", "portion": 1.0, "quotaPerS": 9.0}]
     assert disabled_features(read_settings(facts)) == {}
     assert list(disabled_features(read_settings({**facts, **change}))) == [part]
 
 
-def test_what_is_off_stands_once_in_the_log_and_in_the_figures(caplog: pytest.LogCaptureFixture) -> None:
+def test_disabled_features_are_logged_once_and_shown_in_the_metrics(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         for fields, lines in ((("x0",), 1), (("queue", "latency_ms"), 0)):
@@ -192,7 +192,9 @@
         asyncio.run(test())
 
 
-def test_load_reports_and_lists_reach_the_router_in_a_simulated_day(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_load_reports_and_endpoint_lists_reach_the_router_in_a_simulation(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     # Reports did not: the module knew them by the platform's names only, and the stand-ins said others.
     waits: list[float] = []
     lists: list[Any] = []
--- a/tests/policy/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -48,7 +48,7 @@
     assert sent_to(router, full, 60 * S, {}) > before * 0.9  # and has them back when it is well
 
 
-def test_slots_are_given_up_at_one_pace_however_seldom_a_router_meets_the_server() -> None:
+def test_slots_are_released_at_the_same_rate_however_few_requests_a_router_sends() -> None:
     shares = []
     for step in (S // 40, S // 2):
         router = started(settings(**REPORTS), fleet(6))
@@ -67,7 +67,7 @@
     assert {node.slot_retention for node in router._caches.endpoints.values()} == {1.0}
 
 
-def test_owners_of_a_hot_slot_are_drawn_by_what_they_tell() -> None:
+def test_owners_of_a_hot_slot_are_drawn_by_reported_response_time() -> None:
     router = started(settings(**REPORTS), fleet(6))
     slow = serve(router, "first", "hot", 0, {})
     loads = {slow: (140.0, 0.0)}  # under what gives slots up
@@ -76,7 +76,7 @@
     assert counts[slow] * 3 < sum(others) / len(others)
 
 
-def test_a_server_is_sent_less_the_longer_it_says_a_request_waits() -> None:
+def test_admission_probability_falls_with_the_reported_response_time() -> None:
     def chance(wait_ms: float, after: int) -> float:
         router = started(settings(**REPORTS), fleet(1))
         name = fleet(1)[0].id
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize(("left", "after", "goes"), [(0.5, 0, False), (0.7, 0, True), (0.5, S, True)])
-def test_a_request_is_refused_at_once_where_its_time_is_shorter_than_the_reported_wait(
+def test_request_is_rejected_at_once_if_the_reported_response_time_exceeds_its_time_left(
     left: float, after: int, goes: bool
 ) -> None:
     # Found on join+mass: 200 routers sent 5,000 requests in 2 s that had no time left to be answered in.
@@ -103,7 +103,7 @@
     assert bool(finals(actions)) is not goes
 
 
-def test_a_server_that_closed_what_rested_is_dead_at_the_first_refused_connection() -> None:
+def test_endpoint_that_closed_its_idle_connections_is_ejected_by_one_refused_connection() -> None:
     for deserted in (True, False):
         router = started(settings(tenants=()), fleet(5))
         first = only_send(router.handle(request("r", tenant=None), 0))
@@ -113,7 +113,7 @@
         assert router._caches.endpoints[first.endpoint_id].ejected is deserted
 
 
-def test_a_hot_slot_has_more_owners_only_while_its_own_are_over_their_load() -> None:
+def test_a_hot_slot_has_more_owners_only_while_its_owners_are_overloaded() -> None:
     # Found on join+vast: nine of 60 servers had two thirds of the late hits, each with a part of a hot slot.
     router = started(settings(**REPORTS), fleet(24))
     for i in range(320):
@@ -142,7 +142,7 @@
     assert router.handle(changed(ended(send, Outcome.OK), load_report=(900.0,)), 20 * MS) == []
 
 
-def test_the_tallies_of_a_fleet_are_merged_by_time() -> None:
+def test_interval_counters_of_a_fleet_are_merged_by_time() -> None:
     log = FleetLog(1.0)
     for router, at in (("n0", 100.1), ("n1", 100.6), ("n1", 101.7)):
         tally = IntervalCounters()
@@ -177,7 +177,7 @@
     )
 
 
-def test_a_tally_counts_tries_and_attempts_by_their_reason() -> None:
+def test_interval_counters_count_client_requests_and_attempts_by_purpose() -> None:
     tally = IntervalCounters()
     tally.count_client_request(again=False, hasty=False)
     tally.count_client_request(again=True, hasty=True)
@@ -186,7 +186,7 @@
     assert counts == {"tries": 1, "tries again, hasty": 1, "why next.timeout": 1, "cache.timeout.fresh": 1}
 
 
-def test_a_tally_tells_of_what_has_grown_since_the_last_line() -> None:
+def test_interval_counters_report_growth_since_the_last_line() -> None:
     tally = IntervalCounters()
     tally.add_growth("dials", 5)
     tally.log_line(1.0, {})
@@ -194,7 +194,7 @@
     assert orjson.loads(tally.log_line(2.0, {}).removeprefix("tally "))["counts"] == {"dials": 2.0}
 
 
-def test_a_dead_server_costs_one_refused_connection_where_one_rested() -> None:
+def test_dead_endpoint_with_an_idle_connection_costs_one_refused_connection() -> None:
     # Found on zone+vast: 26 routers spent three at each of 24 dead servers, and the first request there.
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
--- a/tests/policy/test_limit_shares.py
+++ b/tests/policy/test_limit_shares.py
@@ -67,7 +67,7 @@
     return len(mine), set(mine)
 
 
-def test_a_cold_servers_bound_holds_for_all_workers_together() -> None:
+def test_bound_on_a_warming_endpoint_holds_for_all_workers_together() -> None:
     alone, _ = burst_at_a_newcomer(1)
     together, who = burst_at_a_newcomer(4)
     unled, several = burst_at_a_newcomer(4, led=False)
@@ -112,12 +112,12 @@
     assert limiter.max_rate_limit == 54.0
 
 
-def test_a_workers_number_must_be_one_of_the_workers() -> None:
+def test_worker_index_must_be_below_the_number_of_workers() -> None:
     with pytest.raises(ValueError, match="worker_index"):
         settings(workers=2, worker_index=2)
 
 
-def test_one_worker_alone_decides_as_a_router_does() -> None:
+def test_a_single_worker_decides_as_a_router_without_workers() -> None:
     plain = started(settings(), fleet(5))
     alone = started(settings(workers=1, worker_index=0), fleet(5))
     for i in range(200):
@@ -130,7 +130,7 @@
             module.handle(ended(send, Outcome.OK), i * MS)
 
 
-def test_a_hot_key_whose_clients_are_all_at_one_worker_is_spread_there() -> None:
+def test_a_hot_key_whose_clients_are_all_at_one_worker_has_several_owners_there() -> None:
     workers = Workers(4, {})
     for i in range(4000):
         # Three workers have the usual keys; the fourth has one key beside them, ten times as often.
--- a/tests/policy/test_origin_concurrency.py
+++ b/tests/policy/test_origin_concurrency.py
@@ -16,7 +16,7 @@
 from tests.helpers import MS, ORIGIN, S, ended, fleet, only_send, request, sends, settings, started
 
 
-def test_one_failed_fetch_cuts_no_limit_and_repeated_ones_cut_every_tenants() -> None:
+def test_one_failed_fetch_cuts_no_limit_and_repeated_ones_cut_the_limits_of_all_tenants() -> None:
     # One fetch in forty is late by chance. If each cut the limits, every tenant would starve beside a healthy
     # origin. The policy cuts only when failed fetches come in a row, or make up a fifth.
     router = started(settings(), fleet(5))
--- a/tests/policy/test_routing_policy.py
+++ b/tests/policy/test_routing_policy.py
@@ -22,7 +22,7 @@
 from tests.helpers import MS, ORIGIN, S, ended, finals, fleet, only_send, request, sends, settings, started
 
 
-def test_read_hits_and_nothing_more_is_sent() -> None:
+def test_hit_needs_no_further_action() -> None:
     router = started(settings(), fleet(5))
     send = only_send(router.handle(request("r"), 0))
     assert send.endpoint_id in {server.id for server in fleet(5)}
@@ -78,13 +78,13 @@
     assert router.handle(request("w", cls="order", deadline_ns=5), 10) == [Reject("w")]
 
 
-def test_empty_list_leaves_reads_to_the_origin() -> None:
+def test_reads_go_to_the_origin_with_an_empty_endpoint_list() -> None:
     router = started(settings(), ())
     assert only_send(router.handle(request("r"), 0)).endpoint_id == ORIGIN.id
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_nothing_is_sent_to_a_server_that_drains_or_is_gone(state: EndpointState) -> None:
+def test_nothing_is_sent_to_an_endpoint_that_is_draining_or_gone(state: EndpointState) -> None:
     router = started(settings(), fleet(5))
     leaver = only_send(router.handle(request("r0"), 0)).endpoint_id
     router.handle(EndpointsChanged(UpdateKind.DELTA, (Endpoint(leaver, kind="std", state=state),)), 0)
@@ -92,7 +92,7 @@
         assert only_send(router.handle(request(f"r{i}", key=f"k{i}"), 0)).endpoint_id != leaver
 
 
-def test_server_absent_from_a_full_list_is_gone() -> None:
+def test_endpoint_absent_from_a_full_list_is_removed() -> None:
     router = started(settings(), fleet(5))
     router.handle(EndpointsChanged(UpdateKind.FULL, (fleet(5)[2], ORIGIN)), 0)
     targets = {only_send(router.handle(request(f"r{i}", key=f"k{i}"), 0)).endpoint_id for i in range(50)}
@@ -105,7 +105,7 @@
     assert router.handle(request("w", cls="edit"), 0) == [Reject("w")]
 
 
-def test_refused_connection_ejects_a_server_and_it_returns_by_trials() -> None:
+def test_refused_connections_eject_an_endpoint_and_trials_bring_it_back() -> None:
     router = started(settings(tenants=()), fleet(5))
     dead = only_send(router.handle(request("r"), 0))
     router.handle(ended(dead, Outcome.CONNECT_FAILED), 0)
@@ -126,7 +126,7 @@
     assert set(full) == {server.id for server in fleet(5)}  # the one slot asked for is hot: all own it
 
 
-def test_congested_server_sheds_tenants_over_their_portion_first() -> None:
+def test_overloaded_endpoint_rejects_tenants_over_their_weight_first() -> None:
     router = started(settings(), fleet(1))
     for i in range(300):  # b asks for two thirds of the traffic, its portion is 0.4
         tenant = "a" if i % 3 == 0 else "b"
@@ -141,7 +141,7 @@
     assert served["a"] > 60 > served["b"]
 
 
-def test_reads_go_to_the_origin_when_every_cache_counts_as_dead() -> None:
+def test_reads_go_to_the_origin_when_all_endpoints_are_ejected() -> None:
     router = started(settings(max_attempts=10), fleet(3))
     actions = router.handle(request("r"), 0)
     for attempt in range(9):
@@ -150,7 +150,7 @@
     assert only_send(router.handle(request("s", key="other"), 1)).endpoint_id == ORIGIN.id
 
 
-def test_late_and_full_answers_shed_a_server_and_good_ones_bring_it_back() -> None:
+def test_late_answers_shed_load_and_good_answers_end_that() -> None:
     # Found in incident i81a10c: overloaded servers kept their whole share and answered nobody in time.
     router = started(settings(), fleet(1))
     for i in range(8):
@@ -164,7 +164,7 @@
     assert all(sends(actions) for actions in again)
 
 
-def test_congested_server_sheds_by_refusal_and_does_not_spread_its_load() -> None:
+def test_overloaded_endpoint_rejects_and_does_not_spread_its_load() -> None:
     router = started(settings(), fleet(6))
     for i in range(400):
         for send in sends(router.handle(request(f"r{i}", key=f"k{i}"), 0)):
@@ -173,7 +173,7 @@
     assert sum(bool(finals(actions)) for actions in answers) > 150
 
 
-def test_hot_slot_is_shared_by_few_stable_owners_and_others_keep_theirs() -> None:
+def test_hot_slot_has_a_few_stable_owners_and_other_slots_have_one() -> None:
     # Found on the first full-size days: one popular key overloaded the server of its slot.
     router = started(settings(), fleet(20))
     owners: dict[str, set[str]] = {}
@@ -186,7 +186,7 @@
     assert sum(len(servers) == 1 for servers in owners.values()) > 0.95 * len(owners)
 
 
-def test_request_without_a_key_is_spread_and_never_waits_for_another() -> None:
+def test_requests_without_a_key_are_distributed_and_never_coalesced() -> None:
     router = started(settings(), fleet(10))
     targets = set()
     for i in range(60):
@@ -242,7 +242,7 @@
     assert node.admission_probability(0) < 1.0
 
 
-def test_a_server_that_only_answers_errors_is_left_out_and_tried_again() -> None:
+def test_endpoint_that_answers_only_errors_is_ejected_and_gets_trials() -> None:
     # Found on a reload day: 90 quick errors a second were asked for and nobody judged.
     router = started(settings(), fleet(3))
     bad, sent = fleet(3)[0].id, 0
@@ -257,7 +257,7 @@
     assert any(send.endpoint_id == bad for send in later)
 
 
-def test_a_server_that_answers_nothing_is_left_out_and_one_whose_connections_break_is_not() -> None:
+def test_unresponsive_endpoint_is_ejected_and_one_with_broken_connections_is_not() -> None:
     # Found on wide days: a hung process kept its share for ten seconds; resets everywhere ejected the fleet.
     router = started(settings(), fleet(6))
     hung, flaky = (server.id for server in fleet(6)[:2])
@@ -279,7 +279,7 @@
     assert asked[flaky] >= 20
 
 
-def test_a_server_that_stays_over_its_load_gives_slots_to_well_ones_and_gets_them_back() -> None:
+def test_overloaded_endpoint_releases_slots_to_healthy_ones_and_gets_them_back() -> None:
     # Found in issue 5: servers that took 20 requests a second had their keys refused beside idle servers.
     def play(bad: set[str]) -> tuple[RoutingPolicy, int, int]:
         router, refused, there = started(settings(tenants=()), fleet(6)), 0, 0
@@ -312,9 +312,7 @@
 
 
 @pytest.mark.parametrize(("usual", "shed"), [(20 * MS, False), (280 * MS, True)])
-def test_answers_that_vanish_while_others_come_shed_a_server_only_where_those_are_slow(
-    usual: int, shed: bool
-) -> None:
+def test_missing_answers_shed_load_only_if_other_answers_are_slow(usual: int, shed: bool) -> None:
     # Found in incident r02ff52: 777 of 15,700 answers never came, and their servers refused 3,229 tries.
     router = started(settings(), fleet(1), origin=False)
     node = router._caches.endpoints[fleet(1)[0].id]
@@ -330,7 +328,7 @@
     assert (node.admission_probability(80 * S) < 1.0) is shed
 
 
-def test_a_server_is_shed_where_more_than_usual_is_out_there_and_less_where_nothing_is() -> None:
+def test_more_load_is_shed_above_the_usual_number_in_flight_and_less_with_none() -> None:
     # Found on wide days: one late answer in a burst had five later requests refused, beside an idle server.
     passed = {}
     for out in (0, 6):
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -193,7 +193,7 @@
 
 @given(seed=strategies.integers(0, 2**32), share=strategies.floats(0.1, 0.5))
 @profile(derandomize=True, max_examples=20, deadline=None)
-def test_a_cold_server_gets_about_its_share_of_keys_and_no_heap_on_failover(seed: int, share: float) -> None:
+def test_warming_endpoint_gets_about_its_share_of_keys_also_on_failover(seed: int, share: float) -> None:
     config = settings(warm_up_initial_weight=share, warm_up_ns=10 * S, max_attempts=2)
     cold = Endpoint("cold", started_ns=S)
     warm = tuple(Endpoint(f"s{i}") for i in range(9))
--- a/tests/policy/test_slot_rebalancing.py
+++ b/tests/policy/test_slot_rebalancing.py
@@ -91,7 +91,7 @@
     return dict(found)
 
 
-def test_what_a_busy_server_has_too_much_fills_up_the_idle_ones() -> None:
+def test_excess_load_of_a_donor_migrates_to_receivers() -> None:
     before, after = loads(SlotRebalancer()), loads(rebalancer_after(90.0))
     assert before[DONOR.seed] > 2.3
     assert before[RECEIVER.seed] < 0.3
@@ -116,7 +116,7 @@
     assert before[DONOR.seed] < 0.6
 
 
-def test_routers_with_different_samples_place_the_slots_alike() -> None:
+def test_routers_with_different_samples_place_slots_alike() -> None:
     one, other = (
         placement(rebalancer_after(90.0, noise=1, samples=300.0)),
         placement(rebalancer_after(90.0, noise=2, samples=300.0)),
@@ -124,7 +124,7 @@
     assert sum(one[slot] == other[slot] for slot in RANKINGS) > 0.97 * len(RANKINGS)
 
 
-def test_few_samples_migrate_next_to_nothing() -> None:
+def test_few_samples_cause_almost_no_migration() -> None:
     # A few requests tell little of the demand, and each key that migrates is missed once.
     rebalancer = rebalancer_after(0.9, samples=5.0)
     assert rebalancer._retention.get(DONOR.seed, 1.0) > 0.9
@@ -154,7 +154,7 @@
     assert rebalancer._retention[DONOR.seed] < 0.6
 
 
-def test_own_evidence_goes_before_the_plan(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_own_measurements_take_precedence_over_the_plan(monkeypatch: pytest.MonkeyPatch) -> None:
     # The plan does not know which endpoints this router cannot reach, or that one is overloaded by now. A
     # slot is not sent to such a receiver, and an ejected donor's slots are not spread.
     rebalancer = rebalancer_after(90.0)
--- a/tests/policy/test_slot_table.py
+++ b/tests/policy/test_slot_table.py
@@ -37,7 +37,7 @@
     assert holders(table_of(fleet(10))) == holders(other)
 
 
-def test_join_and_leave_move_only_slots_of_the_server_concerned() -> None:
+def test_join_and_leave_move_only_slots_of_that_endpoint() -> None:
     table = table_of(fleet(10))
     before = holders(table)
     newcomer = Endpoint("10.9.9.9:80")
@@ -57,7 +57,7 @@
     assert holders(table) == holders(table_of(fleet(10)))
 
 
-def test_remembered_ranking_equals_a_fresh_one_after_small_changes() -> None:
+def test_cached_ranking_equals_a_fresh_one_after_small_changes() -> None:
     table = table_of(fleet(12))
     holders(table)
     table.update([Endpoint("10.9.9.9:80")], [fleet(12)[3].id])
@@ -68,7 +68,7 @@
         assert len(remembered) >= RANKING_DEPTH
 
 
-def test_cold_ramp_starts_at_the_cold_share_and_rises_monotonically() -> None:
+def test_warm_up_ramp_starts_at_the_initial_weight_and_rises_monotonically() -> None:
     cold = Endpoint("10.9.9.9:80", started_ns=100 * S)
     table = table_of((*fleet(9), cold), **COLD)
     owned = [
@@ -96,7 +96,7 @@
     assert 0.08 < equal / SLOTS < 0.12
 
 
-def test_remembered_rankings_equal_fresh_ones_through_many_changes() -> None:
+def test_cached_rankings_equal_fresh_ones_through_many_changes() -> None:
     # Found by timing: going through every slot for each newcomer stalled the router for 125 ms.
     rng = random.Random(1)
     live = {f"s{i}" for i in range(30)}
--- a/tests/policy/test_spread.py
+++ b/tests/policy/test_spread.py
@@ -65,7 +65,7 @@
     assert len(owners(router, "mine", 6 * S)) > 5
 
 
-def test_news_older_than_a_servers_own_word_is_no_news() -> None:
+def test_response_time_older_than_the_endpoints_own_report_is_ignored() -> None:
     router = started(settings(**KNOWN), SERVERS)
     name = serve(router, "a", "k", 0, {SERVERS[i].id: (30.0, 0.0) for i in range(20)})
     node = router._caches.endpoints[name]
@@ -117,7 +117,7 @@
     assert router.take_observations() == ({}, {})
 
 
-def test_many_routers_with_few_requests_each_find_fewer_hot_keys_by_a_shared_view(
+def test_shared_load_view_saves_fetches_for_many_routers_with_few_requests_each(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Simulated, 40 routers at 6 requests a second each over 20 servers: a day with and without peers."""
