--- a/tests/policy/test_adapter.py
+++ b/tests/policy/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter over a pipe: batches in, replies out, plain words on malformed input."""
+"""The adapter over a pipe: batches in, orders out, and one-line errors for malformed input."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     return batch(1, {"create": {"salt": 5, "facts": FACTS}}, listed, router=router)
 
 
-def ask(corr: str, key: str | None = "k", category: str = "get") -> dict[str, Any]:
+def request_event(corr: str, key: str | None = "k", category: str = "get") -> dict[str, Any]:
     fields = {"corr": corr, "category": category, "clientGroup": None, "pathKey": key, "giveUpAtNs": 10**9}
     return {"request": {**fields, "mutates": category == "put", "repeat": False}}
 
@@ -78,17 +78,17 @@
 
 
 def test_hit_miss_and_write_over_a_pipe() -> None:
-    first = run(create(), batch(10, ask("r"), ask("w", category="put")))
+    first = run(create(), batch(10, request_event("r"), request_event("w", category="put")))
     assert (first.returncode, first.stderr) == (0, "")
     (timer,) = orders(first, 0)
     assert set(timer) == {"setAlarm"}
     read, write = orders(first, 1)
     assert write["transmit"]["server"] == "10.1.0.0:80"
-    holder = read["transmit"]["server"]
+    cache = read["transmit"]["server"]
     second = run(
         create(),
-        batch(10, ask("r"), ask("w", category="put")),
-        batch(20, reply("r", holder, "lookup_miss"), reply("w", "10.1.0.0:80", "completed", terminal=True)),
+        batch(10, request_event("r"), request_event("w", category="put")),
+        batch(20, reply("r", cache, "lookup_miss"), reply("w", "10.1.0.0:80", "completed", terminal=True)),
         batch(30, reply("r", "10.1.0.0:80", "completed", 1, True), {"fired": {"handle": "subscribe"}}),
     )
     (fetch,) = orders(second, 2)
@@ -99,7 +99,7 @@
 def test_every_event_of_the_wire_format_is_accepted() -> None:
     result = run(
         create(),
-        batch(10, ask("r", key=None)),
+        batch(10, request_event("r", key=None)),
         batch(
             11,
             {"opened": {"corr": "r", "copy": 0, "server": "10.0.0.0:80", "timeTakenNs": 1}},
@@ -117,11 +117,11 @@
 
 
 def test_actions_are_the_same_for_any_hash_seed_and_any_split_over_processes() -> None:
-    events = [batch(10 + i, ask(f"r{i}", key=f"k{i % 7}")) for i in range(40)]
+    events = [batch(10 + i, request_event(f"r{i}", key=f"k{i % 7}")) for i in range(40)]
     plain = run(create(), *events)
     assert plain.stdout == run(create(), *events, hash_seed="77").stdout
-    beside = run(create(8), create(), *events)
-    assert plain.stdout.splitlines()[1:] == beside.stdout.splitlines()[2:]
+    with_other_router = run(create(8), create(), *events)
+    assert plain.stdout.splitlines()[1:] == with_other_router.stdout.splitlines()[2:]
 
 
 @pytest.mark.parametrize(
@@ -150,11 +150,11 @@
     assert result.returncode == 2
     assert words in result.stderr
     assert len(result.stderr.splitlines()) == 1
-    assert len(result.stdout.splitlines()) == 1  # the good batch was answered, the bad one was not
+    assert len(result.stdout.splitlines()) == 1  # the valid batch was answered, the malformed one was not
 
 
 def test_exception_in_the_policy_is_reported_as_a_panic() -> None:
-    result = run(create(), batch(10, ask("r", category="unheard-of")))
+    result = run(create(), batch(10, request_event("r", category="unheard-of")))
     assert result.returncode == 0
     (order,) = orders(result, 1)
     assert "unheard-of" in order["panic"]["message"]
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -1,4 +1,4 @@
-"""The page of decisions names modules, functions and tests that exist, and every reason of a rejection."""
+"""The page of decisions names existing modules, functions and tests, and every rejection reason."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_disabled_features.py
+++ b/tests/policy/test_disabled_features.py
@@ -1,4 +1,4 @@
-"""No part of the decisions is off unsaid, and the stand-ins speak the platform's words."""
+"""Every disabled feature is reported, and the emulators use the published names of the platform."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 
 Fields = dict[str, Any]
 
-# What the published pages say a router is told, in our own words: a field's kind, an object's fields.
-# A list's kind is that of its members.
+# The published format of a router's configuration: the type of each field, the fields of each object, and the
+# type of a list's members.
 LIMITS = {"cores": float, "memory_mb": int, "sockets": int}
 CEILINGS = {
     "cancel": bool, "cpuUsPerRequest": float, "cpuUsPerS": int, "dialTimeoutNs": int, "idleCloseNs": int,
@@ -67,37 +67,44 @@
     "name": str, "listen": str, "discovery": str, "ops": str, "seed": str, "limits": LIMITS,
     "peer_listen": str, "peers": [str], "peers_all": str, "known": KNOWN, "settings": SETTINGS,
 }  # fmt: skip
-# A router is told all but these, which some sites leave out.
+# Fields that some sites leave out; a router's configuration has all others.
 OPTIONAL = {"aimStretch", "notes", "reportX0", "reportX1", "ops", "peer_listen", "peers_all", "quotaPerS"}
-# And what only says how a day is priced, or what no router goes by: the stand-ins do not tell it.
-UNTOLD = {
+# Fields that the emulators leave out, because they only state how a run is priced or no router reads them.
+NOT_CONFIGURED = {
     "blend", "callers", "cpuUsPerRequest", "cpuUsPerS", "domainType", "graceToAnswerNs", "layer",
     "originFallMultiple", "originFallNs", "overShareWorth", "penalties", "roundNs", "tiers", "valueBy",
 }  # fmt: skip
 
 
-def strays(where: str, told: Any, form: Any) -> list[str]:
-    """Where what is told departs from the published form."""
-    if isinstance(form, dict):
-        if not isinstance(told, dict):
+def deviations(where: str, actual: Any, published: Any) -> list[str]:
+    """List the places where a configuration deviates from the published format."""
+    if isinstance(published, dict):
+        if not isinstance(actual, dict):
             return [f"{where}: no object"]
-        found = [f"{where}.{name}: not published" for name in told.keys() - form.keys()]
-        found += [f"{where}.{name}: not told" for name in form.keys() - told.keys() - OPTIONAL - UNTOLD]
-        for name in told.keys() & form.keys():
-            found += strays(f"{where}.{name}", told[name], form[name])
+        found = [f"{where}.{name}: not published" for name in actual.keys() - published.keys()]
+        found += [
+            f"{where}.{name}: not told"
+            for name in published.keys() - actual.keys() - OPTIONAL - NOT_CONFIGURED
+        ]
+        for name in actual.keys() & published.keys():
+            found += deviations(f"{where}.{name}", actual[name], published[name])
         return found
-    if isinstance(form, list):
-        if not isinstance(told, list):
+    if isinstance(published, list):
+        if not isinstance(actual, list):
             return [f"{where}: no list"]
-        return [one for i, member in enumerate(told) for one in strays(f"{where}[{i}]", member, form[0])]
-    if isinstance(form, set):
-        return [] if told in form else [f"{where}: {told!r} is none of {sorted(form)}"]
-    kinds = (int, float) if form is float else (form,)
-    fits = isinstance(told, kinds) and isinstance(told, bool) == (form is bool)
-    return [] if fits else [f"{where}: {told!r}"]
-
-
-def told_by(name: str) -> Fields:
+        return [
+            deviation
+            for i, member in enumerate(actual)
+            for deviation in deviations(f"{where}[{i}]", member, published[0])
+        ]
+    if isinstance(published, set):
+        return [] if actual in published else [f"{where}: {actual!r} is none of {sorted(published)}"]
+    kinds = (int, float) if published is float else (published,)
+    fits = isinstance(actual, kinds) and isinstance(actual, bool) == (published is bool)
+    return [] if fits else [f"{where}: {actual!r}"]
+
+
+def router_configuration(name: str) -> Fields:
     known = {"generation": 1, "reset": True, "instances": []}
     scenario = load_scenario(name)
     return configuration(scenario, 1, "router00", 0, ("127.0.0.1", 1), ("127.0.0.1", 2), known)
@@ -105,20 +112,20 @@
 
 @pytest.mark.parametrize("name", shipped())
 def test_emulators_configure_a_router_as_published(name: str) -> None:
-    told = told_by(name)
-    assert strays("", told, CONFIGURATION) == []
-    read = read_settings(told["settings"])
-    assert read.unrecognized == ()
-    assert set(disabled_features(read)) <= {"origin_limits"}
+    config = router_configuration(name)
+    assert deviations("", config, CONFIGURATION) == []
+    policy_settings = read_settings(config["settings"])
+    assert policy_settings.unrecognized == ()
+    assert set(disabled_features(policy_settings)) <= {"origin_limits"}
 
 
 def test_a_deviation_from_the_published_format_is_detected() -> None:
-    told = told_by("storm")
-    told["settings"]["feedback"]["fields"] = ["latency_ms"]
-    del told["settings"]["rules"]["coldNs"]
-    told["settings"]["ceilings"]["mostTrys"] = 4
-    told["settings"]["classes"][0]["aimNs"] = 0.3
-    assert {text.partition(":")[0] for text in strays("", told, CONFIGURATION)} == {
+    config = router_configuration("storm")
+    config["settings"]["feedback"]["fields"] = ["latency_ms"]
+    del config["settings"]["rules"]["coldNs"]
+    config["settings"]["ceilings"]["mostTrys"] = 4
+    config["settings"]["classes"][0]["aimNs"] = 0.3
+    assert {text.partition(":")[0] for text in deviations("", config, CONFIGURATION)} == {
         ".settings.feedback.fields[0]",
         ".settings.rules.coldNs",
         ".settings.ceilings.mostTrys",
@@ -127,7 +134,7 @@
 
 
 def test_emulated_load_report_has_the_fields_that_the_settings_name() -> None:
-    names = read_settings(told_by("storm")["settings"]).load_report_fields
+    names = read_settings(router_configuration("storm")["settings"]).load_report_fields
     assert parse_load(platform_report(12.5, 3), names) == (12.5, 3.0)
 
 
@@ -171,7 +178,7 @@
     ],
 )
 def test_each_setting_that_disables_a_feature_is_reported(part: str, change: Fields) -> None:
-    facts = told_by("storm")["settings"]
+    facts = router_configuration("storm")["settings"]
     facts["tenants"] = [{"name": "a", "portion": 1.0, "quotaPerS": 9.0}]
     assert disabled_features(read_settings(facts)) == {}
     assert list(disabled_features(read_settings({**facts, **change}))) == [part]
@@ -182,11 +189,11 @@
         loop = asyncio.get_running_loop()
         for fields, lines in ((("x0",), 1), (("queue", "latency_ms"), 0)):
             caplog.clear()
-            told = settings(load_report_fields=fields, warm_up_ns=1)
-            host = Dispatcher(loop, told, 1, ConnectionPool(loop, 8, 1.0, 1.0, 1 << 20), 9)
+            config = settings(load_report_fields=fields, warm_up_ns=1)
+            dispatcher = Dispatcher(loop, config, 1, ConnectionPool(loop, 8, 1.0, 1.0, 1 << 20), 9)
             assert len(caplog.records) == lines
-            assert host.metrics.text(0, 0, 0).count(b'lb_off{part="load_reports"} 1\n') == lines
-            host.close()
+            assert dispatcher.metrics.text(0, 0, 0).count(b'lb_off{part="load_reports"} 1\n') == lines
+            dispatcher.close()
 
     with caplog.at_level(logging.WARNING, "holdgw"):
         asyncio.run(test())
@@ -195,23 +202,24 @@
 def test_load_reports_and_endpoint_lists_reach_the_router_in_a_simulation(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Reports did not: the module knew them by the platform's names only, and the stand-ins said others.
-    waits: list[float] = []
+    # Load reports were ignored when the policy knew only the platform's names of their fields, while the
+    # emulators used others.
+    response_times: list[float] = []
     lists: list[Any] = []
-    told, listed = RoutingPolicy._apply_load_report, read_endpoint_list
+    apply_load_report, read_list = RoutingPolicy._apply_load_report, read_endpoint_list
 
-    def seen(router: RoutingPolicy, node: Any, load: tuple[float, ...]) -> None:
-        told(router, node, load)
-        waits.append(node.reported_response_time_ns)
+    def record_load_report(router: RoutingPolicy, endpoint: Any, values: tuple[float, ...]) -> None:
+        apply_load_report(router, endpoint, values)
+        response_times.append(endpoint.reported_response_time_ns)
 
-    def heard(body: Any, *words: Any) -> EndpointUpdate:
+    def record_list(body: Any, *args: Any) -> EndpointUpdate:
         lists.append(body)
-        return listed(body, *words)
+        return read_list(body, *args)
 
-    monkeypatch.setattr(RoutingPolicy, "_apply_load_report", seen)
-    monkeypatch.setattr(discovery, "read_endpoint_list", heard)
+    monkeypatch.setattr(RoutingPolicy, "_apply_load_report", record_load_report)
+    monkeypatch.setattr(discovery, "read_endpoint_list", record_list)
     scenario = load_scenario(Path("bench/scenarios/fleet-zone.toml"))
     simulate(changed(scenario.cut(1.0), load=changed(scenario.load, rate=100.0)), 1)
-    assert max(waits) > 0
+    assert max(response_times) > 0
     assert any(body["instances"] for body in lists)
-    assert [stray for body in lists for stray in strays("", body, KNOWN)] == []
+    assert [deviation for body in lists for deviation in deviations("", body, KNOWN)] == []
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -1,4 +1,4 @@
-"""Outlier detection: what ejects an endpoint, and how it comes back."""
+"""Outlier detection: which failures eject an endpoint, and what ends the ejection."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def after(*outcomes: Outcome, others_healthy: bool = True, late: bool = False) -> EndpointHealth:
-    """The health after such attempts, one a millisecond, all sent after the endpoint's last answer."""
+    """Return the health after such attempts, one a millisecond, all sent after the endpoint's last answer."""
     health = EndpointHealth()
     for number, outcome in enumerate(outcomes, start=1):
         now_ns = S + number * MS
@@ -37,8 +37,8 @@
 
 @pytest.mark.parametrize(("outcome", "count"), FAILURES_IN_A_ROW)
 def test_failures_of_one_kind_in_a_row_eject(outcome: Outcome, count: int) -> None:
-    # A dead process refuses connections, a hanging one answers nothing: each shows as one kind of failure in
-    # a row. One fewer is chance, and leaves the endpoint in use.
+    # A dead process refuses connections, and a hanging one answers nothing: each causes consecutive failures
+    # of one kind. One failure fewer may be chance, and the endpoint stays in use.
     assert not after(*[outcome] * (count - 1)).ejected
     assert after(*[outcome] * count).ejected
 
@@ -49,13 +49,13 @@
 
 
 def test_failed_connection_keeps_the_count_of_resets() -> None:
-    # A reset is often followed by a connection that is not established: the row of resets goes on.
+    # A reset is often followed by a connection that is not established; the count of resets goes on.
     resets = [Outcome.RESET] * (MAX_CONSECUTIVE_RESETS - 1)
     assert after(*resets, Outcome.CONNECT_FAILED, Outcome.RESET).ejected
 
 
 def test_timeouts_do_not_eject_while_other_endpoints_are_overloaded() -> None:
-    # In an overload answers stay out everywhere: to eject for it would leave no endpoint.
+    # In an overload answers are missing everywhere; ejecting endpoints for it would leave none.
     assert not after(*[Outcome.TIMEOUT] * 10, others_healthy=False).ejected
 
 
@@ -69,14 +69,14 @@
 
 
 def test_one_refused_connection_ejects_where_idle_connections_were_closed() -> None:
-    # A process that ends closes its idle connections first: the next refusal tells that it is gone.
+    # A process that ends closes its idle connections first, so the next refusal means that it is gone.
     health = EndpointHealth()
     health.record(AttemptResult(Outcome.CONNECT_FAILED, False, S, refused_after_idle_close=True))
     assert health.ejected
 
 
 def test_ejected_endpoint_gets_nothing_for_1_2_s_and_then_trials() -> None:
-    # The endpoint is gone and may come back at any time: a request now and then finds out when.
+    # The endpoint may come back at any time; a trial request now and then detects it.
     health = EndpointHealth()
     health.record(AttemptResult(Outcome.CONNECT_FAILED, False, S, refused_after_idle_close=True))
     assert health.probability(S) == EJECTED_PROBABILITY
--- a/tests/policy/test_endpoint_subscription.py
+++ b/tests/policy/test_endpoint_subscription.py
@@ -23,7 +23,7 @@
         (timer,) = router.handle(EndpointsChanged(UpdateKind.FAILED), 0)
         assert isinstance(timer, SetTimer)
         delays.append(timer.delay_ns)
-        assert router.handle(EndpointsChanged(UpdateKind.FAILED), 0) == []  # one question at a time
+        assert router.handle(EndpointsChanged(UpdateKind.FAILED), 0) == []  # the timer is already set
     assert max(delays) <= 4 * S
     assert delays[0] <= S
     assert router.handle(TimerFired("subscribe"), 0) == [Subscribe()]
--- a/tests/policy/test_fetch_coalescing.py
+++ b/tests/policy/test_fetch_coalescing.py
@@ -1,4 +1,4 @@
-"""Coalesced fetches: the leader, its waiters, and what becomes of them when it leaves."""
+"""Coalesced fetches: the leader, its waiters, and the waiters' fetch when the leader's client leaves."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_handover_state.py
+++ b/tests/policy/test_handover_state.py
@@ -1,4 +1,4 @@
-"""Messages that an earlier version wrote: read whole, and written again byte for byte.
+"""Messages of an earlier version are read completely, and written again byte for byte.
 
 During an upgrade processes of two versions run side by side. If a renamed field changed a message, the
 new process would start without what the old one had learned, and flood the origin at its full limits.
--- a/tests/policy/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -1,4 +1,4 @@
-"""What a router knows of servers that it meets seldom; found on days with forty routers."""
+"""Fleets of many routers, in which each router sends few requests to any one endpoint."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def serve(router: RoutingPolicy, name: str, key: str, now: int, loads: dict[str, tuple[float, float]]) -> str:
-    """Have one read served by whatever server it goes to, which tells its load; "" where it is refused."""
+    """Answer one read with its endpoint's load report; return the endpoint's id, or "" after a rejection."""
     actions = router.handle(request(name, now, tenant=None, key=key), now)
     if finals(actions):
         return ""
@@ -33,67 +33,69 @@
     return send.endpoint_id
 
 
-def sent_to(router: RoutingPolicy, server: str, start: int, loads: dict[str, tuple[float, float]]) -> float:
-    """The part of 600 reads of as many keys, in 10 s, that goes to the server."""
+def fraction_sent(
+    router: RoutingPolicy, server: str, start: int, loads: dict[str, tuple[float, float]]
+) -> float:
+    """Return the fraction of 600 reads for as many keys, in 10 s, that goes to the server."""
     counts = Counter(serve(router, f"{start}-{i}", f"k{i}", start + i * S // 60, loads) for i in range(600))
     return counts[server] / 600
 
 
 def test_endpoint_that_reports_a_long_queue_releases_slots_before_an_answer_is_late() -> None:
     router = started(settings(**REPORTS), fleet(6))
-    full = fleet(6)[2].id
-    before = sent_to(router, full, 0, {})
-    after = sent_to(router, full, 10 * S, {full: (150.0, 12.0)})
+    overloaded = fleet(6)[2].id
+    before = fraction_sent(router, overloaded, 0, {})
+    after = fraction_sent(router, overloaded, 10 * S, {overloaded: (150.0, 12.0)})
     assert after < before / 2
-    assert sent_to(router, full, 60 * S, {}) > before * 0.9  # and has them back when it is well
+    assert fraction_sent(router, overloaded, 60 * S, {}) > before * 0.9  # slots return when it is healthy
 
 
 def test_slots_are_released_at_the_same_rate_however_few_requests_a_router_sends() -> None:
-    shares = []
+    retentions = []
     for step in (S // 40, S // 2):
         router = started(settings(**REPORTS), fleet(6))
-        node = router._caches.endpoints[fleet(6)[2].id]
+        endpoint = router._caches.endpoints[fleet(6)[2].id]
         for now in range(S, 4 * S, step):
-            node.record_response_time(600.0 * MS, 300.0 * MS, now)
-        shares.append(node.slot_retention)
-    assert 0.1 < shares[0] < 0.4
-    assert abs(shares[0] - shares[1]) < 0.1
+            endpoint.record_response_time(600.0 * MS, 300.0 * MS, now)
+        retentions.append(endpoint.slot_retention)
+    assert 0.1 < retentions[0] < 0.4
+    assert abs(retentions[0] - retentions[1]) < 0.1
 
 
 def test_no_endpoint_releases_slots_where_all_report_the_same_load() -> None:
     router = started(settings(**REPORTS), fleet(6))
     loads = {server.id: (200.0, 8.0) for server in fleet(6)}
-    sent_to(router, "", 0, loads)
-    assert {node.slot_retention for node in router._caches.endpoints.values()} == {1.0}
+    fraction_sent(router, "", 0, loads)
+    assert {endpoint.slot_retention for endpoint in router._caches.endpoints.values()} == {1.0}
 
 
 def test_owners_of_a_hot_slot_are_drawn_by_reported_response_time() -> None:
     router = started(settings(**REPORTS), fleet(6))
     slow = serve(router, "first", "hot", 0, {})
-    loads = {slow: (140.0, 0.0)}  # under what gives slots up
+    loads = {slow: (140.0, 0.0)}  # below the response time from which slots are released
     counts = Counter(serve(router, f"r{i}", "hot", i * S // 50, loads) for i in range(400))
     others = [counts[server.id] for server in fleet(6) if server.id != slow]
     assert counts[slow] * 3 < sum(others) / len(others)
 
 
 def test_admission_probability_falls_with_the_reported_response_time() -> None:
-    def chance(wait_ms: float, after: int) -> float:
+    def probability_after(wait_ms: float, after: int) -> float:
         router = started(settings(**REPORTS), fleet(1))
         name = fleet(1)[0].id
         serve(router, "first", "k", 0, {name: (wait_ms, 0.0)})
         return router._caches.endpoints[name].admission_probability(20 * MS + after)
 
-    assert chance(200.0, 0) == 1.0  # an aim of 300 ms is kept
-    assert chance(480.0, 0) == pytest.approx(0.5)
-    assert chance(960.0, 0) == pytest.approx(0.25)
-    assert chance(960.0, 3 * S) == 1.0  # old news says nothing
+    assert probability_after(200.0, 0) == 1.0  # within the latency objective of 300 ms
+    assert probability_after(480.0, 0) == pytest.approx(0.5)
+    assert probability_after(960.0, 0) == pytest.approx(0.25)
+    assert probability_after(960.0, 3 * S) == 1.0  # an old report has no effect
 
 
 @pytest.mark.parametrize(("left", "after", "goes"), [(0.5, 0, False), (0.7, 0, True), (0.5, S, True)])
 def test_request_is_rejected_at_once_if_the_reported_response_time_exceeds_its_time_left(
     left: float, after: int, goes: bool
 ) -> None:
-    # Found on join+mass: 200 routers sent 5,000 requests in 2 s that had no time left to be answered in.
+    # Scenario join+mass: 200 routers sent 5,000 requests in 2 s whose time left was too short for an answer.
     router = started(settings(**REPORTS), fleet(1))
     serve(router, "first", "k", 0, {fleet(1)[0].id: (150.0, 12.0)})  # 600 ms
     router._caches.endpoints[fleet(1)[0].id].reported.set_limit(float("inf"))
@@ -104,17 +106,19 @@
 
 
 def test_endpoint_that_closed_its_idle_connections_is_ejected_by_one_refused_connection() -> None:
-    for deserted in (True, False):
+    for idle_closed in (True, False):
         router = started(settings(tenants=()), fleet(5))
         first = only_send(router.handle(request("r", tenant=None), 0))
-        refused = changed(ended(first, Outcome.CONNECT_FAILED, latency=MS), idle_connections_closed=deserted)
+        refused = changed(
+            ended(first, Outcome.CONNECT_FAILED, latency=MS), idle_connections_closed=idle_closed
+        )
         second = only_send(router.handle(refused, MS))
-        assert (second.endpoint_id == first.endpoint_id) is not deserted
-        assert router._caches.endpoints[first.endpoint_id].ejected is deserted
+        assert (second.endpoint_id == first.endpoint_id) is not idle_closed
+        assert router._caches.endpoints[first.endpoint_id].ejected is idle_closed
 
 
 def test_a_hot_slot_has_more_owners_only_while_its_owners_are_overloaded() -> None:
-    # Found on join+vast: nine of 60 servers had two thirds of the late hits, each with a part of a hot slot.
+    # Scenario join+vast: nine of 60 endpoints, each an owner of a hot slot, had two thirds of the late hits.
     router = started(settings(**REPORTS), fleet(24))
     for i in range(320):
         serve(router, f"r{i}", "hot" if i % 32 == 0 else f"k{i}", i * S // 60, {})
@@ -127,12 +131,12 @@
 
     usual = owners()
     assert 2 <= len(usual) <= 6
-    for node in usual:
-        node.reported.latest_ns = 200.0 * MS
+    for endpoint in usual:
+        endpoint.reported.latest_ns = 200.0 * MS
     assert usual < owners()
     assert len(owners()) <= 2 * len(usual)
-    for node in usual:
-        node.reported.latest_ns = 100.0 * MS  # not over half the aim
+    for endpoint in usual:
+        endpoint.reported.latest_ns = 100.0 * MS  # not above half the latency objective
     assert owners() == usual
 
 
@@ -145,11 +149,11 @@
 def test_interval_counters_of_a_fleet_are_merged_by_time() -> None:
     log = FleetLog(1.0)
     for router, at in (("n0", 100.1), ("n1", 100.6), ("n1", 101.7)):
-        tally = IntervalCounters()
-        tally.count_attempt("s-1", "ok", fresh=True, late=False, fetched=None)
-        tally.count_attempt("origin", "ok", fresh=False, late=True, fetched="left-pad")
-        tally.add_growth("dials", 3)
-        log.read(router, f"12:00 n0 INFO {tally.log_line(at, {'shy': 1.0})}\nsomething else\ntally {{}}\n")
+        counters = IntervalCounters()
+        counters.count_attempt("s-1", "ok", fresh=True, late=False, fetched=None)
+        counters.count_attempt("origin", "ok", fresh=False, late=True, fetched="left-pad")
+        counters.add_growth("dials", 3)
+        log.read(router, f"12:00 n0 INFO {counters.log_line(at, {'shy': 1.0})}\nsomething else\ntally {{}}\n")
     first, second = (log.intervals[at] for at in sorted(log.intervals))
     assert first.routers == {"n0", "n1"}
     assert second.routers == {"n1"}
@@ -178,24 +182,25 @@
 
 
 def test_interval_counters_count_client_requests_and_attempts_by_purpose() -> None:
-    tally = IntervalCounters()
-    tally.count_client_request(again=False, hasty=False)
-    tally.count_client_request(again=True, hasty=True)
-    tally.count_attempt("s-1", "timeout", fresh=True, late=False, fetched=None, why="next")
-    counts = orjson.loads(tally.log_line(1.0, {}).removeprefix("tally "))["counts"]
+    counters = IntervalCounters()
+    counters.count_client_request(again=False, hasty=False)
+    counters.count_client_request(again=True, hasty=True)
+    counters.count_attempt("s-1", "timeout", fresh=True, late=False, fetched=None, why="next")
+    counts = orjson.loads(counters.log_line(1.0, {}).removeprefix("tally "))["counts"]
     assert counts == {"tries": 1, "tries again, hasty": 1, "why next.timeout": 1, "cache.timeout.fresh": 1}
 
 
 def test_interval_counters_report_growth_since_the_last_line() -> None:
-    tally = IntervalCounters()
-    tally.add_growth("dials", 5)
-    tally.log_line(1.0, {})
-    tally.add_growth("dials", 7)
-    assert orjson.loads(tally.log_line(2.0, {}).removeprefix("tally "))["counts"] == {"dials": 2.0}
+    counters = IntervalCounters()
+    counters.add_growth("dials", 5)
+    counters.log_line(1.0, {})
+    counters.add_growth("dials", 7)
+    assert orjson.loads(counters.log_line(2.0, {}).removeprefix("tally "))["counts"] == {"dials": 2.0}
 
 
 def test_dead_endpoint_with_an_idle_connection_costs_one_refused_connection() -> None:
-    # Found on zone+vast: 26 routers spent three at each of 24 dead servers, and the first request there.
+    # Scenario zone+vast: 26 routers each had three connections refused by each of 24 dead endpoints, and the
+    # first request there failed.
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
             return HIT
@@ -209,7 +214,7 @@
         holder.stop()
         while not node.pool.counters.idle_connections_lost:
             await asyncio.sleep(0)
-        for i in range(30):  # a third of the keys were the dead server's
+        for i in range(30):  # a third of the keys belonged to the dead endpoint
             assert await node.ask(read(f"r{i}", f"k{i}"), len(SERVED)) == SERVED
         assert node.pool.counters.dials_refused == 1
         node.stop()
@@ -221,8 +226,8 @@
 
 @pytest.mark.parametrize("name", ["fleet-herd", "fleet-crowded", "fleet-roll", "fleet-split"])
 def test_forty_routers_keep_all_rules(name: str) -> None:
-    # Most killed at once with discovery down; fewer places for connections than routers; nodes replaced while
-    # routers restart; a zone cut off.
+    # Most nodes killed at once with discovery down; connection tables smaller than the number of routers;
+    # nodes replaced while routers restart; a zone cut off.
     scenario = load_scenario(Path(f"bench/scenarios/{name}.toml"))
     shorter = changed(scenario.cut(9.0), load=changed(scenario.load, rate=250.0))
     outcome = play_seed(shorter, 3)
--- a/tests/policy/test_limit_shares.py
+++ b/tests/policy/test_limit_shares.py
@@ -1,4 +1,4 @@
-"""Decisions of several workers of one router: what holds for one process holds for their sum."""
+"""Decisions of several workers of one router: the bounds of one process hold for their sum."""
 
 from __future__ import annotations
 
@@ -17,98 +17,100 @@
 )
 from tests.helpers import MS, ORIGIN, S, ended, fleet, request, sends, settings, started
 
-COLD = Endpoint("10.0.1.1:80", kind="std", started_ns=20 * S)
+NEW_ENDPOINT = Endpoint("10.0.1.1:80", kind="std", started_ns=20 * S)
 
 
 class Workers:
-    """Modules that get one router's requests by turns; hits are answered at once, fetches as told."""
+    """Policies of workers that get one router's requests in turn; every attempt ends at once."""
 
-    def __init__(self, count: int, config: dict[str, object], led: bool = True) -> None:
-        def told(place: int) -> Settings:
-            return settings(**config, **({"workers": count, "worker_index": place} if led else {}))
+    def __init__(self, count: int, config: dict[str, object], coordinated: bool = True) -> None:
+        def worker_settings(index: int) -> Settings:
+            return settings(**config, **({"workers": count, "worker_index": index} if coordinated else {}))
 
-        self.modules = [started(told(i), fleet(8), seed=7 + i) for i in range(count)]
-        self.asked = 0
-        self.sent: list[tuple[int, str]] = []  # to which worker, which server
+        self.policies = [started(worker_settings(i), fleet(8), seed=7 + i) for i in range(count)]
+        self.request_count = 0
+        self.sent: list[tuple[int, str]] = []  # worker index, endpoint id
 
-    def ask(self, key: str, now: int, outcome: Outcome) -> None:
-        place = self.asked % len(self.modules)
-        self.asked += 1
-        module = self.modules[place]
+    def send_request(self, key: str, now: int, outcome: Outcome) -> None:
+        index = self.request_count % len(self.policies)
+        self.request_count += 1
+        policy = self.policies[index]
         self._carry_out(
-            module, place, module.handle(request(f"r{self.asked}", now, key=key), now), now, outcome
+            policy, index, policy.handle(request(f"r{self.request_count}", now, key=key), now), now, outcome
         )
 
     def _carry_out(
-        self, module: RoutingPolicy, place: int, actions: list[Action], now: int, outcome: Outcome
+        self, policy: RoutingPolicy, index: int, actions: list[Action], now: int, outcome: Outcome
     ) -> None:
         for send in sends(actions):
-            self.sent.append((place, send.endpoint_id))
-            how = Outcome.OK if send.endpoint_id == ORIGIN.id else outcome
-            self._carry_out(module, place, module.handle(ended(send, how), now), now, outcome)
+            self.sent.append((index, send.endpoint_id))
+            attempt_outcome = Outcome.OK if send.endpoint_id == ORIGIN.id else outcome
+            self._carry_out(policy, index, policy.handle(ended(send, attempt_outcome), now), now, outcome)
 
-    def tell(self, news: EndpointsChanged) -> None:
-        for module in self.modules:
-            module.handle(news, 20 * S)
+    def update_endpoints(self, update: EndpointsChanged) -> None:
+        for policy in self.policies:
+            policy.handle(update, 20 * S)
 
 
-def burst_at_a_newcomer(count: int, led: bool = True) -> tuple[int, set[int]]:
-    """What a server that has just joined is sent in a burst right after, and by which workers."""
+def requests_to_new_endpoint(count: int, coordinated: bool = True) -> tuple[int, set[int]]:
+    """Return the requests to an endpoint in a burst right after it joined, and the workers that sent them."""
     workers = Workers(
-        count, {"warm_up_initial_weight": 0.25, "warm_up_ns": 20 * S, "warm_up_overload_factor": 2.0}, led
+        count,
+        {"warm_up_initial_weight": 0.25, "warm_up_ns": 20 * S, "warm_up_overload_factor": 2.0},
+        coordinated,
     )
     for i in range(20_000):  # a second for each thousand
-        workers.ask(f"k{i % 900}", i * MS, Outcome.OK)
-    workers.tell(EndpointsChanged(UpdateKind.DELTA, (COLD,)))
+        workers.send_request(f"k{i % 900}", i * MS, Outcome.OK)
+    workers.update_endpoints(EndpointsChanged(UpdateKind.DELTA, (NEW_ENDPOINT,)))
     workers.sent.clear()
     for i in range(4000):
-        workers.ask(f"k{i % 900}", 20 * S + i * MS // 16, Outcome.OK)
-    mine = [place for place, server in workers.sent if server == COLD.id]
-    return len(mine), set(mine)
+        workers.send_request(f"k{i % 900}", 20 * S + i * MS // 16, Outcome.OK)
+    senders = [index for index, server in workers.sent if server == NEW_ENDPOINT.id]
+    return len(senders), set(senders)
 
 
 def test_bound_on_a_warming_endpoint_holds_for_all_workers_together() -> None:
-    alone, _ = burst_at_a_newcomer(1)
-    together, who = burst_at_a_newcomer(4)
-    unled, several = burst_at_a_newcomer(4, led=False)
+    alone, _ = requests_to_new_endpoint(1)
+    together, sending_workers = requests_to_new_endpoint(4)
+    uncoordinated, uncoordinated_workers = requests_to_new_endpoint(4, coordinated=False)
     assert alone
-    assert len(who) == 1
+    assert len(sending_workers) == 1
     assert together <= alone + 2
-    assert len(several) > 1  # each with a bound of its own, by its own part of what is asked
-    assert unled <= alone + 2
+    assert len(uncoordinated_workers) > 1  # each with a bound of its own, by its own part of the requests
+    assert uncoordinated <= alone + 2
 
 
 @pytest.mark.parametrize("shares", [(0.25, 0.25, 0.25, 0.25), (0.7, 0.1, 0.1, 0.1)])
 def test_a_tenants_limit_holds_for_all_workers_together(shares: tuple[float, ...]) -> None:
-    def fetches(led: bool) -> int:
-        workers = Workers(4, {}, led)
-        if led:
-            for module, share in zip(workers.modules, shares, strict=True):
-                module.handle(LimitSharesChanged({"a": share, "unknown": 0.5}), 0)
+    def fetches(coordinated: bool) -> int:
+        workers = Workers(4, {}, coordinated)
+        if coordinated:
+            for policy, share in zip(workers.policies, shares, strict=True):
+                policy.handle(LimitSharesChanged({"a": share, "unknown": 0.5}), 0)
         count = 0
         for i in range(20_000):
             now = i * MS
             workers.sent.clear()
-            workers.ask(f"k{i}", now, Outcome.MISS)
+            workers.send_request(f"k{i}", now, Outcome.MISS)
             if now >= 10 * S:
                 count += sum(server == ORIGIN.id for _, server in workers.sent)
         return count
 
     whole = 60 * 10  # of tenant a's 60 a second, in 10 s
-    assert fetches(led=True) <= whole * 1.2
-    assert fetches(led=False) > whole * 2
+    assert fetches(coordinated=True) <= whole * 1.2
+    assert fetches(coordinated=False) > whole * 2
 
 
 def test_a_new_limit_share_keeps_the_proportion_of_a_cut() -> None:
-    module = started(settings(workers=2, worker_index=1), fleet(2))
-    limiter = module._origin_limiters["a"]
+    policy = started(settings(workers=2, worker_index=1), fleet(2))
+    limiter = policy._origin_limiters["a"]
     assert limiter.max_rate_limit == limiter.rate_limit == 30.0
     limiter.rate_limit = 15.0
-    module.handle(LimitSharesChanged({"a": 0.9}), 0)
+    policy.handle(LimitSharesChanged({"a": 0.9}), 0)
     assert (limiter.max_rate_limit, limiter.rate_limit) == (54.0, 27.0)
-    module.handle(
+    policy.handle(
         LimitSharesChanged({"a": 0.0}), 0
-    )  # none is no share: a worker's least is told by a tiny one
+    )  # 0 is no valid share; the lowest share of a worker is a small positive number
     assert limiter.max_rate_limit == 54.0
 
 
@@ -118,26 +120,26 @@
 
 
 def test_a_single_worker_decides_as_a_router_without_workers() -> None:
-    plain = started(settings(), fleet(5))
-    alone = started(settings(workers=1, worker_index=0), fleet(5))
+    without_workers = started(settings(), fleet(5))
+    single_worker = started(settings(workers=1, worker_index=0), fleet(5))
     for i in range(200):
-        told = request(f"r{i}", i * MS, key=f"k{i % 17}")
-        first, second = plain.handle(told, i * MS), alone.handle(told, i * MS)
+        event = request(f"r{i}", i * MS, key=f"k{i % 17}")
+        first, second = without_workers.handle(event, i * MS), single_worker.handle(event, i * MS)
         assert first == second
         (send,) = first
         assert isinstance(send, SendAttempt)
-        for module in (plain, alone):
-            module.handle(ended(send, Outcome.OK), i * MS)
+        for policy in (without_workers, single_worker):
+            policy.handle(ended(send, Outcome.OK), i * MS)
 
 
 def test_a_hot_key_whose_clients_are_all_at_one_worker_has_several_owners_there() -> None:
     workers = Workers(4, {})
     for i in range(4000):
-        # Three workers have the usual keys; the fourth has one key beside them, ten times as often.
-        hot = workers.asked % 4 == 3 and i % 10
-        workers.ask("hot" if hot else f"k{i % 700}", i * MS, Outcome.OK)
+        # Three workers get the usual keys; the fourth also gets one key, ten times as often.
+        hot = workers.request_count % 4 == 3 and i % 10
+        workers.send_request("hot" if hot else f"k{i % 700}", i * MS, Outcome.OK)
         if i == 2000:
             workers.sent.clear()
-    servers = [server for place, server in workers.sent if place == 3]
+    servers = [server for index, server in workers.sent if index == 3]
     busiest = max(map(servers.count, set(servers)))
-    assert busiest < 0.6 * len(servers)  # one server alone would have nine tenths
+    assert busiest < 0.6 * len(servers)  # a single owner would get nine tenths
--- a/tests/policy/test_origin_concurrency.py
+++ b/tests/policy/test_origin_concurrency.py
@@ -17,8 +17,9 @@
 
 
 def test_one_failed_fetch_cuts_no_limit_and_repeated_ones_cut_the_limits_of_all_tenants() -> None:
-    # One fetch in forty is late by chance. If each cut the limits, every tenant would starve beside a healthy
-    # origin. The policy cuts only when failed fetches come in a row, or make up a fifth.
+    # One fetch in forty is late by chance. If each of them cut the limits, every tenant would starve although
+    # the origin is healthy. The policy cuts only after consecutive failed fetches, or if they make up a
+    # fifth.
     router = started(settings(), fleet(5))
     limiters = list(router._origin_limiters.values())
     caps = [limiter.rate_limit for limiter in limiters]
@@ -38,7 +39,7 @@
 def test_tenant_over_its_weight_is_cut_more() -> None:
     router = started(settings(), fleet(5))
     a, b, _ = router._origin_limiters.values()
-    for i in range(60):  # b asks for two thirds of the traffic, its portion is 0.4
+    for i in range(60):  # b has two thirds of the requests, but a weight of 0.4
         now, tenant = (i + 1) * 20 * MS, "a" if i % 3 == 0 else "b"
         send = only_send(router.handle(request(f"r{i}", now, tenant=tenant, key=f"k{i}"), now))
         for fetch in sends(router.handle(ended(send, Outcome.MISS), now)):
@@ -65,9 +66,9 @@
 
 
 def test_writes_over_the_concurrency_limit_are_queued_and_the_newest_goes_first() -> None:
-    # The origin times out, and writes keep coming. Sent on, they would queue there until nobody waits for
-    # them. The policy keeps those over the concurrency limit, and sends the newest first: it has the most
-    # time left.
+    # The origin times out while writes keep arriving. If they were forwarded, they would be queued there past
+    # their deadlines. The policy queues those over the write concurrency limit, and sends the newest first,
+    # which has the most time left.
     router = started(settings(), fleet(2))
     writes = [only_send(router.handle(request(f"w{i}", S, cls="edit"), S)) for i in range(8)]
     for write in writes[:6]:
@@ -86,8 +87,8 @@
 
 
 def test_origin_connection_failures_cut_no_limit_unless_many_in_a_row() -> None:
-    # Connections to the origin break. A cut for each would hold the limits low beside an idle origin. The
-    # policy sends the fetch again as the same call, and cuts only for many breaks in a row.
+    # Connections to the origin break. A cut for each would keep the limits low although the origin is idle.
+    # The policy sends the fetch again as the same call, and cuts only after many consecutive failures.
     router = started(settings(max_attempts=20), fleet(5))
     limiter = router._origin_limiters["a"]
     for i in range(12):
@@ -98,7 +99,7 @@
             assert fetch.endpoint_id == ORIGIN.id
         router.handle(ended(fetch, Outcome.OK, 4), S)
     assert limiter.rate_limit == limiter.max_rate_limit
-    assert len(limiter._calls) == 12  # a fetch that went out again is the same call
+    assert len(limiter._calls) == 12  # a fetch that is sent again counts as the same call
     read = only_send(router.handle(request("s", S), S))
     fetch = only_send(router.handle(ended(read, Outcome.MISS), S))
     for attempt in range(1, 12):
--- a/tests/policy/test_origin_limiter.py
+++ b/tests/policy/test_origin_limiter.py
@@ -1,4 +1,4 @@
-"""The source's three regimes against figures worked out by hand, and the limit that adapts."""
+"""The source's three regimes, checked against values computed by hand, and the adaptive limit."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Fixed(random.Random):
-    """A random source that always gives the same number."""
+    """A random number generator that always returns the same number."""
 
     def __init__(self, value: float) -> None:
         super().__init__(0)
@@ -29,7 +29,7 @@
 
 
 def fill(limiter: OriginLimiter, start: int, count: int, per_s: float, declined: bool = False) -> int:
-    """Count calls at an even rate from `start`; returns the time after the last."""
+    """Record calls at a constant rate from `start`; return the time after the last one."""
     now = start
     for _ in range(count):
         limiter.record_call(now, declined)
@@ -94,8 +94,8 @@
 
 
 def test_denied_calls_alone_do_not_hold_a_tenant_at_the_hard_limit() -> None:
-    # Clients retry the fetches that were denied, and each retry counts. The observed calls alone would stay
-    # over the hard limit, and nothing would ever be fetched again. The limiter admits some by the
+    # Clients retry denied fetches, and each retry counts as an observed call. Observed calls alone would stay
+    # over the hard limit for ever, with every fetch denied. The limiter therefore admits some by the
     # probability.
     limiter = limiter_of(limit=1.0, window_s=10.0, draw=0.05)
     fill(limiter, 0, 100, per_s=20.0, declined=True)
--- a/tests/policy/test_rejections.py
+++ b/tests/policy/test_rejections.py
@@ -1,4 +1,4 @@
-"""Each reason of a rejection, by the shortest play that leads to it."""
+"""Each rejection reason, by the shortest sequence of events that leads to it."""
 
 from __future__ import annotations
 
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: where a request is sent again, attempt timeouts, the retry budget, and repeats that do harm."""
+"""Retries: where a request is sent again, attempt timeouts, the retry budget, and unsafe repeats."""
 
 from __future__ import annotations
 
@@ -65,9 +65,9 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.MALFORMED, Outcome.RESET])
 def test_answer_lost_in_transit_is_retried_once_at_the_same_endpoint(outcome: Outcome) -> None:
-    # A connection breaks late, or an answer can't be parsed, at an endpoint that is well. The next-ranked
-    # endpoint would miss, and cost a fetch. The policy retries once where the key is, and then at the next
-    # endpoint.
+    # A connection breaks late, or an answer can't be parsed, at a healthy endpoint. The next-ranked endpoint
+    # would miss, and need a fetch. The policy retries once at the same endpoint, which has the key, and then
+    # at the next one.
     router = started(settings(), fleet(5))
     first = only_send(router.handle(request("r"), 0))
     second = only_send(router.handle(ended(first, outcome, latency=200 * MS), 5 * MS))
@@ -78,8 +78,8 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED])
 def test_quick_connection_failure_is_retried_at_the_same_endpoint(outcome: Outcome) -> None:
-    # Connections break at once, twice in a row. No time is lost, and the next-ranked endpoint would miss.
-    # The policy retries at the same endpoint while attempts last, and the endpoint stays well.
+    # Two consecutive connections break at once. No time is lost, and the next-ranked endpoint would miss.
+    # The policy retries at the same endpoint while attempts are left, and the endpoint stays healthy.
     router = started(settings(tenants=()), fleet(5))
     send = only_send(router.handle(request("r"), 0))
     first, node = send.endpoint_id, router._caches.endpoints[send.endpoint_id]
@@ -114,8 +114,8 @@
 def test_missing_answer_is_retried_by_attempt_timeout_within_the_retry_budget(
     then: Outcome, least: int, most: int
 ) -> None:
-    # A connection falls silent while its endpoint is well, and the whole deadline would pass. The policy
-    # retries when the attempt timeout is over, and the retry budget keeps this rare unless prompt answers
+    # A connection stalls although its endpoint is healthy, and the request would wait until its deadline. The
+    # policy retries after the attempt timeout, and the retry budget keeps this rare unless prompt answers
     # prove the losses.
     router = started(settings(), fleet(1), origin=False)
     router.handle(ended(only_send(router.handle(request("first"), 0)), Outcome.OK), 0)
@@ -130,7 +130,7 @@
             assert router._caches.endpoints[send.endpoint_id].admission_probability(0) == 1.0
             router.handle(ended(second, then, 1, closed=True), send.timeout_ns)
             again += 1
-    assert least <= again <= most  # a prompt answer proves that the first was lost
+    assert least <= again <= most  # prompt answers prove that the first ones were lost
 
 
 def test_no_attempt_timeout_where_the_endpoint_is_slow_for_all() -> None:
@@ -140,4 +140,4 @@
         router.handle(ended(send, Outcome.OK, latency=190 * MS), 0)
     assert (
         only_send(router.handle(request("s"), 0)).timeout_ns == 0
-    )  # four usual times leave no time for more
+    )  # an attempt timeout of five times the latency would leave no time for a retry
--- a/tests/policy/test_routing_policy.py
+++ b/tests/policy/test_routing_policy.py
@@ -1,4 +1,4 @@
-"""The life of a request, and one test for each failure found."""
+"""The sequence of a request's attempts, and one test for each failure found in the routing policy."""
 
 from __future__ import annotations
 
@@ -115,7 +115,7 @@
     node.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
     assert (
         node.admission_probability(0) == 1.0
-    )  # one failed connection is chance, and so is a second, or one after a reset
+    )  # one failed connection may be chance, and so may a second one, or one after a reset
     node.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
     early = [only_send(router.handle(request(f"s{i}"), 900 * MS)) for i in range(40)]
     assert dead.endpoint_id not in {send.endpoint_id for send in early}
@@ -123,12 +123,12 @@
     later = [only_send(router.handle(request(f"t{i}", 12 * S), 12 * S)).endpoint_id for i in range(40)]
     assert 0 < later.count(dead.endpoint_id) < 30
     full = [only_send(router.handle(request(f"u{i}", 65 * S), 65 * S)).endpoint_id for i in range(40)]
-    assert set(full) == {server.id for server in fleet(5)}  # the one slot asked for is hot: all own it
+    assert set(full) == {server.id for server in fleet(5)}  # the only slot requested is hot: all own it
 
 
 def test_overloaded_endpoint_rejects_tenants_over_their_weight_first() -> None:
     router = started(settings(), fleet(1))
-    for i in range(300):  # b asks for two thirds of the traffic, its portion is 0.4
+    for i in range(300):  # b has two thirds of the requests, but a weight of 0.4
         tenant = "a" if i % 3 == 0 else "b"
         for send in sends(router.handle(request(f"r{i}", tenant=tenant), 0)):
             router.handle(ended(send, Outcome.OK), 0)
@@ -151,7 +151,7 @@
 
 
 def test_late_answers_shed_load_and_good_answers_end_that() -> None:
-    # Found in incident i81a10c: overloaded servers kept their whole share and answered nobody in time.
+    # Incident i81a10c: overloaded endpoints kept getting all their requests, and answered none in time.
     router = started(settings(), fleet(1))
     for i in range(8):
         for send in sends(router.handle(request(f"r{i}", i * MS), i * MS)):
@@ -174,7 +174,7 @@
 
 
 def test_hot_slot_has_a_few_stable_owners_and_other_slots_have_one() -> None:
-    # Found on the first full-size days: one popular key overloaded the server of its slot.
+    # One popular key overloaded the endpoint of its slot.
     router = started(settings(), fleet(20))
     owners: dict[str, set[str]] = {}
     for i in range(2000):
@@ -228,8 +228,8 @@
 
 def test_first_answer_on_a_connection_and_queueing_do_not_count_as_late() -> None:
     # The first answer on a connection, and one that waited for a connection, take longer whatever the
-    # endpoint's load. Taken for late answers they would shed an endpoint that is well. Only the first's
-    # twofold time counts.
+    # endpoint's load. Counted as late, they would shed load of a healthy endpoint. The first answer on a
+    # connection is late only after twice the latency objective.
     router = started(settings(), fleet(1))
     node = router._caches.endpoints[fleet(1)[0].id]
     for i, (latency, waited, fresh) in enumerate([(550, 0, True), (900, 700, False), (900, 350, True)]):
@@ -243,7 +243,7 @@
 
 
 def test_endpoint_that_answers_only_errors_is_ejected_and_gets_trials() -> None:
-    # Found on a reload day: 90 quick errors a second were asked for and nobody judged.
+    # In a run with reloads, an endpoint answered 90 requests a second with quick errors and was not ejected.
     router = started(settings(), fleet(3))
     bad, sent = fleet(3)[0].id, 0
     for i in range(200):
@@ -258,7 +258,7 @@
 
 
 def test_unresponsive_endpoint_is_ejected_and_one_with_broken_connections_is_not() -> None:
-    # Found on wide days: a hung process kept its share for ten seconds; resets everywhere ejected the fleet.
+    # A hanging process kept its share of requests for ten seconds, and resets everywhere ejected the fleet.
     router = started(settings(), fleet(6))
     hung, flaky = (server.id for server in fleet(6)[:2])
     asked = {hung: 0, flaky: 0}
@@ -280,7 +280,8 @@
 
 
 def test_overloaded_endpoint_releases_slots_to_healthy_ones_and_gets_them_back() -> None:
-    # Found in issue 5: servers that took 20 requests a second had their keys refused beside idle servers.
+    # Issue 5: requests for the keys of endpoints that accept 20 requests a second were rejected, although
+    # other endpoints were idle.
     def play(bad: set[str]) -> tuple[RoutingPolicy, int, int]:
         router, refused, there = started(settings(tenants=()), fleet(6)), 0, 0
         for i in range(3000):
@@ -303,17 +304,17 @@
     other.health.failure_fraction = 1.0
     assert moved == [
         slot for slot in range(200) if not other.retains(slot, 3 * S)
-    ]  # the same at every router
+    ]  # every router releases the same slots
     for _ in range(100):
         node.health.record(AttemptResult(Outcome.OK, False, 3 * S))
     assert all(node.retains(slot, 24 * S) for slot in range(200))
-    router, _, _ = play({server.id for server in fleet(6)})  # all are slow: none gives to another
+    router, _, _ = play({server.id for server in fleet(6)})  # all are slow, so none releases slots
     assert {node.slot_retention for node in router._caches.endpoints.values()} == {1.0}
 
 
 @pytest.mark.parametrize(("usual", "shed"), [(20 * MS, False), (280 * MS, True)])
 def test_missing_answers_shed_load_only_if_other_answers_are_slow(usual: int, shed: bool) -> None:
-    # Found in incident r02ff52: 777 of 15,700 answers never came, and their servers refused 3,229 tries.
+    # Incident r02ff52: 777 of 15,700 answers were lost, and 3,229 requests to their endpoints were rejected.
     router = started(settings(), fleet(1), origin=False)
     node = router._caches.endpoints[fleet(1)[0].id]
     for i in range(40):
@@ -329,7 +330,7 @@
 
 
 def test_more_load_is_shed_above_the_usual_number_in_flight_and_less_with_none() -> None:
-    # Found on wide days: one late answer in a burst had five later requests refused, beside an idle server.
+    # One late answer in a burst caused the rejection of five later requests, although the endpoint was idle.
     passed = {}
     for out in (0, 6):
         router = started(settings(tenants=()), fleet(1), origin=False)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules as properties over random sequences of events."""
+"""The policy's four rules, checked on random sequences of events."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @dataclass
 class Open:
-    """What the outside world knows of a request."""
+    """A request as the driver sees it."""
 
     event: RequestArrived
     sends: list[tuple[int, str]] = field(default_factory=list)
@@ -49,7 +49,7 @@
 
 
 class World:
-    """Plays clients, caches, an origin and a server list, and checks every action against the rules."""
+    """Emulates clients, caches, an origin and an endpoint list, and checks every action against the rules."""
 
     def __init__(self, config: Settings, seed: int) -> None:
         self.config, self.rng = config, random.Random(seed)
@@ -205,11 +205,11 @@
         for action in router.handle(event, S):
             assert isinstance(action, SendAttempt)
             sent += action.endpoint_id == "cold"
-            if i % 2:  # every second request fails there and goes to the next in rank
+            if i % 2:  # every second request fails there, and goes to the next-ranked endpoint
                 router._caches.endpoints[action.endpoint_id].health.record(
                     AttemptResult(Outcome.OK, False, S)
                 )
                 failed = AttemptEnded(f"r{i}", 0, action.endpoint_id, Outcome.ERROR, False, MS)
                 retried = [a.endpoint_id for a in router.handle(failed, S) if isinstance(a, SendAttempt)]
                 sent += retried.count("cold")
-    assert sent < 1500 * share / 9 * 1.6 + 10  # its ramped share of first tries and retries, with slack
+    assert sent < 1500 * share / 9 * 1.6 + 10  # its warm-up share of attempts and retries, with a margin
--- a/tests/policy/test_slot_rebalancing.py
+++ b/tests/policy/test_slot_rebalancing.py
@@ -1,4 +1,4 @@
-"""Which slots migrate from endpoints of high demand to others: a fraction, the same at every router."""
+"""Slot rebalancing: donors release a fraction of their slots, the same ones at every router."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def fractions(noise: int = 0) -> dict[int, float]:
-    """Fractions of 2,000 slots: three times the usual demand for the donor's, a tenth for the receiver's."""
+    """Return fractions of 2,000 slots: donor's at 3 times, receiver's at 0.1 times the usual demand."""
     rng = random.Random(noise)
     brings = {DONOR.seed: 3.0, RECEIVER.seed: 0.1}
     count = {
@@ -100,7 +100,7 @@
     moved = [
         slot for slot, seed in placement(rebalancer_after(90.0)).items() if seed != RANKINGS[slot][0].seed
     ]
-    assert len(moved) < 0.2 * len(RANKINGS)  # hardly more than have to
+    assert len(moved) < 0.2 * len(RANKINGS)  # few more than necessary
 
 
 def test_slots_migrate_at_no_more_than_the_bound_a_second() -> None:
@@ -125,7 +125,7 @@
 
 
 def test_few_samples_cause_almost_no_migration() -> None:
-    # A few requests tell little of the demand, and each key that migrates is missed once.
+    # A few samples carry little information about the demand, and each key that migrates misses once.
     rebalancer = rebalancer_after(0.9, samples=5.0)
     assert rebalancer._retention.get(DONOR.seed, 1.0) > 0.9
 
@@ -155,8 +155,8 @@
 
 
 def test_own_measurements_take_precedence_over_the_plan(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The plan does not know which endpoints this router cannot reach, or that one is overloaded by now. A
-    # slot is not sent to such a receiver, and an ejected donor's slots are not spread.
+    # The plan does not know which endpoints this router cannot reach, or that one has become overloaded.
+    # Slots do not go to such a receiver, and an ejected donor's slots are not distributed to receivers.
     rebalancer = rebalancer_after(90.0)
     to_idle = [
         slot
@@ -167,10 +167,10 @@
     monkeypatch.setattr(RECEIVER, "ejected", True)
     assert all(placement(rebalancer)[slot] != RECEIVER.seed for slot in to_idle)
     monkeypatch.setattr(RECEIVER, "ejected", False)
-    monkeypatch.setattr(RECEIVER, "slot_retention", 0.9)  # by its own reports it is overloaded
+    monkeypatch.setattr(RECEIVER, "slot_retention", 0.9)  # overloaded by its own load reports
     assert all(placement(rebalancer)[slot] != RECEIVER.seed for slot in to_idle)
     monkeypatch.setattr(RECEIVER, "slot_retention", 1.0)
-    monkeypatch.setattr(DONOR, "ejected", True)  # its slots go to the next-ranked, which has its keys
+    monkeypatch.setattr(DONOR, "ejected", True)  # its slots go to the next-ranked one, which has its keys
     assert all(rebalancer.receiver_rank(slot, RANKINGS[slot]) == 0 for slot in to_idle)
 
 
@@ -191,7 +191,7 @@
         kept.append(rebalancer._retention.get(DONOR.seed, 1.0))
     assert kept[98] == 1.0
     assert kept[198] < 0.8
-    assert kept[-1] == pytest.approx(kept[205], abs=0.02)  # nor does it take slots back
+    assert kept[-1] == pytest.approx(kept[205], abs=0.02)  # it does not take slots back either
 
 
 def test_warming_endpoint_receives_no_slots() -> None:
@@ -206,8 +206,8 @@
 
 
 def test_one_event_ranks_a_bounded_number_of_slots() -> None:
-    # To rank a slot anew takes 2 us an endpoint: all slots of a large fleet in one event stalled the router.
-    # Each event ranks a few, and the plan is complete after several.
+    # Ranking a slot anew takes 2 us per endpoint; ranking all slots of a large fleet in one event stalled the
+    # router. Each event ranks a few, and the plan is complete after several events.
     rebalancer, asked = SlotRebalancer(), 0
     known: set[int] = set()
 
@@ -249,7 +249,7 @@
 
 
 def test_router_with_false_reports_counts_for_no_more_than_the_bound() -> None:
-    # One router reports far more requests than it had, all for one slot. Its reports are scaled down.
+    # One router reports far more requests than it received, all for one slot. Its reports are scaled down.
     view = LoadView(0, 1)
     for who in range(1, 20):
         view.receive(LoadReport(who, 1, (), 11, {100 + who: 11}), S)
@@ -270,7 +270,7 @@
 
 
 def test_forty_routers_together_leave_no_endpoint_idle() -> None:
-    """Routing policies alone, 40 of them over 20 endpoints: the same load with migration and without."""
+    """40 routing policies with 20 endpoints, without networking: the same load with and without migration."""
     found = {}
     for migration_per_s in (0.0, MAX_MIGRATION_PER_S):
         with pytest.MonkeyPatch.context() as patch:
--- a/tests/policy/test_slot_table.py
+++ b/tests/policy/test_slot_table.py
@@ -1,4 +1,4 @@
-"""Placement: balance, minimal moves, the cold ramp, weights."""
+"""The slot table: balance, few moves by joins and leaves, the warm-up ramp, and weights."""
 
 from __future__ import annotations
 
@@ -97,7 +97,8 @@
 
 
 def test_cached_rankings_equal_fresh_ones_through_many_changes() -> None:
-    # Found by timing: going through every slot for each newcomer stalled the router for 125 ms.
+    # Ranking every slot for each endpoint that joins stalled the router for 125 ms, so the table applies
+    # changes to cached rankings.
     rng = random.Random(1)
     live = {f"s{i}" for i in range(30)}
     table = table_of(tuple(map(Endpoint, sorted(live))))
--- a/tests/policy/test_spread.py
+++ b/tests/policy/test_spread.py
@@ -1,4 +1,4 @@
-"""What the decisions make of a picture that many routers see together, and what they note for it."""
+"""Load snapshots of many routers: their effect on decisions, and the observations collected for them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 SERVERS = fleet(20)
 KNOWN = {**REPORTS, "gossip_allowed": True}
 ENOUGH = 2 * MIN_SNAPSHOT_REQUESTS
-SPREAD_SEEDS = (3, 4, 5)  # one seed's ratio varies by 0.04 with draws that have nothing to do with it
+SPREAD_SEEDS = (3, 4, 5)  # the ratio of a single seed varies by 0.04 with unrelated random draws
 
 
 def slot(key: str) -> int:
@@ -28,7 +28,7 @@
 
 
 def owners(router: RoutingPolicy, key: str, now: int) -> set[str]:
-    """The servers that a key's requests go to, one router asking forty times."""
+    """Return the servers that get forty requests of one router for a key."""
     return {serve(router, f"{key}-{now}-{i}", key, now + i * 30 * MS, {}) for i in range(40)}
 
 
@@ -37,12 +37,12 @@
     first = {serve(router, "a", "hot", 0, {})}
     router.handle(LoadSnapshotChanged({}, {slot("hot"): 0.1}, ENOUGH), 0)
     assert first < owners(router, "hot", S)
-    assert 5 <= len(owners(router, "hot", 3 * S)) <= 8  # 0.1 of 20 servers' load, a quarter of a server each
+    assert 5 <= len(owners(router, "hot", 3 * S)) <= 8  # 0.1 of 20 endpoints' load, a quarter of one for each
 
 
 def test_key_popular_at_one_router_only_is_not_hot() -> None:
     router = started(settings(**KNOWN), SERVERS)
-    assert len(owners(router, "mine", S)) > 5  # all that this router was asked for
+    assert len(owners(router, "mine", S)) > 5  # the only key requested from this router
     router.handle(LoadSnapshotChanged({}, {slot("hot"): 0.1}, ENOUGH), 3 * S)
     assert len(owners(router, "mine", 3 * S)) == 1
 
@@ -50,7 +50,7 @@
 def test_router_with_a_large_part_of_all_requests_goes_by_its_own_counts() -> None:
     router = started(settings(**KNOWN), SERVERS)
     router.handle(LoadSnapshotChanged({}, {slot("other"): 0.1}, ENOUGH, 0.5 * ENOUGH), 0)
-    assert len(owners(router, "mine", S)) > 5  # all that this router was asked for
+    assert len(owners(router, "mine", S)) > 5  # the only key requested from this router
     router.handle(LoadSnapshotChanged({}, {slot("other"): 0.1}, ENOUGH, 0.25 * ENOUGH), 3 * S)
     assert len(owners(router, "mine", 3 * S)) == 1
 
@@ -61,7 +61,7 @@
     assert len(owners(router, "mine", S)) > 5
     router.handle(LoadSnapshotChanged({}, {}, ENOUGH), 3 * S)
     assert len(owners(router, "mine", 3 * S)) == 1
-    router.handle(LoadSnapshotChanged({}, {}, 0.0), 6 * S)  # cut off from all others
+    router.handle(LoadSnapshotChanged({}, {}, 0.0), 6 * S)  # partitioned from all other routers
     assert len(owners(router, "mine", 6 * S)) > 5
 
 
@@ -74,7 +74,7 @@
     assert (node.reported_response_time_ns, node.reported.at_ns) == (own, at)
     router.handle(LoadSnapshotChanged({name: (900.0 * MS, S // 2)}, {}, ENOUGH), at + S)
     assert (node.reported_response_time_ns, node.reported.at_ns) == (900.0 * MS, at + S // 2)
-    assert node.slot_retention < 1.0  # it gives slots up by what others were told
+    assert node.slot_retention < 1.0  # released because of a report to another router
 
 
 def test_repeated_old_load_report_releases_no_more_slots() -> None:
@@ -85,7 +85,7 @@
             LoadSnapshotChanged({SERVERS[3].id: (900.0 * MS, i * S // 3)}, {}, ENOUGH), S + i * S // 3
         )
     assert node.reported.at_ns == S
-    assert node.slot_retention > 0.3  # of one word, whatever its repeats
+    assert node.slot_retention > 0.3  # as after a single report
 
 
 def test_load_snapshot_ends_no_ejection() -> None:
@@ -120,10 +120,10 @@
 def test_shared_load_view_saves_fetches_for_many_routers_with_few_requests_each(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Simulated, 40 routers at 6 requests a second each over 20 servers: a day with and without peers."""
+    """Simulate 40 routers with 6 requests a second each and 20 endpoints, with and without gossip."""
     monkeypatch.setattr(
         slot_rebalancing, "MAX_MIGRATION_PER_S", 0.0
-    )  # slots that move cost fetches: their gain is told elsewhere
+    )  # migrating slots cost fetches; other tests check their benefit
     text = """
 name = "x"
 length_s = 7.0
