--- a/tests/policy/test_disabled_features.py
+++ b/tests/policy/test_disabled_features.py
@@ -83,7 +83,7 @@
             return [f"{where}: no object"]
         found = [f"{where}.{name}: not published" for name in actual.keys() - published.keys()]
         found += [
-            f"{where}.{name}: not told"
+            f"{where}.{name}: missing"
             for name in published.keys() - actual.keys() - OPTIONAL - NOT_CONFIGURED
         ]
         for name in actual.keys() & published.keys():
--- a/tests/policy/test_origin_concurrency.py
+++ b/tests/policy/test_origin_concurrency.py
@@ -22,18 +22,21 @@
     # fifth.
     router = started(settings(), fleet(5))
     limiters = list(router._origin_limiters.values())
-    caps = [limiter.rate_limit for limiter in limiters]
+    initial_limits = [limiter.rate_limit for limiter in limiters]
 
     def fetch(i: int, outcome: Outcome) -> None:
         now = (i + 1) * S
         send = only_send(router.handle(request(f"r{i}", now, key=f"k{i}"), now))
-        out = only_send(router.handle(ended(send, Outcome.MISS), now))
-        router.handle(ended(out, outcome, 1, closed=True, latency=600 * MS), now + S)
+        fetch_attempt = only_send(router.handle(ended(send, Outcome.MISS), now))
+        router.handle(ended(fetch_attempt, outcome, 1, closed=True, latency=600 * MS), now + S)
 
     fetch(0, Outcome.TIMEOUT)
-    assert [limiter.rate_limit for limiter in limiters] == caps
+    assert [limiter.rate_limit for limiter in limiters] == initial_limits
     fetch(1, Outcome.TIMEOUT)
-    assert all(limiter.rate_limit < cap for limiter, cap in zip(limiters, caps, strict=True))
+    assert all(
+        limiter.rate_limit < initial_limit
+        for limiter, initial_limit in zip(limiters, initial_limits, strict=True)
+    )
 
 
 def test_tenant_over_its_weight_is_cut_more() -> None:
@@ -59,10 +62,10 @@
     *most, last = fetches
     for fetch in most:
         router.handle(ended(fetch, Outcome.ERROR, 1), S + 200 * MS)
-    once = limiter.rate_limit
-    assert once < limiter.max_rate_limit
+    limit_after_cut = limiter.rate_limit
+    assert limit_after_cut < limiter.max_rate_limit
     router.handle(ended(last, Outcome.ERROR, 1), S + 200 * MS)
-    assert limiter.rate_limit == once
+    assert limiter.rate_limit == limit_after_cut
 
 
 def test_writes_over_the_concurrency_limit_are_queued_and_the_newest_goes_first() -> None:
@@ -74,13 +77,13 @@
     for write in writes[:6]:
         router.handle(ended(write, Outcome.TIMEOUT, latency=900 * MS), 2 * S)
     more = [router.handle(request(f"x{i}", 2 * S, cls="edit"), 2 * S) for i in range(6)]
-    went = [actions for actions in more if sends(actions)]
-    assert 0 < len(went) < 5
-    assert all(isinstance(action, SetTimer) for actions in more[len(went) :] for action in actions)
-    freed = []
+    sent = [actions for actions in more if sends(actions)]
+    assert 0 < len(sent) < 5
+    assert all(isinstance(action, SetTimer) for actions in more[len(sent) :] for action in actions)
+    dequeued = []
     for write in writes[6:]:
-        freed += sends(router.handle(ended(write, Outcome.OK), 2 * S + 10 * MS))
-    assert [send.request_id for send in freed] == ["x5", "x4", "x3"]
+        dequeued += sends(router.handle(ended(write, Outcome.OK), 2 * S + 10 * MS))
+    assert [send.request_id for send in dequeued] == ["x5", "x4", "x3"]
     late = router.handle(request("y", 2 * S, cls="edit"), 2 * S)
     assert sends(late) == []
     assert router.handle(TimerFired("y"), 3 * S) == [Reject("y")]
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -55,11 +55,11 @@
     zones = tuple(Endpoint(f"s{i}", zone=f"z{i % 2}") for i in range(6))
     router = started(settings(origin_kind=None), zones, origin=False)
     send = only_send(router.handle(request("w", cls="zonal"), 0))
-    again = only_send(router.handle(ended(send, Outcome.ERROR), 5 * MS))
+    retry = only_send(router.handle(ended(send, Outcome.ERROR), 5 * MS))
     zone_of = {server.id: server.zone for server in zones}
-    assert again.endpoint_id != send.endpoint_id
-    assert zone_of[again.endpoint_id] == zone_of[send.endpoint_id]
-    third = only_send(router.handle(ended(again, Outcome.ERROR, 1), 6 * MS))
+    assert retry.endpoint_id != send.endpoint_id
+    assert zone_of[retry.endpoint_id] == zone_of[send.endpoint_id]
+    third = only_send(router.handle(ended(retry, Outcome.ERROR, 1), 6 * MS))
     assert router.handle(ended(third, Outcome.ERROR, 2), 7 * MS) == [Fail("w")]
 
 
@@ -82,12 +82,12 @@
     # The policy retries at the same endpoint while attempts are left, and the endpoint stays healthy.
     router = started(settings(tenants=()), fleet(5))
     send = only_send(router.handle(request("r"), 0))
-    first, node = send.endpoint_id, router._caches.endpoints[send.endpoint_id]
+    first, endpoint = send.endpoint_id, router._caches.endpoints[send.endpoint_id]
     for attempt in range(2):
         send = only_send(router.handle(ended(send, outcome, attempt, latency=MS), 0))
         assert send.endpoint_id == first
     router.handle(ended(send, Outcome.OK, 2), 0)
-    assert (node.ejected, node.admission_probability(0)) == (False, 1.0)
+    assert (endpoint.ejected, endpoint.admission_probability(0)) == (False, 1.0)
 
 
 def test_fetch_that_broke_after_its_answer_began_is_read_from_the_cache() -> None:
@@ -100,14 +100,14 @@
 
 def test_fetch_with_a_malformed_answer_is_read_from_the_cache_and_cuts_no_limit() -> None:
     router = started(settings(), fleet(5))
-    caps = [limiter.rate_limit for limiter in router._origin_limiters.values()]
+    initial_limits = [limiter.rate_limit for limiter in router._origin_limiters.values()]
     for i in range(9):
         first = only_send(router.handle(request(f"r{i}", key=f"k{i}"), 0))
         fetch = only_send(router.handle(ended(first, Outcome.MISS), 5 * MS))
-        again = only_send(router.handle(ended(fetch, Outcome.MALFORMED, 1), 9 * MS))
-        assert (fetch.endpoint_id, again.endpoint_id) == (ORIGIN.id, first.endpoint_id)
-        router.handle(ended(again, Outcome.OK, 2), 9 * MS)
-    assert [limiter.rate_limit for limiter in router._origin_limiters.values()] == caps
+        retry = only_send(router.handle(ended(fetch, Outcome.MALFORMED, 1), 9 * MS))
+        assert (fetch.endpoint_id, retry.endpoint_id) == (ORIGIN.id, first.endpoint_id)
+        router.handle(ended(retry, Outcome.OK, 2), 9 * MS)
+    assert [limiter.rate_limit for limiter in router._origin_limiters.values()] == initial_limits
 
 
 @pytest.mark.parametrize(("then", "least", "most"), [(Outcome.ERROR, 3, 6), (Outcome.OK, 40, 40)])
@@ -119,7 +119,7 @@
     # prove the losses.
     router = started(settings(), fleet(1), origin=False)
     router.handle(ended(only_send(router.handle(request("first"), 0)), Outcome.OK), 0)
-    again = 0
+    retries = 0
     for i in range(40):
         send = only_send(router.handle(request(f"r{i}"), 0))
         if send.timeout_ns:
@@ -129,8 +129,8 @@
             assert (second.endpoint_id, second.timeout_ns) == (send.endpoint_id, 0)
             assert router._caches.endpoints[send.endpoint_id].admission_probability(0) == 1.0
             router.handle(ended(second, then, 1, closed=True), send.timeout_ns)
-            again += 1
-    assert least <= again <= most  # prompt answers prove that the first ones were lost
+            retries += 1
+    assert least <= retries <= most  # prompt answers prove that the first ones were lost
 
 
 def test_no_attempt_timeout_where_the_endpoint_is_slow_for_all() -> None:
--- a/tests/policy/test_routing_policy.py
+++ b/tests/policy/test_routing_policy.py
@@ -47,11 +47,13 @@
 
 
 def test_rejection_states_a_retry_after_with_jitter_only_where_allowed() -> None:
-    for told in (True, False):
-        router = started(settings(retry_after_allowed=told, max_retry_after_ns=400 * MS), (), origin=False)
-        (refusal,) = router.handle(request("r"), 0)
-        assert isinstance(refusal, Reject)
-        assert (200 * MS <= refusal.retry_after_ns <= 400 * MS) if told else refusal.retry_after_ns == 0
+    for allowed in (True, False):
+        router = started(settings(retry_after_allowed=allowed, max_retry_after_ns=400 * MS), (), origin=False)
+        (rejection,) = router.handle(request("r"), 0)
+        assert isinstance(rejection, Reject)
+        assert (
+            (200 * MS <= rejection.retry_after_ns <= 400 * MS) if allowed else rejection.retry_after_ns == 0
+        )
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OVERLOADED, Outcome.ERROR])
@@ -86,10 +88,10 @@
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
 def test_nothing_is_sent_to_an_endpoint_that_is_draining_or_gone(state: EndpointState) -> None:
     router = started(settings(), fleet(5))
-    leaver = only_send(router.handle(request("r0"), 0)).endpoint_id
-    router.handle(EndpointsChanged(UpdateKind.DELTA, (Endpoint(leaver, kind="std", state=state),)), 0)
+    removed_id = only_send(router.handle(request("r0"), 0)).endpoint_id
+    router.handle(EndpointsChanged(UpdateKind.DELTA, (Endpoint(removed_id, kind="std", state=state),)), 0)
     for i in range(1, 300):
-        assert only_send(router.handle(request(f"r{i}", key=f"k{i}"), 0)).endpoint_id != leaver
+        assert only_send(router.handle(request(f"r{i}", key=f"k{i}"), 0)).endpoint_id != removed_id
 
 
 def test_endpoint_absent_from_a_full_list_is_removed() -> None:
@@ -109,14 +111,14 @@
     router = started(settings(tenants=()), fleet(5))
     dead = only_send(router.handle(request("r"), 0))
     router.handle(ended(dead, Outcome.CONNECT_FAILED), 0)
-    node = router._caches.endpoints[dead.endpoint_id]
-    node.health.record(AttemptResult(Outcome.RESET, False, 0))
-    node.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
-    node.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
+    endpoint = router._caches.endpoints[dead.endpoint_id]
+    endpoint.health.record(AttemptResult(Outcome.RESET, False, 0))
+    endpoint.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
+    endpoint.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
     assert (
-        node.admission_probability(0) == 1.0
+        endpoint.admission_probability(0) == 1.0
     )  # one failed connection may be chance, and so may a second one, or one after a reset
-    node.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
+    endpoint.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 0))
     early = [only_send(router.handle(request(f"s{i}"), 900 * MS)) for i in range(40)]
     assert dead.endpoint_id not in {send.endpoint_id for send in early}
     router.handle(ended(early[0], Outcome.OK), 910 * MS)
@@ -157,9 +159,9 @@
         for send in sends(router.handle(request(f"r{i}", i * MS), i * MS)):
             router.handle(ended(send, Outcome.OK, latency=400 * MS), i * MS)
     answers = [router.handle(request(f"s{i}", 100 * MS), 100 * MS) for i in range(200)]
-    passed = [only_send(actions) for actions in answers if sends(actions)]
-    assert 0 < len(passed) < 50
-    router.handle(ended(passed[0], Outcome.OK), 200 * MS)
+    admitted = [only_send(actions) for actions in answers if sends(actions)]
+    assert 0 < len(admitted) < 50
+    router.handle(ended(admitted[0], Outcome.OK), 200 * MS)
     again = [router.handle(request(f"t{i}", 65 * S), 65 * S) for i in range(50)]
     assert all(sends(actions) for actions in again)
 
@@ -231,92 +233,92 @@
     # endpoint's load. Counted as late, they would shed load of a healthy endpoint. The first answer on a
     # connection is late only after twice the latency objective.
     router = started(settings(), fleet(1))
-    node = router._caches.endpoints[fleet(1)[0].id]
+    endpoint = router._caches.endpoints[fleet(1)[0].id]
     for i, (latency, waited, fresh) in enumerate([(550, 0, True), (900, 700, False), (900, 350, True)]):
         send = only_send(router.handle(request(f"r{i}"), 0))
         end = ended(send, Outcome.OK, latency=latency * MS)
         router.handle(changed(end, queued_ns=waited * MS, first_on_connection=fresh), 0)
-        assert node.admission_probability(0) == 1.0
+        assert endpoint.admission_probability(0) == 1.0
     send = only_send(router.handle(request("s"), 0))
     router.handle(changed(ended(send, Outcome.OK, latency=700 * MS), first_on_connection=True), 0)
-    assert node.admission_probability(0) < 1.0
+    assert endpoint.admission_probability(0) < 1.0
 
 
 def test_endpoint_that_answers_only_errors_is_ejected_and_gets_trials() -> None:
     # In a run with reloads, an endpoint answered 90 requests a second with quick errors and was not ejected.
     router = started(settings(), fleet(3))
-    bad, sent = fleet(3)[0].id, 0
+    failing, sent = fleet(3)[0].id, 0
     for i in range(200):
         send = only_send(router.handle(request(f"r{i}", key=f"k{i}"), 0))
-        sent += send.endpoint_id == bad
-        outcome = Outcome.ERROR if send.endpoint_id == bad else Outcome.OK
+        sent += send.endpoint_id == failing
+        outcome = Outcome.ERROR if send.endpoint_id == failing else Outcome.OK
         for again in sends(router.handle(ended(send, outcome), 0)):
             router.handle(ended(again, Outcome.OK, 1), 0)
     assert sent == 4
     later = [only_send(router.handle(request(f"s{i}", 20 * S, key=f"k{i}"), 20 * S)) for i in range(100)]
-    assert any(send.endpoint_id == bad for send in later)
+    assert any(send.endpoint_id == failing for send in later)
 
 
 def test_unresponsive_endpoint_is_ejected_and_one_with_broken_connections_is_not() -> None:
     # A hanging process kept its share of requests for ten seconds, and resets everywhere ejected the fleet.
     router = started(settings(), fleet(6))
-    hung, flaky = (server.id for server in fleet(6)[:2])
-    asked = {hung: 0, flaky: 0}
+    hanging, resetting = (server.id for server in fleet(6)[:2])
+    sent_counts = {hanging: 0, resetting: 0}
     for i in range(240):
         now = i * 10 * MS
         for send in sends(router.handle(request(f"r{i}", now, key=f"k{i}"), now)):
-            if send.endpoint_id in asked:
-                asked[send.endpoint_id] += 1
+            if send.endpoint_id in sent_counts:
+                sent_counts[send.endpoint_id] += 1
             outcome = Outcome.OK
-            if send.endpoint_id == hung:
+            if send.endpoint_id == hanging:
                 outcome = Outcome.TIMEOUT
-            elif send.endpoint_id == flaky and asked[flaky] % 2:
+            elif send.endpoint_id == resetting and sent_counts[resetting] % 2:
                 outcome = Outcome.RESET
             router.handle(ended(send, outcome, closed=True), now)
-    nodes = router._caches.endpoints
-    assert (nodes[hung].ejected, nodes[flaky].ejected) == (True, False)
-    assert asked[hung] <= 8
-    assert asked[flaky] >= 20
+    endpoints = router._caches.endpoints
+    assert (endpoints[hanging].ejected, endpoints[resetting].ejected) == (True, False)
+    assert sent_counts[hanging] <= 8
+    assert sent_counts[resetting] >= 20
 
 
 def test_overloaded_endpoint_releases_slots_to_healthy_ones_and_gets_them_back() -> None:
     # Issue 5: requests for the keys of endpoints that accept 20 requests a second were rejected, although
     # other endpoints were idle.
-    def play(bad: set[str]) -> tuple[RoutingPolicy, int, int]:
-        router, refused, there = started(settings(tenants=()), fleet(6)), 0, 0
+    def run_requests(slow_ids: set[str]) -> tuple[RoutingPolicy, int, int]:
+        router, rejected, sent_to_slow = started(settings(tenants=()), fleet(6)), 0, 0
         for i in range(3000):
             now = i * MS
             actions = router.handle(request(f"r{i}", now, key=f"k{i % 700}"), now)
             if i >= 2300:
-                refused += not sends(actions)
-                there += any(send.endpoint_id in bad for send in sends(actions))
+                rejected += not sends(actions)
+                sent_to_slow += any(send.endpoint_id in slow_ids for send in sends(actions))
             for send in sends(actions):
-                latency = 400 * MS if send.endpoint_id in bad else 20 * MS
+                latency = 400 * MS if send.endpoint_id in slow_ids else 20 * MS
                 router.handle(ended(send, Outcome.OK, latency=latency), now)
-        return router, refused, there
-
-    router, refused, there = play({fleet(6)[0].id})
-    assert refused + there < 700 / 6 * 0.5  # of the slow server's share of the last 700
-    node = router._caches.endpoints[fleet(6)[0].id]
-    moved = [slot for slot in range(200) if not node.retains(slot, 3 * S)]
-    other = started(settings(tenants=()), fleet(6), seed=9)._caches.endpoints[node.entry.id]
-    other.slots.restore(node.slot_retention, 3 * S)
+        return router, rejected, sent_to_slow
+
+    router, rejected, sent_to_slow = run_requests({fleet(6)[0].id})
+    assert rejected + sent_to_slow < 700 / 6 * 0.5  # of the slow server's share of the last 700
+    endpoint = router._caches.endpoints[fleet(6)[0].id]
+    released = [slot for slot in range(200) if not endpoint.retains(slot, 3 * S)]
+    other = started(settings(tenants=()), fleet(6), seed=9)._caches.endpoints[endpoint.entry.id]
+    other.slots.restore(endpoint.slot_retention, 3 * S)
     other.health.failure_fraction = 1.0
-    assert moved == [
+    assert released == [
         slot for slot in range(200) if not other.retains(slot, 3 * S)
     ]  # every router releases the same slots
     for _ in range(100):
-        node.health.record(AttemptResult(Outcome.OK, False, 3 * S))
-    assert all(node.retains(slot, 24 * S) for slot in range(200))
-    router, _, _ = play({server.id for server in fleet(6)})  # all are slow, so none releases slots
-    assert {node.slot_retention for node in router._caches.endpoints.values()} == {1.0}
+        endpoint.health.record(AttemptResult(Outcome.OK, False, 3 * S))
+    assert all(endpoint.retains(slot, 24 * S) for slot in range(200))
+    router, _, _ = run_requests({server.id for server in fleet(6)})  # all are slow, so none releases slots
+    assert {endpoint.slot_retention for endpoint in router._caches.endpoints.values()} == {1.0}
 
 
 @pytest.mark.parametrize(("usual", "shed"), [(20 * MS, False), (280 * MS, True)])
 def test_missing_answers_shed_load_only_if_other_answers_are_slow(usual: int, shed: bool) -> None:
     # Incident r02ff52: 777 of 15,700 answers were lost, and 3,229 requests to their endpoints were rejected.
     router = started(settings(), fleet(1), origin=False)
-    node = router._caches.endpoints[fleet(1)[0].id]
+    endpoint = router._caches.endpoints[fleet(1)[0].id]
     for i in range(40):
         now = i * 2 * S
         pair = [sends(router.handle(request(f"{name}{i}", now), now)) for name in "ab"]
@@ -326,24 +328,24 @@
         elif all(pair):
             router.handle(ended(pair[0][0], Outcome.OK, latency=usual), now + usual)
             router.handle(ended(pair[1][0], Outcome.TIMEOUT, latency=S), now + S)
-    assert (node.admission_probability(80 * S) < 1.0) is shed
+    assert (endpoint.admission_probability(80 * S) < 1.0) is shed
 
 
 def test_more_load_is_shed_above_the_usual_number_in_flight_and_less_with_none() -> None:
     # One late answer in a burst caused the rejection of five later requests, although the endpoint was idle.
-    passed = {}
-    for out in (0, 6):
+    admitted = {}
+    for in_flight in (0, 6):
         router = started(settings(tenants=()), fleet(1), origin=False)
-        node = router._caches.endpoints[fleet(1)[0].id]
+        endpoint = router._caches.endpoints[fleet(1)[0].id]
         for i in range(40):  # two at a time
             pair = [only_send(router.handle(request(f"{name}{i}"), 0)) for name in "ab"]
             for send in pair:
                 router.handle(ended(send, Outcome.OK), 0)
         for _ in range(3):
-            node.health.record(AttemptResult(Outcome.OK, True, 0))
-        held = [send for i in range(60) for send in sends(router.handle(request(f"h{i}"), 0))][:out]
-        passed[out] = 0
+            endpoint.health.record(AttemptResult(Outcome.OK, True, 0))
+        held = [send for i in range(60) for send in sends(router.handle(request(f"h{i}"), 0))][:in_flight]
+        admitted[in_flight] = 0
         for i in range(300):
-            node.in_flight = len(held)
-            passed[out] += bool(sends(router.handle(request(f"r{i}"), 0)))
-    assert passed[6] < 70 < 150 < passed[0]
+            endpoint.in_flight = len(held)
+            admitted[in_flight] += bool(sends(router.handle(request(f"r{i}"), 0)))
+    assert admitted[6] < 70 < 150 < admitted[0]
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -33,22 +33,22 @@
 from holdgw.policy.endpoint_health import AttemptResult
 from tests.helpers import MS, ORIGIN, S, settings
 
-CLASSES = {cls.name: cls for cls in settings().classes}
+CLASSES = {request_class.name: request_class for request_class in settings().classes}
 FAILURES = [o for o in Outcome if o not in (Outcome.OK, Outcome.CANCELLED)]
 
 
 @dataclass
-class Open:
+class OpenRequest:
     """A request as the driver sees it."""
 
     event: RequestArrived
     sends: list[tuple[int, str]] = field(default_factory=list)
-    out: bool = False
+    in_flight: bool = False
     may_have_run: list[tuple[int, str]] = field(default_factory=list)
-    closed_at: int | None = None
+    ended_at: int | None = None
 
 
-class World:
+class EventDriver:
     """Emulates clients, caches, an origin and an endpoint list, and checks every action against the rules."""
 
     def __init__(self, config: Settings, seed: int) -> None:
@@ -56,115 +56,117 @@
         self.router = RoutingPolicy(config, seed)
         self.queue: list[tuple[int, int, Event]] = []
         self.order = 0
-        self.open: dict[str, Open] = {}
-        self.servers = {f"s{i}": Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i % 3) for i in range(5)}
+        self.open_requests: dict[str, OpenRequest] = {}
+        self.endpoints = {f"s{i}": Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i % 3) for i in range(5)}
         if config.origin_kind is not None:
-            self.servers[ORIGIN.id] = ORIGIN
+            self.endpoints[ORIGIN.id] = ORIGIN
         self.log: list[Action] = []
 
-    def later(self, at: int, event: Event) -> None:
+    def schedule(self, at: int, event: Event) -> None:
         self.order += 1
         heapq.heappush(self.queue, (at, self.order, event))
 
     def run(self, requests: int) -> None:
-        self.later(0, EndpointsChanged(UpdateKind.CACHED, tuple(self.servers.values())))
+        self.schedule(0, EndpointsChanged(UpdateKind.CACHED, tuple(self.endpoints.values())))
         for i in range(requests):
             at = self.rng.randrange(3 * S)
-            cls = self.rng.choice(list(CLASSES))
+            request_class = self.rng.choice(list(CLASSES))
             arrived = RequestArrived(
                 request_id=f"r{i}",
-                request_class=cls,
+                request_class=request_class,
                 deadline_ns=at + self.rng.randrange(-10, 900) * MS,
                 tenant=self.rng.choice(["a", "b", None]),
                 key=self.rng.choice(["k1", "k2", "k3", None]),
-                is_write=cls != "read",
+                is_write=request_class != "read",
             )
-            self.later(at, arrived)
+            self.schedule(at, arrived)
             if self.rng.random() < 0.1:
-                self.later(at + self.rng.randrange(300) * MS, RequestCancelled(f"r{i}"))
+                self.schedule(at + self.rng.randrange(300) * MS, RequestCancelled(f"r{i}"))
         for _ in range(6):
-            self.later(self.rng.randrange(3 * S), EndpointsChanged(UpdateKind.DELTA, ()))
+            self.schedule(self.rng.randrange(3 * S), EndpointsChanged(UpdateKind.DELTA, ()))
         while self.queue:
             now, _, event = heapq.heappop(self.queue)
             self.deliver(event, now)
-        unanswered = [name for name, known in self.open.items() if known.closed_at is None]
+        unanswered = [name for name, record in self.open_requests.items() if record.ended_at is None]
         assert not unanswered
         assert self.router.table_sizes()[:2] == (0, 0)
 
     def deliver(self, event: Event, now: int) -> None:
         if isinstance(event, RequestArrived):
-            self.open[event.request_id] = Open(event)
+            self.open_requests[event.request_id] = OpenRequest(event)
         elif isinstance(event, RequestCancelled):
-            known = self.open[event.request_id]
-            known.closed_at = now if known.closed_at is None else known.closed_at
+            record = self.open_requests[event.request_id]
+            record.ended_at = now if record.ended_at is None else record.ended_at
         elif isinstance(event, AttemptEnded):
-            known = self.open[event.request_id]
-            known.out = False
-            if event.outcome is Outcome.OK and known.closed_at is None:
-                known.closed_at = now
+            record = self.open_requests[event.request_id]
+            record.in_flight = False
+            if event.outcome is Outcome.OK and record.ended_at is None:
+                record.ended_at = now
             event = AttemptEnded(
                 event.request_id,
                 event.attempt,
                 event.endpoint_id,
                 event.outcome,
-                known.closed_at is not None,
+                record.ended_at is not None,
                 event.latency_ns,
             )
             if not event.outcome.has_no_effect:
-                known.may_have_run.append(known.sends[event.attempt])
+                record.may_have_run.append(record.sends[event.attempt])
         elif isinstance(event, EndpointsChanged) and event.kind is UpdateKind.DELTA:
-            victim = self.rng.choice(list(self.servers))
-            old = self.servers[victim]
+            endpoint_id = self.rng.choice(list(self.endpoints))
+            old = self.endpoints[endpoint_id]
             state = self.rng.choice(list(EndpointState))
-            self.servers[victim] = Endpoint(victim, old.kind, state, 1.0, now, old.zone, old.cell)
-            event = EndpointsChanged(UpdateKind.DELTA, (self.servers[victim],))
+            self.endpoints[endpoint_id] = Endpoint(endpoint_id, old.kind, state, 1.0, now, old.zone, old.cell)
+            event = EndpointsChanged(UpdateKind.DELTA, (self.endpoints[endpoint_id],))
         for action in self.router.handle(event, now):
             self.log.append(action)
-            self.check(action, now)
+            self.check_action(action, now)
 
-    def check(self, action: Action, now: int) -> None:
+    def check_action(self, action: Action, now: int) -> None:
         if isinstance(action, SetTimer):
-            self.later(now + max(action.delay_ns, 0) + 1, TimerFired(action.token))
+            self.schedule(now + max(action.delay_ns, 0) + 1, TimerFired(action.token))
         elif isinstance(action, Reject | Fail):
-            known = self.open[action.request_id]
-            assert known.closed_at is None, "a second final answer"
-            assert now <= max(known.event.deadline_ns, known.sends[0][0] if known.sends else now) + 20 * MS
-            known.closed_at = now
-            cls = CLASSES[known.event.request_class]
+            record = self.open_requests[action.request_id]
+            assert record.ended_at is None, "a second final answer"
+            assert now <= max(record.event.deadline_ns, record.sends[0][0] if record.sends else now) + 20 * MS
+            record.ended_at = now
+            request_class = CLASSES[record.event.request_class]
             if (
                 isinstance(action, Reject)
-                and known.may_have_run
-                and cls.idempotency is not Idempotency.IDEMPOTENT
+                and record.may_have_run
+                and request_class.idempotency is not Idempotency.IDEMPOTENT
             ):
-                assert cls.idempotency is Idempotency.IDEMPOTENCY_KEY
-                assert cls.dedup_scope is DedupScope.ALL
+                assert request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+                assert request_class.dedup_scope is DedupScope.ALL
         elif isinstance(action, SendAttempt):
             self.check_send(action, now)
 
     def check_send(self, action: SendAttempt, now: int) -> None:
-        known = self.open[action.request_id]
-        cls = CLASSES[known.event.request_class]
-        assert known.closed_at is None, "an attempt after the final answer"
-        assert not known.out, "two attempts at once"
-        assert len(known.sends) < self.config.max_attempts
-        assert self.servers[action.endpoint_id].state is EndpointState.READY, "a drain broken"
-        if known.may_have_run and cls.idempotency is not Idempotency.IDEMPOTENT:
-            first_at, first_server = known.may_have_run[0]
-            assert cls.idempotency is Idempotency.IDEMPOTENCY_KEY
-            assert now - first_at < cls.dedup_window_ns
-            if cls.dedup_scope is DedupScope.ZONE:
-                assert self.servers[first_server].zone == self.servers[action.endpoint_id].zone
-        known.out = True
-        attempt = len(known.sends)
-        known.sends.append((now, action.endpoint_id))
-        left = known.event.deadline_ns - now
-        patience = min(action.timeout_ns or left, left)
-        takes = int(self.rng.expovariate(1.0) * 150) * MS
+        record = self.open_requests[action.request_id]
+        request_class = CLASSES[record.event.request_class]
+        assert record.ended_at is None, "an attempt after the final answer"
+        assert not record.in_flight, "two attempts at once"
+        assert len(record.sends) < self.config.max_attempts
+        assert self.endpoints[action.endpoint_id].state is EndpointState.READY, (
+            "an attempt at an endpoint that is not ready"
+        )
+        if record.may_have_run and request_class.idempotency is not Idempotency.IDEMPOTENT:
+            first_at, first_endpoint = record.may_have_run[0]
+            assert request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
+            assert now - first_at < request_class.dedup_window_ns
+            if request_class.dedup_scope is DedupScope.ZONE:
+                assert self.endpoints[first_endpoint].zone == self.endpoints[action.endpoint_id].zone
+        record.in_flight = True
+        attempt = len(record.sends)
+        record.sends.append((now, action.endpoint_id))
+        time_to_deadline = record.event.deadline_ns - now
+        time_left = min(action.timeout_ns or time_to_deadline, time_to_deadline)
+        duration = int(self.rng.expovariate(1.0) * 150) * MS
         outcome = Outcome.OK if self.rng.random() < 0.5 else self.rng.choice(FAILURES)
-        if takes >= patience:
-            takes, outcome = max(patience, 0), Outcome.TIMEOUT
-        done = AttemptEnded(action.request_id, attempt, action.endpoint_id, outcome, False, takes)
-        self.later(now + takes, done)
+        if duration >= time_left:
+            duration, outcome = max(time_left, 0), Outcome.TIMEOUT
+        done = AttemptEnded(action.request_id, attempt, action.endpoint_id, outcome, False, duration)
+        self.schedule(now + duration, done)
 
 
 @given(
@@ -184,7 +186,7 @@
         warm_up_initial_weight=0.2,
         warm_up_ns=S,
     )
-    first, second = World(config, seed), World(config, seed)
+    first, second = EventDriver(config, seed), EventDriver(config, seed)
     first.run(60)
     second.run(60)
     assert first.log == second.log
--- a/tests/policy/test_slot_rebalancing.py
+++ b/tests/policy/test_slot_rebalancing.py
@@ -27,7 +27,7 @@
 from tests.helpers import MS, S, fleet, settings, started
 from tests.policy.test_large_fleet import REPORTS, serve
 
-KNOWN = {**REPORTS, "gossip_allowed": True}
+GOSSIP_SETTINGS = {**REPORTS, "gossip_allowed": True}
 
 
 @dataclass
@@ -55,9 +55,9 @@
 def fractions(noise: int = 0) -> dict[int, float]:
     """Return fractions of 2,000 slots: donor's at 3 times, receiver's at 0.1 times the usual demand."""
     rng = random.Random(noise)
-    brings = {DONOR.seed: 3.0, RECEIVER.seed: 0.1}
+    demand = {DONOR.seed: 3.0, RECEIVER.seed: 0.1}
     count = {
-        slot: brings.get(first[0].seed, 1.0) * (rng.uniform(0.7, 1.3) if noise else 1.0)
+        slot: demand.get(first[0].seed, 1.0) * (rng.uniform(0.7, 1.3) if noise else 1.0)
         for slot, first in RANKINGS.items()
     }
     total = sum(count.values())
@@ -97,10 +97,10 @@
     assert before[RECEIVER.seed] < 0.3
     assert after[DONOR.seed] < 1.25
     assert after[RECEIVER.seed] > 0.5
-    moved = [
+    migrated = [
         slot for slot, seed in placement(rebalancer_after(90.0)).items() if seed != RANKINGS[slot][0].seed
     ]
-    assert len(moved) < 0.2 * len(RANKINGS)  # few more than necessary
+    assert len(migrated) < 0.2 * len(RANKINGS)  # few more than necessary
 
 
 def test_slots_migrate_at_no_more_than_the_bound_a_second() -> None:
@@ -158,20 +158,20 @@
     # The plan does not know which endpoints this router cannot reach, or that one has become overloaded.
     # Slots do not go to such a receiver, and an ejected donor's slots are not distributed to receivers.
     rebalancer = rebalancer_after(90.0)
-    to_idle = [
+    migrated = [
         slot
         for slot, seed in placement(rebalancer).items()
         if seed == RECEIVER.seed and RANKINGS[slot][0] is DONOR
     ]
-    assert to_idle
+    assert migrated
     monkeypatch.setattr(RECEIVER, "ejected", True)
-    assert all(placement(rebalancer)[slot] != RECEIVER.seed for slot in to_idle)
+    assert all(placement(rebalancer)[slot] != RECEIVER.seed for slot in migrated)
     monkeypatch.setattr(RECEIVER, "ejected", False)
     monkeypatch.setattr(RECEIVER, "slot_retention", 0.9)  # overloaded by its own load reports
-    assert all(placement(rebalancer)[slot] != RECEIVER.seed for slot in to_idle)
+    assert all(placement(rebalancer)[slot] != RECEIVER.seed for slot in migrated)
     monkeypatch.setattr(RECEIVER, "slot_retention", 1.0)
     monkeypatch.setattr(DONOR, "ejected", True)  # its slots go to the next-ranked one, which has its keys
-    assert all(rebalancer.receiver_rank(slot, RANKINGS[slot]) == 0 for slot in to_idle)
+    assert all(rebalancer.receiver_rank(slot, RANKINGS[slot]) == 0 for slot in migrated)
 
 
 def test_endpoint_with_a_short_response_time_releases_no_more_slots(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -208,40 +208,42 @@
 def test_one_event_ranks_a_bounded_number_of_slots() -> None:
     # Ranking a slot anew takes 2 us per endpoint; ranking all slots of a large fleet in one event stalled the
     # router. Each event ranks a few, and the plan is complete after several events.
-    rebalancer, asked = SlotRebalancer(), 0
+    rebalancer, ranked_anew = SlotRebalancer(), 0
     known: set[int] = set()
 
     def rank(slot: int, _share: float) -> tuple[list[FakeEndpoint], int]:
-        nonlocal asked
-        asked += slot not in known
+        nonlocal ranked_anew
+        ranked_anew += slot not in known
         known.add(slot)
         return RANKINGS[slot], 1
 
     for i in range(1, 120):
-        asked = 0
+        ranked_anew = 0
         rebalancer.add_sample(fractions(), 2000.0, i * 3 * S // 10)
         rebalancer.plan(rank, lambda slot: slot in known, ENDPOINTS, set(), i * 3 * S // 10)
-        assert asked <= MAX_SCORES_PER_EVENT // len(ENDPOINTS)
+        assert ranked_anew <= MAX_SCORES_PER_EVENT // len(ENDPOINTS)
         assert len(rebalancer._demand._weighted_requests) <= MAX_TRACKED_SLOTS
     assert DONOR.seed in rebalancer._retention
 
 
 def test_requests_of_a_migrated_slot_go_to_its_receiver() -> None:
     servers = fleet(20)
-    router = started(settings(**KNOWN), servers)
+    router = started(settings(**GOSSIP_SETTINGS), servers)
     rng = random.Random(5)
     ranks = {slot: router._caches.rank(slot, 0) for slot in rng.sample(range(SLOTS), 1600)}
-    busy = servers[4].id
-    share = {slot: 4.0 if endpoint[0].entry.id == busy else 1.0 for slot, endpoint in ranks.items()}
+    donor = servers[4].id
+    share = {slot: 4.0 if endpoint[0].entry.id == donor else 1.0 for slot, endpoint in ranks.items()}
     total = sum(share.values())
     share = {slot: one / total for slot, one in share.items()}
     for i in range(1, 100):
-        router.handle(LoadSnapshotChanged({busy: (100.0 * MS, 0)}, share, 1000.0), i * 3 * S // 10)
+        router.handle(LoadSnapshotChanged({donor: (100.0 * MS, 0)}, share, 1000.0), i * 3 * S // 10)
     assert router._selector.rebalancer.metrics()["giving"] >= 1
-    moved = [slot for slot in ranks if router._selector.rebalancer.receiver_rank(slot, ranks[slot])]
-    assert moved
-    assert all(ranks[slot][0].entry.id == busy for slot in moved) or len(moved) < 160
-    keys = {slot: f"k{i}" for i in range(200_000) if (slot := crc32(f"k{i}".encode()) % SLOTS) in moved[:5]}
+    migrated = [slot for slot in ranks if router._selector.rebalancer.receiver_rank(slot, ranks[slot])]
+    assert migrated
+    assert all(ranks[slot][0].entry.id == donor for slot in migrated) or len(migrated) < 160
+    keys = {
+        slot: f"k{i}" for i in range(200_000) if (slot := crc32(f"k{i}".encode()) % SLOTS) in migrated[:5]
+    }
     assert keys
     for slot, key in keys.items():
         receiver = ranks[slot][router._selector.rebalancer.receiver_rank(slot, ranks[slot])].entry.id
@@ -251,8 +253,8 @@
 def test_router_with_false_reports_counts_for_no_more_than_the_bound() -> None:
     # One router reports far more requests than it received, all for one slot. Its reports are scaled down.
     view = LoadView(0, 1)
-    for who in range(1, 20):
-        view.receive(LoadReport(who, 1, (), 11, {100 + who: 11}), S)
+    for router_id in range(1, 20):
+        view.receive(LoadReport(router_id, 1, (), 11, {100 + router_id: 11}), S)
     before, total = view.shares(S)
     view.receive(LoadReport(20, 1, (), 60_000, {7: 60_000}), S)
     after, _ = view.shares(S)
@@ -263,22 +265,22 @@
 
 def test_a_router_with_a_quarter_of_all_requests_counts_in_full() -> None:
     view = LoadView(0, 1)
-    for who in range(1, 20):
-        view.receive(LoadReport(who, 1, (), 12, {100 + who: 12}), S)
+    for router_id in range(1, 20):
+        view.receive(LoadReport(router_id, 1, (), 12, {100 + router_id: 12}), S)
     view.receive(LoadReport(20, 1, (), 76, {7: 76}), S)
     assert view.shares(S)[0][7] == pytest.approx(0.25)
 
 
 def test_forty_routers_together_leave_no_endpoint_idle() -> None:
     """40 routing policies with 20 endpoints, without networking: the same load with and without migration."""
-    found = {}
+    spreads = {}
     for migration_per_s in (0.0, MAX_MIGRATION_PER_S):
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(slot_rebalancing, "MAX_MIGRATION_PER_S", migration_per_s)
-            played = Fleet(40, 20, 400.0, 3, service=0.03, keys=2000)
-            played.run(24.0)
-            found[migration_per_s] = played.spread(12.0, 24.0)
-    assert found[MAX_MIGRATION_PER_S][1] > found[0.0][1] + 0.1
-    assert found[MAX_MIGRATION_PER_S][0] < found[0.0][0] + 0.05
+            simulated_fleet = Fleet(40, 20, 400.0, 3, service=0.03, keys=2000)
+            simulated_fleet.run(24.0)
+            spreads[migration_per_s] = simulated_fleet.spread(12.0, 24.0)
+    assert spreads[MAX_MIGRATION_PER_S][1] > spreads[0.0][1] + 0.1
+    assert spreads[MAX_MIGRATION_PER_S][0] < spreads[0.0][0] + 0.05
     assert PLAN_INTERVAL_NS <= 2 * S
     assert MIN_DONOR_RETENTION > 0.0
--- a/tests/policy/test_spread.py
+++ b/tests/policy/test_spread.py
@@ -18,8 +18,8 @@
 from tests.policy.test_large_fleet import REPORTS, serve
 
 SERVERS = fleet(20)
-KNOWN = {**REPORTS, "gossip_allowed": True}
-ENOUGH = 2 * MIN_SNAPSHOT_REQUESTS
+GOSSIP_SETTINGS = {**REPORTS, "gossip_allowed": True}
+ENOUGH_REQUESTS = 2 * MIN_SNAPSHOT_REQUESTS
 SPREAD_SEEDS = (3, 4, 5)  # the ratio of a single seed varies by 0.04 with unrelated random draws
 
 
@@ -33,78 +33,83 @@
 
 
 def test_key_hot_at_all_routers_has_more_owners_at_one_that_meets_it_first() -> None:
-    router = started(settings(**KNOWN), SERVERS)
+    router = started(settings(**GOSSIP_SETTINGS), SERVERS)
     first = {serve(router, "a", "hot", 0, {})}
-    router.handle(LoadSnapshotChanged({}, {slot("hot"): 0.1}, ENOUGH), 0)
+    router.handle(LoadSnapshotChanged({}, {slot("hot"): 0.1}, ENOUGH_REQUESTS), 0)
     assert first < owners(router, "hot", S)
     assert 5 <= len(owners(router, "hot", 3 * S)) <= 8  # 0.1 of 20 endpoints' load, a quarter of one for each
 
 
 def test_key_popular_at_one_router_only_is_not_hot() -> None:
-    router = started(settings(**KNOWN), SERVERS)
+    router = started(settings(**GOSSIP_SETTINGS), SERVERS)
     assert len(owners(router, "mine", S)) > 5  # the only key requested from this router
-    router.handle(LoadSnapshotChanged({}, {slot("hot"): 0.1}, ENOUGH), 3 * S)
+    router.handle(LoadSnapshotChanged({}, {slot("hot"): 0.1}, ENOUGH_REQUESTS), 3 * S)
     assert len(owners(router, "mine", 3 * S)) == 1
 
 
 def test_router_with_a_large_part_of_all_requests_goes_by_its_own_counts() -> None:
-    router = started(settings(**KNOWN), SERVERS)
-    router.handle(LoadSnapshotChanged({}, {slot("other"): 0.1}, ENOUGH, 0.5 * ENOUGH), 0)
+    router = started(settings(**GOSSIP_SETTINGS), SERVERS)
+    router.handle(LoadSnapshotChanged({}, {slot("other"): 0.1}, ENOUGH_REQUESTS, 0.5 * ENOUGH_REQUESTS), 0)
     assert len(owners(router, "mine", S)) > 5  # the only key requested from this router
-    router.handle(LoadSnapshotChanged({}, {slot("other"): 0.1}, ENOUGH, 0.25 * ENOUGH), 3 * S)
+    router.handle(
+        LoadSnapshotChanged({}, {slot("other"): 0.1}, ENOUGH_REQUESTS, 0.25 * ENOUGH_REQUESTS), 3 * S
+    )
     assert len(owners(router, "mine", 3 * S)) == 1
 
 
 def test_snapshot_of_too_few_requests_is_ignored() -> None:
-    router = started(settings(**KNOWN), SERVERS)
+    router = started(settings(**GOSSIP_SETTINGS), SERVERS)
     router.handle(LoadSnapshotChanged({}, {}, MIN_SNAPSHOT_REQUESTS - 1), 0)
     assert len(owners(router, "mine", S)) > 5
-    router.handle(LoadSnapshotChanged({}, {}, ENOUGH), 3 * S)
+    router.handle(LoadSnapshotChanged({}, {}, ENOUGH_REQUESTS), 3 * S)
     assert len(owners(router, "mine", 3 * S)) == 1
     router.handle(LoadSnapshotChanged({}, {}, 0.0), 6 * S)  # partitioned from all other routers
     assert len(owners(router, "mine", 6 * S)) > 5
 
 
 def test_response_time_older_than_the_endpoints_own_report_is_ignored() -> None:
-    router = started(settings(**KNOWN), SERVERS)
+    router = started(settings(**GOSSIP_SETTINGS), SERVERS)
     name = serve(router, "a", "k", 0, {SERVERS[i].id: (30.0, 0.0) for i in range(20)})
-    node = router._caches.endpoints[name]
-    own, at = node.reported_response_time_ns, node.reported.at_ns
-    router.handle(LoadSnapshotChanged({name: (900.0 * MS, 2 * S)}, {}, ENOUGH), at + S)
-    assert (node.reported_response_time_ns, node.reported.at_ns) == (own, at)
-    router.handle(LoadSnapshotChanged({name: (900.0 * MS, S // 2)}, {}, ENOUGH), at + S)
-    assert (node.reported_response_time_ns, node.reported.at_ns) == (900.0 * MS, at + S // 2)
-    assert node.slot_retention < 1.0  # released because of a report to another router
+    endpoint = router._caches.endpoints[name]
+    own, at = endpoint.reported_response_time_ns, endpoint.reported.at_ns
+    router.handle(LoadSnapshotChanged({name: (900.0 * MS, 2 * S)}, {}, ENOUGH_REQUESTS), at + S)
+    assert (endpoint.reported_response_time_ns, endpoint.reported.at_ns) == (own, at)
+    router.handle(LoadSnapshotChanged({name: (900.0 * MS, S // 2)}, {}, ENOUGH_REQUESTS), at + S)
+    assert (endpoint.reported_response_time_ns, endpoint.reported.at_ns) == (900.0 * MS, at + S // 2)
+    assert endpoint.slot_retention < 1.0  # released because of a report to another router
 
 
 def test_repeated_old_load_report_releases_no_more_slots() -> None:
-    router = started(settings(**KNOWN), SERVERS)
-    node = router._caches.endpoints[SERVERS[3].id]
+    router = started(settings(**GOSSIP_SETTINGS), SERVERS)
+    endpoint = router._caches.endpoints[SERVERS[3].id]
     for i in range(1, 30):
         router.handle(
-            LoadSnapshotChanged({SERVERS[3].id: (900.0 * MS, i * S // 3)}, {}, ENOUGH), S + i * S // 3
+            LoadSnapshotChanged({SERVERS[3].id: (900.0 * MS, i * S // 3)}, {}, ENOUGH_REQUESTS),
+            S + i * S // 3,
         )
-    assert node.reported.at_ns == S
-    assert node.slot_retention > 0.3  # as after a single report
+    assert endpoint.reported.at_ns == S
+    assert endpoint.slot_retention > 0.3  # as after a single report
 
 
 def test_load_snapshot_ends_no_ejection() -> None:
-    router = started(settings(**KNOWN), SERVERS)
-    node = router._caches.endpoints[SERVERS[3].id]
-    node.health.ejected = True
-    node.health._probability = -0.02
-    router.handle(LoadSnapshotChanged({SERVERS[3].id: (1.0 * MS, 0), "unknown": (1.0, 0)}, {}, ENOUGH), S)
-    assert node.ejected
-    assert node.health._probability < 0
+    router = started(settings(**GOSSIP_SETTINGS), SERVERS)
+    endpoint = router._caches.endpoints[SERVERS[3].id]
+    endpoint.health.ejected = True
+    endpoint.health._probability = -0.02
+    router.handle(
+        LoadSnapshotChanged({SERVERS[3].id: (1.0 * MS, 0), "unknown": (1.0, 0)}, {}, ENOUGH_REQUESTS), S
+    )
+    assert endpoint.ejected
+    assert endpoint.health._probability < 0
 
 
 def test_observations_are_returned_once_and_bounded() -> None:
-    router = started(settings(**KNOWN), SERVERS)
+    router = started(settings(**GOSSIP_SETTINGS), SERVERS)
     seen = Counter(serve(router, f"r{i}", f"k{i % 3}", i * 30 * MS, {}) for i in range(9))
-    waits, asked = router.take_observations()
-    assert waits.keys() == seen.keys()
-    assert all(wait > 0 for wait, _ in waits.values())
-    assert asked == {slot(f"k{i}"): 3 for i in range(3)}
+    response_times, slot_requests = router.take_observations()
+    assert response_times.keys() == seen.keys()
+    assert all(response_time > 0 for response_time, _ in response_times.values())
+    assert slot_requests == {slot(f"k{i}"): 3 for i in range(3)}
     assert router.take_observations() == ({}, {})
     for i in range(2 * MAX_OBSERVED_SLOTS):
         router.handle(request(f"x{i}", 0, tenant=None, key=f"x{i}"), 0)
@@ -146,5 +151,7 @@
         assert not outcome.failed, (outcome.fault, outcome.broken[:3])
         assert outcome.played is not None
         history = outcome.played.history
-        fetched[peers] += sum(one.server == "store" and not one.idempotency for one in history.attempts)
+        fetched[peers] += sum(
+            attempt.server == "store" and not attempt.idempotency for attempt in history.attempts
+        )
     assert fetched["true"] < 0.95 * fetched["false"]
