--- a/holdgw/policy/endpoint_selection.py
+++ b/holdgw/policy/endpoint_selection.py
@@ -40,7 +40,7 @@
         """
         ranking, owners = self.rank(slot, popularity, now_ns)
         if owners > 1:
-            return self._with_owners_drawn(slot, ranking, owners, now_ns)
+            return self._with_shuffled_owners(slot, ranking, owners, now_ns)
         receiver = self.rebalancer.receiver_rank(slot, ranking)
         if receiver:
             return [ranking[receiver], *ranking[:receiver], *ranking[receiver + 1 :]]
@@ -51,7 +51,7 @@
         owners = owner_count(popularity, len(self._endpoints.endpoints))
         return self._endpoints.rank(slot, now_ns, max(owners, RANKING_DEPTH)), owners
 
-    def _with_owners_drawn(
+    def _with_shuffled_owners(
         self, slot: int, ranking: list[TrackedEndpoint], owners: int, now_ns: int
     ) -> list[TrackedEndpoint]:
         """Put a hot slot's owners, of which there are more while they are overloaded, in a random order."""
@@ -60,8 +60,8 @@
         if load_factor > 1.0:
             owners = math.ceil(owners * min(load_factor, MAX_OWNER_FACTOR))
             ranking = self._endpoints.rank(slot, now_ns, max(owners, RANKING_DEPTH))
-        drawn = sorted(ranking[:owners], key=lambda endpoint: self._preference(endpoint, now_ns))
-        return drawn + ranking[owners:]
+        shuffled_owners = sorted(ranking[:owners], key=lambda endpoint: self._preference(endpoint, now_ns))
+        return shuffled_owners + ranking[owners:]
 
     def _preference(self, endpoint: TrackedEndpoint, now_ns: int) -> tuple[float, float]:
         """Return a sort key: fewest attempts in flight first; ties in random order, by weight.
--- a/holdgw/policy/events.py
+++ b/holdgw/policy/events.py
@@ -67,7 +67,7 @@
     HIT = 1
     MISS = 2
     MISS_FETCH_PENDING = 3
-    """A miss, while another request has been told to fetch the value."""
+    """A miss; the cache server has already let another request fetch the value."""
 
 
 class RequestArrived(Struct, frozen=True, gc=False):
--- a/holdgw/policy/hot_keys.py
+++ b/holdgw/policy/hot_keys.py
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self._counter = PopularityCounter[int]()
-        self._shared: dict[int, float] | None = None
+        self._shared_popularity: dict[int, float] | None = None
 
     @property
     def counts(self) -> dict[int, float]:
@@ -67,8 +67,8 @@
     def record_request(self, slot: int) -> float:
         """Count a request; return the slot's fraction of all requests, 0 to 1."""
         popularity = self._counter.add(slot)
-        if self._shared is not None:
-            return self._shared.get(slot, 0.0)
+        if self._shared_popularity is not None:
+            return self._shared_popularity.get(slot, 0.0)
         return popularity
 
     def apply_snapshot(self, snapshot: LoadSnapshotChanged) -> bool:
@@ -79,7 +79,7 @@
         """
         sampled = snapshot.sampled_requests
         usable = sampled >= MIN_SNAPSHOT_REQUESTS and snapshot.own_requests < MAX_OWN_FRACTION * sampled
-        self._shared = snapshot.slot_shares if usable else None
+        self._shared_popularity = snapshot.slot_shares if usable else None
         return usable
 
     def restore(self, counts: Mapping[int, float]) -> None:
--- a/holdgw/policy/retry_policy.py
+++ b/holdgw/policy/retry_policy.py
@@ -86,11 +86,11 @@
             return False
         if rules.dedup_scope is DedupScope.ALL:
             return True
-        here = endpoint.entry
-        there = request.first_run_endpoint.entry
-        if here.zone != there.zone:
+        entry = endpoint.entry
+        first_run_entry = request.first_run_endpoint.entry
+        if entry.zone != first_run_entry.zone:
             return False
-        return rules.dedup_scope is DedupScope.ZONE or here.cell == there.cell
+        return rules.dedup_scope is DedupScope.ZONE or entry.cell == first_run_entry.cell
 
     def write_within_ns(self, request: PendingRequest, now: int) -> int:
         """Return the time (ns) within which an attempt must be written, for `SendAttempt`; 0: no bound.
--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -212,10 +212,10 @@
         if event.kind is UpdateKind.FAILED:
             return
         ready = [entry for entry in event.endpoints if entry.state is EndpointState.READY]
-        left = [entry.id for entry in event.endpoints if entry.state is not EndpointState.READY]
+        removed = [entry.id for entry in event.endpoints if entry.state is not EndpointState.READY]
         for table, is_origin in ((self._caches, False), (self._origins, True)):
             listed = [entry for entry in ready if (entry.kind == self._settings.origin_kind) == is_origin]
-            gone = list(left)
+            gone = list(removed)
             if event.kind is not UpdateKind.DELTA:
                 gone += table.endpoints.keys() - {entry.id for entry in listed}
             table.update(listed, gone)
--- a/holdgw/policy/slot_loads.py
+++ b/holdgw/policy/slot_loads.py
@@ -36,19 +36,19 @@
         `MAX_UNSAMPLED_FACTOR` allows is assumed to be distributed as that of the sampled slots, and the rest
         to be equal at all endpoints.
         """
-        seen = sum(self._own_loads.values())
-        missing = max(1.0 - seen - sum(self._sticky_loads.values()), 0.0)
-        factor = min(missing, seen * MAX_UNSAMPLED_FACTOR) / seen if seen > 0.0 else 0.0
+        sampled = sum(self._own_loads.values())
+        missing = max(1.0 - sampled - sum(self._sticky_loads.values()), 0.0)
+        factor = min(missing, sampled * MAX_UNSAMPLED_FACTOR) / sampled if sampled > 0.0 else 0.0
         self._unsampled_factor = 1.0 + factor
-        self._unsampled_load = missing - factor * seen
+        self._unsampled_load = missing - factor * sampled
 
-    def current(self, seed: int, fair_fraction: float) -> float:
+    def current_load(self, seed: int, fair_fraction: float) -> float:
         """Return an endpoint's load by the current placement of slots, in units of its fair load."""
         sticky = self._sticky_loads.get(seed, 0.0)
         placed = self._placed_loads.get(seed, 0.0) * self._unsampled_factor
         return (sticky + placed) / fair_fraction + self._unsampled_load
 
-    def own(self, seed: int, fair_fraction: float) -> float:
+    def own_load(self, seed: int, fair_fraction: float) -> float:
         """Return an endpoint's load from its own slots that may migrate, in units of its fair load."""
-        own = self._own_loads.get(seed, 0.0) * self._unsampled_factor
-        return own / fair_fraction + self._unsampled_load
+        own_load = self._own_loads.get(seed, 0.0) * self._unsampled_factor
+        return own_load / fair_fraction + self._unsampled_load
--- a/holdgw/policy/slot_rebalancing.py
+++ b/holdgw/policy/slot_rebalancing.py
@@ -122,14 +122,14 @@
     ) -> None:
         """Add the loads of a batch of the remaining slots; slots beyond the bound on ranking are left out."""
         total_weight = sum(endpoint.weight for endpoint in endpoints)
-        may_be_ranked = max(MAX_SCORES_PER_EVENT // len(endpoints), 1)
+        uncached_left = max(MAX_SCORES_PER_EVENT // len(endpoints), 1)
         batch = self._remaining[-MAX_SLOTS_PER_EVENT:]
         self._remaining = self._remaining[:-MAX_SLOTS_PER_EVENT]
         for slot in reversed(batch):
             if not is_ranked(slot):
-                if not may_be_ranked:
+                if not uncached_left:
                     continue
-                may_be_ranked -= 1
+                uncached_left -= 1
             fraction = self._demand.fraction(slot)
             ranking, owners = rank(slot, fraction)
             self._place(slot, fraction, ranking, owners, total_weight)
@@ -164,10 +164,10 @@
         for endpoint in endpoints:
             seed = endpoint.seed
             fair_fraction = endpoint.weight / total_weight
-            own_load = self._loads.own(seed, fair_fraction)
+            own_load = self._loads.own_load(seed, fair_fraction)
             before = self._spare_load.get(seed, 0.0)
-            spare = before + self._correction(
-                self._loads.current(seed, fair_fraction), before, confidence, elapsed_s
+            spare = before + self._spare_load_change(
+                self._loads.current_load(seed, fair_fraction), before, confidence, elapsed_s
             )
             max_spare = 0.0 if seed in warming_up else MAX_SPARE_LOAD
             spare = min(max(spare, own_load * (MIN_DONOR_RETENTION - 1.0)), max_spare)
@@ -181,7 +181,9 @@
         self._retention = retention
         self._sticky = self._loads.sticky
 
-    def _correction(self, load: float, spare_before: float, confidence: float, elapsed_s: float) -> float:
+    def _spare_load_change(
+        self, load: float, spare_before: float, confidence: float, elapsed_s: float
+    ) -> float:
         """Return the change of an endpoint's spare load, in fair loads, within the bound on migration.
 
         The spare load moves towards the value at which the endpoint has its fair load, and towards 0; the
--- a/holdgw/policy/slot_table.py
+++ b/holdgw/policy/slot_table.py
@@ -13,7 +13,7 @@
 
 SLOTS = 8192  # many more than endpoints, so that the load of one slot is small compared with an endpoint's
 RANKING_DEPTH = 8  # endpoints in a slot's ranking: more than any request has attempts
-SPARE_RANKS = 4  # additional cached ranks, so that some endpoints may leave before the slot is ranked anew
+SPARE_RANKS = 4  # additional cached ranks, so that some endpoints may leave before the slot is ranked again
 MAX_RANKS = 2 * RANKING_DEPTH + SPARE_RANKS  # cached for a slot while endpoints join
 MAX_PENDING_CHANGES = 64  # joins and leaves applied to cached rankings; after more, the cache is cleared
 MASK_64_BITS = (1 << 64) - 1
@@ -39,7 +39,7 @@
         """The highest number of endpoints that were ready at the same time."""
         self._weighted = settings.weights_state_capacity
         self._warm_up = WarmUpCurve(settings)
-        self._warming_until_ns = 0
+        self._warm_up_end_ns = 0
         self._changes: list[Change] = []
         # By slot: how many of `_changes` are applied to its cached ranking, and the ranking.
         self._rankings: dict[int, tuple[int, list[ScoredEndpoint]]] = {}
@@ -66,7 +66,7 @@
             self._changes = []
         self.max_endpoints_listed = max(self.max_endpoints_listed, len(self.endpoints))
         newest = max((endpoint.entry.started_ns for endpoint in self.endpoints.values()), default=0)
-        self._warming_until_ns = newest + self._warm_up.duration_ns
+        self._warm_up_end_ns = newest + self._warm_up.duration_ns
 
     def warm_up_weight(self, endpoint: TrackedEndpoint, now_ns: int) -> float:
         """Return an endpoint's warm-up weight: the fraction of its weight, from the initial weight to 1."""
@@ -74,7 +74,7 @@
 
     def any_warming_up(self, now_ns: int) -> bool:
         """Whether some endpoint may still be warming up."""
-        return now_ns < self._warming_until_ns
+        return now_ns < self._warm_up_end_ns
 
     def warming_up_seeds(self, now_ns: int) -> set[int]:
         """Return the seeds of the endpoints that are warming up."""
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(("outcome", "count"), FAILURES_IN_A_ROW[:3])
-def test_a_good_answer_in_between_begins_the_count_anew(outcome: Outcome, count: int) -> None:
+def test_a_good_answer_in_between_starts_the_count_again(outcome: Outcome, count: int) -> None:
     assert not after(*[outcome] * (count - 1), Outcome.OK, *[outcome] * (count - 1)).ejected
 
 
@@ -85,7 +85,7 @@
     assert health.probability(S + RECOVERY_NS) == pytest.approx(1.0 + EJECTED_PROBABILITY)
 
 
-def test_failed_trial_ejects_anew_and_a_good_answer_ends_the_ejection() -> None:
+def test_failed_trial_ejects_again_and_a_good_answer_ends_the_ejection() -> None:
     health = after(*[Outcome.CONNECT_FAILED] * MAX_CONSECUTIVE_CONNECT_FAILURES)
     health.record(AttemptResult(Outcome.RESET, False, 30 * S, 30 * S))
     assert health.ejected
@@ -95,7 +95,7 @@
     assert health.probability(60 * S) == pytest.approx(EJECTED_PROBABILITY + 0.5 + 0.05)
 
 
-def test_late_answers_lower_the_admission_probability_and_eject_nobody() -> None:
+def test_late_answers_lower_the_admission_probability_and_do_not_eject() -> None:
     health = after(*[Outcome.OK] * 50, late=True)
     assert not health.ejected
     assert health.probability(S + 50 * MS) == MIN_ADMISSION_PROBABILITY
--- a/tests/policy/test_origin_concurrency.py
+++ b/tests/policy/test_origin_concurrency.py
@@ -110,7 +110,7 @@
     assert limiter.rate_limit < limiter.max_rate_limit
 
 
-def test_queued_writes_are_sent_when_the_origin_is_listed_anew() -> None:
+def test_queued_writes_are_sent_when_the_origin_is_listed_again() -> None:
     router = started(settings(), fleet(2))
     writes = [only_send(router.handle(request(f"w{i}", S, cls="edit"), S)) for i in range(8)]
     for write in writes[:6]:
--- a/tests/policy/test_spread.py
+++ b/tests/policy/test_spread.py
@@ -32,7 +32,7 @@
     return {serve(router, f"{key}-{now}-{i}", key, now + i * 30 * MS, {}) for i in range(40)}
 
 
-def test_key_hot_at_all_routers_has_more_owners_at_one_that_meets_it_first() -> None:
+def test_key_hot_at_all_routers_has_more_owners_at_a_router_that_gets_it_first() -> None:
     router = started(settings(**GOSSIP_SETTINGS), SERVERS)
     first = {serve(router, "a", "hot", 0, {})}
     router.handle(LoadSnapshotChanged({}, {slot("hot"): 0.1}, ENOUGH_REQUESTS), 0)
@@ -47,7 +47,7 @@
     assert len(owners(router, "mine", 3 * S)) == 1
 
 
-def test_router_with_a_large_part_of_all_requests_goes_by_its_own_counts() -> None:
+def test_router_with_a_large_fraction_of_all_requests_uses_its_own_counts() -> None:
     router = started(settings(**GOSSIP_SETTINGS), SERVERS)
     router.handle(LoadSnapshotChanged({}, {slot("other"): 0.1}, ENOUGH_REQUESTS, 0.5 * ENOUGH_REQUESTS), 0)
     assert len(owners(router, "mine", S)) > 5  # the only key requested from this router
