--- a/holdgw/policy/endpoint_selection.py
+++ b/holdgw/policy/endpoint_selection.py
@@ -40,7 +40,7 @@
         """
         ranking, owners = self.rank(slot, popularity, now_ns)
         if owners > 1:
-            return self._with_shuffled_owners(slot, ranking, owners, now_ns)
+            return self._with_ordered_owners(slot, ranking, owners, now_ns)
         receiver = self.rebalancer.receiver_rank(slot, ranking)
         if receiver:
             return [ranking[receiver], *ranking[:receiver], *ranking[receiver + 1 :]]
@@ -51,17 +51,17 @@
         owners = owner_count(popularity, len(self._endpoints.endpoints))
         return self._endpoints.rank(slot, now_ns, max(owners, RANKING_DEPTH)), owners
 
-    def _with_shuffled_owners(
+    def _with_ordered_owners(
         self, slot: int, ranking: list[TrackedEndpoint], owners: int, now_ns: int
     ) -> list[TrackedEndpoint]:
-        """Put a hot slot's owners, of which there are more while they are overloaded, in a random order."""
+        """Order a hot slot's owners by preference; there are more of them while they are overloaded."""
         reported_ns = sum(endpoint.reported_response_time_ns for endpoint in ranking[:owners])
         load_factor = reported_ns / owners / self._reports.overload_response_time_ns()
         if load_factor > 1.0:
             owners = math.ceil(owners * min(load_factor, MAX_OWNER_FACTOR))
             ranking = self._endpoints.rank(slot, now_ns, max(owners, RANKING_DEPTH))
-        shuffled_owners = sorted(ranking[:owners], key=lambda endpoint: self._preference(endpoint, now_ns))
-        return shuffled_owners + ranking[owners:]
+        ordered_owners = sorted(ranking[:owners], key=lambda endpoint: self._preference(endpoint, now_ns))
+        return ordered_owners + ranking[owners:]
 
     def _preference(self, endpoint: TrackedEndpoint, now_ns: int) -> tuple[float, float]:
         """Return a sort key: fewest attempts in flight first; ties in random order, by weight.
