--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -1,4 +1,4 @@
-"""Outlier detection: what ejects an endpoint, and how it comes back."""
+"""Outlier detection: which failures eject an endpoint, and what ends the ejection."""
 
 from __future__ import annotations
 
@@ -26,37 +26,37 @@
 ]
 
 
-def after(*outcomes: Outcome, others_well: bool = True, late: bool = False) -> EndpointHealth:
-    """The health after such attempts, one a millisecond, all sent after the endpoint's last answer."""
+def after(*outcomes: Outcome, others_healthy: bool = True, late: bool = False) -> EndpointHealth:
+    """Return the health after such attempts, one a millisecond, all sent after the endpoint's last answer."""
     health = EndpointHealth()
     for number, outcome in enumerate(outcomes, start=1):
         now_ns = S + number * MS
-        health.record(AttemptResult(outcome, late, now_ns, now_ns, others_well))
+        health.record(AttemptResult(outcome, late, now_ns, now_ns, others_healthy))
     return health
 
 
 @pytest.mark.parametrize(("outcome", "count"), FAILURES_IN_A_ROW)
 def test_failures_of_one_kind_in_a_row_eject(outcome: Outcome, count: int) -> None:
-    # A dead process refuses connections, a hanging one answers nothing: each shows as one kind of failure in
-    # a row. One fewer is chance, and leaves the endpoint in use.
+    # A dead process refuses connections, and a hanging one answers nothing: each causes consecutive failures
+    # of one kind. One failure fewer may be chance, and the endpoint stays in use.
     assert not after(*[outcome] * (count - 1)).ejected
     assert after(*[outcome] * count).ejected
 
 
 @pytest.mark.parametrize(("outcome", "count"), FAILURES_IN_A_ROW[:3])
-def test_a_good_answer_in_between_begins_the_count_anew(outcome: Outcome, count: int) -> None:
+def test_a_good_answer_in_between_starts_the_count_again(outcome: Outcome, count: int) -> None:
     assert not after(*[outcome] * (count - 1), Outcome.OK, *[outcome] * (count - 1)).ejected
 
 
 def test_failed_connection_keeps_the_count_of_resets() -> None:
-    # A reset is often followed by a connection that is not established: the row of resets goes on.
+    # A reset is often followed by a connection that is not established; the count of resets goes on.
     resets = [Outcome.RESET] * (MAX_CONSECUTIVE_RESETS - 1)
     assert after(*resets, Outcome.CONNECT_FAILED, Outcome.RESET).ejected
 
 
 def test_timeouts_do_not_eject_while_other_endpoints_are_overloaded() -> None:
-    # In an overload answers stay out everywhere: to eject for it would leave no endpoint.
-    assert not after(*[Outcome.TIMEOUT] * 10, others_well=False).ejected
+    # In an overload answers are missing everywhere; ejecting endpoints for it would leave none.
+    assert not after(*[Outcome.TIMEOUT] * 10, others_healthy=False).ejected
 
 
 def test_timeouts_do_not_eject_an_endpoint_that_answers_others_meanwhile() -> None:
@@ -69,14 +69,14 @@
 
 
 def test_one_refused_connection_ejects_where_idle_connections_were_closed() -> None:
-    # A process that ends closes its idle connections first: the next refusal tells that it is gone.
+    # A process that ends closes its idle connections first, so the next refusal means that it is gone.
     health = EndpointHealth()
     health.record(AttemptResult(Outcome.CONNECT_FAILED, False, S, refused_after_idle_close=True))
     assert health.ejected
 
 
 def test_ejected_endpoint_gets_nothing_for_1_2_s_and_then_trials() -> None:
-    # The endpoint is gone and may come back at any time: a request now and then finds out when.
+    # The endpoint may come back at any time; a trial request now and then detects it.
     health = EndpointHealth()
     health.record(AttemptResult(Outcome.CONNECT_FAILED, False, S, refused_after_idle_close=True))
     assert health.probability(S) == EJECTED_PROBABILITY
@@ -85,7 +85,7 @@
     assert health.probability(S + RECOVERY_NS) == pytest.approx(1.0 + EJECTED_PROBABILITY)
 
 
-def test_failed_trial_ejects_anew_and_a_good_answer_ends_the_ejection() -> None:
+def test_failed_trial_ejects_again_and_a_good_answer_ends_the_ejection() -> None:
     health = after(*[Outcome.CONNECT_FAILED] * MAX_CONSECUTIVE_CONNECT_FAILURES)
     health.record(AttemptResult(Outcome.RESET, False, 30 * S, 30 * S))
     assert health.ejected
@@ -95,7 +95,7 @@
     assert health.probability(60 * S) == pytest.approx(EJECTED_PROBABILITY + 0.5 + 0.05)
 
 
-def test_late_answers_lower_the_admission_probability_and_eject_nobody() -> None:
+def test_late_answers_lower_the_admission_probability_and_do_not_eject() -> None:
     health = after(*[Outcome.OK] * 50, late=True)
     assert not health.ejected
     assert health.probability(S + 50 * MS) == MIN_ADMISSION_PROBABILITY
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""Retries: where a request is sent again, attempt timeouts, the retry budget, and repeats that do harm."""
+"""Retries: where a request is sent again, attempt timeouts, the retry budget, and unsafe repeats."""
 
 from __future__ import annotations
 
@@ -55,19 +55,19 @@
     zones = tuple(Endpoint(f"s{i}", zone=f"z{i % 2}") for i in range(6))
     router = started(settings(origin_kind=None), zones, origin=False)
     send = only_send(router.handle(request("w", cls="zonal"), 0))
-    again = only_send(router.handle(ended(send, Outcome.ERROR), 5 * MS))
+    retry = only_send(router.handle(ended(send, Outcome.ERROR), 5 * MS))
     zone_of = {server.id: server.zone for server in zones}
-    assert again.endpoint_id != send.endpoint_id
-    assert zone_of[again.endpoint_id] == zone_of[send.endpoint_id]
-    third = only_send(router.handle(ended(again, Outcome.ERROR, 1), 6 * MS))
+    assert retry.endpoint_id != send.endpoint_id
+    assert zone_of[retry.endpoint_id] == zone_of[send.endpoint_id]
+    third = only_send(router.handle(ended(retry, Outcome.ERROR, 1), 6 * MS))
     assert router.handle(ended(third, Outcome.ERROR, 2), 7 * MS) == [Fail("w")]
 
 
 @pytest.mark.parametrize("outcome", [Outcome.MALFORMED, Outcome.RESET])
 def test_answer_lost_in_transit_is_retried_once_at_the_same_endpoint(outcome: Outcome) -> None:
-    # A connection breaks late, or an answer can't be parsed, at an endpoint that is well. The next-ranked
-    # endpoint would miss, and cost a fetch. The policy retries once where the key is, and then at the next
-    # endpoint.
+    # A connection breaks late, or an answer can't be parsed, at a healthy endpoint. The next-ranked endpoint
+    # would miss, and need a fetch. The policy retries once at the same endpoint, which has the key, and then
+    # at the next one.
     router = started(settings(), fleet(5))
     first = only_send(router.handle(request("r"), 0))
     second = only_send(router.handle(ended(first, outcome, latency=200 * MS), 5 * MS))
@@ -78,16 +78,16 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED])
 def test_quick_connection_failure_is_retried_at_the_same_endpoint(outcome: Outcome) -> None:
-    # Connections break at once, twice in a row. No time is lost, and the next-ranked endpoint would miss.
-    # The policy retries at the same endpoint while attempts last, and the endpoint stays well.
+    # Two consecutive connections break at once. No time is lost, and the next-ranked endpoint would miss.
+    # The policy retries at the same endpoint while attempts are left, and the endpoint stays healthy.
     router = started(settings(tenants=()), fleet(5))
     send = only_send(router.handle(request("r"), 0))
-    first, node = send.endpoint_id, router._caches.endpoints[send.endpoint_id]
+    first, endpoint = send.endpoint_id, router._caches.endpoints[send.endpoint_id]
     for attempt in range(2):
         send = only_send(router.handle(ended(send, outcome, attempt, latency=MS), 0))
         assert send.endpoint_id == first
     router.handle(ended(send, Outcome.OK, 2), 0)
-    assert (node.ejected, node.admission_probability(0)) == (False, 1.0)
+    assert (endpoint.ejected, endpoint.admission_probability(0)) == (False, 1.0)
 
 
 def test_fetch_that_broke_after_its_answer_began_is_read_from_the_cache() -> None:
@@ -100,26 +100,26 @@
 
 def test_fetch_with_a_malformed_answer_is_read_from_the_cache_and_cuts_no_limit() -> None:
     router = started(settings(), fleet(5))
-    caps = [limiter.rate_limit for limiter in router._origin_limiters.values()]
+    initial_limits = [limiter.rate_limit for limiter in router._origin_limiters.values()]
     for i in range(9):
         first = only_send(router.handle(request(f"r{i}", key=f"k{i}"), 0))
         fetch = only_send(router.handle(ended(first, Outcome.MISS), 5 * MS))
-        again = only_send(router.handle(ended(fetch, Outcome.MALFORMED, 1), 9 * MS))
-        assert (fetch.endpoint_id, again.endpoint_id) == (ORIGIN.id, first.endpoint_id)
-        router.handle(ended(again, Outcome.OK, 2), 9 * MS)
-    assert [limiter.rate_limit for limiter in router._origin_limiters.values()] == caps
+        retry = only_send(router.handle(ended(fetch, Outcome.MALFORMED, 1), 9 * MS))
+        assert (fetch.endpoint_id, retry.endpoint_id) == (ORIGIN.id, first.endpoint_id)
+        router.handle(ended(retry, Outcome.OK, 2), 9 * MS)
+    assert [limiter.rate_limit for limiter in router._origin_limiters.values()] == initial_limits
 
 
 @pytest.mark.parametrize(("then", "least", "most"), [(Outcome.ERROR, 3, 6), (Outcome.OK, 40, 40)])
 def test_missing_answer_is_retried_by_attempt_timeout_within_the_retry_budget(
     then: Outcome, least: int, most: int
 ) -> None:
-    # A connection falls silent while its endpoint is well, and the whole deadline would pass. The policy
-    # retries when the attempt timeout is over, and the retry budget keeps this rare unless prompt answers
+    # A connection stalls although its endpoint is healthy, and the request would wait until its deadline. The
+    # policy retries after the attempt timeout, and the retry budget keeps this rare unless prompt answers
     # prove the losses.
     router = started(settings(), fleet(1), origin=False)
     router.handle(ended(only_send(router.handle(request("first"), 0)), Outcome.OK), 0)
-    again = 0
+    retries = 0
     for i in range(40):
         send = only_send(router.handle(request(f"r{i}"), 0))
         if send.timeout_ns:
@@ -129,8 +129,8 @@
             assert (second.endpoint_id, second.timeout_ns) == (send.endpoint_id, 0)
             assert router._caches.endpoints[send.endpoint_id].admission_probability(0) == 1.0
             router.handle(ended(second, then, 1, closed=True), send.timeout_ns)
-            again += 1
-    assert least <= again <= most  # a prompt answer proves that the first was lost
+            retries += 1
+    assert least <= retries <= most  # prompt answers prove that the first ones were lost
 
 
 def test_no_attempt_timeout_where_the_endpoint_is_slow_for_all() -> None:
@@ -140,4 +140,4 @@
         router.handle(ended(send, Outcome.OK, latency=190 * MS), 0)
     assert (
         only_send(router.handle(request("s"), 0)).timeout_ns == 0
-    )  # four usual times leave no time for more
+    )  # an attempt timeout of five times the latency would leave no time for a retry
