--- a/bench/aggregation_figures.py
+++ b/bench/aggregation_figures.py
@@ -159,7 +159,7 @@
             view = merged_view.decode(data, played.size)
             waits = tuple(one._replace(wait=wait, age=0) for one in view.waits)
             false = view._replace(waits=waits, slot_shares={9: 1.0}, requests=1 << 31, reporters=0xFFFF)
-            return merged_view.finish(merged_view.encode_body(false), 0)
+            return merged_view.to_datagram(merged_view.encode_body(false), 0)
         if sequenced_report.is_forwarded_report(data):
             forwarder, (sequence, report) = sequenced_report.decode_forwarded(data, played.size)
             samples = tuple(ServerSample(hash_server(name), wait, 0) for name in played.servers[:22])
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -229,7 +229,7 @@
     def start(self, each: tuple[Address, ...], aggregators: tuple[int, ...]) -> None:
         """Begin."""
         self.aggregator = self.number in aggregators
-        role = Role.SET_ASIDE if self.aggregator else Role.ROUTER
+        role = Role.DEDICATED if self.aggregator else Role.ROUTER
         process = self._process
         loop = MeteredLoop(asyncio.get_running_loop(), process.clock.slow, self.meter)
         config = PeerConfig(self.number, self.listen, each, place(self.number).site, aggregators, role)
--- a/bench/peer_cost.py
+++ b/bench/peer_cost.py
@@ -30,7 +30,7 @@
 
 from holdgw.peers import datagram, load_report
 from holdgw.peers.datagram import Message, MessageKind
-from holdgw.peers.dissemination import Send
+from holdgw.peers.dissemination import OutgoingMessage
 from holdgw.peers.gossip import FANOUT, REPORT_TICKS, TICK_S
 from holdgw.peers.load_encoding import ServerSample
 from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, hash_server
@@ -115,7 +115,7 @@
             if message.kind is MessageKind.PING:
                 self._receive(Message(MessageKind.ACK, to, 1, 0, 0, message.sequence, to))
 
-    def _send(self, sends: list[Send]) -> None:
+    def _send(self, sends: list[OutgoingMessage]) -> None:
         self.bytes["sent"] += sum(len(datagram.encode(send.message)) for send in sends)
 
     def _receive(self, message: Message) -> None:
--- a/bench/slopes_aggregation.py
+++ b/bench/slopes_aggregation.py
@@ -17,7 +17,7 @@
 from bench.slopes_tier import ZONES, zone
 from holdgw.peers import sequenced_report
 from holdgw.peers.aggregator import Aggregator
-from holdgw.peers.aggregator_choice import CHOSEN, rank_aggregators
+from holdgw.peers.aggregator_choice import AGGREGATORS_PER_ZONE, rank_aggregators
 from holdgw.peers.load_encoding import ServerSample
 from holdgw.peers.load_report import LoadReport
 from holdgw.peers.sequenced_report import MAX_SAMPLES, MAX_SLOTS, SequencedReport
@@ -41,7 +41,7 @@
         self.sent = self.heard = 0
         """Bytes."""
         self._now = NS_PER_S
-        chosen = {z: rank_aggregators(z, AGGREGATORS)[:CHOSEN] for z in range(ZONES)}
+        chosen = {z: rank_aggregators(z, AGGREGATORS)[:AGGREGATORS_PER_ZONE] for z in range(ZONES)}
         self._reporters = [(n, chosen[zone(n)]) for n in range(len(AGGREGATORS), self._size)]
 
     def run(self, seconds: int) -> None:
@@ -51,7 +51,7 @@
                 self._now += NS_PER_S // TICKS
                 self._tick()
                 for number, chosen in self._reporters[tick::TICKS]:
-                    self._report(number, chosen[second % CHOSEN])
+                    self._report(number, chosen[second % AGGREGATORS_PER_ZONE])
 
     def _tick(self) -> None:
         before = time.thread_time_ns()
--- a/bench/slopes_keys.py
+++ b/bench/slopes_keys.py
@@ -80,7 +80,7 @@
     for batch in batches(stream, seed):
         true += batch[hot]
         sketch.add_counts(batch)
-    return (true - sketch.certain(counters).get(hot, 0.0)) / stream
+    return (true - sketch.guaranteed(counters).get(hot, 0.0)) / stream
 
 
 def keys_of(slots: int) -> list[str]:
--- a/holdgw/peers/aggregated_exchange.py
+++ b/holdgw/peers/aggregated_exchange.py
@@ -13,7 +13,7 @@
 
 from holdgw.peers import load_report, merged_view, sequenced_report
 from holdgw.peers.aggregation_client import AggregationClient, FallbackChange, ViewResult
-from holdgw.peers.aggregator import Aggregator, Outgoing
+from holdgw.peers.aggregator import Aggregator, OutgoingDatagram
 from holdgw.peers.datagram import DecodeError, DropReason
 from holdgw.peers.heavy_hitters import COUNTERS
 from holdgw.peers.load_view import LoadSnapshot, LoadView
@@ -27,7 +27,7 @@
     """What a member does in aggregation beside what the list of aggregators says."""
 
     ROUTER = "router"
-    SET_ASIDE = "set_aside"
+    DEDICATED = "set_aside"
     """It has no load of its own to report, and takes no view."""
 
 
@@ -97,7 +97,7 @@
         if self.aggregator is not None and self.aggregator.tick(now) and self.client is not None:
             self.client.receive_own(self.aggregator.own_view(now), now)
 
-    def report(self, now: int) -> list[Outgoing]:
+    def report(self, now: int) -> list[OutgoingDatagram]:
         """This router's report, to be called once a REPORT_INTERVAL_S.
 
         It goes to an aggregator, and in fallback to some routers of its zone as well.
@@ -110,18 +110,18 @@
             data = sequenced_report.encode(sequenced)
             return self.aggregator.receive(data, sequenced, self._members.is_present, now) or []
         due = self.client.report(report, self._members.is_present, now)
-        out = [Outgoing(number, due.data) for number in due.targets]
+        out = [OutgoingDatagram(number, due.data) for number in due.targets]
         if self.client.in_fallback:
             gossiped = load_report.encode(report)
             targets = self.client.fallback_targets(self._members.present(), self._members.zone_of)
-            out += [Outgoing(number, gossiped) for number in targets]
+            out += [OutgoingDatagram(number, gossiped) for number in targets]
         return out
 
     def update_fallback(self, now: int) -> FallbackChange:
         """Enter or leave the fallback, where this is a router."""
         return FallbackChange.NONE if self.client is None else self.client.update_fallback(now)
 
-    def receive(self, data: bytes, source: int, now: int) -> list[Outgoing]:
+    def receive(self, data: bytes, source: int, now: int) -> list[OutgoingDatagram]:
         """Take a datagram that a member sent; raises DecodeError."""
         if self.guard.is_stalled(now):
             self.dropped[DropReason.STALLED] += 1
@@ -158,7 +158,7 @@
         elif not self.aggregator.receive_forwarded(forwarded, now):
             self.dropped[DropReason.REPLAYED] += 1
 
-    def _receive_report(self, data: bytes, source: int, now: int) -> list[Outgoing]:
+    def _receive_report(self, data: bytes, source: int, now: int) -> list[OutgoingDatagram]:
         sequenced = sequenced_report.decode(data, self._member_count)
         self._check_sender(sequenced.report.sender, source)
         if self.aggregator is None:
@@ -177,8 +177,8 @@
         found = None
         if self.client is not None:
             view = self._load_view
-            slots = view.hitters.certain(COUNTERS)
-            own = OwnLoad(view.own_waits(now), slots, view.hitters.total, len(self._members.present()))
+            slots = view.slot_counts.guaranteed(COUNTERS)
+            own = OwnLoad(view.own_waits(now), slots, view.slot_counts.total, len(self._members.present()))
             found = self.client.snapshot(self._members.is_present, view.names, own, now)
         return self._load_view.snapshot(now) if found is None else found
 
--- a/holdgw/peers/aggregator.py
+++ b/holdgw/peers/aggregator.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from holdgw.peers import merged_view, sequenced_report
-from holdgw.peers.aggregator_choice import CHOSEN, rank_aggregators
+from holdgw.peers.aggregator_choice import AGGREGATORS_PER_ZONE, rank_aggregators
 from holdgw.peers.datagram import SERIALS
 from holdgw.peers.load_merge import MergedLoad, merge
 from holdgw.peers.merged_view import ViewPart
@@ -29,7 +29,7 @@
 """
 
 
-class Outgoing(NamedTuple):
+class OutgoingDatagram(NamedTuple):
     """A datagram to a member."""
 
     to: int
@@ -57,12 +57,12 @@
     def _aggregators_of(self, reporter: int) -> tuple[int, ...]:
         zone = self._zone_of(reporter)
         if zone not in self._ranks:
-            self._ranks[zone] = rank_aggregators(zone, self._aggregators)[:CHOSEN]
+            self._ranks[zone] = rank_aggregators(zone, self._aggregators)[:AGGREGATORS_PER_ZONE]
         return self._ranks[zone]
 
     def receive(
         self, data: bytes, sequenced: SequencedReport, is_present: Callable[[int], bool], now: int
-    ) -> list[Outgoing] | None:
+    ) -> list[OutgoingDatagram] | None:
         """Take a report from the reporter itself, `data` being its datagram; None where it is a replay."""
         reporter = sequenced.report.sender
         if not self.table.receive(sequenced, reporter, now):
@@ -72,9 +72,9 @@
         self._answered_at[reporter] = now
         forwarded = sequenced_report.forward(data, self.me)
         others = [n for n in self._aggregators if n not in (self.me, reporter) and is_present(n)]
-        out = [Outgoing(number, forwarded) for number in others]
+        out = [OutgoingDatagram(number, forwarded) for number in others]
         if reporter != self.me:
-            out += [Outgoing(reporter, view) for view in self._view_datagrams(now)]
+            out += [OutgoingDatagram(reporter, view) for view in self._view_datagrams(now)]
         return out
 
     def receive_forwarded(self, forwarded: ForwardedReport, now: int) -> bool:
@@ -106,7 +106,7 @@
 
     def _view_datagrams(self, now: int) -> list[bytes]:
         age = self._view_age(now)
-        return [] if age is None else [merged_view.finish(body, age) for body in self._bodies]
+        return [] if age is None else [merged_view.to_datagram(body, age) for body in self._bodies]
 
     def own_view(self, now: int) -> list[ViewPart]:
         """The view for the router that this aggregator is."""
--- a/holdgw/peers/aggregator_choice.py
+++ b/holdgw/peers/aggregator_choice.py
@@ -13,7 +13,7 @@
 
 from holdgw.peers.timing import NS_PER_S
 
-CHOSEN = 2  # aggregators that a router reports to, alternately
+AGGREGATORS_PER_ZONE = 2  # aggregators that a router reports to, alternately
 MAX_UNANSWERED = 2  # reports in a row without a view, from which on an aggregator counts as silent
 ANSWER_WITHIN = int(0.9 * NS_PER_S)  # of a report, in which its view is expected
 VIEW_EXPECTED_FOR = 3 * NS_PER_S  # after a report, in which a view of its aggregator is accepted
@@ -63,7 +63,7 @@
 
     def _usable(self, is_present: Callable[[int], bool], now: int) -> tuple[int, ...]:
         usable = (n for n in self.order if is_present(n) and now >= self._links[n].retry_at)
-        return tuple(islice(usable, CHOSEN))
+        return tuple(islice(usable, AGGREGATORS_PER_ZONE))
 
     def next_targets(self, is_present: Callable[[int], bool], now: int) -> list[int]:
         """The aggregators that the report due now goes to.
--- a/holdgw/peers/dissemination.py
+++ b/holdgw/peers/dissemination.py
@@ -29,7 +29,7 @@
 TRANSMISSION_FACTOR = 3  # times log2 of the members: how often an update is passed on
 
 
-class Send(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """A message to a member."""
 
     to: int
@@ -57,11 +57,11 @@
         self._last_was_compact = False  # the last message of updates alone
         self.queue = UpdateQueue(int(TRANSMISSION_FACTOR * (1 + log2(len(table) + 1))))
 
-    def message_to(self, number: int, kind: MessageKind, sequence: int, target: int = 0) -> Send:
+    def message_to(self, number: int, kind: MessageKind, sequence: int, target: int = 0) -> OutgoingMessage:
         """A message to a member, with as many updates as it may carry."""
         if kind is MessageKind.UPDATES:
             self._budget.spend(EMPTY_BYTES + UPDATE_BYTES)
-        return Send(number, self._message(kind, sequence, target, self._updates_for(number)))
+        return OutgoingMessage(number, self._message(kind, sequence, target, self._updates_for(number)))
 
     def _message(
         self, kind: MessageKind, sequence: int, target: int, updates: tuple[MemberUpdate, ...]
@@ -81,7 +81,7 @@
         updates += [self._table[number].update() for number in taken if number != receiver]
         return tuple(updates)
 
-    def tick(self, now: int) -> list[Send]:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         """Send queued updates on their own, where that is due and as far as the budget goes.
 
         Piggybacked on probes alone, a refutation would take longer to reach all members than a suspicion
@@ -101,7 +101,7 @@
         receivers = self._random.sample(others, min(count, len(others)))
         return [self.message_to(number, MessageKind.UPDATES, 0) for number in receivers]
 
-    def _send_compact(self, now: int) -> list[Send]:
+    def _send_compact(self, now: int) -> list[OutgoingMessage]:
         """Send one other member as many queued updates as fit a compact message.
 
         They do not count as transmissions: a router of an earlier version drops the message.
@@ -117,4 +117,4 @@
             self.queue.note_received(update.number)
         self._next_send_ns = now + self._interval_ns
         receiver = self._random.choice(others)
-        return [Send(receiver, self._message(MessageKind.COMPACT_UPDATES, 0, 0, tuple(updates)))]
+        return [OutgoingMessage(receiver, self._message(MessageKind.COMPACT_UPDATES, 0, 0, tuple(updates)))]
--- a/holdgw/peers/gossip.py
+++ b/holdgw/peers/gossip.py
@@ -13,9 +13,9 @@
 from holdgw.peers import datagram, load_report
 from holdgw.peers.aggregated_exchange import AggregatedExchange, ExchangeConfig, Role
 from holdgw.peers.aggregation_client import APPLY_AFTER_S, REPORT_INTERVAL_S, FallbackChange
-from holdgw.peers.aggregator import BYTES_PER_MEMBER, Outgoing
+from holdgw.peers.aggregator import BYTES_PER_MEMBER, OutgoingDatagram
 from holdgw.peers.datagram import DecodeError, DropReason, MemberState
-from holdgw.peers.dissemination import Send
+from holdgw.peers.dissemination import OutgoingMessage
 from holdgw.peers.load_view import LoadSnapshot, LoadView, Observations
 from holdgw.peers.membership import Membership
 from holdgw.peers.timing import NS_PER_S
@@ -228,11 +228,11 @@
             return
         self._send_messages(self.membership.receive(message, self._now()))
 
-    def _send_messages(self, sends: Sequence[Send]) -> None:
+    def _send_messages(self, sends: Sequence[OutgoingMessage]) -> None:
         for send in sends:
             self._send(send.to, datagram.encode(send.message))
 
-    def _send_all(self, out: Sequence[Outgoing]) -> None:
+    def _send_all(self, out: Sequence[OutgoingDatagram]) -> None:
         for one in out:
             self._send(one.to, one.data)
 
--- a/holdgw/peers/heavy_hitters.py
+++ b/holdgw/peers/heavy_hitters.py
@@ -61,7 +61,7 @@
             self._counts = dict(largest[: self._capacity])
             self._floor = largest[self._capacity][1][0]
 
-    def certain(self, limit: int) -> dict[int, float]:
+    def guaranteed(self, limit: int) -> dict[int, float]:
         """At most so many keys with the largest certain counts, the largest first."""
         certain = sorted(((count - error, key) for key, (count, error) in self._counts.items()), reverse=True)
         return {key: count for count, key in certain[:limit] if count >= MIN_CERTAIN}
--- a/holdgw/peers/load_view.py
+++ b/holdgw/peers/load_view.py
@@ -112,7 +112,7 @@
     def __init__(self, me: int, boot_id: int, tenants: Iterable[str] = ()) -> None:
         self.me = me
         self.boot_id = boot_id
-        self.hitters = HeavyHitters()
+        self.slot_counts = HeavyHitters()
         self._tenants = tuple(tenants)[:MAX_TENANTS]
         self._names: dict[int, str] = {}  # listed servers by hash
         self._samples: dict[int, dict[int, _Sample]] = {}  # by server, then by router
@@ -136,7 +136,7 @@
         """Add this router's own observations."""
         for name, sampled in observations.waits.items():
             self.record_wait(name, int(sampled.wait), sampled.at)
-        self.hitters.add_counts(observations.slot_requests)
+        self.slot_counts.add_counts(observations.slot_requests)
 
     def record_wait(self, name: str, wait: int, at: int) -> None:
         """Add a wait, ns, that a server reported to this router."""
@@ -150,7 +150,7 @@
         """All that the decisions take of the view."""
         slots = self.shares(now)
         waits = {name: TimedWait(float(load.wait), load.age) for name, load in self.loads(now).items()}
-        return LoadSnapshot(waits, slots.shares, slots.requests, self.hitters.total)
+        return LoadSnapshot(waits, slots.shares, slots.requests, self.slot_counts.total)
 
     def _add_sample(self, server: int, router: int, sample: _Sample) -> None:
         by = self._samples.setdefault(server, {})
@@ -177,7 +177,7 @@
 
     def report(self, now: int, demands: Callable[[], dict[str, float]] = dict) -> LoadReport:
         """What to report to others: this router's latest own observations."""
-        self.hitters.fade(now)
+        self.slot_counts.fade(now)
         self._own = {server: one for server, one in self._own.items() if now - one.at < MAX_OWN_SAMPLE_AGE}
         latest = list(self._own.items())[-MAX_SERVERS:]
         rates = demands() if self._tenants else {}
@@ -185,8 +185,8 @@
             self.me,
             self.boot_id,
             tuple(ServerSample(server, sample.wait, now - sample.at) for server, sample in latest),
-            round(self.hitters.total),
-            {slot: round(count) for slot, count in self.hitters.certain(MAX_SLOTS).items()},
+            round(self.slot_counts.total),
+            {slot: round(count) for slot, count in self.slot_counts.guaranteed(MAX_SLOTS).items()},
             {i: round(rates[name] * 10) for i, name in enumerate(self._tenants) if name in rates},
         )
 
@@ -215,8 +215,8 @@
     def shares(self, now: int) -> SlotShares:
         """Each slot's share of all requests reported, decayed by age."""
         self._counts = {who: one for who, one in self._counts.items() if now - one.at < MAX_COUNT_AGE}
-        self.hitters.fade(now)
-        total, counts = self.hitters.total, dict(self.hitters.certain(COUNTERS))
+        self.slot_counts.fade(now)
+        total, counts = self.slot_counts.total, dict(self.slot_counts.guaranteed(COUNTERS))
         weights = self._count_weights(now)
         counted = counts.get
         for who, one in self._counts.items():
@@ -238,7 +238,7 @@
         }
         claimed = {who: weights[who] * one.requests for who, one in self._counts.items()}
         largest = max(claimed, key=claimed.__getitem__, default=-1)
-        others = self.hitters.total + sum(claimed.values()) - claimed.get(largest, 0.0)
+        others = self.slot_counts.total + sum(claimed.values()) - claimed.get(largest, 0.0)
         allowed = max(others, MIN_OTHER_REQUESTS) * MAX_ROUTER_SHARE / (1.0 - MAX_ROUTER_SHARE)
         if allowed < claimed.get(largest, 0.0):
             weights[largest] *= allowed / claimed[largest]
@@ -264,5 +264,5 @@
         return {
             "servers heard of": len(self._samples),
             "routers heard": len(self._counts),
-            "slots counted": len(self.hitters),
+            "slots counted": len(self.slot_counts),
         }
--- a/holdgw/peers/membership.py
+++ b/holdgw/peers/membership.py
@@ -21,7 +21,7 @@
     MessageKind,
     is_newer,
 )
-from holdgw.peers.dissemination import Disseminator, Send, priority
+from holdgw.peers.dissemination import Disseminator, OutgoingMessage, priority
 from holdgw.peers.local_health import LocalHealth
 from holdgw.peers.member_table import Change, Member, MemberTable
 from holdgw.peers.probing import MAX_PROXIES, Prober
@@ -114,7 +114,7 @@
 
     # Time
 
-    def tick(self, now: int) -> list[Send]:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         """Act on what is due; to be called some ten times a second."""
         self._check_lateness(now)
         self._budget.refill(now)
@@ -151,7 +151,7 @@
 
     # Messages received
 
-    def receive(self, message: Message, now: int) -> list[Send]:
+    def receive(self, message: Message, now: int) -> list[OutgoingMessage]:
         """Act on a message. Its sender is as it says; the caller has checked that by the source address."""
         if message.sender == self._table.own.number:
             # Another process uses this router's number, by a mistake in a configuration. Both go on, and the
@@ -224,7 +224,7 @@
 
     # The end
 
-    def leave(self) -> list[Send]:
+    def leave(self) -> list[OutgoingMessage]:
         """Leave in good order: some members are notified, and pass it on."""
         self.has_left = True
         self._table.own.state = MemberState.LEFT
--- a/holdgw/peers/merged_view.py
+++ b/holdgw/peers/merged_view.py
@@ -103,7 +103,7 @@
     return header + encode_samples(view.waits) + slots
 
 
-def finish(body: bytes, age: int) -> bytes:
+def to_datagram(body: bytes, age: int) -> bytes:
     """The datagram of an encoded part, sent so long (ns) after the reports were merged."""
     return append_checksum(body[:_AGE_OFFSET] + bytes((age_steps(age),)) + body[_AGE_OFFSET + 1 :])
 
--- a/holdgw/peers/probing.py
+++ b/holdgw/peers/probing.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from holdgw.peers.datagram import SERIALS, Message, MessageKind
-from holdgw.peers.dissemination import Disseminator, Send
+from holdgw.peers.dissemination import Disseminator, OutgoingMessage
 from holdgw.peers.local_health import MAX_SCORE, LocalHealth
 from holdgw.peers.member_table import MemberTable
 from holdgw.peers.timing import Timing, to_ns
@@ -81,10 +81,10 @@
         self._next_probe_ns = now + to_ns(generator.random() * timing.probe_interval)
         self._next_gone_probe_ns = now + to_ns(generator.random() * timing.gone_probe_interval)
 
-    def tick(self, now: int) -> list[Send]:
+    def tick(self, now: int) -> list[OutgoingMessage]:
         """Go on with the open probe, or begin the next, where that is due."""
         self._drop_expired_relays(now)
-        sends: list[Send] = []
+        sends: list[OutgoingMessage] = []
         if self._probe is not None and now >= self._probe.due_ns:
             sends += self._probe_timed_out(self._probe, now)
         if now >= self._next_probe_ns and self._probe is None:
@@ -92,7 +92,7 @@
             sends += self._probe_next(now)
         return sends
 
-    def probe_gone(self, now: int) -> list[Send]:
+    def probe_gone(self, now: int) -> list[OutgoingMessage]:
         """Ping one member that is gone, where that is due: it may be back, or a partition have ended."""
         if now < self._next_gone_probe_ns:
             return []
@@ -100,7 +100,7 @@
         gone = self._table.gone()
         return [self.ping(self._random.choice(gone))] if gone else []
 
-    def ping(self, number: int) -> Send:
+    def ping(self, number: int) -> OutgoingMessage:
         """A ping whose ack is not awaited."""
         return self._disseminator.message_to(number, MessageKind.PING, self._new_sequence())
 
@@ -116,7 +116,7 @@
         self._sequence = (self._sequence + 1) % SERIALS
         return self._sequence
 
-    def _probe_next(self, now: int) -> list[Send]:
+    def _probe_next(self, now: int) -> list[OutgoingMessage]:
         target = self._next_target()
         if target is None:
             return []
@@ -134,7 +134,7 @@
         self._random.shuffle(self._round)
         return self._round.pop() if self._round else None
 
-    def _probe_timed_out(self, probe: _Probe, now: int) -> list[Send]:
+    def _probe_timed_out(self, probe: _Probe, now: int) -> list[OutgoingMessage]:
         if probe.phase is Phase.DIRECT:
             return self._probe_indirectly(probe, now)
         self._probe = None
@@ -146,7 +146,7 @@
             self._on_failure(probe.target, now)
         return []
 
-    def _probe_indirectly(self, probe: _Probe, now: int) -> list[Send]:
+    def _probe_indirectly(self, probe: _Probe, now: int) -> list[OutgoingMessage]:
         """Ping again, and request others to ping the same target."""
         candidates = [number for number in self._table.others() if number != probe.target]
         proxies = self._random.sample(candidates, min(MAX_PROXIES, len(candidates)))
@@ -162,7 +162,7 @@
 
     # Messages received
 
-    def receive(self, message: Message, now: int) -> list[Send]:
+    def receive(self, message: Message, now: int) -> list[OutgoingMessage]:
         """Act on a message of a probe; other kinds are ignored."""
         match message.kind:
             case MessageKind.PING:
@@ -176,10 +176,10 @@
                     self._probe.proxies_reached += 1
         return []
 
-    def _ack(self, to: int, sequence: int, target: int) -> Send:
+    def _ack(self, to: int, sequence: int, target: int) -> OutgoingMessage:
         return self._disseminator.message_to(to, MessageKind.ACK, sequence, target)
 
-    def _relay_probe(self, message: Message, now: int) -> list[Send]:
+    def _relay_probe(self, message: Message, now: int) -> list[OutgoingMessage]:
         """Probe the target of a ping request for its sender."""
         target = message.target
         is_other = target < len(self._table) and target != self._table.own.number
@@ -192,7 +192,7 @@
         accepted = message_to(message.sender, MessageKind.PING_REQUEST_ACK, message.sequence)
         return [accepted, message_to(target, MessageKind.PING, sequence)]
 
-    def _receive_ack(self, message: Message) -> list[Send]:
+    def _receive_ack(self, message: Message) -> list[OutgoingMessage]:
         relayed = self._relayed.get(message.sequence)
         if relayed is not None and relayed.target == message.sender:
             del self._relayed[message.sequence]
--- a/holdgw/router/aggregator_program.py
+++ b/holdgw/router/aggregator_program.py
@@ -32,7 +32,7 @@
         self.config = config
         self.loop = asyncio.get_running_loop()
         now_ns = (platform or Platform()).monotonic_ns
-        self.peers = PeerNode(self.loop, replace(peers, role=Role.SET_ASIDE), config.seed, now_ns, self)
+        self.peers = PeerNode(self.loop, replace(peers, role=Role.DEDICATED), config.seed, now_ns, self)
         self.admin_endpoint = AdminEndpoint(self.loop, self)
         self._shutdown_requested = asyncio.Event()
 
--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -14,7 +14,7 @@
 from holdgw.emulators.relay_model import RelayModel
 from holdgw.peers.aggregated_exchange import AggregatedExchange, ExchangeConfig, Role
 from holdgw.peers.aggregation_client import APPLY_AFTER_S, REPORT_INTERVAL_S
-from holdgw.peers.aggregator import Outgoing
+from holdgw.peers.aggregator import OutgoingDatagram
 from holdgw.peers.datagram import DecodeError
 from holdgw.peers.load_view import LoadSnapshot, LoadView, Observations, SampledWait
 from holdgw.simulation.event_queue import EventQueue
@@ -89,7 +89,7 @@
         rng = random.Random(f"{self.seed}/{number}/{self.starts[number]}")
         view = LoadView(number, rng.randrange(1, 1 << 32))
         view.set_servers(self.servers)
-        role = Role.ROUTER if number in self.routers else Role.SET_ASIDE
+        role = Role.ROUTER if number in self.routers else Role.DEDICATED
         config = ExchangeConfig(number, self.size, self.aggregators, role, TICK_NS)
         exchange = AggregatedExchange(config, self, view, rng.randrange(1 << 30), self.now)
         member = SimulatedMember(number, exchange, view, rng.randrange(REPORT_TICKS))
@@ -159,7 +159,7 @@
         self.snapshots[member.number] = snapshot
         self.on_snapshot(member.number, snapshot)
 
-    def _send(self, number: int, out: Iterable[Outgoing]) -> None:
+    def _send(self, number: int, out: Iterable[OutgoingDatagram]) -> None:
         for one in out:
             data = self.alter(number, one.to, one.data)
             if data is not None:
--- a/holdgw/simulation/membership_tier.py
+++ b/holdgw/simulation/membership_tier.py
@@ -9,7 +9,7 @@
 from holdgw.emulators.relay_model import RelayModel
 from holdgw.peers import datagram
 from holdgw.peers.datagram import MemberState
-from holdgw.peers.dissemination import Send
+from holdgw.peers.dissemination import OutgoingMessage
 from holdgw.peers.membership import Membership
 from holdgw.peers.timing import NS_PER_S, Timing
 from holdgw.peers.update_budget import UPDATE_BYTES_PER_S
@@ -92,7 +92,7 @@
         for change in member.changes():
             self.on_change(number, change.number, change.after)
 
-    def _send(self, number: int, sends: list[Send]) -> None:
+    def _send(self, number: int, sends: list[OutgoingMessage]) -> None:
         for send in sends:
             self.say(number, send.to, datagram.encode(send.message))
 
--- a/tests/peers/test_aggregation.py
+++ b/tests/peers/test_aggregation.py
@@ -94,8 +94,10 @@
 @given(MERGED, st.integers(0, 10 * S - 100 * MS))
 def test_a_view_says_what_was_merged_in_datagrams_that_each_fit(merged: MergedLoad, held: int) -> None:
     parts = merged_view.split(merged, 3, 9, 17)
-    found = [merged_view.decode(merged_view.finish(merged_view.encode_body(p), held), 400) for p in parts]
-    assert all(len(merged_view.finish(merged_view.encode_body(p), held)) <= MAX_BYTES for p in parts)
+    found = [
+        merged_view.decode(merged_view.to_datagram(merged_view.encode_body(p), held), 400) for p in parts
+    ]
+    assert all(len(merged_view.to_datagram(merged_view.encode_body(p), held)) <= MAX_BYTES for p in parts)
     assert [part.part for part in found] == list(range(len(parts)))
     assert all(held <= part.age < held + AGE_STEP for part in found)
     assert sum((part.waits for part in found), ()) == merged.waits[:MAX_SERVERS]
@@ -117,7 +119,7 @@
         sequenced_report.decode_forwarded(damaged(sequenced_report.forward(said, 3), data), 400)
     part = merged_view.split(merged, 3, 9, 17)[0]
     with pytest.raises(DecodeError):
-        merged_view.decode(damaged(merged_view.finish(merged_view.encode_body(part), 0), data), 400)
+        merged_view.decode(damaged(merged_view.to_datagram(merged_view.encode_body(part), 0), data), 400)
 
 
 @given(st.binary(max_size=MAX_BYTES))
@@ -137,7 +139,7 @@
     sequenced: SequencedReport, merged: MergedLoad
 ) -> None:
     said = sequenced_report.encode(sequenced)
-    view = merged_view.finish(merged_view.encode_body(merged_view.split(merged, 3, 9, 17)[0]), 0)
+    view = merged_view.to_datagram(merged_view.encode_body(merged_view.split(merged, 3, 9, 17)[0]), 0)
     for data in (said, sequenced_report.forward(said, 3), view):
         assert not load_report.is_load_report(data)
         with pytest.raises(DecodeError):
--- a/tests/peers/test_load_view.py
+++ b/tests/peers/test_load_view.py
@@ -79,7 +79,7 @@
     for i in range(0, len(keys), batch):
         hitters.add_counts(Counter(keys[i : i + batch]))
         assert len(hitters) <= 32
-    sure = hitters.certain(32)
+    sure = hitters.guaranteed(32)
     for key, count in sure.items():
         assert keys.count(key) - len(keys) / 32 <= count <= keys.count(key)
     for key, (count, error) in hitters._counts.items():
@@ -129,7 +129,7 @@
         assert rests_on > 150
         assert shares[7] == pytest.approx(0.05, abs=0.03)
         assert max(share for slot, share in shares.items() if slot != 7) < 0.02
-    assert every[0].hitters.total < 12  # its own requests alone show no hot key
+    assert every[0].slot_counts.total < 12  # its own requests alone show no hot key
 
 
 def test_a_servers_sample_expires_and_newer_samples_outweigh_it() -> None:
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -32,9 +32,9 @@
 from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.peers import datagram, merged_view, sequenced_report
 from holdgw.peers.aggregated_exchange import AggregatedExchange, ExchangeConfig, Role
-from holdgw.peers.aggregator import Outgoing
+from holdgw.peers.aggregator import OutgoingDatagram
 from holdgw.peers.datagram import DecodeError
-from holdgw.peers.dissemination import Send
+from holdgw.peers.dissemination import OutgoingMessage
 from holdgw.peers.heavy_hitters import COUNT_HALF_LIFE_S
 from holdgw.peers.load_encoding import ServerSample
 from holdgw.peers.load_merge import MAX_MEAN_RATIO, MIN_SLOT_SHARE
@@ -119,11 +119,11 @@
                 self.boot_ids[message.sender] = message.boot_id
                 self._send_messages(self.membership.receive(message, now))
 
-    def _send_messages(self, sends: list[Send]) -> None:
+    def _send_messages(self, sends: list[OutgoingMessage]) -> None:
         for send in sends:
             self.say(send.to, datagram.encode(send.message))
 
-    def _send_all(self, out: list[Outgoing]) -> None:
+    def _send_all(self, out: list[OutgoingDatagram]) -> None:
         for one in out:
             for data in self.alter(one.to, one.data):
                 self.say(one.to, data)
@@ -156,7 +156,7 @@
         await super()._join_peers()
         if self._spoken is not None:
             number = member_names(self.day.scenario).index(self._spoken)
-            role = Role.SET_ASIDE if self._spoken == AGGREGATOR else Role.ROUTER
+            role = Role.DEDICATED if self._spoken == AGGREGATOR else Role.ROUTER
             zone = number % len(self.day.scenario.fleet.zones)
             self.speaker = Speaker(number, self.peers.pop(self._spoken), zone, role)
             self.spawn(self.speaker.speak())
@@ -487,7 +487,7 @@
             **changes,
         }
         part = ViewPart(age=0, part=0, parts=1, waits=waits, slot_shares=dict.fromkeys(CLAIMED, 1.0), **told)
-        return merged_view.finish(merged_view.encode_body(part), 0)
+        return merged_view.to_datagram(merged_view.encode_body(part), 0)
 
     def false_report(self, reporter: int) -> bytes:
         """What it forwards as the newest report of a router."""
--- a/tests/watching_router.py
+++ b/tests/watching_router.py
@@ -41,7 +41,7 @@
             "shares": dict(snapshot.slot_shares),
             "requests": snapshot.requests,
             "own_requests": snapshot.own_requests,
-            "own_slots": load_view.hitters.certain(COUNTERS),
+            "own_slots": load_view.slot_counts.guaranteed(COUNTERS),
             "own_waits": [load_view.names[server] for server in load_view.own_waits(now)],
             "fresh": [number for number, held in views._views.items() if held.is_fresh(now)],
         }
