--- a/bench/aggregation_figures.py
+++ b/bench/aggregation_figures.py
@@ -43,7 +43,7 @@
     found: list[float] = []
 
     def look(_number: int, snapshot: LoadSnapshot) -> None:
-        for wait, age in snapshot.waits.values():
+        for wait, age in snapshot.response_times.values():
             found.append((played.now - wait - age) / NS_PER_S)
 
     played.on_snapshot = look
@@ -118,11 +118,11 @@
     played.run(8.0)
     played.kill(*played.aggregators)
     played.run(8.0)
-    without = sum(len(one.waits) < 0.75 * SERVERS for one in played.snapshots.values())
+    without = sum(len(one.response_times) < 0.75 * SERVERS for one in played.snapshots.values())
     without += ROUTERS - played.in_fallback()
     played.start(played.aggregators[1])
     played.run(6.0)
-    without += sum(len(one.waits) < 0.75 * SERVERS for one in played.snapshots.values())
+    without += sum(len(one.response_times) < 0.75 * SERVERS for one in played.snapshots.values())
     return float(without + played.in_fallback())
 
 
@@ -157,8 +157,10 @@
     def lie(data: bytes) -> bytes:
         if merged_view.is_view(data):
             view = merged_view.decode(data, played.size)
-            waits = tuple(one._replace(wait=wait, age=0) for one in view.waits)
-            false = view._replace(waits=waits, slot_shares={9: 1.0}, requests=1 << 31, reporters=0xFFFF)
+            waits = tuple(one._replace(response_time=wait, age=0) for one in view.response_times)
+            false = view._replace(
+                response_times=waits, slot_shares={9: 1.0}, requests=1 << 31, reporters=0xFFFF
+            )
             return merged_view.to_datagram(merged_view.encode_body(false), 0)
         if sequenced_report.is_forwarded_report(data):
             forwarder, (sequence, report) = sequenced_report.decode_forwarded(data, played.size)
@@ -181,7 +183,7 @@
 
     def look(_number: int, snapshot: LoadSnapshot) -> None:
         nonlocal moved
-        moved += sum(wait > (WELL_MS + BAND_MS) * MS for wait, _ in snapshot.waits.values())
+        moved += sum(wait > (WELL_MS + BAND_MS) * MS for wait, _ in snapshot.response_times.values())
         moved += snapshot.slot_shares.get(9, 0.0) > 0.05
 
     played.run(8.0)
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -29,7 +29,7 @@
 from holdgw.peers.aggregated_exchange import Role
 from holdgw.peers.datagram import MemberState
 from holdgw.peers.gossip import Address, PeerConfig, PeerNode
-from holdgw.peers.load_view import LoadSnapshot, Observations, SampledWait, TimedWait
+from holdgw.peers.load_view import AgedResponseTime, LoadSnapshot, Observations, SampledResponseTime
 
 REQUESTS_PER_S = 934
 SLOTS = 8192
@@ -72,11 +72,13 @@
 
 def together(stretches: list[Stretch], now: int) -> Observations:
     """What a router observed in these stretches, the last of which ends now (ns)."""
-    waits: dict[str, SampledWait] = {}
+    waits: dict[str, SampledResponseTime] = {}
     slots: Counter[int] = Counter()
     for i, stretch in enumerate(stretches):
         end = now - int((len(stretches) - 1 - i) * STRETCH_S * NS_PER_S)
-        waits.update((server, SampledWait(wait, end - age)) for server, (wait, age) in stretch.waits.items())
+        waits.update(
+            (server, SampledResponseTime(wait, end - age)) for server, (wait, age) in stretch.waits.items()
+        )
         slots.update(stretch.slots)
     return Observations(waits, slots)
 
@@ -277,10 +279,10 @@
     def apply_load_snapshot(self, snapshot: LoadSnapshot) -> None:
         """The view of all: looked at once a second, and not acted on."""
         began = thread_time_ns()
-        self._note(snapshot.waits)
+        self._note(snapshot.response_times)
         self.meter.owner += thread_time_ns() - began
 
-    def _note(self, waits: Mapping[str, TimedWait]) -> None:
+    def _note(self, waits: Mapping[str, AgedResponseTime]) -> None:
         """Note the view that is replaced now, as old as it has become."""
         now = self._process.play_clock.seconds()
         before, self._held = self._held, Held(now, [wait.age / NS_PER_S for wait in waits.values()])
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -304,8 +304,8 @@
     "age-ignored": Mutant(
         "an old word on a server weighs as much as a new one, and tells for ever",
         "holdgw.peers.load_view",
-        "for at, wait in samples.values() if now - at < MAX_SAMPLE_AGE]",
-        "for at, wait in samples.values()]",
+        "                if now - at < MAX_SAMPLE_AGE\n",
+        "",
         (
             (
                 "holdgw.peers.load_view",
@@ -341,8 +341,8 @@
     "view-age-ignored": Mutant(
         "what a view says counts as measured when the view arrived",
         "holdgw.peers.view_selection",
-        "_ReceivedWait(wait, now - view.age - age, now)",
-        "_ReceivedWait(wait, now, now)",
+        "_ReceivedResponseTime(response_time, now - view.age - age, now)",
+        "_ReceivedResponseTime(response_time, now, now)",
         figure="view-age",
     ),
     "counted-twice": Mutant(
--- a/bench/peer_cost.py
+++ b/bench/peer_cost.py
@@ -34,7 +34,7 @@
 from holdgw.peers.gossip import FANOUT, REPORT_TICKS, TICK_S
 from holdgw.peers.load_encoding import ServerSample
 from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, hash_server
-from holdgw.peers.load_view import LoadView, Observations, SampledWait
+from holdgw.peers.load_view import LoadView, Observations, SampledResponseTime
 from holdgw.peers.membership import Membership
 from holdgw.peers.timing import NS_PER_S
 
@@ -157,10 +157,10 @@
     def _observations(self) -> Observations:
         requests = self._poisson(self.rate * REPORT_S)
         slots = self.random.choices(self.load.slots, cum_weights=self.load.sums, k=requests)
-        waits: dict[str, SampledWait] = {}
+        waits: dict[str, SampledResponseTime] = {}
         for i in range(requests):
             at = self.now - int((requests - i) / requests * REPORT_S * NS_PER_S)
-            waits[self.random.choice(self.load.servers)] = SampledWait(self._wait(), at)
+            waits[self.random.choice(self.load.servers)] = SampledResponseTime(self._wait(), at)
         return Observations(waits, Counter(slots))
 
     def _peers_report(self) -> LoadReport:
--- a/bench/slopes_view.py
+++ b/bench/slopes_view.py
@@ -20,7 +20,7 @@
 
 def ages(control: peer_cost.ControlPart) -> list[float]:
     """Ages of the waits in the view now, seconds, the youngest first."""
-    return sorted(wait.age / 1e9 for wait in control.view.snapshot(control.now).waits.values())
+    return sorted(wait.age / 1e9 for wait in control.view.snapshot(control.now).response_times.values())
 
 
 def play(readings: Readings, load: peer_cost.Load, routers: int, seed: int) -> None:
--- a/holdgw/peers/aggregated_exchange.py
+++ b/holdgw/peers/aggregated_exchange.py
@@ -178,7 +178,9 @@
         if self.client is not None:
             view = self._load_view
             slots = view.slot_counts.guaranteed(COUNTERS)
-            own = OwnLoad(view.own_waits(now), slots, view.slot_counts.total, len(self._members.present()))
+            own = OwnLoad(
+                view.own_response_times(now), slots, view.slot_counts.total, len(self._members.present())
+            )
             found = self.client.snapshot(self._members.is_present, view.names, own, now)
         return self._load_view.snapshot(now) if found is None else found
 
@@ -199,7 +201,11 @@
         snapshot = self.snapshot(now)
         viewed = 0 if self.client is None or self.client.in_fallback else self._reporters(now)
         routers = viewed or self._load_view.routers
-        return {"routers": routers, "requests": int(snapshot.requests), "servers": len(snapshot.waits)}
+        return {
+            "routers": routers,
+            "requests": int(snapshot.requests),
+            "servers": len(snapshot.response_times),
+        }
 
     def _reporters(self, now: int) -> int:
         """The reporters that views rest on; a false one can't have it more than the members present."""
@@ -208,5 +214,5 @@
 
     def _median_age(self, now: int) -> int:
         """The median age of the waits that the decisions would be given now."""
-        ages = sorted(wait.age for wait in self.snapshot(now).waits.values())
+        ages = sorted(response_time.age for response_time in self.snapshot(now).response_times.values())
         return ages[len(ages) // 2] if ages else 0
--- a/holdgw/peers/load_encoding.py
+++ b/holdgw/peers/load_encoding.py
@@ -12,8 +12,8 @@
 AGE_STEP = 40_000_000  # ns: resolution of an age, which is sent in one byte
 MAX_AGE_STEPS = 0xFF
 MAX_AGE = MAX_AGE_STEPS * AGE_STEP
-WAIT_STEP = 1_000_000  # ns: resolution of a wait, which is sent in two bytes
-MAX_WAIT_STEPS = 0xFFFF
+RESPONSE_TIME_STEP = 1_000_000  # ns: resolution of a wait, which is sent in two bytes
+MAX_RESPONSE_TIME_STEPS = 0xFFFF
 MAX_COUNT = 0xFFFF
 _SAMPLE = struct.Struct("!IHB")  # hash of the server, wait, age
 SAMPLE_BYTES = _SAMPLE.size
@@ -25,7 +25,7 @@
     """A server's wait by its own load report, and how long ago it reported that; both ns."""
 
     server_hash: int
-    wait: int
+    response_time: int
     age: int
 
 
@@ -37,16 +37,18 @@
 def encode_samples(samples: Iterable[ServerSample]) -> bytes:
     """Encode samples; a value beyond its field's range is sent as the largest that the field holds."""
     return b"".join(
-        _SAMPLE.pack(server, min(wait // WAIT_STEP, MAX_WAIT_STEPS), age_steps(age))
-        for server, wait, age in samples
+        _SAMPLE.pack(
+            server, min(response_time // RESPONSE_TIME_STEP, MAX_RESPONSE_TIME_STEPS), age_steps(age)
+        )
+        for server, response_time, age in samples
     )
 
 
 def decode_samples(data: bytes) -> tuple[ServerSample, ...]:
     """Decode samples, which are all of the data."""
     return tuple(
-        ServerSample(server, wait * WAIT_STEP, age * AGE_STEP)
-        for server, wait, age in _SAMPLE.iter_unpack(data)
+        ServerSample(server, response_time * RESPONSE_TIME_STEP, age * AGE_STEP)
+        for server, response_time, age in _SAMPLE.iter_unpack(data)
     )
 
 
--- a/holdgw/peers/load_merge.py
+++ b/holdgw/peers/load_merge.py
@@ -44,7 +44,7 @@
 class MergedLoad(NamedTuple):
     """What all reporters say together."""
 
-    waits: tuple[ServerSample, ...]
+    response_times: tuple[ServerSample, ...]
     """By server the medians of the samples' waits and ages; the most sampled servers first."""
     slot_shares: Mapping[int, float]
     """Of all requests, the largest first."""
@@ -56,7 +56,7 @@
 class _Vote(NamedTuple):
     """One reporter's sample of a server."""
 
-    wait: int
+    response_time: int
     age: int
     forwarder: int
 
@@ -83,7 +83,7 @@
             # No more of a slot than the reporter's requests in all.
             source.slots[slot] += weight * min(count, one.report.requests)
     requests = sum(_bounded_requests(forwarder, counts) for forwarder in counts)
-    return MergedLoad(_merge_waits(reports), _merge_slots(counts), round(requests), len(reports))
+    return MergedLoad(_merge_response_times(reports), _merge_slots(counts), round(requests), len(reports))
 
 
 def _bounded_requests(forwarder: int, counts: Mapping[int, _SourceCounts]) -> float:
@@ -129,7 +129,7 @@
     return weights
 
 
-def _merge_waits(reports: Sequence[ReceivedReport]) -> tuple[ServerSample, ...]:
+def _merge_response_times(reports: Sequence[ReceivedReport]) -> tuple[ServerSample, ...]:
     votes: dict[int, list[_Vote]] = defaultdict(list)
     _add_votes(votes, [one for one in reports if one.age <= YOUNG], frozenset())
     # Older reports count for servers that have too few votes without them: for none at 760 reporters.
@@ -146,12 +146,12 @@
         forwarder = _forwarder(one)
         samples = one.report.samples
         latest = {
-            server: (wait, age) for server, wait, age in samples if server not in settled
+            server: (response_time, age) for server, response_time, age in samples if server not in settled
         }  # one vote each
-        for server, (wait, age) in latest.items():
+        for server, (response_time, age) in latest.items():
             # The largest age that a report can hold stands for every larger one, too.
             if age < MAX_AGE and age + one.age < SAMPLE_MAX_AGE:
-                votes[server].append(_Vote(wait, age + one.age, forwarder))
+                votes[server].append(_Vote(response_time, age + one.age, forwarder))
 
 
 def _has_enough(votes: list[_Vote]) -> bool:
@@ -183,10 +183,10 @@
     if min(weights.values()) == 1.0:
         middle = (len(votes) - 1) // 2
         age = sorted([one.age for one in votes], reverse=True)[middle]
-        return ServerSample(server, sorted([one.wait for one in votes])[middle], age)
-    waits = sorted((one.wait, weights[one.forwarder]) for one in votes)
+        return ServerSample(server, sorted([one.response_time for one in votes])[middle], age)
+    response_times = sorted((one.response_time, weights[one.forwarder]) for one in votes)
     ages = sorted(((one.age, weights[one.forwarder]) for one in votes), reverse=True)
-    return ServerSample(server, _weighted_middle(waits), _weighted_middle(ages))
+    return ServerSample(server, _weighted_middle(response_times), _weighted_middle(ages))
 
 
 def _weighted_middle(values: list[tuple[int, float]]) -> int:
--- a/holdgw/peers/load_view.py
+++ b/holdgw/peers/load_view.py
@@ -26,31 +26,31 @@
 MAX_OWN_SAMPLE_AGE = 3 * NS_PER_S  # from which on an own sample is no longer reported
 
 
-class SampledWait(NamedTuple):
+class SampledResponseTime(NamedTuple):
     """A server's wait by its own load report (ns), and the time at which the router read it (ns)."""
 
-    wait: float
+    response_time: float
     at: int
 
 
-class TimedWait(NamedTuple):
+class AgedResponseTime(NamedTuple):
     """A server's wait (ns) and the age of that figure (ns)."""
 
-    wait: float
+    response_time: float
     age: int
 
 
 class Observations(NamedTuple):
     """What a router observed since it was last asked: waits by server, requests by slot."""
 
-    waits: Mapping[str, SampledWait]
+    response_times: Mapping[str, SampledResponseTime]
     slot_requests: Mapping[int, int]
 
 
 class LoadSnapshot(NamedTuple):
     """The view at one time: waits by server, shares of all requests by slot."""
 
-    waits: Mapping[str, TimedWait]
+    response_times: Mapping[str, AgedResponseTime]
     slot_shares: Mapping[int, float]
     requests: float
     """That the shares are counted from."""
@@ -68,7 +68,7 @@
 class ServerLoad(NamedTuple):
     """A server's wait by several routers' samples and its mean age, both ns, and the number of samples."""
 
-    wait: int
+    response_time: int
     age: int
     samples: int
 
@@ -77,7 +77,7 @@
     """A server's wait, ns, as it was at that time, ns."""
 
     at: int
-    wait: int
+    response_time: int
 
 
 @dataclass(slots=True)
@@ -93,14 +93,17 @@
 
 def _weighted_median(samples: list[tuple[int, int]]) -> ServerLoad:
     """The load by samples of (wait, age), at least one."""
-    weighted = [(wait, math.pow(0.5, age / NS_PER_S / SAMPLE_HALF_LIFE_S), age) for wait, age in samples]
+    weighted = [
+        (response_time, math.pow(0.5, age / NS_PER_S / SAMPLE_HALF_LIFE_S), age)
+        for response_time, age in samples
+    ]
     weighted.sort()
     half, passed = sum([weight for _, weight, _ in weighted]) / 2, 0.0
     median = weighted[-1][0]
-    for wait, weight, _ in weighted:
+    for response_time, weight, _ in weighted:
         passed += weight
         if passed >= half:
-            median = wait
+            median = response_time
             break
     age = sum([weight * age for _, weight, age in weighted]) / (2 * half)
     return ServerLoad(median, int(age), len(samples))
@@ -134,23 +137,26 @@
 
     def record(self, observations: Observations) -> None:
         """Add this router's own observations."""
-        for name, sampled in observations.waits.items():
-            self.record_wait(name, int(sampled.wait), sampled.at)
+        for name, sampled in observations.response_times.items():
+            self.record_response_time(name, int(sampled.response_time), sampled.at)
         self.slot_counts.add_counts(observations.slot_requests)
 
-    def record_wait(self, name: str, wait: int, at: int) -> None:
+    def record_response_time(self, name: str, response_time: int, at: int) -> None:
         """Add a wait, ns, that a server reported to this router."""
         server = hash_server(name)
         if server in self._names:
             self._own.pop(server, None)
-            self._own[server] = _Sample(at, wait)
-            self._add_sample(server, self.me, _Sample(at, wait))
+            self._own[server] = _Sample(at, response_time)
+            self._add_sample(server, self.me, _Sample(at, response_time))
 
     def snapshot(self, now: int) -> LoadSnapshot:
         """All that the decisions take of the view."""
         slots = self.shares(now)
-        waits = {name: TimedWait(float(load.wait), load.age) for name, load in self.loads(now).items()}
-        return LoadSnapshot(waits, slots.shares, slots.requests, self.slot_counts.total)
+        response_times = {
+            name: AgedResponseTime(float(load.response_time), load.age)
+            for name, load in self.loads(now).items()
+        }
+        return LoadSnapshot(response_times, slots.shares, slots.requests, self.slot_counts.total)
 
     def _add_sample(self, server: int, router: int, sample: _Sample) -> None:
         by = self._samples.setdefault(server, {})
@@ -166,10 +172,10 @@
         """Take another router's report."""
         if report.sender == self.me:
             return
-        for server, wait, age in report.samples:
+        for server, response_time, age in report.samples:
             # The largest age that a report can hold stands for every larger one, too.
             if server in self._names and age < min(MAX_SAMPLE_AGE, MAX_AGE):
-                self._add_sample(server, report.sender, _Sample(now - age, wait))
+                self._add_sample(server, report.sender, _Sample(now - age, response_time))
         # A report can't claim more requests for a slot than its router had in all: without this bound one
         # false report could make any slot hot.
         slots = {slot: min(count, report.requests) for slot, count in report.slots.items()}
@@ -184,7 +190,7 @@
         return LoadReport(
             self.me,
             self.boot_id,
-            tuple(ServerSample(server, sample.wait, now - sample.at) for server, sample in latest),
+            tuple(ServerSample(server, sample.response_time, now - sample.at) for server, sample in latest),
             round(self.slot_counts.total),
             {slot: round(count) for slot, count in self.slot_counts.guaranteed(MAX_SLOTS).items()},
             {i: round(rates[name] * 10) for i, name in enumerate(self._tenants) if name in rates},
@@ -195,10 +201,10 @@
         """The listed servers by hash."""
         return self._names
 
-    def own_waits(self, now: int) -> dict[int, TimedWait]:
+    def own_response_times(self, now: int) -> dict[int, AgedResponseTime]:
         """By server's hash: the wait that this router was told last, no older than MAX_OWN_SAMPLE_AGE."""
         return {
-            server: TimedWait(float(one.wait), now - one.at)
+            server: AgedResponseTime(float(one.response_time), now - one.at)
             for server, one in self._own.items()
             if now - one.at < MAX_OWN_SAMPLE_AGE
         }
@@ -207,7 +213,11 @@
         """The load of each server that a sample younger than MAX_SAMPLE_AGE tells of."""
         found = {}
         for server, samples in self._samples.items():
-            young = [(wait, now - at) for at, wait in samples.values() if now - at < MAX_SAMPLE_AGE]
+            young = [
+                (response_time, now - at)
+                for at, response_time in samples.values()
+                if now - at < MAX_SAMPLE_AGE
+            ]
             if young:
                 found[self._names[server]] = _weighted_median(young)
         return found
--- a/holdgw/peers/merged_view.py
+++ b/holdgw/peers/merged_view.py
@@ -37,9 +37,9 @@
 """Version, kind, aggregator, boot_id, sequence, age, part, parts, reporters, requests, waits, slots."""
 _AGE_OFFSET = 12  # of the age in a datagram
 _CONTENT_BYTES = MAX_BYTES - _HEADER.size - CHECKSUM_BYTES  # for waits and slots
-MAX_WAITS_PER_PART = _CONTENT_BYTES // SAMPLE_BYTES
+MAX_SERVERS_PER_PART = _CONTENT_BYTES // SAMPLE_BYTES
 MAX_SLOTS = _CONTENT_BYTES // SLOT.size
-MAX_SERVERS = 4 * MAX_WAITS_PER_PART
+MAX_SERVERS = 4 * MAX_SERVERS_PER_PART
 """In one view; of more servers those sampled most are sent."""
 MAX_SHARE_STEPS = 0xFFFF
 SHARE_STEP = 1.0 / MAX_SHARE_STEPS
@@ -57,7 +57,7 @@
     parts: int
     reporters: int
     requests: int
-    waits: tuple[ServerSample, ...] = ()
+    response_times: tuple[ServerSample, ...] = ()
     """Ages are as of when the reports were merged."""
     slot_shares: Mapping[int, float] = {}
 
@@ -69,14 +69,14 @@
 
 def split(merged: MergedLoad, aggregator: int, boot_id: int, sequence: int) -> list[ViewPart]:
     """The parts of a view: first the waits, then the largest shares in the bytes that are left."""
-    waits = merged.waits[:MAX_SERVERS]
+    response_times = merged.response_times[:MAX_SERVERS]
     slots = list(merged.slot_shares.items())[:MAX_SLOTS]
     contents: list[tuple[tuple[ServerSample, ...], dict[int, float]]] = []
-    while waits or slots or not contents:
-        part_waits = waits[:MAX_WAITS_PER_PART]
-        waits = waits[MAX_WAITS_PER_PART:]
-        slot_count = (_CONTENT_BYTES - len(part_waits) * SAMPLE_BYTES) // SLOT.size
-        contents.append((part_waits, dict(slots[:slot_count])))
+    while response_times or slots or not contents:
+        part_response_times = response_times[:MAX_SERVERS_PER_PART]
+        response_times = response_times[MAX_SERVERS_PER_PART:]
+        slot_count = (_CONTENT_BYTES - len(part_response_times) * SAMPLE_BYTES) // SLOT.size
+        contents.append((part_response_times, dict(slots[:slot_count])))
         slots = slots[slot_count:]
     totals = len(contents), min(merged.reporters, 0xFFFF), min(merged.requests, 0xFFFFFFFF)
     return [
@@ -93,14 +93,14 @@
         *view[:3],
         age_steps(view.age),
         *view[4:8],
-        len(view.waits),
+        len(view.response_times),
         len(view.slot_shares),
     )
     slots = b"".join(
         SLOT.pack(slot, min(round(share / SHARE_STEP), MAX_SHARE_STEPS))
         for slot, share in view.slot_shares.items()
     )
-    return header + encode_samples(view.waits) + slots
+    return header + encode_samples(view.response_times) + slots
 
 
 def to_datagram(body: bytes, age: int) -> bytes:
@@ -112,9 +112,11 @@
     """Decode a part in a tier of so many members; raises DecodeError."""
     body = verify_checksum(data, _HEADER.size)
     header = _HEADER.unpack_from(body)
-    _, kind, aggregator, boot_id, sequence, age, part, parts, reporters, requests, waits, slots = header
-    waits_end = _HEADER.size + waits * SAMPLE_BYTES
-    if len(body) != waits_end + slots * SLOT.size:
+    _, kind, aggregator, boot_id, sequence, age, part, parts, reporters, requests, response_times, slots = (
+        header
+    )
+    response_times_end = _HEADER.size + response_times * SAMPLE_BYTES
+    if len(body) != response_times_end + slots * SLOT.size:
         raise DecodeError(DropReason.LENGTH)
     # The largest age stands for every larger one, so that such a view is of unknown age.
     if kind != VIEW_KIND or aggregator >= members or part >= parts or age * AGE_STEP >= MAX_AGE:
@@ -128,6 +130,6 @@
         parts,
         reporters,
         requests,
-        decode_samples(body[_HEADER.size : waits_end]),
-        {slot: share * SHARE_STEP for slot, share in SLOT.iter_unpack(body[waits_end:])},
+        decode_samples(body[_HEADER.size : response_times_end]),
+        {slot: share * SHARE_STEP for slot, share in SLOT.iter_unpack(body[response_times_end:])},
     )
--- a/holdgw/peers/view_selection.py
+++ b/holdgw/peers/view_selection.py
@@ -16,13 +16,13 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from holdgw.peers.load_view import LoadSnapshot, TimedWait
+from holdgw.peers.load_view import AgedResponseTime, LoadSnapshot
 from holdgw.peers.merged_view import ViewPart
 from holdgw.peers.sequence_gate import Order, SequenceGate
 from holdgw.peers.timing import NS_PER_S
 
 VIEW_MAX_AGE = 3 * NS_PER_S  # since it arrived, from which on a view is never used
-WAIT_MAX_AGE = 5 * NS_PER_S  # since it was measured, from which on a wait is ignored
+RESPONSE_TIME_MAX_AGE = 5 * NS_PER_S  # since it was measured, from which on a wait is ignored
 SHARES_MAX_AGE = 5 * NS_PER_S  # since they arrived, while other parts of newer views come
 OWN_MAX_AGE = NS_PER_S  # of an own sample, up to which it goes before a single view
 OWN_VOTE_MAX_AGE = 3 * NS_PER_S  # the same, for it to be the third vote beside two views
@@ -33,7 +33,7 @@
 class OwnLoad(NamedTuple):
     """What this router observed itself. `routers`: how many are present, this one among them."""
 
-    waits: Mapping[int, TimedWait]
+    response_times: Mapping[int, AgedResponseTime]
     """By the server's hash."""
     slots: Mapping[int, float]
     """Certain counts of its requests by slot."""
@@ -41,10 +41,10 @@
     routers: int
 
 
-class _ReceivedWait(NamedTuple):
+class _ReceivedResponseTime(NamedTuple):
     """A server's wait by an aggregator's view, when it was measured and when the view arrived, all ns."""
 
-    wait: int
+    response_time: int
     measured_at: int
     arrived_at: int
 
@@ -58,7 +58,7 @@
     arrived_at: int = 0
     reporters: int = 0
     requests: int = 0
-    waits: dict[int, _ReceivedWait] = field(default_factory=dict)
+    response_times: dict[int, _ReceivedResponseTime] = field(default_factory=dict)
     shares: Mapping[int, float] = field(default_factory=dict)
     shares_sequence: int = -1
     shares_arrived_at: int = 0
@@ -74,19 +74,21 @@
             return False
         if order is Order.NEWER:
             self.parts = set()
-            self.waits = {s: one for s, one in self.waits.items() if now - one.arrived_at < VIEW_MAX_AGE}
+            self.response_times = {
+                s: one for s, one in self.response_times.items() if now - one.arrived_at < VIEW_MAX_AGE
+            }
         self.parts.add(view.part)
         self.arrived_at = now
         self.reporters = view.reporters
         self.requests = view.requests
-        self._add_waits(view, now)
+        self._add_response_times(view, now)
         self._add_shares(view, now)
         return True
 
-    def _add_waits(self, view: ViewPart, now: int) -> None:
-        for server, wait, age in view.waits:
-            if server in self.waits or len(self.waits) < MAX_SERVERS_PER_AGGREGATOR:
-                self.waits[server] = _ReceivedWait(wait, now - view.age - age, now)
+    def _add_response_times(self, view: ViewPart, now: int) -> None:
+        for server, response_time, age in view.response_times:
+            if server in self.response_times or len(self.response_times) < MAX_SERVERS_PER_AGGREGATOR:
+                self.response_times[server] = _ReceivedResponseTime(response_time, now - view.age - age, now)
 
     def _add_shares(self, view: ViewPart, now: int) -> None:
         if view.slot_shares:
@@ -99,13 +101,13 @@
         """Slots' shares, if they are not too old."""
         return self.shares if now - self.shares_arrived_at < SHARES_MAX_AGE else {}
 
-    def wait_of(self, server: int, now: int) -> TimedWait | None:
+    def response_time_of(self, server: int, now: int) -> AgedResponseTime | None:
         """A server's wait and its age, if it is not too old."""
-        received = self.waits.get(server)
+        received = self.response_times.get(server)
         if received is None or now - received.arrived_at >= VIEW_MAX_AGE:
             return None
         age = now - received.measured_at
-        return TimedWait(float(received.wait), age) if age < WAIT_MAX_AGE else None
+        return AgedResponseTime(float(received.response_time), age) if age < RESPONSE_TIME_MAX_AGE else None
 
 
 class ViewSelection:
@@ -134,15 +136,19 @@
         views = [view for view in usable if view.is_fresh(now)]
         if not views:
             return None
-        waits = {}
+        response_times = {}
         for server, name in names.items():
-            votes = [wait for view in views if (wait := view.wait_of(server, now)) is not None]
-            wait = select_wait(votes, own.waits.get(server))
-            if wait is not None:
-                waits[name] = wait
+            votes = [
+                response_time
+                for view in views
+                if (response_time := view.response_time_of(server, now)) is not None
+            ]
+            response_time = select_response_time(votes, own.response_times.get(server))
+            if response_time is not None:
+                response_times[name] = response_time
         requests = select_requests([view.requests for view in views], own)
         shares = select_shares([view.fresh_shares(now) for view in usable], own, requests)
-        return LoadSnapshot(waits, shares, requests, own.requests)
+        return LoadSnapshot(response_times, shares, requests, own.requests)
 
     def _usable(self, chosen: Sequence[int], routers: int, now: int) -> list[_ReceivedView]:
         """At most two views, of the aggregators in use first: fresh ones, or those with usable shares.
@@ -158,7 +164,9 @@
         return [view for view in usable if view.reporters >= min_reporters]
 
 
-def select_wait(votes: Sequence[TimedWait], own: TimedWait | None) -> TimedWait | None:
+def select_response_time(
+    votes: Sequence[AgedResponseTime], own: AgedResponseTime | None
+) -> AgedResponseTime | None:
     """A server's wait by at most two views and this router's own sample."""
     if len(votes) < 2 and own is not None and own.age < OWN_MAX_AGE:
         return own
--- a/holdgw/router/program.py
+++ b/holdgw/router/program.py
@@ -17,7 +17,7 @@
 from holdgw.operation.process_link import ClientHandover, ProcessLink
 from holdgw.operation.takeover import OverrideChanged, Takeover
 from holdgw.peers.gossip import PeerNode
-from holdgw.peers.load_view import LoadSnapshot, Observations, SampledWait
+from holdgw.peers.load_view import LoadSnapshot, Observations, SampledResponseTime
 from holdgw.policy import NS_PER_S, HandoverState, LoadSnapshotChanged, UpdateKind
 from holdgw.router.client_listener import ClientListener
 from holdgw.router.config import Config
@@ -238,7 +238,9 @@
     def take_observations(self) -> Observations:
         """What the routing policy observed since the last call."""
         waits, slot_requests = self.dispatcher.take_observations()
-        sampled_waits = {endpoint_id: SampledWait(wait, at) for endpoint_id, (wait, at) in waits.items()}
+        sampled_waits = {
+            endpoint_id: SampledResponseTime(wait, at) for endpoint_id, (wait, at) in waits.items()
+        }
         return Observations(sampled_waits, slot_requests)
 
     def demands(self) -> dict[str, float]:
@@ -249,7 +251,9 @@
         """Give the routing policy a snapshot of the load view."""
         slot_shares = dict(snapshot.slot_shares)
         self.dispatcher.dispatch(
-            LoadSnapshotChanged(snapshot.waits, slot_shares, snapshot.requests, snapshot.own_requests)
+            LoadSnapshotChanged(
+                snapshot.response_times, slot_shares, snapshot.requests, snapshot.own_requests
+            )
         )
 
     # The calls of the admin endpoint (operation.admin_endpoint.AdminOperations)
--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -16,7 +16,7 @@
 from holdgw.peers.aggregation_client import APPLY_AFTER_S, REPORT_INTERVAL_S
 from holdgw.peers.aggregator import OutgoingDatagram
 from holdgw.peers.datagram import DecodeError
-from holdgw.peers.load_view import LoadSnapshot, LoadView, Observations, SampledWait
+from holdgw.peers.load_view import LoadSnapshot, LoadView, Observations, SampledResponseTime
 from holdgw.simulation.event_queue import EventQueue
 
 NS_PER_S = 1_000_000_000
@@ -149,7 +149,7 @@
 
     def _report(self, member: SimulatedMember) -> None:
         asked = self.random.sample(self.servers, min(self.samples_per_s, len(self.servers)))
-        waits = {name: SampledWait(float(self.wait(name, self.now)), self.now) for name in asked}
+        waits = {name: SampledResponseTime(float(self.wait(name, self.now)), self.now) for name in asked}
         member.load_view.record(Observations(waits, Counter(self.slots(member.number))))
         self._send(member.number, member.exchange.report(self.now))
 
@@ -220,5 +220,5 @@
         """By router: the greatest age of a wait in its last snapshot, ns."""
         ages = defaultdict(int)
         for number, snapshot in self.snapshots.items():
-            ages[number] = max((wait.age for wait in snapshot.waits.values()), default=0)
+            ages[number] = max((wait.age for wait in snapshot.response_times.values()), default=0)
         return ages
--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -15,7 +15,7 @@
 
 from holdgw.peers.gossip import FANOUT, REPORT_TICKS, TICK_S
 from holdgw.peers.load_report import LoadReport
-from holdgw.peers.load_view import LoadView, Observations, SampledWait
+from holdgw.peers.load_view import LoadView, Observations, SampledResponseTime
 from holdgw.peers.timing import NS_PER_S
 from holdgw.policy import (
     AttemptEnded,
@@ -272,7 +272,7 @@
         if not self.peers or one.frozen is not None:
             return
         waits, slot_requests = one.router.take_observations()
-        sampled = {server: SampledWait(wait, at) for server, (wait, at) in waits.items()}
+        sampled = {server: SampledResponseTime(wait, at) for server, (wait, at) in waits.items()}
         one.load_view.record(Observations(sampled, slot_requests))
         report = self.falsify(one, one.load_view.report(self.now))
         others = self.random.sample(self.routers, min(FANOUT + 1, len(self.routers)))
@@ -280,7 +280,9 @@
             if self.reach(one.number, other.number):
                 self.at(self.now + self.delay, lambda other=other: self._receive(other, report))  # type: ignore[misc]
         view = one.load_view.snapshot(self.now)
-        event = LoadSnapshotChanged(view.waits, dict(view.slot_shares), view.requests, view.own_requests)
+        event = LoadSnapshotChanged(
+            view.response_times, dict(view.slot_shares), view.requests, view.own_requests
+        )
         self._act(one, one.router.handle(event, self.now))
 
     def _receive(self, one: SimulatedPolicy, report: LoadReport) -> None:
--- a/tests/peers/test_aggregation.py
+++ b/tests/peers/test_aggregation.py
@@ -18,7 +18,7 @@
     rank_aggregators,
 )
 from holdgw.peers.datagram import MAX_BYTES, DecodeError
-from holdgw.peers.load_encoding import AGE_STEP, WAIT_STEP, ServerSample
+from holdgw.peers.load_encoding import AGE_STEP, RESPONSE_TIME_STEP, ServerSample
 from holdgw.peers.load_merge import (
     MAX_MEDIAN_RATIO,
     MIN_SLOT_SHARE,
@@ -40,7 +40,7 @@
 SAMPLES = st.builds(
     ServerSample,
     WORD,
-    SHORT.map(lambda steps: steps * WAIT_STEP),
+    SHORT.map(lambda steps: steps * RESPONSE_TIME_STEP),
     st.integers(0, 255).map(lambda steps: steps * AGE_STEP),
 )
 REPORTS = st.builds(
@@ -62,8 +62,14 @@
 )
 
 
-def report(sender: int, wait: int = 20 * MS, age: int = 0, **changes: object) -> LoadReport:
-    told = {"boot_id": 7, "samples": (ServerSample(1, wait, age),), "requests": 100, "slots": {}, **changes}
+def report(sender: int, response_time: int = 20 * MS, age: int = 0, **changes: object) -> LoadReport:
+    told = {
+        "boot_id": 7,
+        "samples": (ServerSample(1, response_time, age),),
+        "requests": 100,
+        "slots": {},
+        **changes,
+    }
     return LoadReport(sender, **told)  # type: ignore[arg-type]
 
 
@@ -100,7 +106,7 @@
     assert all(len(merged_view.to_datagram(merged_view.encode_body(p), held)) <= MAX_BYTES for p in parts)
     assert [part.part for part in found] == list(range(len(parts)))
     assert all(held <= part.age < held + AGE_STEP for part in found)
-    assert sum((part.waits for part in found), ()) == merged.waits[:MAX_SERVERS]
+    assert sum((part.response_times for part in found), ()) == merged.response_times[:MAX_SERVERS]
     shares = {slot: share for part in found for slot, share in part.slot_shares.items()}
     assert shares == {slot: pytest.approx(merged.slot_shares[slot], abs=1e-4) for slot in shares}
     assert {(p.aggregator, p.boot_id, p.sequence, p.reporters) for p in found} == {
@@ -279,7 +285,7 @@
 def test_any_order_duplication_and_overlap_of_deliveries_gives_the_same_table(data: st.DataObject) -> None:
     """The same reports by the same sources; each counts once, whatever the way it came."""
     said = [
-        (SequencedReport(n, report(sender, wait=n * MS)), source)
+        (SequencedReport(n, report(sender, response_time=n * MS)), source)
         for sender in range(4)
         for n in range(1, 4)
         for source in data.draw(st.sets(st.sampled_from((sender, 90, 91, 92)), min_size=1))
@@ -315,8 +321,8 @@
 
 def test_a_young_direct_report_goes_before_a_forwarded_one_and_an_expired_one_counts_no_more() -> None:
     held = table()
-    held.receive(SequencedReport(1, report(5, wait=10 * MS)), 5, 0)
-    held.receive(SequencedReport(9, report(5, wait=900 * MS)), 90, S)  # a claim of a newer one
+    held.receive(SequencedReport(1, report(5, response_time=10 * MS)), 5, 0)
+    held.receive(SequencedReport(9, report(5, response_time=900 * MS)), 90, S)  # a claim of a newer one
     assert [one.source for one in held.fresh(DIRECT_PREFERRED - 1)] == [5]
     assert [one.source for one in held.fresh(DIRECT_PREFERRED)] == [90]
     assert [one.source for one in held.fresh(REPORT_MAX_AGE)] == [90]
@@ -359,12 +365,16 @@
 
 @given(st.lists(st.integers(1, 1000), min_size=3, max_size=60), st.integers(0, 60_000), st.integers(0, 3000))
 def test_one_false_reporter_moves_a_servers_wait_by_one_rank(true: list[int], lie: int, age: int) -> None:
-    reports = [direct(report(n, wait=wait * MS)) for n, wait in enumerate(true)]
+    reports = [direct(report(n, response_time=response_time * MS)) for n, response_time in enumerate(true)]
     samples = (ServerSample(1, lie * MS, age * MS), ServerSample(1, lie * MS, 0))
-    (found,) = merge([*reports, direct(report(99, samples=samples))]).waits
+    (found,) = merge([*reports, direct(report(99, samples=samples))]).response_times
     ordered = sorted(true)
     middle = (len(ordered) - 1) // 2
-    assert ordered[max(middle - 1, 0)] * MS <= found.wait <= ordered[min(middle + 1, len(ordered) - 1)] * MS
+    assert (
+        ordered[max(middle - 1, 0)] * MS
+        <= found.response_time
+        <= ordered[min(middle + 1, len(ordered) - 1)] * MS
+    )
 
 
 def test_one_false_reporters_requests_count_for_a_bounded_part() -> None:
@@ -384,10 +394,13 @@
 def test_one_false_reporter_keeps_a_servers_wait_within_true_ones_of_whatever_ages(
     true: list[tuple[int, int]], lie: int, age: int
 ) -> None:
-    reports = [direct(report(n, wait=wait * MS, age=old * MS)) for n, (wait, old) in enumerate(true)]
-    (found,) = merge([*reports, direct(report(99, wait=lie * MS, age=age * MS))]).waits
-    waits = [wait * MS for wait, _ in true]
-    assert min(waits) <= found.wait <= max(waits)
+    reports = [
+        direct(report(n, response_time=response_time * MS, age=old * MS))
+        for n, (response_time, old) in enumerate(true)
+    ]
+    (found,) = merge([*reports, direct(report(99, response_time=lie * MS, age=age * MS))]).response_times
+    response_times = [response_time * MS for response_time, _ in true]
+    assert min(response_times) <= found.response_time <= max(response_times)
 
 
 def test_one_false_reporters_slot_has_its_bounded_share_also_where_others_were_forwarded() -> None:
@@ -408,8 +421,10 @@
     assert 50 * (rest + lies) <= merged.requests <= 200 * (rest + lies), merged
 
 
-def forwarded(by: int, senders: Sequence[int], wait: int, slots: dict[int, int]) -> list[ReceivedReport]:
-    return [ReceivedReport(report(n, wait=wait, slots=slots), by, 0) for n in senders]
+def forwarded(
+    by: int, senders: Sequence[int], response_time: int, slots: dict[int, int]
+) -> list[ReceivedReport]:
+    return [ReceivedReport(report(n, response_time=response_time, slots=slots), by, 0) for n in senders]
 
 
 @given(
@@ -419,11 +434,11 @@
     true: list[int], lies: int, lie: int
 ) -> None:
     """Whatever it forwards, for however many reporters, and however many another one forwarded."""
-    reports = [direct(report(n, wait=wait * MS)) for n, wait in enumerate(true)]
+    reports = [direct(report(n, response_time=response_time * MS)) for n, response_time in enumerate(true)]
     false = forwarded(90, range(100, 100 + lies), lie * MS, {})
-    (found,) = merge([*reports, *false]).waits
+    (found,) = merge([*reports, *false]).response_times
     ordered, last = sorted(true), len(true) - 1
-    assert ordered[last // 4] * MS <= found.wait <= ordered[min(3 * len(true) // 4 + 1, last)] * MS
+    assert ordered[last // 4] * MS <= found.response_time <= ordered[min(3 * len(true) // 4 + 1, last)] * MS
 
 
 def test_one_lying_aggregator_outvotes_no_two_others_however_much_it_claims() -> None:
@@ -433,8 +448,8 @@
             *forwarded(92, range(20, 40), 30 * MS, {}),
             *forwarded(90, range(100, 100 + lies), 60 * S, {}),
         ]
-        (found,) = merge(reports).waits
-        assert found.wait in (20 * MS, 30 * MS), lies
+        (found,) = merge(reports).response_times
+        assert found.response_time in (20 * MS, 30 * MS), lies
 
 
 def test_one_lying_aggregator_makes_no_slot_hot_by_what_it_forwards() -> None:
@@ -447,21 +462,21 @@
 
 
 def test_young_samples_count_alone_where_there_are_enough() -> None:
-    old = [direct(report(n, wait=900 * MS, age=2 * S)) for n in range(50)]
-    young = [direct(report(n, wait=20 * MS, age=n * MS)) for n in range(50, 57)]
-    (found,) = merge([*old, *young]).waits
-    assert (found.wait, found.age) == (20 * MS, 53 * MS)
-    (few,) = merge([*old, *young[:3]]).waits
-    assert few.wait == 900 * MS
-    claimed = [ReceivedReport(report(n, wait=0), 90, 0) for n in range(100, 130)]
-    (found,) = merge([*old, *claimed]).waits
-    assert found.wait == 900 * MS
+    old = [direct(report(n, response_time=900 * MS, age=2 * S)) for n in range(50)]
+    young = [direct(report(n, response_time=20 * MS, age=n * MS)) for n in range(50, 57)]
+    (found,) = merge([*old, *young]).response_times
+    assert (found.response_time, found.age) == (20 * MS, 53 * MS)
+    (few,) = merge([*old, *young[:3]]).response_times
+    assert few.response_time == 900 * MS
+    claimed = [ReceivedReport(report(n, response_time=0), 90, 0) for n in range(100, 130)]
+    (found,) = merge([*old, *claimed]).response_times
+    assert found.response_time == 900 * MS
 
 
 def test_samples_grow_old_with_their_report_and_are_ignored_when_too_old() -> None:
-    (found,) = merge([direct(report(1, age=S), S), direct(report(2, age=0), S)]).waits
+    (found,) = merge([direct(report(1, age=S), S), direct(report(2, age=0), S)]).response_times
     assert found.age == 2 * S
-    assert merge([direct(report(1, age=2 * S), SAMPLE_MAX_AGE - 2 * S)]).waits == ()
+    assert merge([direct(report(1, age=2 * S), SAMPLE_MAX_AGE - 2 * S)]).response_times == ()
 
 
 def test_nothing_received_merges_to_nothing() -> None:
@@ -512,7 +527,7 @@
         elif n == 2:
             (view,) = found
             assert S // 2 <= view.age < S // 2 + AGE_STEP
-            assert view.waits[0].age == 400 * MS
+            assert view.response_times[0].age == 400 * MS
         else:
             assert found == []  # it stood still
 
--- a/tests/peers/test_load_view.py
+++ b/tests/peers/test_load_view.py
@@ -12,7 +12,7 @@
 from holdgw.peers import load_report
 from holdgw.peers.datagram import MAX_BYTES, DecodeError
 from holdgw.peers.heavy_hitters import COUNTERS, MIN_CERTAIN, MIN_COUNT, HeavyHitters
-from holdgw.peers.load_encoding import AGE_STEP, WAIT_STEP, ServerSample
+from holdgw.peers.load_encoding import AGE_STEP, RESPONSE_TIME_STEP, ServerSample
 from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, MAX_TENANTS, LoadReport
 from holdgw.peers.load_view import MAX_SAMPLE_AGE, LoadView, Observations
 from holdgw.peers.timing import NS_PER_S
@@ -22,7 +22,7 @@
 SAMPLES = st.builds(
     ServerSample,
     st.integers(0, (1 << 32) - 1),
-    SHORT.map(lambda steps: steps * WAIT_STEP),
+    SHORT.map(lambda steps: steps * RESPONSE_TIME_STEP),
     st.integers(0, 255).map(lambda steps: steps * AGE_STEP),
 )
 REPORTS = st.builds(
@@ -134,21 +134,21 @@
 
 def test_a_servers_sample_expires_and_newer_samples_outweigh_it() -> None:
     one, other, third = views(3)
-    other.record_wait("cache-1", 80_000_000, 0)
+    other.record_response_time("cache-1", 80_000_000, 0)
     one.receive(other.report(NS_PER_S), NS_PER_S)
-    assert one.loads(NS_PER_S)["cache-1"].wait == 80_000_000
+    assert one.loads(NS_PER_S)["cache-1"].response_time == 80_000_000
     assert one.loads(NS_PER_S)["cache-1"].age == pytest.approx(NS_PER_S, abs=AGE_STEP)
-    third.record_wait("cache-1", 20_000_000, 3 * NS_PER_S)
+    third.record_response_time("cache-1", 20_000_000, 3 * NS_PER_S)
     one.receive(third.report(3 * NS_PER_S), 3 * NS_PER_S)
     # The older sample has an eighth of the weight.
-    assert one.loads(3 * NS_PER_S)["cache-1"].wait == 20_000_000
+    assert one.loads(3 * NS_PER_S)["cache-1"].response_time == 20_000_000
     assert one.loads(NS_PER_S + MAX_SAMPLE_AGE + 1)["cache-1"].samples == 1
     assert one.loads(3 * NS_PER_S + MAX_SAMPLE_AGE) == {}
 
 
 def test_an_old_sample_reported_again_is_no_younger() -> None:
     one, other = views(2)
-    other.record_wait("cache-1", 80_000_000, 0)
+    other.record_response_time("cache-1", 80_000_000, 0)
     said = other.report(NS_PER_S)
     one.receive(said, NS_PER_S)
     before = one.loads(4 * NS_PER_S)["cache-1"].age
@@ -164,16 +164,16 @@
     now = NS_PER_S
     said = []
     for one in every[1:]:
-        wait = rng.randrange(20_000_000, 30_000_000)
-        one.record_wait("cache-3", wait, now)
-        said.append(wait)
+        response_time = rng.randrange(20_000_000, 30_000_000)
+        one.record_response_time("cache-3", response_time, now)
+        said.append(response_time)
         every[0].receive(one.report(now), now)
     for _ in range(20):
         now += 1_000_000
         lies = tuple(ServerSample(load_report.hash_server(name), lie, 0) for name in SERVERS)
         every[0].receive(LoadReport(5, 1, lies, 1, {9: 60_000}), now)
     load = every[0].loads(now)["cache-3"]
-    assert min(said) - 1_000_000 <= load.wait <= max(said)
+    assert min(said) - 1_000_000 <= load.response_time <= max(said)
     shares, _ = every[0].shares(now)
     assert shares.get(9, 0.0) <= 1.0
     for one in every[1:5]:
@@ -186,13 +186,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     one, other = views(2)
-    other.record_wait("cache-1", 80_000_000, 0)
+    other.record_response_time("cache-1", 80_000_000, 0)
     one.set_servers([name for name in SERVERS if name != "cache-1"])
     one.receive(other.report(1), 1)
     assert one.loads(1) == {}
     monkeypatch.setattr("holdgw.peers.load_view.hash_server", lambda _: 1)
     one.set_servers(["a", "b"])
-    one.record_wait("a", 5, 2)
+    one.record_response_time("a", 5, 2)
     assert one.loads(2) == {}
 
 
--- a/tests/peers/test_view_selection.py
+++ b/tests/peers/test_view_selection.py
@@ -14,20 +14,20 @@
 )
 from holdgw.peers.load_encoding import ServerSample
 from holdgw.peers.load_report import LoadReport
-from holdgw.peers.load_view import TimedWait
+from holdgw.peers.load_view import AgedResponseTime
 from holdgw.peers.merged_view import ViewPart
 from holdgw.peers.sequence_gate import REPLACED_AFTER
 from holdgw.peers.view_selection import (
     MAX_SERVERS_PER_AGGREGATOR,
     OWN_MAX_AGE,
     OWN_VOTE_MAX_AGE,
+    RESPONSE_TIME_MAX_AGE,
     VIEW_MAX_AGE,
-    WAIT_MAX_AGE,
     OwnLoad,
     ViewSelection,
     select_requests,
+    select_response_time,
     select_shares,
-    select_wait,
 )
 from tests.helpers import MS, S
 
@@ -38,7 +38,9 @@
 SHARES = st.dictionaries(st.integers(0, 5), st.floats(0, 1), min_size=1)
 
 
-def view(aggregator: int = 90, sequence: int = 1, wait: int = 20 * MS, **changes: object) -> ViewPart:
+def view(
+    aggregator: int = 90, sequence: int = 1, response_time: int = 20 * MS, **changes: object
+) -> ViewPart:
     told: dict[str, object] = {
         "boot_id": 7,
         "age": 0,
@@ -46,7 +48,7 @@
         "parts": 1,
         "reporters": 700,
         "requests": 1000,
-        "waits": (ServerSample(1, wait, 0),),
+        "response_times": (ServerSample(1, response_time, 0),),
         "slot_shares": {5: 0.1},
         **changes,
     }
@@ -60,22 +62,26 @@
 def test_a_lying_aggregator_moves_a_wait_to_the_other_of_own_sample_and_honest_view_at_most(
     honest: float, own: float, lie: float, age: int, own_age: int
 ) -> None:
-    found = select_wait([TimedWait(honest, age), TimedWait(lie, 0)], TimedWait(own, own_age))
+    found = select_response_time(
+        [AgedResponseTime(honest, age), AgedResponseTime(lie, 0)], AgedResponseTime(own, own_age)
+    )
     assert found is not None
-    assert min(honest, own) <= found.wait <= max(honest, own)
+    assert min(honest, own) <= found.response_time <= max(honest, own)
 
 
 def test_without_an_own_sample_a_lie_can_only_lower_a_wait() -> None:
-    honest = TimedWait(50.0 * MS, S)
-    assert select_wait([honest, TimedWait(9e12, 0)], None) == honest
-    assert select_wait([honest, TimedWait(0.0, 0)], None) == TimedWait(0.0, 0)
+    honest = AgedResponseTime(50.0 * MS, S)
+    assert select_response_time([honest, AgedResponseTime(9e12, 0)], None) == honest
+    assert select_response_time([honest, AgedResponseTime(0.0, 0)], None) == AgedResponseTime(0.0, 0)
 
 
 def test_beside_a_single_view_an_own_sample_goes_first_while_it_is_young() -> None:
-    seen = TimedWait(50.0 * MS, S)
-    assert select_wait([seen], TimedWait(9.0, OWN_MAX_AGE - 1)) == TimedWait(9.0, OWN_MAX_AGE - 1)
-    assert select_wait([seen], TimedWait(9.0, OWN_MAX_AGE)) == seen
-    assert select_wait([], None) is None
+    seen = AgedResponseTime(50.0 * MS, S)
+    assert select_response_time([seen], AgedResponseTime(9.0, OWN_MAX_AGE - 1)) == AgedResponseTime(
+        9.0, OWN_MAX_AGE - 1
+    )
+    assert select_response_time([seen], AgedResponseTime(9.0, OWN_MAX_AGE)) == seen
+    assert select_response_time([], None) is None
 
 
 @given(SHARES, SHARES, st.dictionaries(st.integers(0, 5), st.floats(1, 50)))
@@ -106,20 +112,20 @@
 
 def test_a_views_ages_include_how_long_it_was_held_and_the_time_since_it_arrived() -> None:
     held = ViewSelection()
-    held.receive(view(age=400 * MS, waits=(ServerSample(1, 20 * MS, 200 * MS),)), S)
+    held.receive(view(age=400 * MS, response_times=(ServerSample(1, 20 * MS, 200 * MS),)), S)
     found = held.snapshot((90,), NAMES, NOTHING, 2 * S)
     assert found is not None
-    assert found.waits == {"cache-1": TimedWait(20.0 * MS, 1600 * MS)}
+    assert found.response_times == {"cache-1": AgedResponseTime(20.0 * MS, 1600 * MS)}
     assert found.slot_shares == {5: 0.1}
 
 
 def test_a_view_or_a_wait_in_it_past_its_age_is_never_used() -> None:
     held = ViewSelection()
-    old = ServerSample(2, 20 * MS, WAIT_MAX_AGE - S)
-    held.receive(view(waits=(ServerSample(1, 20 * MS, 0), old)), 0)
+    old = ServerSample(2, 20 * MS, RESPONSE_TIME_MAX_AGE - S)
+    held.receive(view(response_times=(ServerSample(1, 20 * MS, 0), old)), 0)
     found = held.snapshot((90,), NAMES, NOTHING, S)
     assert found is not None
-    assert found.waits.keys() == {"cache-1"}
+    assert found.response_times.keys() == {"cache-1"}
     assert held.has_fresh(VIEW_MAX_AGE - 1)
     assert held.snapshot((90,), NAMES, NOTHING, VIEW_MAX_AGE) is None
     assert held.reporters(VIEW_MAX_AGE) == 0
@@ -128,14 +134,17 @@
 def test_a_lost_parts_predecessor_stands_until_it_is_too_old() -> None:
     held = ViewSelection()
     held.receive(view(sequence=1, part=0, parts=2), 0)
-    held.receive(view(sequence=1, part=1, parts=2, waits=(ServerSample(2, 9 * MS, 0),)), 0)
-    held.receive(view(sequence=2, part=0, parts=2, wait=30 * MS), 2 * S)
+    held.receive(view(sequence=1, part=1, parts=2, response_times=(ServerSample(2, 9 * MS, 0),)), 0)
+    held.receive(view(sequence=2, part=0, parts=2, response_time=30 * MS), 2 * S)
     found = held.snapshot((90,), NAMES, NOTHING, 2 * S)
     assert found is not None
-    assert found.waits == {"cache-1": TimedWait(30.0 * MS, 0), "cache-2": TimedWait(9.0 * MS, 2 * S)}
+    assert found.response_times == {
+        "cache-1": AgedResponseTime(30.0 * MS, 0),
+        "cache-2": AgedResponseTime(9.0 * MS, 2 * S),
+    }
     later = held.snapshot((90,), NAMES, NOTHING, VIEW_MAX_AGE)
     assert later is not None
-    assert later.waits.keys() == {"cache-1"}
+    assert later.response_times.keys() == {"cache-1"}
 
 
 def test_a_part_again_or_of_an_older_view_or_an_earlier_process_is_dropped() -> None:
@@ -151,44 +160,44 @@
 
 def test_a_view_resting_on_under_half_of_the_others_reporters_is_ignored_while_that_is_fresh() -> None:
     held = ViewSelection()
-    held.receive(view(90, wait=900 * MS, reporters=349), 0)
-    held.receive(view(91, wait=20 * MS, reporters=700), 0)
+    held.receive(view(90, response_time=900 * MS, reporters=349), 0)
+    held.receive(view(91, response_time=20 * MS, reporters=700), 0)
     found = held.snapshot((90, 91), NAMES, NOTHING, S)
     assert found is not None
-    assert found.waits["cache-1"].wait == 20 * MS
-    held.receive(view(90, sequence=2, wait=900 * MS, reporters=349), 2 * S)
+    assert found.response_times["cache-1"].response_time == 20 * MS
+    held.receive(view(90, sequence=2, response_time=900 * MS, reporters=349), 2 * S)
     alone = held.snapshot((90, 91), NAMES, NOTHING, VIEW_MAX_AGE)
     assert alone is not None
-    assert alone.waits["cache-1"].wait == 900 * MS
+    assert alone.response_times["cache-1"].response_time == 900 * MS
 
 
 def test_a_view_that_claims_more_reporters_than_there_are_has_no_other_ignored() -> None:
     held = ViewSelection()
-    held.receive(view(90, wait=900 * MS, reporters=0xFFFF), 0)
-    held.receive(view(91, wait=20 * MS, reporters=700), 0)
+    held.receive(view(90, response_time=900 * MS, reporters=0xFFFF), 0)
+    held.receive(view(91, response_time=20 * MS, reporters=700), 0)
     found = held.snapshot((90, 91), NAMES, NOTHING, S)
     assert found is not None
-    assert found.waits["cache-1"].wait == 20 * MS
+    assert found.response_times["cache-1"].response_time == 20 * MS
 
 
 def test_of_three_views_those_of_the_aggregators_in_use_count() -> None:
     held = ViewSelection()
-    for number, wait in ((90, 0), (91, 40), (92, 50)):
-        held.receive(view(number, wait=wait * MS), 0)
+    for number, response_time in ((90, 0), (91, 40), (92, 50)):
+        held.receive(view(number, response_time=response_time * MS), 0)
     found = held.snapshot((92, 91), NAMES, NOTHING, 0)
     assert found is not None
-    assert found.waits["cache-1"].wait == 40 * MS
+    assert found.response_times["cache-1"].response_time == 40 * MS
 
 
 def test_servers_of_a_view_that_are_not_listed_are_left_out_and_bounded() -> None:
     held = ViewSelection()
     for sequence in range(20):
-        waits = tuple(ServerSample(sequence * 200 + i, MS, 0) for i in range(3, 203))
-        held.receive(view(sequence=sequence, waits=waits), sequence * MS)
-    assert len(held._views[90].waits) <= MAX_SERVERS_PER_AGGREGATOR
+        response_times = tuple(ServerSample(sequence * 200 + i, MS, 0) for i in range(3, 203))
+        held.receive(view(sequence=sequence, response_times=response_times), sequence * MS)
+    assert len(held._views[90].response_times) <= MAX_SERVERS_PER_AGGREGATOR
     found = held.snapshot((90,), NAMES, NOTHING, S)
     assert found is not None
-    assert found.waits.keys() <= set(NAMES.values())
+    assert found.response_times.keys() <= set(NAMES.values())
 
 
 # The client
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -486,7 +486,9 @@
             "requests": (1 << 32) - 1 if self.full else 0,
             **changes,
         }
-        part = ViewPart(age=0, part=0, parts=1, waits=waits, slot_shares=dict.fromkeys(CLAIMED, 1.0), **told)
+        part = ViewPart(
+            age=0, part=0, parts=1, response_times=waits, slot_shares=dict.fromkeys(CLAIMED, 1.0), **told
+        )
         return merged_view.to_datagram(merged_view.encode_body(part), 0)
 
     def false_report(self, reporter: int) -> bytes:
--- a/tests/simulation/test_aggregated_tier.py
+++ b/tests/simulation/test_aggregated_tier.py
@@ -39,7 +39,7 @@
     played.run(8.0)
     assert played.coverage() == dict.fromkeys(range(routers), routers)
     assert played.in_fallback() == 0
-    assert all(len(one.waits) == 12 for one in played.snapshots.values())
+    assert all(len(one.response_times) == 12 for one in played.snapshots.values())
 
 
 def test_a_router_that_aggregates_as_well_has_a_view_and_gives_one() -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -188,7 +188,7 @@
     now = 100 * NS_PER_S
     found = together([one, other], now)
     assert sum(found.slot_requests.values()) == 560
-    for server, (_, at) in found.waits.items():
+    for server, (_, at) in found.response_times.items():
         age = other.waits[server][1] if server in other.waits else one.waits[server][1] + NS_PER_S * 3 // 10
         assert now - at == age
 
--- a/tests/watching_router.py
+++ b/tests/watching_router.py
@@ -25,7 +25,7 @@
     def take_observations(self, router: Program) -> Observations:
         """What the router observed."""
         found = self._take(router)
-        waits = {name: sampled.wait for name, sampled in found.waits.items()}
+        waits = {name: sampled.response_time for name, sampled in found.response_times.items()}
         _write(OBSERVED, {"waits": waits, "slots": dict(found.slot_requests)})
         return found
 
@@ -37,12 +37,12 @@
         now = time.monotonic_ns()
         views, load_view = router.peers.exchange.client.views, router.peers.load_view
         told = {
-            "waits": {name: one.wait for name, one in snapshot.waits.items()},
+            "waits": {name: one.response_time for name, one in snapshot.response_times.items()},
             "shares": dict(snapshot.slot_shares),
             "requests": snapshot.requests,
             "own_requests": snapshot.own_requests,
             "own_slots": load_view.slot_counts.guaranteed(COUNTERS),
-            "own_waits": [load_view.names[server] for server in load_view.own_waits(now)],
+            "own_waits": [load_view.names[server] for server in load_view.own_response_times(now)],
             "fresh": [number for number, held in views._views.items() if held.is_fresh(now)],
         }
         _write(SNAPSHOT, told)
