--- a/holdgw/peers/compact_updates.py
+++ b/holdgw/peers/compact_updates.py
@@ -1,7 +1,7 @@
-"""Updates of many members in few bytes: those of one state and incarnation as one bitmap; pure.
+"""Compact encoding of many member updates: one bitmap for each pair of state and incarnation; pure.
 
-A rack, a zone or a region that fails or returns gives many updates that differ in the member's number alone.
-Zones are not sent: the receiver keeps those it knows.
+A rack, a zone or a region that fails or returns causes many updates that differ in the member's number only.
+Zones are not sent; the receiver keeps the zones that it knows.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from holdgw.peers.member_update import DecodeError, DropReason, MemberState, MemberUpdate
 
 _GROUP = struct.Struct("!BIHB")
-"""State, incarnation, number of the bitmap's first member, bytes of the bitmap."""
+"""State, incarnation, number of the bitmap's first member, length of the bitmap in bytes."""
 MAX_BITMAP_BYTES = 255
 
 
 class _Group(NamedTuple):
-    """Members of one state and incarnation, those of whole bytes of a bitmap over all members."""
+    """The bytes, of a bitmap over all members, that the members of one state and incarnation occupy."""
 
     first_byte: int
     last_byte: int
@@ -33,28 +33,28 @@
 
 
 def select(updates: Iterable[MemberUpdate], max_bytes: int) -> list[MemberUpdate]:
-    """Of these updates, in their order, those that go into so many bytes."""
+    """Return those of the updates, in their order, whose groups fit into `max_bytes`."""
     groups: dict[tuple[MemberState, int], _Group] = {}
     selected, used = [], 0
     for update in updates:
         key, byte = (update.state, update.incarnation), update.number // 8
         before = groups.get(key)
         after = before.with_byte(byte) if before is not None else _Group(byte, byte)
-        more = after.size - (before.size if before is not None else 0)
-        if used + more <= max_bytes and after.last_byte - after.first_byte < MAX_BITMAP_BYTES:
+        added = after.size - (before.size if before is not None else 0)
+        if used + added <= max_bytes and after.last_byte - after.first_byte < MAX_BITMAP_BYTES:
             groups[key] = after
             selected.append(update)
-            used += more
+            used += added
     return selected
 
 
 def size_of(updates: Iterable[MemberUpdate]) -> int:
-    """Bytes of these updates' groups."""
+    """Return the encoded size of the updates, in bytes."""
     return len(encode_groups(updates))
 
 
 def encode_groups(updates: Iterable[MemberUpdate]) -> bytes:
-    """The bitmaps of these updates; as long as `select` holds."""
+    """Encode the updates as groups, in the size that `select` assumes."""
     parts = []
     for (state, incarnation), group in groupby(sorted(updates, key=_key), key=_key):
         numbers = [update.number for update in group]
@@ -70,24 +70,24 @@
 
 
 def decode_groups(data: bytes, members: int) -> tuple[MemberUpdate, ...]:
-    """The updates of bitmaps, of members there are; raises DecodeError."""
-    found: list[MemberUpdate] = []
-    at = 0
-    while at < len(data):
-        if at + _GROUP.size > len(data):
+    """Decode groups; updates on members beyond the list of peers are left out. Raises DecodeError."""
+    updates: list[MemberUpdate] = []
+    offset = 0
+    while offset < len(data):
+        if offset + _GROUP.size > len(data):
             raise DecodeError(DropReason.LENGTH)
-        state, incarnation, first, length = _GROUP.unpack_from(data, at)
-        at += _GROUP.size
-        if at + length > len(data) or not length:
+        state, incarnation, first, length = _GROUP.unpack_from(data, offset)
+        offset += _GROUP.size
+        if offset + length > len(data) or not length:
             raise DecodeError(DropReason.LENGTH)
         try:
             member_state = MemberState(state)
         except ValueError:
             raise DecodeError(DropReason.VALUE) from None
-        bits = int.from_bytes(data[at : at + length], "little")
-        numbers = (first + place for place in range(length * 8) if bits >> place & 1)
-        found += [
+        bits = int.from_bytes(data[offset : offset + length], "little")
+        numbers = (first + bit for bit in range(length * 8) if bits >> bit & 1)
+        updates += [
             MemberUpdate(number, member_state, incarnation, 0) for number in numbers if number < members
         ]
-        at += length
-    return tuple(found)
+        offset += length
+    return tuple(updates)
--- a/holdgw/peers/datagram.py
+++ b/holdgw/peers/datagram.py
@@ -1,6 +1,6 @@
-"""Membership messages between routers: one datagram of at most 256 bytes, versioned, with a checksum; pure.
+"""Membership messages between routers: one datagram of at most 256 bytes, with version and checksum; pure.
 
-The layout is this project's own; what carries it is PROTOCOL, "Between routers".
+The layout is this project's own. PROTOCOL, "Between routers", describes its transport.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 _CHECKSUM = struct.Struct("!I")
 CHECKSUM_BYTES = _CHECKSUM.size
 _UPDATE = struct.Struct("!HBIB")
-EMPTY_BYTES = _HEADER.size + CHECKSUM_BYTES  # of a message without updates
+EMPTY_BYTES = _HEADER.size + CHECKSUM_BYTES  # size of a message without updates
 UPDATE_BYTES = _UPDATE.size
 MAX_UPDATES = (MAX_BYTES - EMPTY_BYTES) // UPDATE_BYTES
 SERIALS = 1 << 32
-"""Incarnations and sequence numbers wrap round at this."""
+"""Incarnations and sequence numbers wrap around at this value."""
 
 
 class MessageKind(IntEnum):
@@ -36,15 +36,15 @@
     PING = 1
     ACK = 2
     PING_REQUEST = 3
-    """Asks the receiver to ping `target` in the sender's place (SWIM's ping-req)."""
+    """Asks the receiver to ping `target` on behalf of the sender (SWIM's ping-req)."""
     PING_REQUEST_ACK = 4
-    """Acknowledges a PING_REQUEST at once, before the target has answered: it shows that the way between
-    requester and proxy works (Lifeguard uses the missing one, its nack, in the same way).
+    """Acknowledges a PING_REQUEST at once, before the target has answered, which shows that the path between
+    requester and proxy works. A missing one has the meaning of a missing nack in Lifeguard.
     """
     UPDATES = 5
     """Carries member updates only, and is not answered."""
     COMPACT_UPDATES = 6
-    """As UPDATES, in the form of `compact_updates`: dropped by routers that don't know it yet."""
+    """Like UPDATES, encoded by `compact_updates`; routers of earlier versions drop it."""
 
 
 class Message(NamedTuple):
@@ -63,13 +63,13 @@
 def is_newer(a: int, b: int) -> bool:
     """Whether incarnation `a` is newer than `b` by serial number arithmetic (RFC 1982).
 
-    Under it every incarnation has a newer one.
+    Every incarnation has a newer one under this order.
     """
     return 0 < (a - b) % SERIALS < SERIALS // 2
 
 
 def encode(message: Message) -> bytes:
-    """Encode a message of at most MAX_UPDATES updates, or of as many as `compact_updates.select` takes."""
+    """Encode a message with at most MAX_UPDATES updates, or as many as `compact_updates.select` returned."""
     if message.kind is MessageKind.COMPACT_UPDATES:
         groups = compact_updates.encode_groups(message.updates)
         return append_checksum(_HEADER.pack(VERSION, *message[:-1], 0) + groups)
@@ -79,12 +79,15 @@
 
 
 def append_checksum(body: bytes) -> bytes:
-    """The datagram of a body, which begins with the version."""
+    """Return the datagram of a body that begins with the version."""
     return body + _CHECKSUM.pack(zlib.crc32(body))
 
 
 def verify_checksum(data: bytes, min_bytes: int) -> bytes:
-    """The body of a datagram, of at least so many bytes; raises DecodeError."""
+    """Return the body of a datagram, without its checksum.
+
+    Raises DecodeError where the body is shorter than `min_bytes`, or the version or checksum is wrong.
+    """
     if len(data) < min_bytes + _CHECKSUM.size:
         raise DecodeError(DropReason.SHORT)
     if data[0] != VERSION:
@@ -96,7 +99,7 @@
 
 
 def decode(data: bytes, members: int) -> Message:
-    """Decode a message in a tier of so many members; raises DecodeError."""
+    """Decode a message in a tier of `members` members; raises DecodeError."""
     body = verify_checksum(data, _HEADER.size)
     _, kind, sender, boot_id, incarnation, zone, sequence, target, count = _HEADER.unpack_from(body)
     if kind == MessageKind.COMPACT_UPDATES:
--- a/holdgw/peers/dissemination.py
+++ b/holdgw/peers/dissemination.py
@@ -1,7 +1,7 @@
-"""Dissemination of member updates: piggybacked on probes and acks, and sent on their own; pure.
+"""Dissemination of member updates, piggybacked on probes and acks and in messages of their own; pure.
 
 SWIM's infection-style dissemination (Das, Gupta and Motivala, 2002, section 4.1), with a budget of bytes a
-second, so that a router sends as many bytes in a tier of any size; the most urgent updates go first.
+second that keeps the traffic of a router the same in a tier of any size. The most urgent updates go first.
 """
 
 from __future__ import annotations
@@ -25,26 +25,26 @@
 from holdgw.peers.update_budget import COMPACT_BYTES, UpdateBudget
 from holdgw.peers.update_queue import Priority, UpdateQueue
 
-UPDATE_FANOUT = 2  # members that queued updates are sent to at a time
-TRANSMISSION_FACTOR = 3  # times log2 of the members: how often an update is passed on
+UPDATE_FANOUT = 2  # members that a message of updates is sent to at a time
+TRANSMISSION_FACTOR = 3  # transmissions of an update, per 1 + log2 of the number of members
 
 
 class OutgoingMessage(NamedTuple):
-    """A message to a member."""
+    """A message to send, and the number of the member that it goes to."""
 
     to: int
     message: Message
 
 
 def priority(before: MemberState, after: MemberState) -> Priority:
-    """How urgent the update of a member whose state changed is."""
+    """Return the priority of the update on a member's change of state."""
     if after is not MemberState.ALIVE:
         return Priority.LOSS
     return Priority.JOIN if before > MemberState.SUSPECTED else Priority.REFUTATION
 
 
 class Disseminator:
-    """The queue of updates to pass on, and the messages that carry them."""
+    """Holds the queue of updates to pass on, and builds the messages that carry them."""
 
     def __init__(
         self, table: MemberTable, timing: Timing, generator: random.Random, budget: UpdateBudget, now: int
@@ -54,11 +54,11 @@
         self._budget = budget
         self._interval_ns = to_ns(timing.update_interval)
         self._next_send_ns = now
-        self._last_was_compact = False  # the last message of updates alone
+        self._last_was_compact = False  # whether the last message that carried updates only was compact
         self.queue = UpdateQueue(int(TRANSMISSION_FACTOR * (1 + log2(len(table) + 1))))
 
     def message_to(self, number: int, kind: MessageKind, sequence: int, target: int = 0) -> OutgoingMessage:
-        """A message to a member, with as many updates as it may carry."""
+        """Return a message to a member, with as many updates as the budget allows it to carry."""
         if kind is MessageKind.UPDATES:
             self._budget.spend(EMPTY_BYTES + UPDATE_BYTES)
         return OutgoingMessage(number, self._message(kind, sequence, target, self._updates_for(number)))
@@ -70,7 +70,7 @@
         return Message(kind, own.number, own.boot_id, own.incarnation, own.zone, sequence, target, updates)
 
     def _updates_for(self, receiver: int) -> tuple[MemberUpdate, ...]:
-        """The receiver's own state where it may have to refute it, then the first of the queue."""
+        """Return the receiver's own state where it may have to refute that, then the first updates queued."""
         updates = []
         member = self._table[receiver]
         if member.state is not MemberState.ALIVE or member.incarnation:
@@ -82,10 +82,9 @@
         return tuple(updates)
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Send queued updates on their own, where that is due and as far as the budget goes.
+        """Return messages that carry queued updates only, where due and as far as the budget allows.
 
-        Piggybacked on probes alone, a refutation would take longer to reach all members than a suspicion
-        lasts.
+        A refutation that is only piggybacked on probes would reach all members later than the suspicion ends.
         """
         if not self.queue or now < self._next_send_ns:
             return []
@@ -102,9 +101,9 @@
         return [self.message_to(number, MessageKind.UPDATES, 0) for number in receivers]
 
     def _send_compact(self, now: int) -> list[OutgoingMessage]:
-        """Send one other member as many queued updates as fit a compact message.
+        """Return a compact message to a random member, with as many queued updates as fit.
 
-        They do not count as transmissions: a router of an earlier version drops the message.
+        The updates do not count as transmitted, as a router of an earlier version drops the message.
         """
         others = self._table.others()
         if not self._budget.allows_compact() or not others:
--- a/holdgw/peers/local_health.py
+++ b/holdgw/peers/local_health.py
@@ -1,4 +1,4 @@
-"""Lifeguard's local health multiplier: how far a router trusts its own observations; pure.
+"""Lifeguard's local health multiplier: how far a router trusts its own failure detection; pure.
 
 Source: Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection",
 2018.
@@ -10,25 +10,25 @@
 
 
 class LocalHealth:
-    """A score from 0, healthy, to MAX_SCORE: probes and suspicions take longer the higher it is."""
+    """A score from 0 (healthy) to MAX_SCORE; a higher score lengthens probes and suspicions."""
 
     def __init__(self) -> None:
         self.score = 0
 
     def degrade(self) -> None:
-        """A sign that this router receives late or not at all."""
+        """Note a sign that this router receives messages late or not at all."""
         self.score = min(self.score + 1, MAX_SCORE)
 
     def improve(self) -> None:
-        """A probe was acknowledged in time."""
+        """Note a probe that was acknowledged in time."""
         self.score = max(self.score - 1, 0)
 
     @property
     def probe_multiplier(self) -> int:
-        """Of a probe's interval and timeouts."""
+        """Factor on the probe interval and the ack timeouts, 1 to 1 + MAX_SCORE."""
         return 1 + self.score
 
     @property
     def suspicion_multiplier(self) -> float:
-        """Of a suspicion's time, 1 to 2."""
+        """Factor on the duration of a suspicion, 1 to 2."""
         return 1 + self.score / MAX_SCORE
--- a/holdgw/peers/member_table.py
+++ b/holdgw/peers/member_table.py
@@ -1,4 +1,4 @@
-"""The members of the tier in one router's view: their states and incarnations; pure."""
+"""The members of the tier in one router's view, with their states and incarnations; pure."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from holdgw.peers.datagram import MemberState, MemberUpdate
 
-MAX_CHANGES = 4096  # kept until they are taken
+MAX_CHANGES = 4096  # state changes kept until they are taken; later ones are dropped
 
 
 class Change(NamedTuple):
-    """A member's state changed in this router's view."""
+    """A change of a member's state in this router's view."""
 
     number: int
     before: MemberState
@@ -28,25 +28,25 @@
     zone: int = 0
     """0 until it is known."""
     boot_id: int = 0
-    """Of the process that sent last; 0: none has."""
+    """Of the process that sent the member's latest message; 0 until there is one."""
     last_received_ns: int = 0
-    """When it last sent something itself; 0: never."""
+    """When the latest message from the member itself arrived; 0 until there is one."""
 
     @property
     def is_present(self) -> bool:
-        """Whether it is alive or suspected."""
+        """Whether the member is alive or suspected."""
         return self.state <= MemberState.SUSPECTED
 
     def update(self) -> MemberUpdate:
-        """What other routers are sent of it."""
+        """Return the update that tells other routers this member's state."""
         return MemberUpdate(self.number, self.state, self.incarnation, self.zone)
 
 
 class MemberTable:
-    """All members, this router's own record among them, by number."""
+    """All members by number, including this router."""
 
     def __init__(self, own_number: int, count: int, zone: int, boot_id: int) -> None:
-        """`count`: length of the list of peers; `zone` and `boot_id`: this router's."""
+        """`count`: length of the list of peers; `zone` and `boot_id`: of this router."""
         self.members = [Member(number) for number in range(count)]
         self.own = self.members[own_number]
         self.own.zone = zone
@@ -60,19 +60,19 @@
         return self.members[number]
 
     def present(self) -> list[int]:
-        """Numbers of the members alive or suspected, this router among them."""
+        """Return the numbers of the members that are alive or suspected, including this router."""
         return [member.number for member in self.members if member.state <= MemberState.SUSPECTED]
 
     def others(self) -> list[int]:
-        """The same without this router."""
+        """Return the numbers of the members that are alive or suspected, except this router."""
         return [number for number in self.present() if number != self.own.number]
 
     def gone(self) -> list[int]:
-        """Numbers of the members that are gone."""
+        """Return the numbers of the members that are gone."""
         return [member.number for member in self.members if member.state is MemberState.GONE]
 
     def set_state(self, member: Member, state: MemberState, incarnation: int) -> None:
-        """Set a member's state; a change is kept for `take_changes`."""
+        """Set a member's state and incarnation, and record a change of state for `take_changes`."""
         before = member.state
         member.state = state
         member.incarnation = incarnation
@@ -80,7 +80,7 @@
             self._changes.append(Change(member.number, before, state))
 
     def take_changes(self) -> list[Change]:
-        """What has changed since the last call, in order."""
+        """Return the changes of state since the last call, oldest first."""
         changes = self._changes
         self._changes = []
         return changes
--- a/holdgw/peers/member_update.py
+++ b/holdgw/peers/member_update.py
@@ -1,4 +1,4 @@
-"""A member's state as routers tell it to one another, and why a datagram is not read."""
+"""The membership update that routers send to one another, and the reasons for dropping a datagram."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a member; of two updates with the same incarnation the higher state overrides the lower."""
+    """State of a member. With equal incarnations, the update with the higher state overrides the other."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -16,7 +16,7 @@
 
 
 class MemberUpdate(NamedTuple):
-    """A member's state, as the sender of the update holds it."""
+    """A member's state in the view of the update's sender."""
 
     number: int
     state: MemberState
@@ -25,29 +25,30 @@
 
 
 class DropReason(StrEnum):
-    """Why a datagram was dropped; the values are the metric's labels."""
+    """Why a datagram was dropped; the values are labels in the metrics."""
 
     SHORT = "short"
     VERSION = "version"
     CHECKSUM = "checksum"
     LENGTH = "length"
     VALUE = "value"
-    STRANGER = "stranger"
+    UNKNOWN_SOURCE = "stranger"
     """The source address belongs to no peer."""
     FORGED = "forged"
-    """The sender named in it is not the peer at the source address."""
-    BOUND = "bound"
-    """It would exceed the bound on bytes sent."""
+    """The sender named in the datagram is not the peer at the source address."""
+    SEND_LIMIT = "bound"
+    """The datagram was not sent, as it would exceed the bound on bytes sent."""
     STALLED = "stalled"
-    """A load report or view that was read after this process had halted, and is of unknown age."""
+    """A load report or view of unknown age, as it was read after this process had stalled."""
     REPLAYED = "replayed"
-    """A load report or view received before, or older than one received before."""
+    """A duplicate of a load report or view received before, or one older than that."""
     UNEXPECTED = "unexpected"
-    """A view without a report before it, or a report to a member that is no aggregator."""
+    """A view from an aggregator that this router sent no report to, or a report to a member that is no
+    aggregator."""
 
 
 class DecodeError(Exception):
-    """A datagram can't be decoded; `reason` says why, and is the text of the error."""
+    """A datagram can't be decoded or must not be acted on; the error's text is the value of `reason`."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
--- a/holdgw/peers/membership.py
+++ b/holdgw/peers/membership.py
@@ -1,8 +1,9 @@
-"""Membership of the tier by SWIM and Lifeguard: joins probing, suspicion and dissemination.
+"""Membership of the tier by SWIM and Lifeguard, which combines probing, suspicion and dissemination.
 
-Pure: time and messages in, messages out. In each period one member is probed (`probing`). One that
-acknowledges nothing is suspected, and counts as gone when it has not refuted that in time (`suspicion`).
-Changes are piggybacked on probes and acks, and sent on their own (`dissemination`).
+Pure: it takes the time and the messages received, and returns messages to send. In each period one member is
+probed (`probing`). A member that does not acknowledge is suspected, and counts as gone unless it refutes the
+suspicion in time (`suspicion`). Changes are piggybacked on probes and acks, and also sent in messages of
+their own (`dissemination`).
 
 Sources: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol", 2002; Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure
@@ -30,16 +31,16 @@
 from holdgw.peers.update_budget import UPDATE_BYTES_PER_S, UpdateBudget
 from holdgw.peers.update_queue import Priority
 
-CONFLICT_S = 10.0  # in which two boot ids under one number count as two processes at the same time
+CONFLICT_S = 10.0  # within this time two boot ids under one number mean two processes at once
 LEAVE_FANOUT = 2 * MAX_PROXIES  # members that are notified of a leave
 
 
 class Membership:
-    """One router's view of its tier. Times: nanoseconds of the caller's monotonic clock."""
+    """One router's view of its tier. Times are nanoseconds of the caller's monotonic clock."""
 
     def __init__(
         self,
-        me: int,
+        own_number: int,
         members: int,
         zone: int,
         seed: int,
@@ -47,13 +48,13 @@
         timing: Timing | None = None,
         update_bytes_per_s: float | None = UPDATE_BYTES_PER_S,
     ) -> None:
-        """`me`: this router's number in the list of peers; `members`: the list's length.
+        """`own_number`: this router's index in the list of peers; `members`: the list's length.
 
-        `update_bytes_per_s`: what updates may cost; None: no bound.
+        `update_bytes_per_s`: bound on the bytes sent for updates; None for no bound.
         """
         timing = timing or Timing()
         generator = random.Random(seed)
-        self._table = MemberTable(me, members, zone, boot_id=generator.randrange(1, SERIALS))
+        self._table = MemberTable(own_number, members, zone, boot_id=generator.randrange(1, SERIALS))
         self._health = LocalHealth()
         self._suspicions = Suspicions(members, timing, self._health)
         self._budget = UpdateBudget(update_bytes_per_s, now)
@@ -66,42 +67,42 @@
         self._last_tick_ns = now
         self.has_left = False
         self.conflicts = 0
-        """How often a message under a member's number came from another process than the ones before."""
+        """Messages that showed two processes using one member's number at the same time."""
         self.false_suspicions = 0
-        """Suspicions of this router that it refuted."""
+        """Number of suspicions of this router that it refuted."""
 
     # Queries
 
     @property
     def number(self) -> int:
-        """This router's own."""
+        """This router's number."""
         return self._table.own.number
 
     @property
     def boot_id(self) -> int:
-        """Drawn at the start of this process."""
+        """This router's boot_id, drawn at the start of the process."""
         return self._table.own.boot_id
 
     @property
     def incarnation(self) -> int:
-        """This router's own."""
+        """This router's incarnation."""
         return self._table.own.incarnation
 
     @property
     def members(self) -> list[Member]:
-        """All members by number."""
+        """All members by number, including this router."""
         return self._table.members
 
     def changes(self) -> list[Change]:
-        """What has changed since the last call, in order."""
+        """Return the changes of members' states since the last call, oldest first."""
         return self._table.take_changes()
 
     def state(self, number: int) -> MemberState:
-        """A member's state."""
+        """Return a member's state."""
         return self._table[number].state
 
     def present(self) -> list[int]:
-        """Members alive or suspected, this router among them."""
+        """Return the numbers of the members that are alive or suspected, including this router."""
         return self._table.present()
 
     def is_present(self, number: int) -> bool:
@@ -109,13 +110,13 @@
         return self._table[number].is_present
 
     def zone_of(self, number: int) -> int:
-        """A member's zone, 0 until it is known."""
+        """Return a member's zone; 0 until it is known."""
         return self._table[number].zone
 
     # Time
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Act on what is due; to be called some ten times a second."""
+        """Do what is due, and return the messages to send; the caller ticks about ten times a second."""
         self._check_lateness(now)
         self._budget.refill(now)
         if self.has_left:
@@ -123,16 +124,17 @@
         for number in self._suspicions.expired(now):
             member = self._table[number]
             self._set_state(member, MemberState.GONE, member.incarnation, now)
-        sends = self._prober.tick(now)
-        sends += self._disseminator.tick(now)
-        sends += self._prober.probe_gone(now)
-        return sends
+        messages = self._prober.tick(now)
+        messages += self._disseminator.tick(now)
+        messages += self._prober.probe_gone(now)
+        return messages
 
     def _check_lateness(self, now: int) -> None:
-        """After this process has halted, abandon the open probe and extend all suspicions by the halt.
+        """After a stall of this process, abandon the open probe and extend all suspicions by the stall.
 
-        Acks and refutations that came meanwhile are still unread, so that what expired during the halt says
-        nothing of other members: without this, a process that resumes would suspect the whole tier.
+        Acks and refutations that arrived during the stall are still unread, so the timeouts that expired
+        meanwhile say nothing about other members. Otherwise a process that resumes would suspect the whole
+        tier.
         """
         late_ns = now - self._last_tick_ns
         self._last_tick_ns = now
@@ -142,7 +144,7 @@
             self._suspicions.extend(late_ns)
 
     def _suspect(self, number: int, now: int) -> None:
-        """A member has acknowledged no probe of this router."""
+        """Suspect a member that did not acknowledge this router's probe."""
         member = self._table[number]
         if member.state is MemberState.ALIVE:
             self._set_state(member, MemberState.SUSPECTED, member.incarnation, now)
@@ -152,10 +154,13 @@
     # Messages received
 
     def receive(self, message: Message, now: int) -> list[OutgoingMessage]:
-        """Act on a message. Its sender is as it says; the caller has checked that by the source address."""
+        """Act on a message, and return the answers.
+
+        The caller has verified the message's sender by the source address.
+        """
         if message.sender == self._table.own.number:
-            # Another process uses this router's number, by a mistake in a configuration. Both go on, and the
-            # conflict is counted: were its messages acted on, the two would refute each other without end.
+            # A misconfigured process uses this router's number. Both keep running, and the conflict is
+            # counted. Acting on its messages would make the two refute each other without end.
             if message.boot_id != self.boot_id:
                 self.conflicts += 1
             return []
@@ -194,14 +199,15 @@
             self._confirm_suspicion(member, message.sender)
 
     def _confirm_suspicion(self, member: Member, suspector: int) -> None:
-        """Another router suspects a member, too: passed on, so that all come to the shortest suspicion."""
+        """Count another router's suspicion of the member; it is passed on so that all shorten theirs."""
         if self._suspicions.add_suspector(member.number, suspector):
             self._disseminator.queue.renew(member.number)
 
     def _refute(self, update: MemberUpdate) -> None:
         """Refute a false state of this router with a newer incarnation.
 
-        Also go on from the incarnation that an earlier process of this router had come to.
+        A newer incarnation in the update stems from an earlier process of this router; the own incarnation
+        then continues from it.
         """
         newer = is_newer(update.incarnation, self.incarnation)
         false = update.state is not MemberState.ALIVE and not is_newer(self.incarnation, update.incarnation)
@@ -222,10 +228,10 @@
             self._suspicions.end(member.number)
         self._disseminator.queue.push(member.number, priority(before, state))
 
-    # The end
+    # Leaving the tier
 
     def leave(self) -> list[OutgoingMessage]:
-        """Leave in good order: some members are notified, and pass it on."""
+        """Leave the tier, and return messages that notify some members, which pass the leave on."""
         self.has_left = True
         self._table.own.state = MemberState.LEFT
         self._disseminator.queue.push(self._table.own.number, Priority.REFUTATION)
--- a/holdgw/peers/probing.py
+++ b/holdgw/peers/probing.py
@@ -1,7 +1,7 @@
-"""Probing: one member a period is pinged, directly and then by way of others; pure.
+"""Probing: in each period one member is pinged, first directly and then through other members; pure.
 
 SWIM's failure detector (Das, Gupta and Motivala, 2002, sections 3.1 and 4.3), with Lifeguard's local health
-(Dadgar, Phillips and Currey, 2018): a router that may be receiving nothing itself suspects nobody.
+(Dadgar, Phillips and Currey, 2018): a router that may be unable to receive suspects no other member.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from holdgw.peers.member_table import MemberTable
 from holdgw.peers.timing import Timing, to_ns
 
-MAX_PROXIES = 3  # members that probe an unresponsive one indirectly
-MAX_RELAYED = 64  # open probes made for others
+MAX_PROXIES = 3  # members that are asked to probe an unresponsive one
+MAX_RELAYED = 64  # open probes made for other routers
 
 
 class Phase(Enum):
-    """Of a probe."""
+    """Phase of this router's own probe."""
 
     DIRECT = "direct"
     INDIRECT = "indirect"
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class _Probe:
-    """This router's own probe, at most one at a time."""
+    """This router's own probe; at most one is open at a time."""
 
     sequence: int
     target: int
@@ -40,11 +40,11 @@
     proxies: int = 0
     """Members that were sent a ping request."""
     proxies_reached: int = 0
-    """Of these, those that acknowledged the request."""
+    """Members that acknowledged the ping request."""
 
 
 class _RelayedProbe(NamedTuple):
-    """A probe made for another router."""
+    """A probe that another router requested with a ping request."""
 
     requester: int
     requester_sequence: int
@@ -53,7 +53,7 @@
 
 
 class Prober:
-    """This router's probes, and those it makes for others."""
+    """Makes this router's own probes and those that other routers request."""
 
     def __init__(
         self,
@@ -65,35 +65,35 @@
         on_failure: Callable[[int, int], None],
         now: int,
     ) -> None:
-        """`on_failure`: given a member that acknowledged no probe, and the time."""
+        """`on_failure`: called with the number of a member that acknowledged no probe, and the time, ns."""
         self._table = table
         self._disseminator = disseminator
         self._health = health
         self._timing = timing
         self._random = generator
         self._on_failure = on_failure
-        self._round: list[int] = []  # members that are still to be probed in it
+        self._unprobed: list[int] = []  # members not yet probed in this round
         self._probe: _Probe | None = None
         self._relayed: dict[int, _RelayedProbe] = {}  # by own sequence number
         self._sequence = generator.randrange(SERIALS)
-        # The first probe is at a random time of the interval: routers that start together would otherwise
-        # probe at the same instants for as long as they run.
+        # The first probe is made at a random time of the interval. Otherwise routers that start together
+        # would probe at the same instants for as long as they run.
         self._next_probe_ns = now + to_ns(generator.random() * timing.probe_interval)
         self._next_gone_probe_ns = now + to_ns(generator.random() * timing.gone_probe_interval)
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Go on with the open probe, or begin the next, where that is due."""
+        """Continue the open probe or start the next one, where due, and return the messages to send."""
         self._drop_expired_relays(now)
-        sends: list[OutgoingMessage] = []
+        messages: list[OutgoingMessage] = []
         if self._probe is not None and now >= self._probe.due_ns:
-            sends += self._probe_timed_out(self._probe, now)
+            messages += self._probe_timed_out(self._probe, now)
         if now >= self._next_probe_ns and self._probe is None:
             self._next_probe_ns = now + self._scaled_ns(self._timing.probe_interval)
-            sends += self._probe_next(now)
-        return sends
+            messages += self._probe_next(now)
+        return messages
 
     def probe_gone(self, now: int) -> list[OutgoingMessage]:
-        """Ping one member that is gone, where that is due: it may be back, or a partition have ended."""
+        """Ping one member that is gone, where due: it may be back, or a partition may have ended."""
         if now < self._next_gone_probe_ns:
             return []
         self._next_gone_probe_ns = now + to_ns(self._timing.gone_probe_interval)
@@ -101,11 +101,11 @@
         return [self.ping(self._random.choice(gone))] if gone else []
 
     def ping(self, number: int) -> OutgoingMessage:
-        """A ping whose ack is not awaited."""
+        """Return a ping whose ack is not awaited."""
         return self._disseminator.message_to(number, MessageKind.PING, self._new_sequence())
 
     def abandon(self, now: int) -> None:
-        """Abandon the open probe: this process has halted, and its acks may be unread."""
+        """Abandon the open probe after a stall of this process, as its acks may still be unread."""
         self._probe = None
         self._next_probe_ns = max(self._next_probe_ns, now)
 
@@ -125,29 +125,29 @@
         return [self._disseminator.message_to(target, MessageKind.PING, self._probe.sequence)]
 
     def _next_target(self) -> int | None:
-        """The next present member of the round; a new round in a new order where this one is over."""
-        while self._round:
-            number = self._round.pop()
+        """Return the next present member of the round; after the last one, a new round in random order."""
+        while self._unprobed:
+            number = self._unprobed.pop()
             if self._table[number].is_present:
                 return number
-        self._round = self._table.others()
-        self._random.shuffle(self._round)
-        return self._round.pop() if self._round else None
+        self._unprobed = self._table.others()
+        self._random.shuffle(self._unprobed)
+        return self._unprobed.pop() if self._unprobed else None
 
     def _probe_timed_out(self, probe: _Probe, now: int) -> list[OutgoingMessage]:
         if probe.phase is Phase.DIRECT:
             return self._probe_indirectly(probe, now)
         self._probe = None
         if probe.proxies and not probe.proxies_reached:
-            # No proxy has acknowledged its request, so that this router's own receiving is at fault: it must
-            # not suspect the target, since others would believe it.
+            # No proxy has acknowledged its request, so this router itself may be unable to receive. It must
+            # not suspect the target, since others would accept the suspicion.
             self._health.degrade()
         else:
             self._on_failure(probe.target, now)
         return []
 
     def _probe_indirectly(self, probe: _Probe, now: int) -> list[OutgoingMessage]:
-        """Ping again, and request others to ping the same target."""
+        """Ping the target again, and ask other members to ping it."""
         candidates = [number for number in self._table.others() if number != probe.target]
         proxies = self._random.sample(candidates, min(MAX_PROXIES, len(candidates)))
         probe.phase = Phase.INDIRECT
@@ -163,7 +163,7 @@
     # Messages received
 
     def receive(self, message: Message, now: int) -> list[OutgoingMessage]:
-        """Act on a message of a probe; other kinds are ignored."""
+        """Act on a ping, an ack or a ping request, and return the answers; other kinds are ignored."""
         match message.kind:
             case MessageKind.PING:
                 return [self._ack(message.sender, message.sequence, self._table.own.number)]
@@ -180,7 +180,7 @@
         return self._disseminator.message_to(to, MessageKind.ACK, sequence, target)
 
     def _relay_probe(self, message: Message, now: int) -> list[OutgoingMessage]:
-        """Probe the target of a ping request for its sender."""
+        """Accept a ping request, and ping its target."""
         target = message.target
         is_other = target < len(self._table) and target != self._table.own.number
         if not is_other or len(self._relayed) >= MAX_RELAYED:
--- a/holdgw/peers/stall_guard.py
+++ b/holdgw/peers/stall_guard.py
@@ -1,32 +1,33 @@
-"""Whether what is read now may have waited unread while this process was halted; pure."""
+"""Detects that this process has stalled, so that datagrams read now may have waited in the socket; pure."""
 
 from __future__ import annotations
 
 from holdgw.peers.timing import NS_PER_S
 
-MAX_LATENESS = NS_PER_S // 4  # of a tick; beyond it the process was halted
+MAX_LATENESS = NS_PER_S // 4  # ns; a tick that is later means that the process has stalled
 
 
 class StallGuard:
-    """Tells whether datagrams read now are of unknown age: a tick is overdue, or the last one was late.
+    """Tells whether datagrams read now are of unknown age, from the lateness of the node's ticks.
 
-    After a halt the event loop may read the socket before it runs the timer, or after it. Hence datagrams are
-    of unknown age from the moment a tick is overdue until the next tick that is on time.
+    After a stall the event loop may read the socket before or after it runs the timer. Datagrams are
+    therefore of unknown age from the moment at which a tick is overdue until the next tick that is on time.
     """
 
     def __init__(self, interval: int, now: int) -> None:
+        """`interval`: time between two ticks, ns; `now`: ns of the caller's monotonic clock."""
         self.stalls = 0
-        """Ticks that were late by more than MAX_LATENESS."""
-        self._allowed = interval + MAX_LATENESS
-        self._ticked_at = now
+        """Number of ticks that were late by more than MAX_LATENESS."""
+        self._max_interval = interval + MAX_LATENESS
+        self._last_tick_at = now
         self._stalled = False
 
     def tick(self, now: int) -> None:
-        """Note a tick."""
-        self._stalled = now - self._ticked_at > self._allowed
+        """Record a tick at `now`, ns."""
+        self._stalled = now - self._last_tick_at > self._max_interval
         self.stalls += self._stalled
-        self._ticked_at = now
+        self._last_tick_at = now
 
     def is_stalled(self, now: int) -> bool:
-        """Whether what is read now may be old."""
-        return self._stalled or now - self._ticked_at > self._allowed
+        """Whether datagrams read at `now` are of unknown age."""
+        return self._stalled or now - self._last_tick_at > self._max_interval
--- a/holdgw/peers/suspicion.py
+++ b/holdgw/peers/suspicion.py
@@ -1,9 +1,9 @@
 """Suspicions: how long a member is suspected before it counts as gone; pure.
 
 SWIM's suspicion (Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group
-Membership Protocol", 2002, section 4.2), with the times of Lifeguard (Dadgar, Phillips and Currey, 2018): the
-shorter the more members suspect, and longer in bad local health, in which this router's own suspicions are
-often false.
+Membership Protocol", 2002, section 4.2), with the timeouts of Lifeguard (Dadgar, Phillips and Currey, 2018).
+A suspicion is shorter the more members suspect the same one. It is longer in bad local health, as this
+router's own suspicions are often false then.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 from holdgw.peers.local_health import LocalHealth
 from holdgw.peers.timing import Timing, to_ns
 
-MAX_CONFIRMATIONS = 3  # other suspectors of a member, from which on its suspicion is the shortest
+MAX_CONFIRMATIONS = 3  # further suspectors of a member with which its suspicion is the shortest
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """Of one member. Times: nanoseconds of the caller's monotonic clock."""
+    """The suspicion of one member. Times are nanoseconds of the caller's monotonic clock."""
 
     began_ns: int
     ends_ns: int = 0
     suspectors: set[int] = field(default_factory=set)
-    """Numbers of the members that suspect it, as far as they make the suspicion shorter."""
+    """Numbers of the members that suspect it, up to the number that still shortens the suspicion."""
 
 
 class Suspicions:
-    """The open suspicions, by member."""
+    """The open suspicions, by the suspected member's number."""
 
     def __init__(self, member_count: int, timing: Timing, health: LocalHealth) -> None:
         self._health = health
@@ -37,18 +37,18 @@
         self._open: dict[int, Suspicion] = {}
 
     def begin(self, number: int, now: int) -> None:
-        """Suspect a member, with no suspectors yet; an earlier suspicion of it is forgotten."""
+        """Start a suspicion of a member, with no suspectors yet; it replaces an earlier one of the member."""
         self.end(number)
         suspicion = Suspicion(now)
         self._open[number] = suspicion
         self._set_end(suspicion)
 
     def end(self, number: int) -> None:
-        """A member is no longer suspected."""
+        """End the suspicion of a member, if there is one."""
         self._open.pop(number, None)
 
     def add_suspector(self, number: int, suspector: int) -> bool:
-        """A router suspects this suspected member, too; returns whether that is new and counts."""
+        """Add a router that suspects this suspected member; returns whether it shortens the suspicion."""
         suspicion = self._open[number]
         if suspector in suspicion.suspectors or len(suspicion.suspectors) > MAX_CONFIRMATIONS:
             return False
@@ -57,12 +57,12 @@
         return True
 
     def extend(self, duration_ns: int) -> None:
-        """Let all suspicions end so much later."""
+        """Extend all open suspicions."""
         for suspicion in self._open.values():
             suspicion.ends_ns += duration_ns
 
     def expired(self, now: int) -> list[int]:
-        """The members whose suspicion has ended without a refutation."""
+        """Return the members whose suspicion has ended without a refutation."""
         return [number for number, suspicion in self._open.items() if now >= suspicion.ends_ns]
 
     def _set_end(self, suspicion: Suspicion) -> None:
--- a/holdgw/peers/timing.py
+++ b/holdgw/peers/timing.py
@@ -1,4 +1,4 @@
-"""The intervals and timeouts of membership."""
+"""The intervals and timeouts of the membership protocol."""
 
 from __future__ import annotations
 
@@ -9,24 +9,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """All in seconds, but for the multiple."""
+    """The parameters of the membership protocol, in seconds except for `max_suspicion_multiple`."""
 
     probe_interval: float = 1.0
-    """From one probe to the next (SWIM's protocol period)."""
+    """Time between two probes (SWIM's protocol period)."""
     ack_timeout: float = 0.3
-    """Until a probe without an ack is made indirectly as well."""
+    """Time after which a probe without an ack is also made through other members."""
     min_suspicion: float = 2.5
-    """Shortest suspicion, times log10 of the members; a process that halts for 3 s outlives it."""
+    """The shortest suspicion, times log10 of the number of members; longer than a process stall of 3 s."""
     max_suspicion_multiple: float = 3.0
-    """The longest suspicion, as a multiple of the shortest: while no other router suspects the member."""
+    """The longest suspicion as a multiple of the shortest; it applies while no other router suspects the
+    member."""
     gone_probe_interval: float = 3.0
-    """From one probe of a member that is gone to the next, for its return or a partition's end."""
+    """Time between two probes of members that are gone, which find that one is back or a partition has
+    ended."""
     update_interval: float = 0.2
-    """From one message of updates to the next, while any are queued."""
+    """Time between two messages that carry updates only, while updates are queued."""
     max_lateness: float = 0.25
-    """Of a tick; one that is later means that this process has halted itself."""
+    """Lateness of a tick beyond which this process itself has stalled."""
 
 
 def to_ns(seconds: float) -> int:
-    """Seconds as nanoseconds."""
+    """Convert seconds to whole nanoseconds."""
     return int(seconds * NS_PER_S)
--- a/holdgw/peers/update_queue.py
+++ b/holdgw/peers/update_queue.py
@@ -1,4 +1,4 @@
-"""Member updates that are still to be piggybacked on messages, the most urgent first; pure."""
+"""The queue of member updates that are still to be sent, ordered by urgency; pure."""
 
 from __future__ import annotations
 
@@ -8,46 +8,47 @@
 from itertools import islice
 
 JOIN_HANDICAP = 3
-"""A join goes as late as a loss that was transmitted so many times more."""
+"""A join is ordered like a loss that has been transmitted this many times more."""
 FIFO_SHARE = 8
-"""One in so many updates taken is the one queued first, whatever its priority: none waits for ever. The first
-place of a message is never its."""
+"""One in this many updates taken is the oldest in the queue, whatever its priority, so that no update starves.
+The first update of a message is always the most urgent."""
 
 
 class Priority(IntEnum):
-    """What an update says, the most urgent first."""
+    """Priority of an update, the most urgent first."""
 
     REFUTATION = 0
-    """A suspicion is false, or this router itself refutes or leaves. Goes before all others until it is
-    transmitted its number of times: suspicions expire meanwhile."""
+    """Refutes a suspicion, or tells that this router itself refutes or leaves. It goes before all others until
+    its transmissions are used up, as suspicions expire meanwhile."""
     LOSS = 1
-    """A suspicion, a death or a leave."""
+    """Tells that a member is suspected, gone or has left."""
     JOIN = 2
-    """A member that was gone or had left is alive."""
+    """Tells that a member that was gone or had left is alive."""
 
 
 @dataclass(slots=True)
 class _Entry:
-    """A member whose update is queued."""
+    """A queued update."""
 
     priority: Priority
     remaining: int
-    """Transmissions."""
+    """Number of transmissions left."""
     transmitted: int = 0
-    """By this router, and by others to it, as far as that counts for the order."""
+    """Number of transmissions by this router, and by others to it, as far as it affects the order."""
 
 
 class UpdateQueue:
-    """Members whose updates are passed on, each so many times, the least transmitted first (SWIM, 4.1).
+    """Numbers of the members whose updates are passed on, the least transmitted first (SWIM, section 4.1).
 
-    Of updates of one priority the one that was transmitted the fewest times is first, by this router or to it
-    (the more often it was received, the fewer lack it), and of these the latest.
+    Each update is transmitted the same number of times. Within a priority, the update with the fewest
+    transmissions by this router or to it is first, as fewer members lack an update that was received more
+    often. Of several such updates the latest is first.
     """
 
     def __init__(self, transmissions: int) -> None:
-        """`transmissions`: how often an update is passed on."""
+        """`transmissions`: number of times that an update is passed on."""
         self._transmissions = transmissions
-        self._entries: dict[int, _Entry] = {}  # by member's number, the one queued first at the front
+        self._entries: dict[int, _Entry] = {}  # by member's number, the oldest first
         first_loss = transmissions + 1
         self._first_level = {
             Priority.REFUTATION: 0,
@@ -55,18 +56,18 @@
             Priority.JOIN: first_loss + JOIN_HANDICAP,
         }
         levels = self._first_level[Priority.JOIN] + transmissions + 1
-        self._levels: list[dict[int, None]] = [{} for _ in range(levels)]  # in each the latest last
-        self._taken_since_fifo = 0  # updates taken since the last that was taken as the one queued first
+        self._levels: list[dict[int, None]] = [{} for _ in range(levels)]  # within a level the latest last
+        self._fifo_credit = 0  # updates taken since an update was last taken for its age
 
     def push(self, number: int, priority: Priority = Priority.LOSS) -> None:
-        """Pass a member's update on from now on; what was queued of it is replaced."""
+        """Queue a member's update; it replaces a queued update of the same member."""
         self._remove(number)
         entry = _Entry(priority, self._transmissions)
         self._entries[number] = entry
         self._level(entry)[number] = None
 
     def renew(self, number: int, priority: Priority = Priority.LOSS) -> None:
-        """Pass on in full again what has not changed: its place in the order stays where it is queued."""
+        """Restore an unchanged update's transmissions; if still queued, it keeps its place in the order."""
         entry = self._entries.get(number)
         if entry is None:
             self.push(number, priority)
@@ -74,26 +75,26 @@
             entry.remaining = self._transmissions
 
     def note_received(self, number: int) -> None:
-        """Another router sent the same update of this member: others' updates come first."""
+        """Note that another router sent the member's queued update, which then moves back in the order."""
         entry = self._entries.get(number)
         if entry is not None:
             self._move_back(number, entry)
 
     def take(self, limit: int) -> list[int]:
-        """The numbers of at most so many members, the most urgent first; counts as one transmission."""
+        """Return at most `limit` members, the most urgent first, and count a transmission of each update."""
         limit = min(limit, len(self._entries))
-        self._taken_since_fifo += limit
-        fifo_count = max(min(self._taken_since_fifo // FIFO_SHARE, limit - 1), 0)
-        self._taken_since_fifo -= fifo_count * FIFO_SHARE
+        self._fifo_credit += limit
+        fifo_count = max(min(self._fifo_credit // FIFO_SHARE, limit - 1), 0)
+        self._fifo_credit -= fifo_count * FIFO_SHARE
         taken = dict.fromkeys(islice(self.in_order(), limit - fifo_count))
-        queued_first = (number for number in self._entries if number not in taken)
-        taken |= dict.fromkeys(list(islice(queued_first, fifo_count)))
+        oldest_first = (number for number in self._entries if number not in taken)
+        taken |= dict.fromkeys(list(islice(oldest_first, fifo_count)))
         for number in taken:
             self._count_transmission(number)
         return list(taken)
 
     def in_order(self) -> Iterator[int]:
-        """All numbers, the most urgent first; none is taken."""
+        """Iterate over all members, the most urgent first, without taking them."""
         for level in self._levels:
             yield from reversed(level)
 
