--- a/holdgw/peers/load_encoding.py
+++ b/holdgw/peers/load_encoding.py
@@ -1,6 +1,6 @@
-"""How load reports and views encode samples of waits, and counts or shares of slots; pure.
+"""Encoding of reported response times and slot counts, shared by load reports and merged views; pure.
 
-Ages are sent in place of times, so that clocks need not agree.
+Ages are sent instead of times, so that routers' clocks need not agree.
 """
 
 from __future__ import annotations
@@ -9,20 +9,20 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-AGE_STEP = 40_000_000  # ns: resolution of an age, which is sent in one byte
+AGE_STEP = 40_000_000  # ns; resolution of an age, which is sent in one byte
 MAX_AGE_STEPS = 0xFF
 MAX_AGE = MAX_AGE_STEPS * AGE_STEP
-RESPONSE_TIME_STEP = 1_000_000  # ns: resolution of a wait, which is sent in two bytes
+RESPONSE_TIME_STEP = 1_000_000  # ns; resolution of a response time, which is sent in two bytes
 MAX_RESPONSE_TIME_STEPS = 0xFFFF
 MAX_COUNT = 0xFFFF
-_SAMPLE = struct.Struct("!IHB")  # hash of the server, wait, age
+_SAMPLE = struct.Struct("!IHB")  # hash of the server, response time, age
 SAMPLE_BYTES = _SAMPLE.size
 SLOT = struct.Struct("!HH")
 """The slot, and its count or share."""
 
 
 class ServerSample(NamedTuple):
-    """A server's wait by its own load report, and how long ago it reported that; both ns."""
+    """A server's reported response time, and how long ago the server reported it; both ns."""
 
     server_hash: int
     response_time: int
@@ -30,12 +30,12 @@
 
 
 def age_steps(age: int) -> int:
-    """An age (ns) as it is sent: rounded up, so that it is never younger than it is."""
+    """Return an age (ns) as it is sent, in steps, rounded up so that no sample seems younger than it is."""
     return min(-(-age // AGE_STEP), MAX_AGE_STEPS)
 
 
 def encode_samples(samples: Iterable[ServerSample]) -> bytes:
-    """Encode samples; a value beyond its field's range is sent as the largest that the field holds."""
+    """Encode samples; a value beyond its field's range is sent as the field's maximum."""
     return b"".join(
         _SAMPLE.pack(
             server, min(response_time // RESPONSE_TIME_STEP, MAX_RESPONSE_TIME_STEPS), age_steps(age)
@@ -45,7 +45,7 @@
 
 
 def decode_samples(data: bytes) -> tuple[ServerSample, ...]:
-    """Decode samples, which are all of the data."""
+    """Decode data that consists of samples only."""
     return tuple(
         ServerSample(server, response_time * RESPONSE_TIME_STEP, age * AGE_STEP)
         for server, response_time, age in _SAMPLE.iter_unpack(data)
@@ -53,10 +53,10 @@
 
 
 def encode_slot_counts(counts: Iterable[tuple[int, int]]) -> bytes:
-    """Encode counts by slot."""
+    """Encode pairs of slot and count; a count beyond MAX_COUNT is sent as MAX_COUNT."""
     return b"".join(SLOT.pack(slot, min(count, MAX_COUNT)) for slot, count in counts)
 
 
 def decode_slot_counts(data: bytes) -> dict[int, int]:
-    """Decode counts by slot, which are all of the data."""
+    """Decode data that consists of slots and counts only."""
     return dict(SLOT.iter_unpack(data))
--- a/holdgw/peers/load_report.py
+++ b/holdgw/peers/load_report.py
@@ -1,7 +1,6 @@
-"""A router's load report: what it observed itself, in one datagram of at most 256 bytes; pure.
+"""A router's load report: its own observations in one datagram of at most 256 bytes; pure.
 
-Only own observations are reported, never those received from others, so that a false report speaks for one
-router.
+Routers never report observations received from others, so that a false report counts as one router's only.
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 )
 
 KIND = 64
-"""In the place of a membership message's kind; different from all of these."""
+"""Stands in the byte of a membership message's kind, and differs from all of these kinds."""
 _HEADER = struct.Struct("!BBHIHBBB")  # version, kind, sender, boot_id, requests, samples, slots, tenants
 _TENANT = struct.Struct("!BH")
 MAX_SERVERS = 22
@@ -40,7 +39,7 @@
 
 
 class LoadReport(NamedTuple):
-    """One router's recent observations. `requests` and `slots`: counts of its requests, with decay."""
+    """One router's recent observations. `requests` and `slots`: decayed counts of its requests."""
 
     sender: int
     boot_id: int
@@ -48,11 +47,11 @@
     requests: int = 0
     slots: Mapping[int, int] = {}
     demands: Mapping[int, int] = {}
-    """By the tenant's place in the settings: calls for the origin, in tenths a second."""
+    """By the tenant's index in the settings: demand for the origin, in tenths of a request a second."""
 
 
 def hash_server(server_id: str) -> int:
-    """The hash by which reports name a server; servers whose hashes collide are left out of the view."""
+    """Return the hash that stands for a server in reports; views leave out servers whose hashes collide."""
     return zlib.crc32(server_id.encode())
 
 
@@ -62,14 +61,14 @@
 
 
 def encode(report: LoadReport) -> bytes:
-    """Encode a report. A value beyond its field's range is sent as the largest that the field holds."""
+    """Encode a report; a value beyond its field's range is sent as the field's maximum."""
     assert len(report.samples) <= MAX_SERVERS
     assert len(report.slots) <= MAX_SLOTS
     assert len(report.demands) <= MAX_TENANTS
     counts = len(report.samples), len(report.slots), len(report.demands)
     requests = min(report.requests, MAX_COUNT)
     header = _HEADER.pack(VERSION, KIND, report.sender, report.boot_id, requests, *counts)
-    demands = b"".join(_TENANT.pack(place, min(rate, MAX_COUNT)) for place, rate in report.demands.items())
+    demands = b"".join(_TENANT.pack(index, min(rate, MAX_COUNT)) for index, rate in report.demands.items())
     lists = encode_samples(report.samples) + encode_slot_counts(report.slots.items()) + demands
     data = append_checksum(header + lists)
     assert len(data) <= MAX_BYTES
@@ -77,7 +76,7 @@
 
 
 def decode(data: bytes, members: int) -> LoadReport:
-    """Decode a report in a tier of so many members; raises DecodeError."""
+    """Decode a report in a tier of `members` members; raises DecodeError."""
     body = verify_checksum(data, _HEADER.size)
     _, kind, sender, boot_id, requests, samples, slots, tenants = _HEADER.unpack_from(body)
     samples_end = _HEADER.size + samples * SAMPLE_BYTES
--- a/holdgw/peers/update_budget.py
+++ b/holdgw/peers/update_budget.py
@@ -1,4 +1,4 @@
-"""Budget of bytes a second that a router spends on passing on member updates; pure, with an injected clock."""
+"""Budget of bytes that a router may spend on passing on member updates; pure, with an injected clock."""
 
 from __future__ import annotations
 
--- a/holdgw/peers/update_queue.py
+++ b/holdgw/peers/update_queue.py
@@ -10,16 +10,16 @@
 JOIN_HANDICAP = 3
 """A join is ordered like a loss that has been transmitted this many times more."""
 FIFO_SHARE = 8
-"""One in this many updates taken is the oldest in the queue, whatever its priority, so that no update starves.
-The first update of a message is always the most urgent."""
+"""One in this many updates taken is the oldest in the queue, whatever its priority, so that none starves. The
+first update of a message is always the most urgent."""
 
 
 class Priority(IntEnum):
     """Priority of an update, the most urgent first."""
 
     REFUTATION = 0
-    """Refutes a suspicion, or tells that this router itself refutes or leaves. It goes before all others until
-    its transmissions are used up, as suspicions expire meanwhile."""
+    """Refutes a suspicion, or tells that this router itself refutes or leaves. It goes before all others
+    until its transmissions are used up, as suspicions expire meanwhile."""
     LOSS = 1
     """Tells that a member is suspected, gone or has left."""
     JOIN = 2
--- a/tests/peers/test_load_view.py
+++ b/tests/peers/test_load_view.py
@@ -11,7 +11,7 @@
 
 from holdgw.peers import load_report
 from holdgw.peers.datagram import MAX_BYTES, DecodeError
-from holdgw.peers.heavy_hitters import COUNTERS, MIN_CERTAIN, MIN_COUNT, HeavyHitters
+from holdgw.peers.heavy_hitters import COUNTERS, MIN_GUARANTEED, MIN_COUNT, HeavyHitters
 from holdgw.peers.load_encoding import AGE_STEP, RESPONSE_TIME_STEP, ServerSample
 from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, MAX_TENANTS, LoadReport
 from holdgw.peers.load_view import MAX_SAMPLE_AGE, LoadView, Observations
@@ -75,7 +75,7 @@
 @given(keys_up_to(3000), st.integers(1, 500))
 def test_counts_of_heavy_hitters_are_within_their_error_bound(keys: list[int], batch: int) -> None:
     hitters = HeavyHitters(capacity=32)
-    hitters.fade(1)
+    hitters.decay(1)
     for i in range(0, len(keys), batch):
         hitters.add_counts(Counter(keys[i : i + batch]))
         assert len(hitters) <= 32
@@ -84,7 +84,7 @@
         assert keys.count(key) - len(keys) / 32 <= count <= keys.count(key)
     for key, (count, error) in hitters._counts.items():
         assert keys.count(key) <= count < keys.count(key) + len(keys) / 32
-        assert sure.get(key, 0.0) == (count - error if count - error >= MIN_CERTAIN else 0.0)
+        assert sure.get(key, 0.0) == (count - error if count - error >= MIN_GUARANTEED else 0.0)
     for key in set(keys):
         if keys.count(key) > 2 * len(keys) / 32:
             assert key in sure
@@ -95,10 +95,10 @@
     """The truth is counted exactly and decays alike; a quarter of a second to two between batches."""
     hitters, now, total = HeavyHitters(capacity=32, half_life_s=1.0), 1, 0.0
     truth: dict[int, float] = {}
-    hitters.fade(now)
+    hitters.decay(now)
     for keys, quarters in steps:
         now += quarters * NS_PER_S // 4
-        hitters.fade(now)
+        hitters.decay(now)
         truth = {key: count * 0.5 ** (quarters / 4) for key, count in truth.items()}
         hitters.add_counts(Counter(keys))
         for key in keys:
