--- a/holdgw/peers/merged_view.py
+++ b/holdgw/peers/merged_view.py
@@ -1,7 +1,8 @@
-"""A merged view of the load on the fleet, as an aggregator sends it: datagrams of 256 bytes at most; pure.
+"""An aggregator's merged view of the load on the fleet, in datagrams of at most 256 bytes; pure.
 
-Each datagram can be used by itself. Ages are sent in place of times; the view's own age is how long ago the
-aggregator merged the reports: it is written when the datagram is sent, and the receiver adds it to each age.
+Each datagram is usable without the others. Ages are sent instead of times. The view's own age is the time
+since the aggregator merged the reports; it is written when the datagram is sent, and the receiver adds it to
+each age in the view.
 """
 
 from __future__ import annotations
@@ -32,21 +33,22 @@
 from holdgw.peers.load_merge import MergedLoad
 
 VIEW_KIND = 67
-"""In the place of a membership message's kind; a router that doesn't know it drops the datagram."""
+"""Stands in the byte of a membership message's kind; a router that doesn't know it drops the datagram."""
 _HEADER = struct.Struct("!BBHIIBBBHIBB")
-"""Version, kind, aggregator, boot_id, sequence, age, part, parts, reporters, requests, waits, slots."""
-_AGE_OFFSET = 12  # of the age in a datagram
-_CONTENT_BYTES = MAX_BYTES - _HEADER.size - CHECKSUM_BYTES  # for waits and slots
+"""Version, kind, aggregator, boot_id, sequence, age, part, parts, reporters, requests, number of response
+times, number of slots."""
+_AGE_OFFSET = 12  # byte of the age in a datagram
+_CONTENT_BYTES = MAX_BYTES - _HEADER.size - CHECKSUM_BYTES  # for response times and slots
 MAX_SERVERS_PER_PART = _CONTENT_BYTES // SAMPLE_BYTES
 MAX_SLOTS = _CONTENT_BYTES // SLOT.size
 MAX_SERVERS = 4 * MAX_SERVERS_PER_PART
-"""In one view; of more servers those sampled most are sent."""
+"""In one view; of more servers, those with the most samples are sent."""
 MAX_SHARE_STEPS = 0xFFFF
 SHARE_STEP = 1.0 / MAX_SHARE_STEPS
 
 
 class ViewPart(NamedTuple):
-    """One datagram of a view, which is numbered by its aggregator from one view to the next."""
+    """One datagram of a view. `sequence` is the view's number, which its aggregator increments."""
 
     aggregator: int
     boot_id: int
@@ -58,7 +60,7 @@
     reporters: int
     requests: int
     response_times: tuple[ServerSample, ...] = ()
-    """Ages are as of when the reports were merged."""
+    """Ages as of the time at which the reports were merged."""
     slot_shares: Mapping[int, float] = {}
 
 
@@ -68,7 +70,7 @@
 
 
 def split(merged: MergedLoad, aggregator: int, boot_id: int, sequence: int) -> list[ViewPart]:
-    """The parts of a view: first the waits, then the largest shares in the bytes that are left."""
+    """Split a view into parts: first the response times, then the largest shares in the remaining bytes."""
     response_times = merged.response_times[:MAX_SERVERS]
     slots = list(merged.slot_shares.items())[:MAX_SLOTS]
     contents: list[tuple[tuple[ServerSample, ...], dict[int, float]]] = []
@@ -86,7 +88,7 @@
 
 
 def encode_body(view: ViewPart) -> bytes:
-    """Encode a part, but for its checksum."""
+    """Encode a part without its checksum."""
     header = _HEADER.pack(
         VERSION,
         VIEW_KIND,
@@ -104,12 +106,12 @@
 
 
 def to_datagram(body: bytes, age: int) -> bytes:
-    """The datagram of an encoded part, sent so long (ns) after the reports were merged."""
+    """Return the datagram of an encoded part; `age`: time since the reports were merged, ns."""
     return append_checksum(body[:_AGE_OFFSET] + bytes((age_steps(age),)) + body[_AGE_OFFSET + 1 :])
 
 
 def decode(data: bytes, members: int) -> ViewPart:
-    """Decode a part in a tier of so many members; raises DecodeError."""
+    """Decode a part in a tier of `members` members; raises DecodeError."""
     body = verify_checksum(data, _HEADER.size)
     header = _HEADER.unpack_from(body)
     _, kind, aggregator, boot_id, sequence, age, part, parts, reporters, requests, response_times, slots = (
@@ -118,7 +120,7 @@
     response_times_end = _HEADER.size + response_times * SAMPLE_BYTES
     if len(body) != response_times_end + slots * SLOT.size:
         raise DecodeError(DropReason.LENGTH)
-    # The largest age stands for every larger one, so that such a view is of unknown age.
+    # The largest age also stands for every greater one, so a view that carries it is of unknown age.
     if kind != VIEW_KIND or aggregator >= members or part >= parts or age * AGE_STEP >= MAX_AGE:
         raise DecodeError(DropReason.VALUE)
     return ViewPart(
--- a/holdgw/peers/sequenced_report.py
+++ b/holdgw/peers/sequenced_report.py
@@ -1,7 +1,7 @@
-"""A load report to an aggregator, and the same forwarded to other aggregators: 256 bytes at most; pure.
+"""A load report to an aggregator, and its forwarding to other aggregators, in at most 256 bytes; pure.
 
-It differs from the load report that routers gossip (load_report) by a sequence number, and leaves tenants'
-demand out, which a merged view doesn't carry. A forwarded report holds the reporter's own bytes unchanged.
+Unlike the load report that routers gossip (`load_report`), it has a sequence number, and no tenants' demand,
+which a merged view doesn't carry. A forwarded report contains the reporter's own bytes unchanged.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 REPORT_KIND = 65
 FORWARDED_KIND = 66
-"""In the place of a membership message's kind; a router that doesn't know it drops the datagram."""
+"""Stand in the byte of a membership message's kind; a router that doesn't know them drops the datagram."""
 _PREFIX = struct.Struct("!BB")  # version, kind
 _FORWARDER = struct.Struct("!H")
 _HEADER = struct.Struct("!HIIHBB")  # sender, boot_id, sequence, requests, samples, slots
@@ -41,14 +41,14 @@
 
 
 class SequencedReport(NamedTuple):
-    """A load report, numbered by its sender from one report to the next."""
+    """A load report with the sequence number that its sender increments for each report."""
 
     sequence: int
     report: LoadReport
 
 
 class ForwardedReport(NamedTuple):
-    """A report that an aggregator received from the reporter itself, and passes on."""
+    """A report that the aggregator `forwarder` received from the reporter itself and forwarded."""
 
     forwarder: int
     sequenced: SequencedReport
@@ -65,7 +65,7 @@
 
 
 def encode(sequenced: SequencedReport) -> bytes:
-    """Encode a report; of its samples the last MAX_SAMPLES are sent, of its slots the first MAX_SLOTS."""
+    """Encode a report with the last MAX_SAMPLES of its samples and the first MAX_SLOTS of its slots."""
     return append_checksum(_PREFIX.pack(VERSION, REPORT_KIND) + _encode_body(sequenced))
 
 
@@ -80,7 +80,7 @@
 
 
 def decode(data: bytes, members: int) -> SequencedReport:
-    """Decode a report in a tier of so many members; raises DecodeError."""
+    """Decode a report in a tier of `members` members; raises DecodeError."""
     body = verify_checksum(data, _MIN_BYTES)
     if body[1] != REPORT_KIND:
         raise DecodeError(DropReason.VALUE)
@@ -107,13 +107,13 @@
 
 
 def forward(data: bytes, forwarder: int) -> bytes:
-    """The datagram by which an aggregator passes a report's datagram on."""
+    """Return the datagram by which the aggregator `forwarder` forwards a report's datagram."""
     report = data[_PREFIX.size : -CHECKSUM_BYTES]
     return append_checksum(_PREFIX.pack(VERSION, FORWARDED_KIND) + _FORWARDER.pack(forwarder) + report)
 
 
 def decode_forwarded(data: bytes, members: int) -> ForwardedReport:
-    """Decode a forwarded report in a tier of so many members; raises DecodeError."""
+    """Decode a forwarded report in a tier of `members` members; raises DecodeError."""
     body = verify_checksum(data, _MIN_BYTES + _FORWARDER.size)
     if body[1] != FORWARDED_KIND:
         raise DecodeError(DropReason.VALUE)
