--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -357,7 +357,7 @@
     "no-fallback": Mutant(
         "a router without a view goes on alone",
         "holdgw.peers.aggregation_client",
-        "        needed = now - self._viewed_at >= VIEW_MAX_AGE\n",
+        "        needed = now - self._last_view_at >= VIEW_MAX_AGE\n",
         "        needed = False\n",
         figure="blind",
     ),
@@ -371,7 +371,7 @@
     "answers-unwatched": Mutant(
         "a router goes on reporting to an aggregator that answers nothing",
         "holdgw.peers.aggregator_choice",
-        "            self._check_answer(link, now)\n",
+        "            self._check_answer(state, now)\n",
         "",
         figure="without-view",
     ),
--- a/holdgw/peers/aggregated_exchange.py
+++ b/holdgw/peers/aggregated_exchange.py
@@ -1,7 +1,6 @@
-"""One member's part in aggregation, whatever its role: a router, an aggregator, or both; pure.
+"""One member's part in aggregation, as a router, an aggregator, or both; pure.
 
-The caller sends what is returned, and has checked that the source of what it passes in is a member's
-address.
+The caller sends the datagrams that are returned. It passes in only datagrams from members' addresses.
 """
 
 from __future__ import annotations
@@ -24,50 +23,50 @@
 
 
 class Role(Enum):
-    """What a member does in aggregation beside what the list of aggregators says."""
+    """Whether a member also routes requests; the list of aggregators says whether it aggregates."""
 
     ROUTER = "router"
     DEDICATED = "set_aside"
-    """It has no load of its own to report, and takes no view."""
+    """A dedicated aggregator: it has no load of its own to report, and accepts no views."""
 
 
 class Members(Protocol):
-    """What is asked of membership."""
+    """The part of `Membership` that aggregation uses."""
 
     def is_present(self, number: int) -> bool:
         """Whether a member is alive or suspected."""
 
     def present(self) -> list[int]:
-        """All these."""
+        """Return the numbers of the members that are alive or suspected."""
 
     def zone_of(self, number: int) -> int:
-        """A member's zone."""
+        """Return a member's zone."""
 
 
 class ExchangeConfig(NamedTuple):
-    """One member's place in aggregation."""
+    """One member's configuration for aggregation."""
 
     number: int
-    """The member's."""
+    """This member's number."""
     member_count: int
-    """Of the tier."""
+    """Number of members of the tier."""
     aggregators: Sequence[int]
     """Numbers of the members that aggregate."""
     role: Role
     tick_interval: int
-    """From one call of `AggregatedExchange.tick` to the next, ns."""
+    """Time between two calls of `AggregatedExchange.tick`, ns."""
 
 
 class AggregatedExchange:
-    """Load reports to aggregators, their exchange, and the views that come back, at one member."""
+    """Sends, forwards and receives load reports and merged views at one member, as its role requires."""
 
     def __init__(
         self, config: ExchangeConfig, members: Members, load_view: LoadView, seed: int, now: int
     ) -> None:
-        """`seed`: of the choice of routers in fallback; `now`: ns of the monotonic clock, as below."""
+        """`seed`: for the random choice of routers in fallback; `now`: ns of the caller's monotonic clock."""
         number = config.number
         self.dropped: Counter[DropReason] = Counter()
-        """Reports and views that were not taken."""
+        """Reports and views that were dropped, by reason."""
         self.guard = StallGuard(config.tick_interval, now)
         self.client: AggregationClient | None = None
         self.aggregator: Aggregator | None = None
@@ -92,21 +91,21 @@
         )
 
     def tick(self, now: int) -> None:
-        """Merge what is due; to be called each tick interval."""
+        """Merge reports where that is due; to be called once per tick interval."""
         self.guard.tick(now)
         if self.aggregator is not None and self.aggregator.tick(now) and self.client is not None:
             self.client.receive_own(self.aggregator.own_view(now), now)
 
     def report(self, now: int) -> list[OutgoingDatagram]:
-        """This router's report, to be called once a REPORT_INTERVAL_S.
+        """Return the datagrams of this router's report; to be called once per REPORT_INTERVAL_S.
 
-        It goes to an aggregator, and in fallback to some routers of its zone as well.
+        The report goes to an aggregator, and in fallback also to some routers of this router's zone.
         """
         if self.client is None:
             return []
         report = self._load_view.report(now)
         if self.aggregator is not None:
-            sequenced = self.client.number_report(report)
+            sequenced = self.client.add_sequence(report)
             data = sequenced_report.encode(sequenced)
             return self.aggregator.receive(data, sequenced, self._members.is_present, now) or []
         due = self.client.report(report, self._members.is_present, now)
@@ -118,11 +117,11 @@
         return out
 
     def update_fallback(self, now: int) -> FallbackChange:
-        """Enter or leave the fallback, where this is a router."""
+        """Enter or leave the fallback, where this member is a router."""
         return FallbackChange.NONE if self.client is None else self.client.update_fallback(now)
 
     def receive(self, data: bytes, source: int, now: int) -> list[OutgoingDatagram]:
-        """Take a datagram that a member sent; raises DecodeError."""
+        """Act on a datagram from a member, and return the datagrams to send; raises DecodeError."""
         if self.guard.is_stalled(now):
             self.dropped[DropReason.STALLED] += 1
             return []
@@ -170,34 +169,34 @@
         return out or []
 
     def snapshot(self, now: int) -> LoadSnapshot:
-        """What the decisions take: by aggregators' views, or by gossip.
+        """Return the load snapshot for the routing policy, from aggregators' views.
 
-        In fallback and before the first view: own observations and other routers' gossiped reports.
+        In fallback and before the first view it comes from own observations and gossiped reports.
         """
-        found = None
+        snapshot = None
         if self.client is not None:
             view = self._load_view
             slots = view.slot_counts.guaranteed(COUNTERS)
             own = OwnLoad(
                 view.own_response_times(now), slots, view.slot_counts.total, len(self._members.present())
             )
-            found = self.client.snapshot(self._members.is_present, view.names, own, now)
-        return self._load_view.snapshot(now) if found is None else found
+            snapshot = self.client.snapshot(self._members.is_present, view.names, own, now)
+        return self._load_view.snapshot(now) if snapshot is None else snapshot
 
     def counts(self, now: int) -> dict[str, int]:
-        """How this member stands in aggregation; ages in milliseconds."""
-        found = {"halts": self.guard.stalls}
+        """Return the state of aggregation at this member, by metric name; ages are in milliseconds."""
+        counts = {"halts": self.guard.stalls}
         if self.client is not None:
-            found["reporters"] = self._reporters(now)
-            found["age_ms"] = self._median_age(now) // NS_PER_MS
-            found["fallback"] = int(self.client.in_fallback)
-            found["fallbacks"] = self.client.fallbacks
+            counts["reporters"] = self._reporters(now)
+            counts["age_ms"] = self._median_age(now) // NS_PER_MS
+            counts["fallback"] = int(self.client.in_fallback)
+            counts["fallbacks"] = self.client.fallbacks
         if self.aggregator is not None:
-            found["merged_reporters"] = self.aggregator.merged(now).reporters
-        return found
+            counts["merged_reporters"] = self.aggregator.merged(now).reporters
+        return counts
 
     def view_counts(self, now: int) -> dict[str, int]:
-        """Routers and requests that the snapshot rests on, and servers whose wait it holds."""
+        """Return the size of the snapshot: routers and requests behind it, and servers that it covers."""
         snapshot = self.snapshot(now)
         viewed = 0 if self.client is None or self.client.in_fallback else self._reporters(now)
         routers = viewed or self._load_view.routers
@@ -208,11 +207,14 @@
         }
 
     def _reporters(self, now: int) -> int:
-        """The reporters that views rest on; a false one can't have it more than the members present."""
-        found = 0 if self.client is None else self.client.views.reporters(now)
-        return min(found, len(self._members.present()))
+        """Return the number of reporters behind the views, at most the number of members present.
+
+        The bound keeps a false view from claiming more.
+        """
+        reporters = 0 if self.client is None else self.client.views.reporters(now)
+        return min(reporters, len(self._members.present()))
 
     def _median_age(self, now: int) -> int:
-        """The median age of the waits that the decisions would be given now."""
+        """Return the median age (ns) of the response times in the current snapshot."""
         ages = sorted(response_time.age for response_time in self.snapshot(now).response_times.values())
         return ages[len(ages) // 2] if ages else 0
--- a/holdgw/peers/aggregation_client.py
+++ b/holdgw/peers/aggregation_client.py
@@ -1,7 +1,7 @@
-"""A router's side of aggregation: when and to whom it reports, which views it takes, and its fallback; pure.
+"""A router's side of aggregation: its reports, the views that it accepts, and its fallback to gossip; pure.
 
-Without a fresh view for VIEW_MAX_AGE a router falls back on its own observations and those of routers of its
-own zone, to which it then reports directly. It goes on reporting to aggregators in turn, and the first view
+After VIEW_MAX_AGE without a view, a router falls back to its own observations and those of other routers of
+its zone, to which it then reports directly. It still reports to the aggregators in turn, and the first view
 ends the fallback.
 """
 
@@ -23,13 +23,13 @@
 from holdgw.peers.view_selection import VIEW_MAX_AGE, OwnLoad, ViewSelection
 
 REPORT_INTERVAL_S = 1.0
-APPLY_AFTER_S = 0.3  # after a report the decisions are given a new snapshot: the answer has come by then
+APPLY_AFTER_S = 0.3  # time from a report to the new snapshot; the answer has arrived by then
 FALLBACK_FANOUT = 2  # routers that a report is sent to in fallback
-MIN_ZONE = 3  # routers, from which on a zone is enough for its fallback
+MIN_ZONE = 3  # routers of a zone with which it needs no other zone in its fallback
 
 
 class FallbackChange(Enum):
-    """What became of the fallback."""
+    """Result of `AggregationClient.update_fallback`."""
 
     NONE = "none"
     ENTERED = "entered"
@@ -37,69 +37,70 @@
 
 
 class ViewResult(Enum):
-    """What became of a part of a view."""
+    """Result of receiving a part of a view."""
 
     TAKEN = "taken"
     UNEXPECTED = "unexpected"
-    """No report went to its aggregator lately."""
+    """This router has sent no report to the view's aggregator lately."""
     REPLAYED = "replayed"
 
 
 class ReportDue(NamedTuple):
-    """A report's datagram, and the aggregators that it goes to."""
+    """A report's datagram, and the numbers of the aggregators that it goes to."""
 
     targets: list[int]
     data: bytes
 
 
 class AggregationClient:
-    """One router's side. `me`: its number; `zone`: its site, by which it chooses among the aggregators."""
+    """One router's side of aggregation."""
 
-    def __init__(self, me: int, zone: int, aggregators: Sequence[int], seed: int, now: int) -> None:
+    def __init__(self, own_number: int, zone: int, aggregators: Sequence[int], seed: int, now: int) -> None:
+        """`own_number` and `zone`: this router's number and zone; the zone determines its aggregators."""
         self.in_fallback = False
         self.fallbacks = 0
-        """Times that the fallback was entered."""
-        self.choice = AggregatorChoice(zone, [number for number in aggregators if number != me])
+        """Number of times that the fallback was entered."""
+        self.choice = AggregatorChoice(zone, [number for number in aggregators if number != own_number])
         self.views = ViewSelection()
-        self._me = me
+        self._own_number = own_number
         self._zone = zone
         self._aggregators = frozenset(aggregators)
         self._random = random.Random(seed)
         self._sequence = 0
-        self._viewed_at = now
+        self._last_view_at = now
 
-    def number_report(self, report: LoadReport) -> SequencedReport:
-        """Give a report the next sequence number."""
+    def add_sequence(self, report: LoadReport) -> SequencedReport:
+        """Return the report with the next sequence number."""
         self._sequence = (self._sequence + 1) % SERIALS
         return SequencedReport(self._sequence, report)
 
     def report(self, report: LoadReport, is_present: Callable[[int], bool], now: int) -> ReportDue:
-        """The report due now."""
+        """Return the datagram of the report due now, and the aggregators that it goes to."""
         targets = self.choice.next_targets(is_present, now)
-        return ReportDue(targets, sequenced_report.encode(self.number_report(report)))
+        return ReportDue(targets, sequenced_report.encode(self.add_sequence(report)))
 
     def receive(self, view: ViewPart, now: int) -> ViewResult:
-        """Take a part of a view, whose sender the caller has checked by the source address."""
+        """Accept or reject a part of a view; the caller has verified its sender by the source address."""
         if not self.choice.expects(view.aggregator, now):
             return ViewResult.UNEXPECTED
         return self._take(view, now)
 
     def receive_own(self, parts: Sequence[ViewPart], now: int) -> None:
-        """Take the view of the aggregator that this router is itself."""
+        """Accept the view of the aggregator in this process."""
         for view in parts:
             self._take(view, now)
 
     def _take(self, view: ViewPart, now: int) -> ViewResult:
         if not self.views.receive(view, now):
             return ViewResult.REPLAYED
-        if view.aggregator != self._me:
+        if view.aggregator != self._own_number:
             self.choice.answered(view.aggregator)
-        self._viewed_at = now
+        self._last_view_at = now
         return ViewResult.TAKEN
 
     def update_fallback(self, now: int) -> FallbackChange:
-        """Enter or leave the fallback."""
-        needed = now - self._viewed_at >= VIEW_MAX_AGE
+        """Enter or leave the fallback, by the time since the last view."""
+        needed = now - self._last_view_at >= VIEW_MAX_AGE
         if needed == self.in_fallback:
             return FallbackChange.NONE
         self.in_fallback = needed
@@ -107,12 +108,14 @@
         return FallbackChange.ENTERED if needed else FallbackChange.LEFT
 
     def fallback_targets(self, present: Collection[int], zone_of: Callable[[int], int]) -> list[int]:
-        """The routers that a report goes to in fallback; `zone_of`: the zone of a member.
+        """Return random routers that a report goes to in fallback; `zone_of`: returns the zone of a member.
 
-        Of its own zone, where that has MIN_ZONE routers, else of all the zones that have fewer; any others
-        where these are too few.
+        They are of this router's zone, where it has MIN_ZONE routers, else of all zones with fewer routers.
+        Any other routers are added where these are fewer than FALLBACK_FANOUT.
         """
-        others = [number for number in present if number != self._me and number not in self._aggregators]
+        others = [
+            number for number in present if number != self._own_number and number not in self._aggregators
+        ]
         sizes = Counter([self._zone, *(zone_of(number) for number in others)])
         near = [number for number in others if zone_of(number) == self._zone]
         if sizes[self._zone] < MIN_ZONE:
@@ -124,7 +127,7 @@
     def snapshot(
         self, is_present: Callable[[int], bool], names: Mapping[int, str], own: OwnLoad, now: int
     ) -> LoadSnapshot | None:
-        """What the decisions take; None in fallback, and before the first view."""
+        """Return the load snapshot for the routing policy; None in fallback and before the first view."""
         if self.in_fallback:
             return None
-        return self.views.snapshot((self._me, *self.choice.chosen(is_present, now)), names, own, now)
+        return self.views.snapshot((self._own_number, *self.choice.chosen(is_present, now)), names, own, now)
--- a/holdgw/peers/aggregator.py
+++ b/holdgw/peers/aggregator.py
@@ -1,8 +1,8 @@
-"""The aggregator's role: it exchanges routers' load reports, and answers each with a merged view; pure.
+"""An aggregator: it forwards routers' load reports to other aggregators, and answers with merged views; pure.
 
-A report that came from the reporter itself is forwarded once to the other aggregators, and answered with the
-view that was last merged; what was forwarded is neither forwarded again nor answered. So an aggregator sends
-in proportion to the routers that report to it, and nothing on its own.
+A report from the reporter itself is forwarded once to the other aggregators, and answered with the latest
+merged view. A forwarded report is neither forwarded again nor answered. An aggregator's traffic is therefore
+proportional to the number of routers that report to it, and it sends nothing unprompted.
 """
 
 from __future__ import annotations
@@ -19,30 +19,33 @@
 from holdgw.peers.sequenced_report import ForwardedReport, SequencedReport
 from holdgw.peers.timing import NS_PER_S
 
-MERGE_INTERVAL = NS_PER_S // 2
-VIEW_SENT_FOR = NS_PER_S  # after it was merged; an older one is not sent
-MIN_REPORT_INTERVAL = int(0.4 * NS_PER_S)  # in which a reporter is answered, and forwarded, once
+MERGE_INTERVAL = NS_PER_S // 2  # ns
+VIEW_SENT_FOR = NS_PER_S  # time after the merge in which a view may be sent
+MIN_REPORT_INTERVAL = int(
+    0.4 * NS_PER_S
+)  # time in which a reporter's reports are answered and forwarded once
 BYTES_PER_MEMBER = 1600.0
-"""Bytes a second that an aggregator may send for each member: a report a second of each, answered by five
-datagrams of 256 bytes and forwarded to one other; or half as many, where more aggregators share them,
-forwarded to three.
+"""Bytes a second that an aggregator may send for each member. They suffice for a report a second of each
+member, answered with five datagrams of 256 bytes and forwarded to one other aggregator; or, where more
+aggregators share the members, for half as many reports that are each forwarded to three.
 """
 
 
 class OutgoingDatagram(NamedTuple):
-    """A datagram to a member."""
+    """A datagram to send, and the number of the member that it goes to."""
 
     to: int
     data: bytes
 
 
 class Aggregator:
-    """One aggregator. `zone_of`: the zone of a member, by which it chooses its aggregators."""
+    """One aggregator: its table of reports, and the view that it last merged."""
 
     def __init__(
-        self, me: int, boot_id: int, aggregators: Iterable[int], zone_of: Callable[[int], int]
+        self, own_number: int, boot_id: int, aggregators: Iterable[int], zone_of: Callable[[int], int]
     ) -> None:
-        self.me = me
+        """`zone_of`: returns the zone of a member, which determines the aggregators that it reports to."""
+        self.own_number = own_number
         self.boot_id = boot_id
         self._aggregators = tuple(aggregators)
         self._zone_of = zone_of
@@ -63,26 +66,29 @@
     def receive(
         self, data: bytes, sequenced: SequencedReport, is_present: Callable[[int], bool], now: int
     ) -> list[OutgoingDatagram] | None:
-        """Take a report from the reporter itself, `data` being its datagram; None where it is a replay."""
+        """Store a report from the reporter itself, and return the datagrams to send.
+
+        `data`: the report's datagram. Returns None where the report is a duplicate or a replay.
+        """
         reporter = sequenced.report.sender
         if not self.table.receive(sequenced, reporter, now):
             return None
         if now - self._answered_at.get(reporter, -MIN_REPORT_INTERVAL) < MIN_REPORT_INTERVAL:
             return []
         self._answered_at[reporter] = now
-        forwarded = sequenced_report.forward(data, self.me)
-        others = [n for n in self._aggregators if n not in (self.me, reporter) and is_present(n)]
+        forwarded = sequenced_report.forward(data, self.own_number)
+        others = [n for n in self._aggregators if n not in (self.own_number, reporter) and is_present(n)]
         out = [OutgoingDatagram(number, forwarded) for number in others]
-        if reporter != self.me:
+        if reporter != self.own_number:
             out += [OutgoingDatagram(reporter, view) for view in self._view_datagrams(now)]
         return out
 
     def receive_forwarded(self, forwarded: ForwardedReport, now: int) -> bool:
-        """Take a report that another aggregator forwarded; False where it is a replay."""
+        """Store a report that another aggregator forwarded; returns False where it is a replay."""
         return self.table.receive(forwarded.sequenced, forwarded.forwarder, now)
 
     def tick(self, now: int) -> bool:
-        """Merge once a MERGE_INTERVAL; whether it did."""
+        """Merge the reports where MERGE_INTERVAL has passed; returns whether it merged."""
         if self._merged_at is not None and now - self._merged_at < MERGE_INTERVAL:
             return False
         self._merged_at = now
@@ -90,16 +96,16 @@
         merged = self.merged(now)
         self._parts = []
         if merged.reporters:
-            self._parts = merged_view.split(merged, self.me, self.boot_id, self._sequence)
+            self._parts = merged_view.split(merged, self.own_number, self.boot_id, self._sequence)
         self._bodies = [merged_view.encode_body(part) for part in self._parts]
         return True
 
     def merged(self, now: int) -> MergedLoad:
-        """What all reports that count say together."""
+        """Merge the reports that count now."""
         return merge(self.table.fresh(now))
 
     def _view_age(self, now: int) -> int | None:
-        """How long ago the view was merged, ns; None where there is none that may be sent."""
+        """Return the time since the view was merged, ns; None where no view may be sent."""
         if self._merged_at is None or now - self._merged_at >= VIEW_SENT_FOR:
             return None
         return now - self._merged_at
@@ -109,6 +115,6 @@
         return [] if age is None else [merged_view.to_datagram(body, age) for body in self._bodies]
 
     def own_view(self, now: int) -> list[ViewPart]:
-        """The view for the router that this aggregator is."""
+        """Return the view for this aggregator's own router; empty where no view may be sent."""
         age = self._view_age(now)
         return [] if age is None else [part._replace(age=age) for part in self._parts]
--- a/holdgw/peers/view_selection.py
+++ b/holdgw/peers/view_selection.py
@@ -1,13 +1,14 @@
-"""A router's side of aggregation: the views that it has, and what it uses of them against a false one; pure.
+"""The merged views that a router has received, and the values that it takes from them; pure.
 
-Bounds on one lying aggregator, where the other one's view is fresh:
+Bounds on one lying aggregator, where another one's view is fresh:
 
-- a server's wait is the median of both views and this router's own sample, so that a lie moves it to the
-  other of the two at most; without an own sample of OWN_VOTE_MAX_AGE the lower wait is taken, and a lie can
-  only lower it;
-- a slot's share is the lower of both, so that it makes none hot, and at least this router's own requests for
-  it over all, so that it hides none that is hot here;
-- the requests in all are the median of both views' and of this router's own times the routers present.
+- A server's response time is the median of both views and this router's own sample, so a lie moves it no
+  further than to the other of these two. Without an own sample younger than OWN_VOTE_MAX_AGE the lower of
+  both views is taken, and a lie can only lower it.
+- A slot's share is the lower of both views, so a lie makes no slot hot. It is at least the ratio of this
+  router's own requests for the slot to all requests, so a lie hides no slot that is hot at this router.
+- The number of all requests is the median of both views' numbers and of this router's own number times the
+  routers present.
 """
 
 from __future__ import annotations
@@ -21,28 +22,28 @@
 from holdgw.peers.sequence_gate import Order, SequenceGate
 from holdgw.peers.timing import NS_PER_S
 
-VIEW_MAX_AGE = 3 * NS_PER_S  # since it arrived, from which on a view is never used
-RESPONSE_TIME_MAX_AGE = 5 * NS_PER_S  # since it was measured, from which on a wait is ignored
-SHARES_MAX_AGE = 5 * NS_PER_S  # since they arrived, while other parts of newer views come
-OWN_MAX_AGE = NS_PER_S  # of an own sample, up to which it goes before a single view
-OWN_VOTE_MAX_AGE = 3 * NS_PER_S  # the same, for it to be the third vote beside two views
-MIN_COVERAGE = 0.5  # of the other view's reporters, under which a view is ignored
-MAX_SERVERS_PER_AGGREGATOR = 1024  # that its views may name
+VIEW_MAX_AGE = 3 * NS_PER_S  # time since a view arrived after which it is never used
+RESPONSE_TIME_MAX_AGE = 5 * NS_PER_S  # time since its measurement after which a response time is ignored
+SHARES_MAX_AGE = 5 * NS_PER_S  # time after which shares are ignored, while other parts of newer views arrive
+OWN_MAX_AGE = NS_PER_S  # up to this age an own sample is preferred to a single view
+OWN_VOTE_MAX_AGE = 3 * NS_PER_S  # up to this age an own sample is the third vote beside two views
+MIN_COVERAGE = 0.5  # fraction of the other view's reporters below which a view is ignored
+MAX_SERVERS_PER_AGGREGATOR = 1024  # servers held from the views of one aggregator
 
 
 class OwnLoad(NamedTuple):
-    """What this router observed itself. `routers`: how many are present, this one among them."""
+    """This router's own observations. `routers`: number of routers present, including this one."""
 
     response_times: Mapping[int, AgedResponseTime]
     """By the server's hash."""
     slots: Mapping[int, float]
-    """Certain counts of its requests by slot."""
+    """Guaranteed counts of this router's requests by slot."""
     requests: float
     routers: int
 
 
 class _ReceivedResponseTime(NamedTuple):
-    """A server's wait by an aggregator's view, when it was measured and when the view arrived, all ns."""
+    """A server's response time in an aggregator's view, and when it was measured and the view arrived; ns."""
 
     response_time: int
     measured_at: int
@@ -51,7 +52,7 @@
 
 @dataclass(slots=True)
 class _ReceivedView:
-    """The latest view of one aggregator; in place of a lost part the one before it counts until too old."""
+    """The latest view of one aggregator; for a lost part, the previous view's values stay until too old."""
 
     gate: SequenceGate = field(default_factory=SequenceGate)
     parts: set[int] = field(default_factory=set)
@@ -64,18 +65,20 @@
     shares_arrived_at: int = 0
 
     def is_fresh(self, now: int) -> bool:
-        """Whether a part came within VIEW_MAX_AGE."""
+        """Whether a part arrived less than VIEW_MAX_AGE ago."""
         return self.gate.boot_id is not None and now - self.arrived_at < VIEW_MAX_AGE
 
     def add(self, view: ViewPart, now: int) -> bool:
-        """Take a part; False where it is a duplicate or a replay."""
+        """Add a part; returns False where it is a duplicate or a replay."""
         order = self.gate.check(view.boot_id, view.sequence, now)
         if order is Order.REPLAYED or (order is Order.SAME and view.part in self.parts):
             return False
         if order is Order.NEWER:
             self.parts = set()
             self.response_times = {
-                s: one for s, one in self.response_times.items() if now - one.arrived_at < VIEW_MAX_AGE
+                server: received
+                for server, received in self.response_times.items()
+                if now - received.arrived_at < VIEW_MAX_AGE
             }
         self.parts.add(view.part)
         self.arrived_at = now
@@ -98,11 +101,11 @@
             self.shares_arrived_at = now
 
     def fresh_shares(self, now: int) -> Mapping[int, float]:
-        """Slots' shares, if they are not too old."""
+        """Return the slots' shares; empty where they are too old."""
         return self.shares if now - self.shares_arrived_at < SHARES_MAX_AGE else {}
 
     def response_time_of(self, server: int, now: int) -> AgedResponseTime | None:
-        """A server's wait and its age, if it is not too old."""
+        """Return a server's response time and its age; None where it is unknown or too old."""
         received = self.response_times.get(server)
         if received is None or now - received.arrived_at >= VIEW_MAX_AGE:
             return None
@@ -111,27 +114,30 @@
 
 
 class ViewSelection:
-    """The views that one router has received, by aggregator."""
+    """The views that one router has received, by aggregator, and the selection among them."""
 
     def __init__(self) -> None:
         self._views: dict[int, _ReceivedView] = {}
 
     def receive(self, view: ViewPart, now: int) -> bool:
-        """Take a part of an aggregator's view; False where it is a duplicate or a replay."""
+        """Add a part of an aggregator's view; returns False where it is a duplicate or a replay."""
         return self._views.setdefault(view.aggregator, _ReceivedView()).add(view, now)
 
     def has_fresh(self, now: int) -> bool:
-        """Whether there is a view that may be used."""
+        """Whether at least one view is fresh."""
         return any(view.is_fresh(now) for view in self._views.values())
 
     def reporters(self, now: int) -> int:
-        """The reporters that the view resting on the most of them rests on; 0 without a fresh view."""
+        """Return the largest number of reporters behind a fresh view; 0 without a fresh view."""
         return max((view.reporters for view in self._views.values() if view.is_fresh(now)), default=0)
 
     def snapshot(
         self, chosen: Sequence[int], names: Mapping[int, str], own: OwnLoad, now: int
     ) -> LoadSnapshot | None:
-        """What the decisions take; None without a fresh view. `names`: listed servers by hash."""
+        """Return the load snapshot for the routing policy; None without a fresh view.
+
+        `chosen`: the aggregators in use; `names`: listed servers by hash.
+        """
         usable = self._usable(chosen, own.routers, now)
         views = [view for view in usable if view.is_fresh(now)]
         if not views:
@@ -151,10 +157,10 @@
         return LoadSnapshot(response_times, shares, requests, own.requests)
 
     def _usable(self, chosen: Sequence[int], routers: int, now: int) -> list[_ReceivedView]:
-        """At most two views, of the aggregators in use first: fresh ones, or those with usable shares.
+        """Return at most two views that are fresh or have usable shares, preferably of aggregators in use.
 
-        One that rests on too few reporters beside a fresh one is left out. None counts as resting on more
-        than the routers that are present: a false one could otherwise have the other left out.
+        A view with too few reporters compared to a fresh one is left out. A view counts as having no more
+        reporters than there are routers present. Otherwise a false view could exclude the other one.
         """
         ordered = sorted(self._views, key=lambda number: (number not in chosen, number))
         views = [self._views[number] for number in ordered]
@@ -167,7 +173,7 @@
 def select_response_time(
     votes: Sequence[AgedResponseTime], own: AgedResponseTime | None
 ) -> AgedResponseTime | None:
-    """A server's wait by at most two views and this router's own sample."""
+    """Return a server's response time from at most two views and this router's own sample."""
     if len(votes) < 2 and own is not None and own.age < OWN_MAX_AGE:
         return own
     if not votes:
@@ -179,21 +185,21 @@
 
 
 def select_requests(counts: Sequence[int], own: OwnLoad) -> float:
-    """All routers' requests by one or two views, and no fewer than this router's own."""
-    found = counts[0] if len(counts) == 1 else sorted([*counts, own.requests * own.routers])[1]
-    return max(float(found), own.requests)
+    """Return all routers' requests from one or two views, and at least this router's own."""
+    selected = counts[0] if len(counts) == 1 else sorted([*counts, own.requests * own.routers])[1]
+    return max(float(selected), own.requests)
 
 
 def select_shares(shares: Sequence[Mapping[int, float]], own: OwnLoad, requests: float) -> dict[int, float]:
-    """Slots' shares by one or two views, and at least this router's own part of all requests.
+    """Return slots' shares from one or two views, and at least this router's own fraction of all requests.
 
-    Shares of a view that were lost on the way are no vote.
+    A view whose shares were lost in transit is ignored.
     """
-    known = [one for one in shares if one]
-    found = {}
+    known = [view_shares for view_shares in shares if view_shares]
+    selected = {}
     for slot, share in known[0].items() if known else ():
-        found[slot] = min(share, *(one.get(slot, 0.0) for one in known[1:]), share)
+        selected[slot] = min(share, *(view_shares.get(slot, 0.0) for view_shares in known[1:]), share)
     for slot, count in own.slots.items():
         if requests:
-            found[slot] = max(found.get(slot, 0.0), count / requests)
-    return found
+            selected[slot] = max(selected.get(slot, 0.0), count / requests)
+    return selected
