--- a/tests/peers/test_aggregation.py
+++ b/tests/peers/test_aggregation.py
@@ -1,4 +1,4 @@
-"""Load reports by way of aggregators: what is merged, what one false member moves, how old a view is."""
+"""Load reports through aggregators: merging, the effect of one false member, and the age of views."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 SEQUENCED = st.builds(SequencedReport, WORD, REPORTS)
 MERGED = st.builds(
     MergedLoad,
-    st.lists(SAMPLES, max_size=200, unique_by=lambda one: one.server_hash).map(tuple),
+    st.lists(SAMPLES, max_size=200, unique_by=lambda sample: sample.server_hash).map(tuple),
     st.dictionaries(SHORT, st.floats(0, 1), max_size=100),
     WORD,
     SHORT,
@@ -63,21 +63,21 @@
 
 
 def report(sender: int, response_time: int = 20 * MS, age: int = 0, **changes: object) -> LoadReport:
-    told = {
+    fields = {
         "boot_id": 7,
         "samples": (ServerSample(1, response_time, age),),
         "requests": 100,
         "slots": {},
         **changes,
     }
-    return LoadReport(sender, **told)  # type: ignore[arg-type]
+    return LoadReport(sender, **fields)  # type: ignore[arg-type]
 
 
-def direct(one: LoadReport, age: int = 0) -> ReceivedReport:
-    return ReceivedReport(one, one.sender, age)
+def direct(load: LoadReport, age: int = 0) -> ReceivedReport:
+    return ReceivedReport(load, load.sender, age)
 
 
-def table() -> ReportTable:
+def new_table() -> ReportTable:
     return ReportTable(lambda _reporter: (90, 91))
 
 
@@ -85,7 +85,7 @@
 
 
 @given(SEQUENCED, st.integers(0, 399))
-def test_a_report_and_its_forwarding_fit_a_datagram_and_say_the_same(
+def test_a_report_and_its_forwarded_form_fit_a_datagram_and_decode_to_the_same_report(
     sequenced: SequencedReport, forwarder: int
 ) -> None:
     data = sequenced_report.encode(sequenced)
@@ -98,14 +98,16 @@
 
 
 @given(MERGED, st.integers(0, 10 * S - 100 * MS))
-def test_a_view_says_what_was_merged_in_datagrams_that_each_fit(merged: MergedLoad, held: int) -> None:
+def test_a_view_decodes_to_what_was_merged_and_each_part_fits_a_datagram(
+    merged: MergedLoad, held_for: int
+) -> None:
     parts = merged_view.split(merged, 3, 9, 17)
     found = [
-        merged_view.decode(merged_view.to_datagram(merged_view.encode_body(p), held), 400) for p in parts
+        merged_view.decode(merged_view.to_datagram(merged_view.encode_body(p), held_for), 400) for p in parts
     ]
-    assert all(len(merged_view.to_datagram(merged_view.encode_body(p), held)) <= MAX_BYTES for p in parts)
+    assert all(len(merged_view.to_datagram(merged_view.encode_body(p), held_for)) <= MAX_BYTES for p in parts)
     assert [part.part for part in found] == list(range(len(parts)))
-    assert all(held <= part.age < held + AGE_STEP for part in found)
+    assert all(held_for <= part.age < held_for + AGE_STEP for part in found)
     assert sum((part.response_times for part in found), ()) == merged.response_times[:MAX_SERVERS]
     shares = {slot: share for part in found for slot, share in part.slot_shares.items()}
     assert shares == {slot: pytest.approx(merged.slot_shares[slot], abs=1e-4) for slot in shares}
@@ -115,21 +117,21 @@
 
 
 @given(SEQUENCED, MERGED, st.data())
-def test_a_datagram_changed_anywhere_is_not_read(
+def test_a_datagram_damaged_at_any_place_is_not_decoded(
     sequenced: SequencedReport, merged: MergedLoad, data: st.DataObject
 ) -> None:
-    said = sequenced_report.encode(sequenced)
+    encoded = sequenced_report.encode(sequenced)
     with pytest.raises(DecodeError):
-        sequenced_report.decode(damaged(said, data), 400)
+        sequenced_report.decode(damaged(encoded, data), 400)
     with pytest.raises(DecodeError):
-        sequenced_report.decode_forwarded(damaged(sequenced_report.forward(said, 3), data), 400)
+        sequenced_report.decode_forwarded(damaged(sequenced_report.forward(encoded, 3), data), 400)
     part = merged_view.split(merged, 3, 9, 17)[0]
     with pytest.raises(DecodeError):
         merged_view.decode(damaged(merged_view.to_datagram(merged_view.encode_body(part), 0), data), 400)
 
 
 @given(st.binary(max_size=MAX_BYTES))
-def test_noise_under_a_right_checksum_is_read_or_dropped_and_never_raises_anything_else(noise: bytes) -> None:
+def test_random_bytes_with_a_valid_checksum_are_decoded_or_raise_decode_error(noise: bytes) -> None:
     for kind, decode in (
         (sequenced_report.REPORT_KIND, sequenced_report.decode),
         (sequenced_report.FORWARDED_KIND, sequenced_report.decode_forwarded),
@@ -141,15 +143,15 @@
 
 
 @given(SEQUENCED, MERGED)
-def test_a_router_of_the_version_before_drops_each_new_kind_and_the_new_one_reads_its_reports(
+def test_a_router_of_the_previous_version_drops_new_kinds_and_its_reports_are_decoded(
     sequenced: SequencedReport, merged: MergedLoad
 ) -> None:
-    said = sequenced_report.encode(sequenced)
+    encoded = sequenced_report.encode(sequenced)
     view = merged_view.to_datagram(merged_view.encode_body(merged_view.split(merged, 3, 9, 17)[0]), 0)
-    for data in (said, sequenced_report.forward(said, 3), view):
+    for data in (encoded, sequenced_report.forward(encoded, 3), view):
         assert not load_report.is_load_report(data)
         with pytest.raises(DecodeError):
-            datagram.decode(data, 400)  # all that the version before knows beside load reports
+            datagram.decode(data, 400)  # the only kinds of the previous version beside load reports
     old = load_report.encode(sequenced.report._replace(slots={}))
     assert load_report.is_load_report(old)
     assert load_report.decode(old, 400).samples == sequenced.report.samples
@@ -158,7 +160,7 @@
 # Sequence numbers and restarts
 
 
-def test_of_one_process_each_sequence_number_is_accepted_once_and_the_newest_only() -> None:
+def test_a_sequence_number_of_one_process_is_accepted_once_and_only_if_newest() -> None:
     gate = SequenceGate()
     assert [gate.check(1, n, 0) for n in (5, 5, 4, 6, 5)] == [
         Order.NEWER,
@@ -167,22 +169,22 @@
         Order.NEWER,
         Order.REPLAYED,
     ]
-    assert gate.check(1, (1 << 32) - 1, 0) is Order.REPLAYED  # serial arithmetic: far behind 6
+    assert gate.check(1, (1 << 32) - 1, 0) is Order.REPLAYED  # by serial number arithmetic far older than 6
     gate = SequenceGate()
     assert [gate.check(1, n, 0) for n in ((1 << 32) - 1, 0)] == [Order.NEWER, Order.NEWER]
 
 
-def test_a_restarted_process_is_heard_once_the_one_before_is_silent_and_that_one_no_more() -> None:
+def test_a_restarted_process_is_accepted_after_a_silence_and_the_previous_one_is_rejected() -> None:
     gate = SequenceGate()
     gate.check(1, 50, 0)
     assert gate.check(2, 1, REPLACED_AFTER - 1) is Order.REPLAYED
     assert gate.check(2, 1, REPLACED_AFTER) is Order.NEWER
-    for at in range(REPLACED_AFTER, REPLACED_AFTER + 20 * S, S):  # replays, while the true one speaks
+    for at in range(REPLACED_AFTER, REPLACED_AFTER + 20 * S, S):  # replays, while the current process sends
         assert gate.check(2, 2 + at // S, at) is Order.NEWER
         assert gate.check(1, 99, at + 1) is Order.REPLAYED
 
 
-def test_a_process_displaced_by_a_replay_while_it_was_halted_is_heard_again() -> None:
+def test_a_process_displaced_by_a_replay_during_a_stall_is_accepted_again() -> None:
     gate = SequenceGate()
     gate.check(2, 10, 0)
     assert gate.check(1, 5, 3 * S) is Order.NEWER  # a replay of an earlier process
@@ -190,101 +192,111 @@
     assert gate.check(2, 12, 3 * S + RETIRED_FOR) is Order.NEWER
 
 
-def test_what_is_read_after_a_halt_is_of_unknown_age_until_a_tick_is_on_time() -> None:
+def test_datagrams_read_after_a_stall_are_of_unknown_age_until_a_tick_is_on_time() -> None:
     guard = StallGuard(S // 10, 0)
     assert not guard.is_stalled(S // 10 + MAX_LATENESS)
-    assert guard.is_stalled(5 * S)  # the socket is read before the timer
+    assert guard.is_stalled(5 * S)  # the socket is read before the timer runs
     guard.tick(5 * S)
-    assert guard.is_stalled(5 * S + 1)  # and after it
+    assert guard.is_stalled(5 * S + 1)  # the socket is read after the timer has run
     guard.tick(5 * S + S // 10)
     assert not guard.is_stalled(5 * S + S // 10)
     assert guard.stalls == 1
 
 
-# Who reports to whom
+# Choice of aggregators
 
 
-def test_sites_choose_two_each_and_a_lost_aggregator_moves_only_its_own_sites() -> None:
-    every = (100, 101, 102, 103)
-    before = {site: rank_aggregators(site, every)[:2] for site in range(43)}
-    after = {site: rank_aggregators(site, every[1:])[:2] for site in range(43)}
-    assert rank_aggregators(5, every[::-1]) == rank_aggregators(5, every)
-    for site, pair in before.items():
-        assert set(pair) - {100} <= set(after[site])
-    uses = [sum(number in pair for pair in before.values()) for number in every]
-    assert min(uses) >= 10, uses  # of 43 sites, 21.5 in the mean
+def test_zones_choose_two_aggregators_and_a_lost_one_affects_only_the_zones_that_used_it() -> None:
+    all_aggregators = (100, 101, 102, 103)
+    before = {zone: rank_aggregators(zone, all_aggregators)[:2] for zone in range(43)}
+    after = {zone: rank_aggregators(zone, all_aggregators[1:])[:2] for zone in range(43)}
+    assert rank_aggregators(5, all_aggregators[::-1]) == rank_aggregators(5, all_aggregators)
+    for zone, pair in before.items():
+        assert set(pair) - {100} <= set(after[zone])
+    use_counts = [sum(number in pair for pair in before.values()) for number in all_aggregators]
+    assert min(use_counts) >= 10, use_counts  # of 43 zones; the mean is 21.5
 
 
-def ask(choice: AggregatorChoice, answers: set[int], present: set[int], seconds: range) -> list[list[int]]:
-    """Report once a second; those named answer."""
-    found = []
+def report_each_second(
+    choice: AggregatorChoice, answers: set[int], present: set[int], seconds: range
+) -> list[list[int]]:
+    """Report once a second; the aggregators in `answers` answer. Returns the targets of each report."""
+    reported_to = []
     for second in seconds:
-        found.append(choice.next_targets(present.__contains__, second * S))
-        for target in found[-1]:
+        reported_to.append(choice.next_targets(present.__contains__, second * S))
+        for target in reported_to[-1]:
             if target in answers:
                 choice.answered(target)
-    return found
+    return reported_to
 
 
-def test_reports_alternate_and_a_silent_aggregator_is_left_and_tried_again_beside_another() -> None:
+def test_reports_alternate_and_an_unresponsive_aggregator_is_retried_beside_another() -> None:
     choice = AggregatorChoice(3, (100, 101, 102, 103))
     first, second, third, _ = choice.order
-    every = set(choice.order)
-    assert ask(choice, every, every, range(1, 9)) == [[first], [second]] * 4
-    found = ask(choice, every - {first}, every, range(9, 40))
+    all_aggregators = set(choice.order)
+    assert (
+        report_each_second(choice, all_aggregators, all_aggregators, range(1, 9)) == [[first], [second]] * 4
+    )
+    found = report_each_second(choice, all_aggregators - {first}, all_aggregators, range(9, 40))
     assert found[:4] == [[first], [second, first], [third], [second]]
-    assert sum(first in targets for targets in found) == 2 + 2  # and once in each ten seconds
-    assert all(targets[0] != first for targets in found[1:])  # each second one that answers is asked
-    back = ask(choice, every, every, range(40, 60))
-    assert back[-4:] in ([[first], [second]] * 2, [[second], [first]] * 2)
+    assert sum(first in targets for targets in found) == 2 + 2  # and once all_aggregators RETRY_AFTER
+    assert all(targets[0] != first for targets in found[1:])  # each report goes to one that answers
+    after_return = report_each_second(choice, all_aggregators, all_aggregators, range(40, 60))
+    assert after_return[-4:] in ([[first], [second]] * 2, [[second], [first]] * 2)
 
 
-def test_one_lost_answer_is_made_up_for_and_moves_nobody() -> None:
+def test_one_lost_view_is_made_up_for_without_a_change_of_aggregators() -> None:
     choice = AggregatorChoice(3, (100, 101, 102, 103))
     first, second = choice.order[:2]
-    every = set(choice.order)
-    ask(choice, every, every, range(1, 9))
-    assert ask(choice, set(), every, range(9, 10)) == [[first]]
-    assert ask(choice, every, every, range(10, 15)) == [[second, first], [first], [second], [first], [second]]
+    all_aggregators = set(choice.order)
+    report_each_second(choice, all_aggregators, all_aggregators, range(1, 9))
+    assert report_each_second(choice, set(), all_aggregators, range(9, 10)) == [[first]]
+    assert report_each_second(choice, all_aggregators, all_aggregators, range(10, 15)) == [
+        [second, first],
+        [first],
+        [second],
+        [first],
+        [second],
+    ]
 
 
-def test_two_lost_at_once_cost_two_views() -> None:
+def test_two_aggregators_lost_at_once_cost_two_views() -> None:
     choice = AggregatorChoice(3, (100, 101, 102, 103))
     first, second, third, _ = choice.order
-    every = set(choice.order)
-    ask(choice, every, every, range(1, 9))
-    found = ask(choice, every - {first, second}, every, range(9, 12))
+    all_aggregators = set(choice.order)
+    report_each_second(choice, all_aggregators, all_aggregators, range(1, 9))
+    found = report_each_second(choice, all_aggregators - {first, second}, all_aggregators, range(9, 12))
     assert found == [[first], [second, first], [third, second]]
 
 
-def test_an_aggregator_that_comes_and_goes_is_not_used_until_it_has_stayed() -> None:
+def test_an_intermittent_aggregator_is_not_used_until_it_has_stayed_present() -> None:
     choice = AggregatorChoice(3, (100, 101, 102, 103))
-    every = set(choice.order)
+    all_aggregators = set(choice.order)
     for second in range(1, 30):
-        present = every if second % 2 else every - {choice.order[0]}
+        present = all_aggregators if second % 2 else all_aggregators - {choice.order[0]}
         for target in choice.next_targets(present.__contains__, second * S):
             choice.answered(target)
             assert second <= 2 or target != choice.order[0]
-    after = ask(choice, every, every, range(30, 33 + RETRY_AFTER // S))
+    after = report_each_second(choice, all_aggregators, all_aggregators, range(30, 33 + RETRY_AFTER // S))
     assert [choice.order[0]] in after
 
 
-def test_with_all_silent_all_are_tried_in_turn_and_the_first_answer_is_enough() -> None:
+def test_unresponsive_aggregators_are_tried_in_turn_and_a_view_is_expected_after_a_report() -> None:
     choice = AggregatorChoice(3, (100, 101, 102, 103))
-    found = ask(choice, set(), set(), range(1, 20))
+    found = report_each_second(choice, set(), set(), range(1, 20))
     assert sorted(found[-4:]) == [[100], [101], [102], [103]]
     assert not choice.expects(77, 19 * S)
     assert choice.expects(found[-1][0], 19 * S)
     assert not choice.expects(found[-1][0], 19 * S + 3 * S)
 
 
-# The table
+# The table of reports
 
 
 @given(st.data())
 def test_any_order_duplication_and_overlap_of_deliveries_gives_the_same_table(data: st.DataObject) -> None:
-    """The same reports by the same sources; each counts once, whatever the way it came."""
-    said = [
+    """The same reports from the same sources; each counts once, whichever way it arrived."""
+    reports = [
         (SequencedReport(n, report(sender, response_time=n * MS)), source)
         for sender in range(4)
         for n in range(1, 4)
@@ -292,83 +304,85 @@
     ]
     tables = []
     for _ in range(2):
-        delivered = data.draw(st.permutations(said + data.draw(st.lists(st.sampled_from(said)))))
-        held = table()
-        for one, source in delivered:
-            held.receive(one, source, S)
-        tables.append({found.report.sender: found for found in held.fresh(S)})
-        assert len(tables[-1]) == len(held.fresh(S))
+        delivered = data.draw(st.permutations(reports + data.draw(st.lists(st.sampled_from(reports)))))
+        table = new_table()
+        for sequenced, source in delivered:
+            table.receive(sequenced, source, S)
+        tables.append({found.report.sender: found for found in table.fresh(S)})
+        assert len(tables[-1]) == len(table.fresh(S))
     assert tables[0] == tables[1]
     assert merge(list(tables[0].values())).reporters == 4
 
 
-def test_two_aggregators_that_exchange_their_reports_hold_the_same_and_count_each_once() -> None:
+def test_two_aggregators_that_exchange_reports_count_each_reporter_once() -> None:
     rng = random.Random(1)
-    held = {90: table(), 91: table()}
+    tables = {90: new_table(), 91: new_table()}
     for n in range(1, 4):
         for sender in range(20):
             to = rng.choice((90, 91))
-            said = SequencedReport(n, report(sender, requests=10 * n))
-            held[to].receive(said, sender, n * S)
-            if rng.random() < 0.8:  # the rest is lost, or comes twice
+            sequenced = SequencedReport(n, report(sender, requests=10 * n))
+            tables[to].receive(sequenced, sender, n * S)
+            if rng.random() < 0.8:  # a fifth of the forwarded reports are lost; others may arrive twice
                 for _ in range(rng.randrange(1, 3)):
-                    held[181 - to].receive(said, to, n * S)
-    for one in held.values():
-        merged = merge(one.fresh(3 * S))
+                    tables[181 - to].receive(sequenced, to, n * S)
+    for table in tables.values():
+        merged = merge(table.fresh(3 * S))
         assert merged.reporters <= 20
         assert merged.requests <= 20 * 30
 
 
-def test_a_young_direct_report_goes_before_a_forwarded_one_and_an_expired_one_counts_no_more() -> None:
-    held = table()
-    held.receive(SequencedReport(1, report(5, response_time=10 * MS)), 5, 0)
-    held.receive(SequencedReport(9, report(5, response_time=900 * MS)), 90, S)  # a claim of a newer one
-    assert [one.source for one in held.fresh(DIRECT_PREFERRED - 1)] == [5]
-    assert [one.source for one in held.fresh(DIRECT_PREFERRED)] == [90]
-    assert [one.source for one in held.fresh(REPORT_MAX_AGE)] == [90]
-    assert held.fresh(S + REPORT_MAX_AGE) == []
+def test_a_young_direct_report_is_preferred_to_a_forwarded_one_and_an_expired_one_is_ignored() -> None:
+    table = new_table()
+    table.receive(SequencedReport(1, report(5, response_time=10 * MS)), 5, 0)
+    table.receive(SequencedReport(9, report(5, response_time=900 * MS)), 90, S)  # claims to be newer
+    assert [received.source for received in table.fresh(DIRECT_PREFERRED - 1)] == [5]
+    assert [received.source for received in table.fresh(DIRECT_PREFERRED)] == [90]
+    assert [received.source for received in table.fresh(REPORT_MAX_AGE)] == [90]
+    assert table.fresh(S + REPORT_MAX_AGE) == []
 
 
-def test_half_of_the_direct_reports_go_before_forwarded_ones_also_where_all_came_at_once() -> None:
+def test_half_of_the_direct_reports_are_preferred_to_forwarded_ones_when_all_arrive_at_once() -> None:
     for routers in (2, 7, 8):
-        held = table()
+        table = new_table()
         for sender in range(routers):
-            held.receive(SequencedReport(1, report(sender)), sender, sender * MS)
-            held.receive(SequencedReport(9, report(sender)), 90, 2 * S)
-        found = held.fresh(2 * S)
-        assert [one.report.sender for one in found if one.direct] == list(
+            table.receive(SequencedReport(1, report(sender)), sender, sender * MS)
+            table.receive(SequencedReport(9, report(sender)), 90, 2 * S)
+        found = table.fresh(2 * S)
+        assert [received.report.sender for received in found if received.direct] == list(
             range(routers - routers // 2, routers)
         )
         assert len(found) == routers
-        assert not any(one.direct for one in held.fresh(REPORT_MAX_AGE + S))
+        assert not any(received.direct for received in table.fresh(REPORT_MAX_AGE + S))
 
 
-def test_of_two_forwarded_reports_that_of_the_reporters_own_aggregator_counts() -> None:
-    held = table()
-    held.receive(SequencedReport(1, report(5)), 90, 0)
-    held.receive(SequencedReport(8, report(5)), 92, S)
-    assert [one.source for one in held.fresh(S)] == [90]
+def test_of_two_forwarded_reports_the_one_of_the_reporters_own_aggregator_counts() -> None:
+    table = new_table()
+    table.receive(SequencedReport(1, report(5)), 90, 0)
+    table.receive(SequencedReport(8, report(5)), 92, S)
+    assert [received.source for received in table.fresh(S)] == [90]
 
 
-def test_replays_of_old_reports_and_of_a_process_before_count_for_nothing() -> None:
-    held = table()
+def test_replays_of_old_reports_and_of_a_previous_process_are_rejected() -> None:
+    table = new_table()
     old = SequencedReport(40, report(5, boot_id=1))
-    assert held.receive(old, 5, 0)
-    assert held.receive(SequencedReport(1, report(5, boot_id=2)), 5, 3 * S)
+    assert table.receive(old, 5, 0)
+    assert table.receive(SequencedReport(1, report(5, boot_id=2)), 5, 3 * S)
     for second in range(4, 30):
-        assert not held.receive(old, 5, second * S)
-        assert held.receive(SequencedReport(second, report(5, boot_id=2)), 5, second * S)
+        assert not table.receive(old, 5, second * S)
+        assert table.receive(SequencedReport(second, report(5, boot_id=2)), 5, second * S)
 
 
-# What is merged, against false reports
+# Merging, with false reports
 
 
 @given(st.lists(st.integers(1, 1000), min_size=3, max_size=60), st.integers(0, 60_000), st.integers(0, 3000))
-def test_one_false_reporter_moves_a_servers_wait_by_one_rank(true: list[int], lie: int, age: int) -> None:
-    reports = [direct(report(n, response_time=response_time * MS)) for n, response_time in enumerate(true)]
-    samples = (ServerSample(1, lie * MS, age * MS), ServerSample(1, lie * MS, 0))
+def test_one_false_reporter_moves_a_response_time_by_one_rank(
+    honest: list[int], false_value: int, age: int
+) -> None:
+    reports = [direct(report(n, response_time=response_time * MS)) for n, response_time in enumerate(honest)]
+    samples = (ServerSample(1, false_value * MS, age * MS), ServerSample(1, false_value * MS, 0))
     (found,) = merge([*reports, direct(report(99, samples=samples))]).response_times
-    ordered = sorted(true)
+    ordered = sorted(honest)
     middle = (len(ordered) - 1) // 2
     assert (
         ordered[max(middle - 1, 0)] * MS
@@ -391,34 +405,38 @@
     st.sampled_from((0, 60_000)),
     st.integers(0, 3000),
 )
-def test_one_false_reporter_keeps_a_servers_wait_within_true_ones_of_whatever_ages(
-    true: list[tuple[int, int]], lie: int, age: int
+def test_one_false_reporter_keeps_a_response_time_within_true_ones_of_any_age(
+    honest: list[tuple[int, int]], false_value: int, age: int
 ) -> None:
     reports = [
         direct(report(n, response_time=response_time * MS, age=old * MS))
-        for n, (response_time, old) in enumerate(true)
+        for n, (response_time, old) in enumerate(honest)
     ]
-    (found,) = merge([*reports, direct(report(99, response_time=lie * MS, age=age * MS))]).response_times
-    response_times = [response_time * MS for response_time, _ in true]
+    (found,) = merge(
+        [*reports, direct(report(99, response_time=false_value * MS, age=age * MS))]
+    ).response_times
+    response_times = [response_time * MS for response_time, _ in honest]
     assert min(response_times) <= found.response_time <= max(response_times)
 
 
-def test_one_false_reporters_slot_has_its_bounded_share_also_where_others_were_forwarded() -> None:
-    for direct_ones in range(8):
-        others = [direct(report(n)) for n in range(direct_ones)] + forwarded(90, range(direct_ones, 8), 0, {})
+def test_one_false_reporters_slot_has_a_bounded_share_where_others_were_forwarded() -> None:
+    for direct_count in range(8):
+        others = [direct(report(n)) for n in range(direct_count)] + forwarded(
+            90, range(direct_count, 8), 0, {}
+        )
         merged = merge([*others, direct(report(99, requests=60_000, slots={9: 60_000}))])
-        assert merged.slot_shares[9] <= MAX_ROUTER_SHARE + 1e-9, direct_ones
+        assert merged.slot_shares[9] <= MAX_ROUTER_SHARE + 1e-9, direct_count
 
 
 @given(st.integers(4, 40), st.integers(0, 120), st.sampled_from((0, 1, 200, 60_000)))
-def test_one_lying_aggregator_moves_all_requests_to_half_or_twice_what_the_rest_say(
-    rest: int, lies: int, claimed: int
+def test_one_lying_aggregator_moves_all_requests_by_at_most_a_factor_of_two(
+    rest: int, false_count: int, claimed: int
 ) -> None:
-    """Also where it forwarded most reports, so that the median reporter would be a false one."""
+    """Also where it forwarded most reports, so that the median reporter is a false one."""
     reports = [direct(report(n)) for n in range(rest)]
-    false = [ReceivedReport(report(n, requests=claimed), 90, 0) for n in range(100, 100 + lies)]
+    false = [ReceivedReport(report(n, requests=claimed), 90, 0) for n in range(100, 100 + false_count)]
     merged = merge([*reports, *false])
-    assert 50 * (rest + lies) <= merged.requests <= 200 * (rest + lies), merged
+    assert 50 * (rest + false_count) <= merged.requests <= 200 * (rest + false_count), merged
 
 
 def forwarded(
@@ -430,34 +448,36 @@
 @given(
     st.lists(st.integers(1, 1000), min_size=4, max_size=40), st.integers(0, 400), st.sampled_from((0, 60_000))
 )
-def test_one_lying_aggregator_keeps_a_servers_wait_within_the_quartiles_of_the_rest(
-    true: list[int], lies: int, lie: int
+def test_one_lying_aggregator_keeps_a_response_time_within_the_quartiles_of_the_others(
+    honest: list[int], false_count: int, false_value: int
 ) -> None:
-    """Whatever it forwards, for however many reporters, and however many another one forwarded."""
-    reports = [direct(report(n, response_time=response_time * MS)) for n, response_time in enumerate(true)]
-    false = forwarded(90, range(100, 100 + lies), lie * MS, {})
+    """The aggregator forwards any value, for any number of reporters."""
+    reports = [direct(report(n, response_time=response_time * MS)) for n, response_time in enumerate(honest)]
+    false = forwarded(90, range(100, 100 + false_count), false_value * MS, {})
     (found,) = merge([*reports, *false]).response_times
-    ordered, last = sorted(true), len(true) - 1
-    assert ordered[last // 4] * MS <= found.response_time <= ordered[min(3 * len(true) // 4 + 1, last)] * MS
+    ordered, last = sorted(honest), len(honest) - 1
+    assert ordered[last // 4] * MS <= found.response_time <= ordered[min(3 * len(honest) // 4 + 1, last)] * MS
 
 
-def test_one_lying_aggregator_outvotes_no_two_others_however_much_it_claims() -> None:
-    for lies in (10, 15, 19, 20, 21, 40, 300):
+def test_one_lying_aggregator_does_not_outvote_two_others() -> None:
+    for false_count in (10, 15, 19, 20, 21, 40, 300):
         reports = [
             *forwarded(91, range(20), 20 * MS, {}),
             *forwarded(92, range(20, 40), 30 * MS, {}),
-            *forwarded(90, range(100, 100 + lies), 60 * S, {}),
+            *forwarded(90, range(100, 100 + false_count), 60 * S, {}),
         ]
         (found,) = merge(reports).response_times
-        assert found.response_time in (20 * MS, 30 * MS), lies
+        assert found.response_time in (20 * MS, 30 * MS), false_count
 
 
-def test_one_lying_aggregator_makes_no_slot_hot_by_what_it_forwards() -> None:
-    true = [direct(report(n, slots={1: 10})) for n in range(100)]
-    merged = merge([*true, *forwarded(90, range(200, 300), 0, {9: 100, 1: 100})])
+def test_one_lying_aggregator_makes_no_slot_hot_by_forwarded_reports() -> None:
+    honest = [direct(report(n, slots={1: 10})) for n in range(100)]
+    merged = merge([*honest, *forwarded(90, range(200, 300), 0, {9: 100, 1: 100})])
     assert merged.slot_shares[9] <= MIN_SLOT_SHARE
     assert merged.slot_shares[1] <= 0.2
-    alone = merge(forwarded(90, range(50), 0, {9: 50}))  # with nothing beside, there is nothing to go by
+    alone = merge(
+        forwarded(90, range(50), 0, {9: 50})
+    )  # without other reports there is nothing to compare with
     assert alone.slot_shares[9] == pytest.approx(0.5)
 
 
@@ -473,20 +493,20 @@
     assert found.response_time == 900 * MS
 
 
-def test_samples_grow_old_with_their_report_and_are_ignored_when_too_old() -> None:
+def test_samples_age_with_their_report_and_are_ignored_when_too_old() -> None:
     (found,) = merge([direct(report(1, age=S), S), direct(report(2, age=0), S)]).response_times
     assert found.age == 2 * S
     assert merge([direct(report(1, age=2 * S), SAMPLE_MAX_AGE - 2 * S)]).response_times == ()
 
 
-def test_nothing_received_merges_to_nothing() -> None:
+def test_no_reports_merge_to_an_empty_load() -> None:
     assert merge([]) == MergedLoad((), {}, 0, 0)
 
 
 # The aggregator
 
 
-def everywhere(_number: int) -> bool:
+def always_present(_number: int) -> bool:
     return True
 
 
@@ -500,44 +520,48 @@
 
 
 def test_a_report_is_forwarded_once_answered_once_and_not_forwarded_again() -> None:
-    every = aggregators()
+    all_aggregators = aggregators()
     data = sequenced_report.encode(SequencedReport(1, report(5)))
-    out = every[90].receive(data, sequenced_report.decode(data, 100), everywhere, 0) or []
-    assert sorted(one.to for one in out) == [91, 92, 93]
-    assert every[90].receive(data, sequenced_report.decode(data, 100), everywhere, S) is None  # a duplicate
-    for one in out:
-        every[one.to].receive_forwarded(sequenced_report.decode_forwarded(one.data, 100), 0)
-        every[one.to].tick(0)
-        assert every[one.to].merged(0).reporters == 1
-    soon = sequenced_report.encode(SequencedReport(2, report(5)))
-    assert not every[90].receive(
-        soon, sequenced_report.decode(soon, 100), everywhere, MIN_REPORT_INTERVAL - 1
+    out = all_aggregators[90].receive(data, sequenced_report.decode(data, 100), always_present, 0) or []
+    assert sorted(outgoing.to for outgoing in out) == [91, 92, 93]
+    assert (
+        all_aggregators[90].receive(data, sequenced_report.decode(data, 100), always_present, S) is None
+    )  # a duplicate
+    for outgoing in out:
+        all_aggregators[outgoing.to].receive_forwarded(
+            sequenced_report.decode_forwarded(outgoing.data, 100), 0
+        )
+        all_aggregators[outgoing.to].tick(0)
+        assert all_aggregators[outgoing.to].merged(0).reporters == 1
+    early = sequenced_report.encode(SequencedReport(2, report(5)))
+    assert not all_aggregators[90].receive(
+        early, sequenced_report.decode(early, 100), always_present, MIN_REPORT_INTERVAL - 1
     )
-    assert len(every[90].table) == 1
+    assert len(all_aggregators[90].table) == 1
 
 
 def test_the_age_of_a_view_grows_until_it_is_sent_and_an_old_one_is_not_sent() -> None:
-    one = aggregators()[90]
+    aggregator = aggregators()[90]
     for n, now in ((1, 0), (2, S // 2), (3, 6 * S)):
         data = sequenced_report.encode(SequencedReport(n, report(5, age=400 * MS)))
-        found = parts(one.receive(data, sequenced_report.decode(data, 100), everywhere, now) or ())
+        found = parts(aggregator.receive(data, sequenced_report.decode(data, 100), always_present, now) or ())
         if n == 1:
-            assert found == []  # nothing is merged yet
-            one.tick(0)
+            assert found == []  # no view is merged yet
+            aggregator.tick(0)
         elif n == 2:
             (view,) = found
             assert S // 2 <= view.age < S // 2 + AGE_STEP
             assert view.response_times[0].age == 400 * MS
         else:
-            assert found == []  # it stood still
+            assert found == []  # the aggregator stalled, and its view is too old
 
 
-def test_an_aggregator_that_stood_still_wakes_with_nothing() -> None:
-    one = aggregators()[90]
+def test_an_aggregator_that_resumes_after_a_stall_has_no_view_and_no_reports() -> None:
+    aggregator = aggregators()[90]
     data = sequenced_report.encode(SequencedReport(1, report(5)))
-    one.receive(data, sequenced_report.decode(data, 100), everywhere, 0)
-    one.tick(0)
-    assert one.own_view(0)
-    one.tick(5 * S)
-    assert one.own_view(5 * S) == []
-    assert one.merged(5 * S).reporters == 0
+    aggregator.receive(data, sequenced_report.decode(data, 100), always_present, 0)
+    aggregator.tick(0)
+    assert aggregator.own_view(0)
+    aggregator.tick(5 * S)
+    assert aggregator.own_view(5 * S) == []
+    assert aggregator.merged(5 * S).reporters == 0
--- a/tests/peers/test_load_view.py
+++ b/tests/peers/test_load_view.py
@@ -1,4 +1,4 @@
-"""The load view of many routers that each observe little: its error, its age, and false reports."""
+"""The load view of many routers with few observations each: its error, its age, and false reports."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from holdgw.peers import load_report
 from holdgw.peers.datagram import MAX_BYTES, DecodeError
-from holdgw.peers.heavy_hitters import COUNTERS, MIN_GUARANTEED, MIN_COUNT, HeavyHitters
+from holdgw.peers.heavy_hitters import COUNTERS, MIN_COUNT, MIN_GUARANTEED, HeavyHitters
 from holdgw.peers.load_encoding import AGE_STEP, RESPONSE_TIME_STEP, ServerSample
 from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, MAX_TENANTS, LoadReport
 from holdgw.peers.load_view import MAX_SAMPLE_AGE, LoadView, Observations
@@ -37,11 +37,11 @@
 SERVERS = [f"cache-{i}" for i in range(20)]
 
 
-def views(count: int) -> list[LoadView]:
-    found = [LoadView(me, me + 1, ("public",)) for me in range(count)]
-    for one in found:
-        one.set_servers(SERVERS)
-    return found
+def new_views(count: int) -> list[LoadView]:
+    views = [LoadView(number, number + 1, ("public",)) for number in range(count)]
+    for view in views:
+        view.set_servers(SERVERS)
+    return views
 
 
 def requests(slot: int, count: int = 1) -> Observations:
@@ -63,7 +63,7 @@
 
 
 def drawn_keys(seed: int, length: int, skew: float) -> list[int]:
-    """Keys of which some are frequent and most are not: far more than a small summary holds."""
+    """Draw keys, few of them frequent and most of them rare, of more kinds than a small summary holds."""
     return random.Random(seed).choices(range(201), [(i + 1) ** -skew for i in range(201)], k=length)
 
 
@@ -79,20 +79,20 @@
     for i in range(0, len(keys), batch):
         hitters.add_counts(Counter(keys[i : i + batch]))
         assert len(hitters) <= 32
-    sure = hitters.guaranteed(32)
-    for key, count in sure.items():
+    guaranteed = hitters.guaranteed(32)
+    for key, count in guaranteed.items():
         assert keys.count(key) - len(keys) / 32 <= count <= keys.count(key)
     for key, (count, error) in hitters._counts.items():
         assert keys.count(key) <= count < keys.count(key) + len(keys) / 32
-        assert sure.get(key, 0.0) == (count - error if count - error >= MIN_GUARANTEED else 0.0)
+        assert guaranteed.get(key, 0.0) == (count - error if count - error >= MIN_GUARANTEED else 0.0)
     for key in set(keys):
         if keys.count(key) > 2 * len(keys) / 32:
-            assert key in sure
+            assert key in guaranteed
 
 
 @given(st.lists(st.tuples(keys_up_to(300), st.integers(1, 8)), min_size=1, max_size=20))
 def test_decayed_counts_are_within_the_same_error_bound(steps: list[tuple[list[int], int]]) -> None:
-    """The truth is counted exactly and decays alike; a quarter of a second to two between batches."""
+    """Compares with exact counts that decay alike; batches are 0.25 s to 2 s apart."""
     hitters, now, total = HeavyHitters(capacity=32, half_life_s=1.0), 1, 0.0
     truth: dict[int, float] = {}
     hitters.decay(now)
@@ -108,108 +108,108 @@
         assert len(hitters) <= 32
         for key, (count, error) in hitters._counts.items():
             assert count - error <= truth[key] + 1e-6
-            # What is forgotten at MIN_COUNT may be missing, each time less by decay.
+            # Each time that the key was dropped at MIN_COUNT, that much may be missing, less by decay.
             assert truth[key] - 1.1 * MIN_COUNT <= count <= truth[key] + total / 32 + 1e-6
 
 
 def test_a_key_that_no_router_sees_often_is_hot_in_the_view_of_all() -> None:
-    """200 routers at 3 requests a second each; a twentieth of all is one slot."""
+    """200 routers with 3 requests a second each; one slot has a twentieth of all requests."""
     rng = random.Random(1)
-    every = views(200)
+    views = new_views(200)
     now = 0
     for now in range(NS_PER_S // 4, 5 * NS_PER_S, NS_PER_S // 4):
-        for one in every:
+        for view in views:
             if rng.random() < 0.75:
-                one.record(requests(7 if rng.random() < 0.05 else rng.randrange(100, 8192)))
-            data = load_report.encode(one.report(now))
-            for other in rng.sample(every, 4):
+                view.record(requests(7 if rng.random() < 0.05 else rng.randrange(100, 8192)))
+            data = load_report.encode(view.report(now))
+            for other in rng.sample(views, 4):
                 other.receive(load_report.decode(data, 200), now)
-    for one in rng.sample(every, 20):
-        shares, rests_on = one.shares(now)
-        assert rests_on > 150
+    for view in rng.sample(views, 20):
+        shares, requests_counted = view.shares(now)
+        assert requests_counted > 150
         assert shares[7] == pytest.approx(0.05, abs=0.03)
         assert max(share for slot, share in shares.items() if slot != 7) < 0.02
-    assert every[0].slot_counts.total < 12  # its own requests alone show no hot key
+    assert views[0].slot_counts.total < 12  # a router's own requests alone show no hot key
 
 
 def test_a_servers_sample_expires_and_newer_samples_outweigh_it() -> None:
-    one, other, third = views(3)
+    view, other, third = new_views(3)
     other.record_response_time("cache-1", 80_000_000, 0)
-    one.receive(other.report(NS_PER_S), NS_PER_S)
-    assert one.loads(NS_PER_S)["cache-1"].response_time == 80_000_000
-    assert one.loads(NS_PER_S)["cache-1"].age == pytest.approx(NS_PER_S, abs=AGE_STEP)
+    view.receive(other.report(NS_PER_S), NS_PER_S)
+    assert view.loads(NS_PER_S)["cache-1"].response_time == 80_000_000
+    assert view.loads(NS_PER_S)["cache-1"].age == pytest.approx(NS_PER_S, abs=AGE_STEP)
     third.record_response_time("cache-1", 20_000_000, 3 * NS_PER_S)
-    one.receive(third.report(3 * NS_PER_S), 3 * NS_PER_S)
+    view.receive(third.report(3 * NS_PER_S), 3 * NS_PER_S)
     # The older sample has an eighth of the weight.
-    assert one.loads(3 * NS_PER_S)["cache-1"].response_time == 20_000_000
-    assert one.loads(NS_PER_S + MAX_SAMPLE_AGE + 1)["cache-1"].samples == 1
-    assert one.loads(3 * NS_PER_S + MAX_SAMPLE_AGE) == {}
+    assert view.loads(3 * NS_PER_S)["cache-1"].response_time == 20_000_000
+    assert view.loads(NS_PER_S + MAX_SAMPLE_AGE + 1)["cache-1"].samples == 1
+    assert view.loads(3 * NS_PER_S + MAX_SAMPLE_AGE) == {}
 
 
 def test_an_old_sample_reported_again_is_no_younger() -> None:
-    one, other = views(2)
+    view, other = new_views(2)
     other.record_response_time("cache-1", 80_000_000, 0)
-    said = other.report(NS_PER_S)
-    one.receive(said, NS_PER_S)
-    before = one.loads(4 * NS_PER_S)["cache-1"].age
+    reported = other.report(NS_PER_S)
+    view.receive(reported, NS_PER_S)
+    before = view.loads(4 * NS_PER_S)["cache-1"].age
     stale = other.report(2 * NS_PER_S)
-    one.receive(stale, 2 * NS_PER_S)
-    assert one.loads(4 * NS_PER_S)["cache-1"].age == pytest.approx(before, abs=AGE_STEP)
+    view.receive(stale, 2 * NS_PER_S)
+    assert view.loads(4 * NS_PER_S)["cache-1"].age == pytest.approx(before, abs=AGE_STEP)
 
 
 @pytest.mark.parametrize("lie", [0, 60_000_000_000])
-def test_false_reports_of_one_router_move_no_wait_beyond_what_others_report(lie: int) -> None:
+def test_false_reports_of_one_router_move_no_response_time_beyond_what_others_report(lie: int) -> None:
     rng = random.Random(2)
-    every = views(12)
+    views = new_views(12)
     now = NS_PER_S
-    said = []
-    for one in every[1:]:
+    reported = []
+    for view in views[1:]:
         response_time = rng.randrange(20_000_000, 30_000_000)
-        one.record_response_time("cache-3", response_time, now)
-        said.append(response_time)
-        every[0].receive(one.report(now), now)
+        view.record_response_time("cache-3", response_time, now)
+        reported.append(response_time)
+        views[0].receive(view.report(now), now)
     for _ in range(20):
         now += 1_000_000
-        lies = tuple(ServerSample(load_report.hash_server(name), lie, 0) for name in SERVERS)
-        every[0].receive(LoadReport(5, 1, lies, 1, {9: 60_000}), now)
-    load = every[0].loads(now)["cache-3"]
-    assert min(said) - 1_000_000 <= load.response_time <= max(said)
-    shares, _ = every[0].shares(now)
+        false_samples = tuple(ServerSample(load_report.hash_server(name), lie, 0) for name in SERVERS)
+        views[0].receive(LoadReport(5, 1, false_samples, 1, {9: 60_000}), now)
+    load = views[0].loads(now)["cache-3"]
+    assert min(reported) - 1_000_000 <= load.response_time <= max(reported)
+    shares, _ = views[0].shares(now)
     assert shares.get(9, 0.0) <= 1.0
-    for one in every[1:5]:
-        one.record(requests(8, 40))
-        every[0].receive(one.report(now), now)
-    assert every[0].shares(now)[0][9] < 0.02  # a claim for a slot is bounded by the router's requests
+    for view in views[1:5]:
+        view.record(requests(8, 40))
+        views[0].receive(view.report(now), now)
+    assert views[0].shares(now)[0][9] < 0.02  # a slot's count is bounded by the reporter's requests
 
 
 def test_samples_of_unlisted_servers_and_of_colliding_hashes_are_dropped(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    one, other = views(2)
+    view, other = new_views(2)
     other.record_response_time("cache-1", 80_000_000, 0)
-    one.set_servers([name for name in SERVERS if name != "cache-1"])
-    one.receive(other.report(1), 1)
-    assert one.loads(1) == {}
+    view.set_servers([name for name in SERVERS if name != "cache-1"])
+    view.receive(other.report(1), 1)
+    assert view.loads(1) == {}
     monkeypatch.setattr("holdgw.peers.load_view.hash_server", lambda _: 1)
-    one.set_servers(["a", "b"])
-    one.record_response_time("a", 5, 2)
-    assert one.loads(2) == {}
+    view.set_servers(["a", "b"])
+    view.record_response_time("a", 5, 2)
+    assert view.loads(2) == {}
 
 
 def test_no_table_grows_beyond_its_bound() -> None:
     rng = random.Random(3)
-    one = views(1)[0]
+    view = new_views(1)[0]
     for i in range(5000):
-        one.record(requests(rng.randrange(8192)))
+        view.record(requests(rng.randrange(8192)))
         samples = tuple(ServerSample(rng.randrange(1 << 32), 1, 0) for _ in range(MAX_SERVERS))
-        one.receive(LoadReport(1 + i % 399, 1, samples, 5, {rng.randrange(8192): 1}), i)
-    assert one.tables()["servers heard of"] <= len(SERVERS)
-    assert one.tables()["routers heard"] <= 399
-    assert one.tables()["slots counted"] <= COUNTERS
+        view.receive(LoadReport(1 + i % 399, 1, samples, 5, {rng.randrange(8192): 1}), i)
+    assert view.tables()["servers heard of"] <= len(SERVERS)
+    assert view.tables()["routers heard"] <= 399
+    assert view.tables()["slots counted"] <= COUNTERS
 
 
 def test_demand_is_the_mean_of_the_routers_that_reported() -> None:
-    one, other, third = views(3)
-    one.receive(other.report(1, lambda: {"public": 3.0}), 1)
-    one.receive(third.report(1, lambda: {"public": 5.0}), 1)
-    assert one.demand(2) == {"public": 4.0}
+    view, other, third = new_views(3)
+    view.receive(other.report(1, lambda: {"public": 3.0}), 1)
+    view.receive(third.report(1, lambda: {"public": 5.0}), 1)
+    assert view.demand(2) == {"public": 4.0}
--- a/tests/peers/test_peer_parts.py
+++ b/tests/peers/test_peer_parts.py
@@ -1,4 +1,4 @@
-"""The small parts of the peers' room: the token bucket; the queue of updates and their budget of bytes."""
+"""Parts of holdgw/peers: the token bucket, the queue of updates, and the budget of bytes for updates."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
     assert not bucket.take(1, 7)
     assert not bucket.take(101, 7 + NS_PER_S)  # a refused size takes nothing
     assert bucket.take(100, 7 + NS_PER_S)
-    assert not bucket.take(501, 7 + 100 * NS_PER_S)  # nor is more than the burst saved up
+    assert not bucket.take(501, 7 + 100 * NS_PER_S)  # no more than the burst is saved up
     assert bucket.take(500, 7 + 100 * NS_PER_S)
 
 
-def test_each_update_is_passed_on_so_many_times_the_least_told_first_and_of_these_the_latest() -> None:
+def test_each_update_is_transmitted_equally_often_the_least_transmitted_and_latest_first() -> None:
     queue = UpdateQueue(2)
     for number in (1, 2, 3, 1):
         queue.push(number)
@@ -50,7 +50,7 @@
     assert [queue.take(1) for _ in range(3)] == [[1], [1], []]
 
 
-def test_a_refutation_goes_before_all_losses_until_it_is_told_its_number_of_times() -> None:
+def test_a_refutation_goes_before_all_losses_until_its_transmissions_are_used_up() -> None:
     queue = UpdateQueue(4)
     queue.push(1, Priority.REFUTATION)
     assert queue.urgent
@@ -61,7 +61,7 @@
     assert queue.take(1) == [5]
 
 
-def test_a_loss_goes_before_a_join_until_it_was_told_so_many_times_more() -> None:
+def test_a_loss_goes_before_a_join_until_it_was_transmitted_join_handicap_times_more() -> None:
     queue = UpdateQueue(100)
     queue.push(1, Priority.LOSS)
     queue.push(2, Priority.JOIN)
@@ -69,7 +69,7 @@
     assert sorted(queue.take(1) + queue.take(1)) == [1, 2]
 
 
-def test_of_two_updates_the_one_that_others_told_goes_later_and_no_less_often() -> None:
+def test_an_update_received_from_others_is_sent_later_but_no_less_often() -> None:
     queue = UpdateQueue(2)
     queue.push(1)
     queue.push(2)
@@ -95,24 +95,24 @@
     st.integers(1, 5),
     st.lists(st.integers(0, 20), max_size=60),
 )
-def test_every_update_is_told_its_number_of_times_after_its_last_push(
-    pushes: list[tuple[int, Priority]], transmissions: int, heard: list[int]
+def test_every_update_is_transmitted_its_number_of_times_after_its_last_push(
+    pushes: list[tuple[int, Priority]], transmissions: int, received: list[int]
 ) -> None:
     queue = UpdateQueue(transmissions)
-    told: Counter[int] = Counter()
+    transmitted: Counter[int] = Counter()
     for number, priority in pushes:
         queue.push(number, priority)
-        told[number] = 0
-        for one in queue.take(2):
-            told[one] += 1
-        for one in heard[:2]:
-            queue.note_received(one)
-        heard = heard[2:]
+        transmitted[number] = 0
+        for taken_number in queue.take(2):
+            transmitted[taken_number] += 1
+        for received_number in received[:2]:
+            queue.note_received(received_number)
+        received = received[2:]
     while len(queue):
         taken = queue.take(3)
         assert len(taken) == len(set(taken)) > 0
-        told.update(taken)
-    assert all(count == transmissions for count in told.values())
+        transmitted.update(taken)
+    assert all(count == transmissions for count in transmitted.values())
     assert queue.take(3) == []
 
 
@@ -120,11 +120,11 @@
 def test_no_update_starves_under_endless_refutations(limit: int, transmissions: int, kind: Priority) -> None:
     queue = UpdateQueue(transmissions)
     queue.push(0, kind)
-    told = 0
+    transmitted = 0
     for number in range(1, FIFO_SHARE * transmissions + 1):
         queue.push(number, Priority.REFUTATION)
-        told += queue.take(limit).count(0)
-    assert told == transmissions
+        transmitted += queue.take(limit).count(0)
+    assert transmitted == transmissions
 
 
 RATES = st.floats(MIN_BYTES_PER_S, 5000.0)
--- a/tests/peers/test_update_budget.py
+++ b/tests/peers/test_update_budget.py
@@ -1,4 +1,4 @@
-"""Membership under its budget of bytes for updates: the worst seconds, the time it takes, who goes first."""
+"""Membership with a byte budget for updates: peak traffic, time to converge, and the order of updates."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from holdgw.peers.update_budget import MIN_BYTES_PER_S, UPDATE_BYTES_PER_S
 from holdgw.simulation.membership_tier import MembershipTier
 
-ALLOWED = 2000.0  # bytes a second of a router, said and heard
-CUT_S = 40.0
+MAX_BYTES_PER_S = 2000.0  # of a router, sent and received
+PARTITION_S = 40.0
 S = NS_PER_S
-NEWS = (MessageKind.COMPACT_UPDATES, MessageKind.UPDATES)
+UPDATE_KINDS = (MessageKind.COMPACT_UPDATES, MessageKind.UPDATES)
 
 
-class Owner:
-    """A router that nothing is asked of."""
+class IdleOwner:
+    """An owner of a node that never starts: none of its methods is called."""
 
     def take_observations(self) -> Observations:
         raise NotImplementedError
@@ -40,163 +40,177 @@
         raise NotImplementedError
 
 
-def tier(size: int, seed: int = 1, rate: float | None = UPDATE_BYTES_PER_S) -> MembershipTier:
+def new_tier(size: int, seed: int = 1, rate: float | None = UPDATE_BYTES_PER_S) -> MembershipTier:
     relay = RelayModel(seed, delay, PeerWeather(loss=0.01))
-    made = MembershipTier(size, seed, relay, update_bytes_per_s=rate)
-    made.run(3.0)
-    return made
+    tier = MembershipTier(size, seed, relay, update_bytes_per_s=rate)
+    tier.run(3.0)
+    return tier
 
 
-def some_die(rate: float | None, size: int = 120) -> tuple[float, float]:
-    """8 % die within 5 s: bytes of the worst router in its worst second, seconds until all know."""
-    one = tier(size, rate=rate)
-    seconds, began = Seconds(one), one.now
-    dead = one.random.sample(range(size), size * 8 // 100)
+def kill_members(rate: float | None, size: int = 120) -> tuple[float, float]:
+    """Kill 8 % of the routers within 5 s.
+
+    Returns the bytes of the busiest router in its busiest second, and the seconds until all routers know.
+    """
+    tier = new_tier(size, rate=rate)
+    seconds, began = Seconds(tier), tier.now
+    dead = tier.random.sample(range(size), size * 8 // 100)
     for number in dead:
-        one.at(began + int(one.random.random() * 5 * S), lambda number=number: one.kill(number))  # type: ignore[misc]
+        tier.at(began + int(tier.random.random() * 5 * S), lambda number=number: tier.kill(number))  # type: ignore[misc]
     alive = set(range(size)) - set(dead)
-    while one.now < began + 5 * S or not (knows_all(one, alive) or one.now > began + 60 * S):
+    while tier.now < began + 5 * S or not (knows_all(tier, alive) or tier.now > began + 60 * S):
         seconds.pass_one()
-    return seconds.worst, (one.now - began) / S
+    return seconds.worst, (tier.now - began) / S
 
 
-def test_as_8_percent_die_within_5_s_no_router_says_and_hears_more_than_it_may() -> None:
-    worst, took = some_die(UPDATE_BYTES_PER_S)
-    assert worst < ALLOWED
-    unbounded, took_unbounded = some_die(None)
-    assert unbounded > ALLOWED
-    assert took < took_unbounded + 5.0
+def test_no_router_exceeds_its_byte_bound_when_8_percent_die_within_5_s() -> None:
+    worst_bytes, took_s = kill_members(UPDATE_BYTES_PER_S)
+    assert worst_bytes < MAX_BYTES_PER_S
+    unbounded_bytes, took_unbounded_s = kill_members(None)
+    assert unbounded_bytes > MAX_BYTES_PER_S
+    assert took_s < took_unbounded_s + 5.0
 
 
-def test_a_regions_return_stays_within_the_bytes_and_all_are_one_again() -> None:
+def test_a_regions_return_stays_within_the_byte_bound_and_all_members_are_present_again() -> None:
     size = 80
-    one = tier(size)
-    away = set(of_region(size))
-    until = one.now + int(CUT_S * S)
-    others = [name(n) for n in range(size) if n not in away]
-    one.relay.block(map(name, away), others, until / S, both=True)
-    one.run(CUT_S)
-    assert not knows_all(one, range(size))
-    seconds = Seconds(one)
-    while not knows_all(one, range(size)) and one.now < until + 60 * S:
+    tier = new_tier(size)
+    region = set(of_region(size))
+    until = tier.now + int(PARTITION_S * S)
+    others = [name(n) for n in range(size) if n not in region]
+    tier.relay.block(map(name, region), others, until / S, both=True)
+    tier.run(PARTITION_S)
+    assert not knows_all(tier, range(size))
+    seconds = Seconds(tier)
+    while not knows_all(tier, range(size)) and tier.now < until + 60 * S:
         seconds.pass_one()
-    assert seconds.worst < ALLOWED
-    assert one.now < until + 15 * S
+    assert seconds.worst < MAX_BYTES_PER_S
+    assert tier.now < until + 15 * S
+
 
+def test_many_deaths_reach_all_members_when_half_of_them_drop_compact_messages() -> None:
+    """Half of the routers have the previous version.
 
-def test_where_half_read_no_compact_messages_all_learn_of_many_deaths_and_hold_nobody_else_for_gone() -> None:
-    """The version before: it drops them, and tells every update on its own without a budget."""
+    They drop compact messages, and send each update in plain form without a budget.
+    """
     size, dead = 80, set(range(20))
-    one = tier(size)
+    tier = new_tier(size)
     for number in range(0, size, 2):
-        old = one.members[number] = Membership(number, size, 0, number, one.now, update_bytes_per_s=None)
-        one.start_ticking(number, old)
-    comes = one._comes
+        old = tier.members[number] = Membership(number, size, 0, number, tier.now, update_bytes_per_s=None)
+        tier.start_ticking(number, old)
+    receive = tier._comes
     dropped = 0
 
-    def old_drops(number: int, data: bytes) -> None:
+    def receive_or_drop(number: int, data: bytes) -> None:
         nonlocal dropped
         if number % 2 == 0 and data[1] == MessageKind.COMPACT_UPDATES:
             dropped += 1
         else:
-            comes(number, data)
+            receive(number, data)
 
-    one._comes = old_drops  # type: ignore[method-assign]
-    one.run(3.0)
+    tier._comes = receive_or_drop  # type: ignore[method-assign]
+    tier.run(3.0)
     for number in dead:
-        one.kill(number)
-    one.run(25.0)
+        tier.kill(number)
+    tier.run(25.0)
     assert dropped > 0
-    assert knows_all(one, set(range(size)) - dead)
+    assert knows_all(tier, set(range(size)) - dead)
 
 
 @pytest.mark.parametrize(("rate", "deaths"), [(MIN_BYTES_PER_S, 8), (UPDATE_BYTES_PER_S, 0)])
-def test_no_router_that_is_wrongly_suspected_is_held_for_gone_amid_deaths_or_not(
+def test_no_falsely_suspected_router_is_declared_gone_with_or_without_deaths(
     rate: float, deaths: int
 ) -> None:
     size = 100
-    one = tier(size, rate=rate)
+    tier = new_tier(size, rate=rate)
     gone: set[int] = set()
-    one.on_change = lambda _, who, state: gone.add(who) if state is MemberState.GONE else None
+    tier.on_change = lambda _, who, state: gone.add(who) if state is MemberState.GONE else None
     for number in range(deaths):
-        one.kill(number)
-    one.run(3.0)  # while the dead are suspected, and queues are full of them
-    lies = tuple(MemberUpdate(number, MemberState.SUSPECTED, 0, 0) for number in range(20, 30))
-    for to in range(60, 64):  # four tellers, so that suspicions last the least time
-        one.say(50, to, datagram.encode(Message(MessageKind.UPDATES, 50, 1, 0, 0, 0, 0, lies)))
-    one.run(25.0)
+        tier.kill(number)
+    tier.run(3.0)  # while the dead are suspected, and their updates fill the queues
+    false_updates = tuple(MemberUpdate(number, MemberState.SUSPECTED, 0, 0) for number in range(20, 30))
+    for to in range(60, 64):  # four suspectors, so that suspicions are the shortest
+        tier.say(50, to, datagram.encode(Message(MessageKind.UPDATES, 50, 1, 0, 0, 0, 0, false_updates)))
+    tier.run(25.0)
     assert gone == set(range(deaths))
-    assert sum(member.false_suspicions for member in living(one)) >= 10
+    assert sum(member.false_suspicions for member in living(tier)) >= 10
 
 
 def member_without_budget() -> tuple[Membership, int]:
-    """One of 50 that holds ten others for gone, its budget spent."""
-    one, now = Membership(0, 50, 0, 1, 0), S // 20
-    lies = tuple(MemberUpdate(number, MemberState.GONE, 0, 0) for number in range(10, 20))
-    one.receive(Message(MessageKind.UPDATES, 1, 1, 0, 0, 0, 0, lies), now)
+    """Return a member of 50 that sees ten others as gone and has spent its budget, and the time."""
+    member, now = Membership(0, 50, 0, 1, 0), S // 20
+    false_updates = tuple(MemberUpdate(number, MemberState.GONE, 0, 0) for number in range(10, 20))
+    member.receive(Message(MessageKind.UPDATES, 1, 1, 0, 0, 0, 0, false_updates), now)
     for _ in range(40):
-        one.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0), now)
-    return one, now
+        member.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0), now)
+    return member, now
 
 
-def test_a_ping_is_answered_with_no_budget_left_and_the_answer_holds_a_refutation_alone() -> None:
-    one, now = member_without_budget()
-    (send,) = one.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0), now)
-    assert send.message.kind is MessageKind.ACK
-    assert send.message.updates == ()
+def test_a_ping_is_answered_with_no_budget_left_and_the_ack_carries_only_a_refutation() -> None:
+    member, now = member_without_budget()
+    (outgoing,) = member.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0), now)
+    assert outgoing.message.kind is MessageKind.ACK
+    assert outgoing.message.updates == ()
     suspected = (MemberUpdate(0, MemberState.SUSPECTED, 0, 0),)
-    (send,) = one.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0, suspected), now)
-    assert send.message.updates == (MemberUpdate(0, MemberState.ALIVE, 1, 0),)
+    (outgoing,) = member.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0, suspected), now)
+    assert outgoing.message.updates == (MemberUpdate(0, MemberState.ALIVE, 1, 0),)
 
 
-def test_an_update_in_compact_messages_is_still_told_on_its_own_as_often_as_without() -> None:
+def test_an_update_sent_in_compact_messages_is_sent_in_plain_form_as_often_as_without() -> None:
     members, named = 50, range(10, 30)
-    timing = Timing(gone_probe_interval=1e6)  # probes of those that are gone would carry updates, too
-    one, told, compact = Membership(0, members, 0, 1, 0, timing), Counter[int](), 0
-    lies = tuple(MemberUpdate(number, MemberState.GONE, 0, 0) for number in named)
+    timing = Timing(gone_probe_interval=1e6)  # else probes of members that are gone would carry updates, too
+    member, plain_counts, compact_count = Membership(0, members, 0, 1, 0, timing), Counter[int](), 0
+    false_updates = tuple(MemberUpdate(number, MemberState.GONE, 0, 0) for number in named)
     now = S // 20
-    sends = one.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0, lies), now)
+    outgoing_messages = member.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0, false_updates), now)
     while now < 60 * S:
-        for send in sends:
-            if send.message.kind is MessageKind.COMPACT_UPDATES:
-                compact += 1
-            elif send.to not in named:
-                told.update(update.number for update in send.message.updates if update.number in named)
+        for outgoing in outgoing_messages:
+            if outgoing.message.kind is MessageKind.COMPACT_UPDATES:
+                compact_count += 1
+            elif outgoing.to not in named:
+                plain_counts.update(
+                    update.number for update in outgoing.message.updates if update.number in named
+                )
         now += S // 10
-        sends = one.tick(now) + one.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0), now)
-    assert compact > 5
-    assert {told[number] for number in named} == {int(TRANSMISSION_FACTOR * (1 + log2(members + 1)))}
+        outgoing_messages = member.tick(now) + member.receive(
+            Message(MessageKind.PING, 1, 1, 0, 0, 7, 0), now
+        )
+    assert compact_count > 5
+    assert {plain_counts[number] for number in named} == {int(TRANSMISSION_FACTOR * (1 + log2(members + 1)))}
 
 
-def test_a_refutation_amid_many_updates_goes_in_messages_of_both_forms_by_turns() -> None:
-    one, now = Membership(0, 50, 0, 1, 0), S // 20
-    lies = [MemberUpdate(number, MemberState.GONE, 0, 0) for number in range(10, 30)]
+def test_a_refutation_among_many_updates_is_sent_in_both_forms_alternately() -> None:
+    member, now = Membership(0, 50, 0, 1, 0), S // 20
+    false_updates = [MemberUpdate(number, MemberState.GONE, 0, 0) for number in range(10, 30)]
     suspected = MemberUpdate(0, MemberState.SUSPECTED, 0, 0)
-    one.receive(Message(MessageKind.UPDATES, 1, 1, 0, 0, 0, 0, (suspected, *lies)), now)
-    news = []
+    member.receive(Message(MessageKind.UPDATES, 1, 1, 0, 0, 0, 0, (suspected, *false_updates)), now)
+    update_messages = []
     while now < 3 * S:
         now += S // 10
-        news += [send.message for send in one.tick(now) if send.message.kind in NEWS]
-    assert [message.kind for message in news[:6]] == [*NEWS] * 3
-    assert all(MemberUpdate(0, MemberState.ALIVE, 1, 0) in message.updates for message in news[:6])
+        update_messages += [
+            outgoing.message for outgoing in member.tick(now) if outgoing.message.kind in UPDATE_KINDS
+        ]
+    assert [message.kind for message in update_messages[:6]] == [*UPDATE_KINDS] * 3
+    assert all(MemberUpdate(0, MemberState.ALIVE, 1, 0) in message.updates for message in update_messages[:6])
 
 
 @pytest.mark.parametrize(("rate", "updates"), [(5000.0, 28), (UPDATE_BYTES_PER_S, 4)])
-def test_a_node_goes_by_the_budget_of_its_configuration(rate: float, updates: int) -> None:
+def test_a_node_uses_the_configured_update_budget(rate: float, updates: int) -> None:
     addresses = tuple(("127.0.0.1", port) for port in range(1, 51))
     config = PeerConfig(0, addresses[0], addresses, update_bytes_per_s=rate)
     loop = asyncio.new_event_loop()
     try:
-        one = PeerNode(loop, config, 1, lambda: 0, Owner()).membership
+        member = PeerNode(loop, config, 1, lambda: 0, IdleOwner()).membership
     finally:
         loop.close()
-    lies = tuple(MemberUpdate(number, MemberState.GONE, 0, 0) for number in range(20, 48))
-    (send,) = one.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0, lies), S // 20)
-    assert len(send.message.updates) == updates
-
-
-def test_a_leave_is_told_with_no_budget_left() -> None:
-    one, _ = member_without_budget()
-    sends = one.leave()
-    assert len(sends) == 6
-    assert all(MemberUpdate(0, MemberState.LEFT, 0, 0) in send.message.updates for send in sends)
+    false_updates = tuple(MemberUpdate(number, MemberState.GONE, 0, 0) for number in range(20, 48))
+    (outgoing,) = member.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0, false_updates), S // 20)
+    assert len(outgoing.message.updates) == updates
+
+
+def test_a_leave_is_sent_with_no_budget_left() -> None:
+    member, _ = member_without_budget()
+    outgoing_messages = member.leave()
+    assert len(outgoing_messages) == 6
+    assert all(
+        MemberUpdate(0, MemberState.LEFT, 0, 0) in outgoing.message.updates for outgoing in outgoing_messages
+    )
