--- a/holdgw/peers/__init__.py
+++ b/holdgw/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Membership and load gossip between the routers of one tier; off where the settings allow no peers."""
+"""Membership and load reports between the routers of one tier; disabled where the settings allow no peers."""
--- a/holdgw/peers/aggregator.py
+++ b/holdgw/peers/aggregator.py
@@ -21,9 +21,7 @@
 
 MERGE_INTERVAL = NS_PER_S // 2  # ns
 VIEW_SENT_FOR = NS_PER_S  # time after the merge in which a view may be sent
-MIN_REPORT_INTERVAL = int(
-    0.4 * NS_PER_S
-)  # time in which a reporter's reports are answered and forwarded once
+MIN_REPORT_INTERVAL = int(0.4 * NS_PER_S)  # in which one report of a reporter is answered and forwarded
 BYTES_PER_MEMBER = 1600.0
 """Bytes a second that an aggregator may send for each member. They suffice for a report a second of each
 member, answered with five datagrams of 256 bytes and forwarded to one other aggregator; or, where more
--- a/holdgw/peers/load_view.py
+++ b/holdgw/peers/load_view.py
@@ -223,7 +223,7 @@
 
     def loads(self, now: int) -> dict[str, ServerLoad]:
         """Return the load of each server with a sample younger than MAX_SAMPLE_AGE, by server id."""
-        found = {}
+        loads = {}
         for server, samples in self._samples.items():
             young = [
                 (response_time, now - at)
@@ -231,8 +231,8 @@
                 if now - at < MAX_SAMPLE_AGE
             ]
             if young:
-                found[self._names_by_hash[server]] = _weighted_median(young)
-        return found
+                loads[self._names_by_hash[server]] = _weighted_median(young)
+        return loads
 
     def shares(self, now: int) -> SlotShares:
         """Return each slot's fraction of all reported requests, decayed by age."""
--- a/holdgw/peers/member_table.py
+++ b/holdgw/peers/member_table.py
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Member:
-    """One router of the tier. Times: nanoseconds of the caller's monotonic clock."""
+    """One router of the tier. Times are nanoseconds of the caller's monotonic clock."""
 
     number: int
     state: MemberState = MemberState.ALIVE
--- a/holdgw/peers/timing.py
+++ b/holdgw/peers/timing.py
@@ -16,7 +16,7 @@
     ack_timeout: float = 0.3
     """Time after which a probe without an ack is also made through other members."""
     min_suspicion: float = 2.5
-    """The shortest suspicion, times log10 of the number of members; longer than a process stall of 3 s."""
+    """The shortest suspicion, times log10 of the members; a process stalled for 3 s refutes it in time."""
     max_suspicion_multiple: float = 3.0
     """The longest suspicion as a multiple of the shortest; it applies while no other router suspects the
     member."""
--- a/holdgw/peers/update_budget.py
+++ b/holdgw/peers/update_budget.py
@@ -10,10 +10,10 @@
 MAX_CONTROL_BYTES_PER_S = 2000
 """Bound on all control traffic of a router, sent and received."""
 REPORT_BYTES_PER_S = 1315
-"""Share of load reports and views through aggregators: 95th percentile of routers, without faults
+"""Part of it for load reports and views through aggregators: the 95th percentile of routers, without faults
 (docs/ROADMAP.md, 1,426 with probes)."""
 PROBE_BYTES_PER_S = 111
-"""Share of probes and acks (docs/CAPACITY.md, C5)."""
+"""Part of it for probes and acks (docs/CAPACITY.md, C5)."""
 UPDATE_BYTES_PER_S = float((MAX_CONTROL_BYTES_PER_S - REPORT_BYTES_PER_S - PROBE_BYTES_PER_S) // 2)
 """Default rate: half of the remainder, as each byte that a router sends is also received by another."""
 MIN_BYTES_PER_S = 200.0
--- a/holdgw/peers/update_queue.py
+++ b/holdgw/peers/update_queue.py
@@ -67,7 +67,7 @@
         self._level(entry)[number] = None
 
     def renew(self, number: int, priority: Priority = Priority.LOSS) -> None:
-        """Restore an unchanged update's transmissions; if still queued, it keeps its place in the order."""
+        """Restore the transmissions of an unchanged update; if still queued, it keeps its place."""
         entry = self._entries.get(number)
         if entry is None:
             self.push(number, priority)
