--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -304,8 +304,8 @@
     "age-ignored": Mutant(
         "an old word on a server weighs as much as a new one, and tells for ever",
         "holdgw.peers.load_view",
-        "for at, wait in samples.values() if now - at < MAX_SAMPLE_AGE]",
-        "for at, wait in samples.values()]",
+        "                if now - at < MAX_SAMPLE_AGE\n",
+        "",
         (
             (
                 "holdgw.peers.load_view",
@@ -341,8 +341,8 @@
     "view-age-ignored": Mutant(
         "what a view says counts as measured when the view arrived",
         "holdgw.peers.view_selection",
-        "_ReceivedWait(wait, now - view.age - age, now)",
-        "_ReceivedWait(wait, now, now)",
+        "_ReceivedResponseTime(response_time, now - view.age - age, now)",
+        "_ReceivedResponseTime(response_time, now, now)",
         figure="view-age",
     ),
     "counted-twice": Mutant(
@@ -357,7 +357,7 @@
     "no-fallback": Mutant(
         "a router without a view goes on alone",
         "holdgw.peers.aggregation_client",
-        "        needed = now - self._viewed_at >= VIEW_MAX_AGE\n",
+        "        needed = now - self._last_view_at >= VIEW_MAX_AGE\n",
         "        needed = False\n",
         figure="blind",
     ),
@@ -371,7 +371,7 @@
     "answers-unwatched": Mutant(
         "a router goes on reporting to an aggregator that answers nothing",
         "holdgw.peers.aggregator_choice",
-        "            self._check_answer(link, now)\n",
+        "            self._check_answer(state, now)\n",
         "",
         figure="without-view",
     ),
--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -14,9 +14,9 @@
 from holdgw.emulators.relay_model import RelayModel
 from holdgw.peers.aggregated_exchange import AggregatedExchange, ExchangeConfig, Role
 from holdgw.peers.aggregation_client import APPLY_AFTER_S, REPORT_INTERVAL_S
-from holdgw.peers.aggregator import Outgoing
+from holdgw.peers.aggregator import OutgoingDatagram
 from holdgw.peers.datagram import DecodeError
-from holdgw.peers.load_view import LoadSnapshot, LoadView, Observations, SampledWait
+from holdgw.peers.load_view import LoadSnapshot, LoadView, Observations, SampledResponseTime
 from holdgw.simulation.event_queue import EventQueue
 
 NS_PER_S = 1_000_000_000
@@ -89,7 +89,7 @@
         rng = random.Random(f"{self.seed}/{number}/{self.starts[number]}")
         view = LoadView(number, rng.randrange(1, 1 << 32))
         view.set_servers(self.servers)
-        role = Role.ROUTER if number in self.routers else Role.SET_ASIDE
+        role = Role.ROUTER if number in self.routers else Role.DEDICATED
         config = ExchangeConfig(number, self.size, self.aggregators, role, TICK_NS)
         exchange = AggregatedExchange(config, self, view, rng.randrange(1 << 30), self.now)
         member = SimulatedMember(number, exchange, view, rng.randrange(REPORT_TICKS))
@@ -149,7 +149,7 @@
 
     def _report(self, member: SimulatedMember) -> None:
         asked = self.random.sample(self.servers, min(self.samples_per_s, len(self.servers)))
-        waits = {name: SampledWait(float(self.wait(name, self.now)), self.now) for name in asked}
+        waits = {name: SampledResponseTime(float(self.wait(name, self.now)), self.now) for name in asked}
         member.load_view.record(Observations(waits, Counter(self.slots(member.number))))
         self._send(member.number, member.exchange.report(self.now))
 
@@ -159,7 +159,7 @@
         self.snapshots[member.number] = snapshot
         self.on_snapshot(member.number, snapshot)
 
-    def _send(self, number: int, out: Iterable[Outgoing]) -> None:
+    def _send(self, number: int, out: Iterable[OutgoingDatagram]) -> None:
         for one in out:
             data = self.alter(number, one.to, one.data)
             if data is not None:
@@ -220,5 +220,5 @@
         """By router: the greatest age of a wait in its last snapshot, ns."""
         ages = defaultdict(int)
         for number, snapshot in self.snapshots.items():
-            ages[number] = max((wait.age for wait in snapshot.waits.values()), default=0)
+            ages[number] = max((wait.age for wait in snapshot.response_times.values()), default=0)
         return ages
--- a/tests/watching_router.py
+++ b/tests/watching_router.py
@@ -25,7 +25,7 @@
     def take_observations(self, router: Program) -> Observations:
         """Log and return the router's observations."""
         observations = self._take(router)
-        waits = {name: sampled.wait for name, sampled in observations.waits.items()}
+        waits = {name: sampled.response_time for name, sampled in observations.response_times.items()}
         _write(OBSERVED, {"waits": waits, "slots": dict(observations.slot_requests)})
         return observations
 
@@ -37,12 +37,12 @@
         now = time.monotonic_ns()
         views, load_view = router.peers.exchange.client.views, router.peers.load_view
         record = {
-            "waits": {name: one.wait for name, one in snapshot.waits.items()},
+            "waits": {name: one.response_time for name, one in snapshot.response_times.items()},
             "shares": dict(snapshot.slot_shares),
             "requests": snapshot.requests,
             "own_requests": snapshot.own_requests,
-            "own_slots": load_view.hitters.certain(COUNTERS),
-            "own_waits": [load_view.names[server] for server in load_view.own_waits(now)],
+            "own_slots": load_view.slot_counts.guaranteed(COUNTERS),
+            "own_waits": [load_view.names[server] for server in load_view.own_response_times(now)],
             "fresh": [number for number, held in views._views.items() if held.is_fresh(now)],
         }
         _write(SNAPSHOT, record)
