--- a/holdgw/emulators/fault_proxy.py
+++ b/holdgw/emulators/fault_proxy.py
@@ -16,7 +16,7 @@
 from typing import Any, Literal, cast
 
 from holdgw.wire.address import Address
-from holdgw.wire.unread import came_at
+from holdgw.wire.unread import arrived_at
 
 BACKLOG = 512
 LINGER_NONE = struct.pack("ii", 1, 0)
@@ -150,7 +150,7 @@
         if not self._gate.holds("to") and not self._came:
             self._protocol.data_received(data)
         elif self._may_hold(len(data)):
-            self._came.append((came_at(self._transport, self._gate.clock()), data))
+            self._came.append((arrived_at(self._transport, self._gate.clock()), data))
 
     def eof_received(self) -> bool | None:
         """An end in good order takes the same way as a reset: behind all that came."""
--- a/holdgw/emulators/node.py
+++ b/holdgw/emulators/node.py
@@ -18,7 +18,7 @@
 from holdgw.emulators.seeded_draws import lognormal, unit
 from holdgw.wire.address import Address
 from holdgw.wire.resp import parse_request
-from holdgw.wire.unread import came_at
+from holdgw.wire.unread import arrived_at
 
 PADDING = b"." * (64 << 10)
 IDLE_CHECK_S = 0.5
@@ -135,7 +135,7 @@
         if len(self.slots) + len(self._before) >= MOST_WAITING:
             raise ValueError("too many commands without an answer")
         now = self.node.clock()
-        times = Times(now, self.left, came_at(self.transport, now))
+        times = Times(now, self.left, arrived_at(self.transport, now))
         if self.ready:
             self.node.command(self, words, times, self._is_first())
         else:
--- a/holdgw/emulators/origin.py
+++ b/holdgw/emulators/origin.py
@@ -16,7 +16,7 @@
 from holdgw.emulators.seeded_draws import lognormal, unit
 from holdgw.wire.address import Address
 from holdgw.wire.http import HttpError, HttpRequest, RequestReader, response
-from holdgw.wire.unread import came_at
+from holdgw.wire.unread import arrived_at
 
 MAX_BODY = 64 << 10
 
@@ -30,7 +30,7 @@
         self.order: Order | None = None
         self.at = 0.0
         self.left = 0.0  # when what comes now was sent, where a cut line held it back
-        self.left_at = self.came_at = 0.0
+        self.left_at = self.arrived_at = 0.0
         self.fresh = True
         self.gone = False
         self._reader = RequestReader(MAX_BODY)
@@ -153,7 +153,7 @@
     def request(self, connection: OriginServerConnection, request: HttpRequest) -> None:
         """One request is whole."""
         connection.at, connection.left_at = self.clock(), connection.left
-        connection.came_at = came_at(connection.transport, connection.at)
+        connection.arrived_at = arrived_at(connection.transport, connection.at)
         order = self._order(request)
         if order is None:
             connection.write(response(400))
@@ -253,6 +253,6 @@
                 fresh=fresh,
                 work=order.work,
                 left=connection.left_at,
-                came=connection.came_at,
+                came=connection.arrived_at,
             )
         )
--- a/holdgw/router/discovery_client.py
+++ b/holdgw/router/discovery_client.py
@@ -8,16 +8,16 @@
 import orjson
 
 from holdgw.wire.address import Address
-from holdgw.wire.http import HttpError, HttpReader, request
+from holdgw.wire.http import HttpError, ResponseReader, request
 
 MAX_BODY_BYTES = 8 << 20  # tens of thousands of entries
 
 
-class _HttpConnection(asyncio.Protocol, HttpReader):
+class _HttpConnection(asyncio.Protocol, ResponseReader):
     """One connection to discovery."""
 
     def __init__(self) -> None:
-        HttpReader.__init__(self, MAX_BODY_BYTES)
+        ResponseReader.__init__(self, MAX_BODY_BYTES)
         self.transport: asyncio.Transport | None = None
         self._answer: asyncio.Future[tuple[int, bytes]] | None = None
 
@@ -35,7 +35,7 @@
         try:
             if self.read(data):
                 status, body = self.status, bytes(self.body)
-                if not self.answer_done():
+                if not self.finish_response():
                     self.close()
                 if self._answer is not None and not self._answer.done():
                     self._answer.set_result((status, body))
--- a/holdgw/router/origin_connection.py
+++ b/holdgw/router/origin_connection.py
@@ -6,7 +6,7 @@
 from holdgw.router.endpoint_connection import EndpointConnection
 from holdgw.router.endpoint_pool import EndpointPool
 from holdgw.router.origin_protocol import LOAD_REPORT_HEADER, NOT_STARTED, NOT_STARTED_HEADER
-from holdgw.wire.http import HttpError, HttpReader
+from holdgw.wire.http import HttpError, ResponseReader
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE, bulk
 
 STATUS_OK = 200
@@ -14,7 +14,7 @@
 """Service Unavailable and Gateway Timeout: with NOT_STARTED_HEADER the request has had no effect."""
 
 
-class _AnswerReader(HttpReader):
+class _AnswerReader(ResponseReader):
     """Reads one connection's answers; a body too long to be held is passed on as it comes."""
 
     def __init__(self, connection: OriginConnection) -> None:
@@ -81,7 +81,7 @@
         is_not_started = reader.headers.get(NOT_STARTED_HEADER) == NOT_STARTED
         value = bulk(bytes(reader.body))
         self._release_reserved()
-        self.retired = not reader.answer_done() or self.retired
+        self.retired = not reader.finish_response() or self.retired
         if self.is_streaming and self.exchange is not None:
             self.exchange.value_complete()
         if status == STATUS_OK:
--- a/holdgw/wire/http.py
+++ b/holdgw/wire/http.py
@@ -14,7 +14,7 @@
     """The bytes are no HTTP/1.1 answer."""
 
 
-class HttpReader:
+class ResponseReader:
     """Reads the answers of one connection, each with a body of at most so many bytes.
 
     A longer body, of at most `longest` bytes and a stated length, is given to `body_begins` and `body_part`
@@ -74,7 +74,7 @@
             return True
         return False
 
-    def answer_done(self) -> bool:
+    def finish_response(self) -> bool:
         """Make ready for the next answer; returns whether the connection may serve one."""
         keep = not self._more and self._keep
         self._next_answer()
--- a/holdgw/wire/unread.py
+++ b/holdgw/wire/unread.py
@@ -28,7 +28,7 @@
     return int.from_bytes(info[LAST_DATA_AT : LAST_DATA_AT + 4], sys.byteorder) * NS_PER_MS
 
 
-def came_at(transport: asyncio.BaseTransport | None, now: float) -> float:
+def arrived_at(transport: asyncio.BaseTransport | None, now: float) -> float:
     """When bytes that are read at `now` had come to this machine, at the latest, seconds.
 
     That is before `now` where this process had no core, or stood still, for longer than a tick.
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -14,7 +14,17 @@
 import orjson
 import pytest
 
-from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, entry, read, run, unused_address
+from tests.emulated_nodes import (
+    HIT,
+    LIMIT_S,
+    SERVED,
+    Cache,
+    DiscoveryServer,
+    entry,
+    read,
+    run,
+    unused_address,
+)
 from tests.helpers import S
 from tests.operation.admin_calls import call, get, put, until_serving
 
@@ -22,7 +32,7 @@
 Line = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-class Watched(Agent):
+class Watched(DiscoveryServer):
     """Discovery whose list changes: a watch is answered once there is news."""
 
     def __init__(self, instances: list[dict[str, Any]]) -> None:
@@ -33,7 +43,7 @@
         self.heard = 0
         """The version that the last watch went on from."""
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             await self.there.wait()
@@ -42,7 +52,7 @@
                     held = self.heard = int(head.split(b"index=")[1].split(b"&")[0])
                     while self.generation <= held:
                         await self.news.wait()
-            self.tell(writer)
+            self.send_endpoint_list(writer)
 
     async def change(self, instances: list[dict[str, Any]]) -> None:
         async with self.news:
--- a/tests/emulated_nodes.py
+++ b/tests/emulated_nodes.py
@@ -51,7 +51,7 @@
     return address
 
 
-class Peer:
+class LoopbackServer:
     """A listener on a free loopback port that hands each connection to a handler."""
 
     def __init__(self) -> None:
@@ -68,11 +68,11 @@
         self.connections += 1
         self._writers.add(writer)
         with suppress(OSError, EOFError):
-            await self.talk(reader, writer)
+            await self.serve(reader, writer)
         self._writers.discard(writer)
         writer.close()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         raise NotImplementedError
 
     def stop(self) -> None:
@@ -82,7 +82,7 @@
             writer.transport.abort()
 
 
-class Cache(Peer):
+class Cache(LoopbackServer):
     """A cache server: `answer` gives the bytes for a command; None closes the connection."""
 
     def __init__(self, answer: Handler) -> None:
@@ -90,7 +90,7 @@
         self.answer = answer
         self.seen: list[list[bytes]] = []
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             words = []
             for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
@@ -103,7 +103,7 @@
             writer.write(data)
 
 
-class Origin(Peer):
+class Origin(LoopbackServer):
     """An origin that answers every request with these bytes, but first breaks so many connections."""
 
     def __init__(self, data: bytes) -> None:
@@ -112,7 +112,7 @@
         self.breaks = 0
         self.seen = 0
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             await reader.readuntil(b"\r\n\r\n")
             self.seen += 1
@@ -122,7 +122,7 @@
             writer.write(self.data)
 
 
-class Agent(Peer):
+class DiscoveryServer(LoopbackServer):
     """Discovery: the whole list to each call without a version, and silence to a watch."""
 
     def __init__(self, instances: list[dict[str, Any]]) -> None:
@@ -131,16 +131,16 @@
         self.asked = asyncio.Event()
         self.watched = asyncio.Event()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             if b"index=" in head:
                 self.watched.set()
                 continue
             self.asked.set()
-            self.tell(writer)
+            self.send_endpoint_list(writer)
 
-    def tell(self, writer: asyncio.StreamWriter) -> None:
+    def send_endpoint_list(self, writer: asyncio.StreamWriter) -> None:
         """Answer with the whole list."""
         body = orjson.dumps({"generation": self.generation, "reset": True, "instances": self.instances})
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
@@ -156,7 +156,7 @@
     }
 
 
-class Node:
+class LoopbackRouter:
     """The router's parts on one loop, with a list of servers that the test gives."""
 
     def __init__(
@@ -168,14 +168,14 @@
     ) -> None:
         loop = asyncio.get_running_loop()
         self.pool = ConnectionPool(loop, 64, 5.0, 10.0, hedging=copies)
-        self.host = Dispatcher(loop, config or settings(), 7, self.pool, 1000, now)
-        self.host.ready = True
-        self.clients = ClientListener(loop, self.host, limit)
+        self.dispatcher = Dispatcher(loop, config or settings(), 7, self.pool, 1000, now)
+        self.dispatcher.ready = True
+        self.clients = ClientListener(loop, self.dispatcher, limit)
         self.address = ("", 0)
 
     async def start(self, *instances: dict[str, Any]) -> None:
         body = {"generation": 1, "reset": True, "instances": list(instances)}
-        self.host.apply_endpoint_update(read_endpoint_list(body, Clock(), UpdateKind.FULL))
+        self.dispatcher.apply_endpoint_update(read_endpoint_list(body, Clock(), UpdateKind.FULL))
         self.address = await self.clients.listen(("127.0.0.1", 0))
 
     async def dial(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -194,7 +194,7 @@
 
     def stop(self) -> None:
         self.clients.close()
-        self.host.close()
+        self.dispatcher.close()
         self.pool.close()
 
 
--- a/tests/operation/test_admin_endpoint.py
+++ b/tests/operation/test_admin_endpoint.py
@@ -14,7 +14,7 @@
 from holdgw.operation.endpoint_overrides import UnknownEndpointError
 from holdgw.router.config import ConfigError, load_config
 from holdgw.router.program import Program
-from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run
+from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Cache, DiscoveryServer, command, entry, read, run
 from tests.operation.admin_calls import call, config, get, put
 
 
@@ -109,7 +109,7 @@
         caches = [Cache(answer), Cache(answer)]
         for cache in caches:
             await cache.start()
-        agent = Agent([entry(f"s{i}", cache.port) for i, cache in enumerate(caches)])
+        agent = DiscoveryServer([entry(f"s{i}", cache.port) for i, cache in enumerate(caches)])
         await agent.start()
         program = Program(config(tmp_path, agent.port))
         program.discovery.start()
@@ -154,7 +154,7 @@
 def test_clients_are_served_on_a_socket_that_was_passed_and_it_outlives_the_router(tmp_path: Path) -> None:
     async def test() -> None:
         listener = socket.create_server(("127.0.0.1", 0), backlog=16)
-        agent = Agent([])
+        agent = DiscoveryServer([])
         await agent.start()
         passed = os.dup(listener.fileno())
         without_socket = config(tmp_path, agent.port)
--- a/tests/operation/test_takeover.py
+++ b/tests/operation/test_takeover.py
@@ -26,7 +26,18 @@
 from holdgw.policy import EndpointHandover, HandoverState, Outcome, TenantHandover
 from holdgw.policy.endpoint_health import AttemptResult
 from holdgw.router.program import Program
-from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
+from tests.emulated_nodes import (
+    HIT,
+    LIMIT_S,
+    SERVED,
+    Cache,
+    DiscoveryServer,
+    command,
+    entry,
+    read,
+    run,
+    unused_address,
+)
 from tests.helpers import MS, S, ended, fleet, only_send, request, sends, settings, started
 from tests.operation.admin_calls import call, config, get, put, until_serving
 
@@ -68,7 +79,7 @@
     async def begin(self) -> None:
         for cache in self.caches:
             await cache.start()
-        self.agent = Agent([entry(f"s{i}", cache.port) for i, cache in enumerate(self.caches)])
+        self.agent = DiscoveryServer([entry(f"s{i}", cache.port) for i, cache in enumerate(self.caches)])
         await self.agent.start()
         classes = [{"name": "read", "aimNs": S, "giveUpNs": 5 * S, "semantics": "retryable"}]
         (self.folder / "config.json").write_bytes(
--- a/tests/policy/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -16,7 +16,7 @@
 from holdgw.policy import AttemptPurpose, Outcome, RoutingPolicy
 from holdgw.policy.tracked_endpoint import TrackedEndpoint
 from holdgw.simulation.search import play_seed
-from tests.emulated_nodes import HIT, SERVED, Cache, Node, entry, read, run
+from tests.emulated_nodes import HIT, SERVED, Cache, LoopbackRouter, entry, read, run
 from tests.helpers import MS, S, ended, finals, fleet, only_send, request, sends, settings, started
 
 REPORTS = {"tenants": (), "routers": 40, "load_report_fields": ("recent_ms", "backlog")}
@@ -200,7 +200,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        caches, node = [Cache(answer) for _ in range(3)], Node()
+        caches, node = [Cache(answer) for _ in range(3)], LoopbackRouter()
         for cache in caches:
             await cache.start()
         await node.start(*(entry(f"s{i}", cache.port) for i, cache in enumerate(caches)))
--- a/tests/router/test_attempt_timeout.py
+++ b/tests/router/test_attempt_timeout.py
@@ -13,7 +13,18 @@
 
 import pytest
 
-from tests.emulated_nodes import HIT, LIMIT_S, MISS, SERVED, Cache, Node, Peer, command, entry, run
+from tests.emulated_nodes import (
+    HIT,
+    LIMIT_S,
+    MISS,
+    SERVED,
+    Cache,
+    LoopbackRouter,
+    LoopbackServer,
+    command,
+    entry,
+    run,
+)
 from tests.helpers import MS
 from tests.router.test_endings import GatedLoop, until, write_now
 
@@ -31,7 +42,7 @@
         return self.now
 
 
-class RecordingOrigin(Peer):
+class RecordingOrigin(LoopbackServer):
     """An origin that keeps each request's list, and breaks the connections of the first `breaks` ones."""
 
     def __init__(self, work: Callable[[], None]) -> None:
@@ -40,7 +51,7 @@
         self.breaks = 0
         self._work = work
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             headers = dict(line.split(b": ", 1) for line in head.split(b"\r\n")[1:-2])
@@ -63,7 +74,7 @@
         self.clock, self.work_ns = Clock(), self.WORK_NS
         self.cache, self.origin = Cache(self._answer), RecordingOrigin(self._work)
         self.answers = [answer]  # the last one again and again
-        self.node = Node(now=self.clock)
+        self.node = LoopbackRouter(now=self.clock)
 
     def _work(self) -> None:
         self.clock.now += self.work_ns
--- a/tests/router/test_endings.py
+++ b/tests/router/test_endings.py
@@ -49,11 +49,11 @@
     LIMIT_S,
     MISS,
     SERVED,
-    Agent,
     Cache,
-    Node,
+    DiscoveryServer,
+    LoopbackRouter,
+    LoopbackServer,
     Origin,
-    Peer,
     command,
     entry,
     read,
@@ -85,7 +85,7 @@
         self.go, self.asked = asyncio.Event(), asyncio.Event()
         self.answer: bytes | None = answer
         self.cache, self.origin = Cache(self._answer), Origin(page)
-        self.node = Node(limit=limit)
+        self.node = LoopbackRouter(limit=limit)
 
     async def _answer(self, _: list[bytes]) -> bytes | None:
         self.asked.set()
@@ -155,7 +155,7 @@
         leavers = [await stage.node.dial() for _ in range(count)]
         for i, (_, writer) in enumerate(leavers):
             writer.write(read(f"g{i}", f"k{i}"))
-        await until(lambda: len(stage.node.host.open_requests.by_id) == 1 + count)
+        await until(lambda: len(stage.node.dispatcher.open_requests.by_id) == 1 + count)
         for _, writer in leavers:
             if reset:
                 sock = writer.get_extra_info("socket")
@@ -163,7 +163,7 @@
             writer.close()
         await stage.alone(1)
         assert stage.node.pool.tables()["waiting"] in (0, count)  # those left are over
-        assert len(stage.node.host.open_requests.by_id) == 1
+        assert len(stage.node.dispatcher.open_requests.by_id) == 1
         stage.go.set()
         assert await first == SERVED
         assert await stage.node.ask(read("r1"), len(SERVED)) == SERVED
@@ -206,9 +206,11 @@
         leader.write(read("gone"))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         follower = asyncio.create_task(node.ask(read("r2"), len(SERVED)))
-        await until(lambda: ids(stage.cache)[-1] == "r2" and bool(node.host._policy._fetches._waiters["k"]))
+        await until(
+            lambda: ids(stage.cache)[-1] == "r2" and bool(node.dispatcher._policy._fetches._waiters["k"])
+        )
         leader.close()
-        await until(lambda: "gone" not in node.host.open_requests.by_id)
+        await until(lambda: "gone" not in node.dispatcher.open_requests.by_id)
         loop.up.set()
         assert await follower == SERVED
         assert stage.origin.seen == 2
@@ -259,9 +261,9 @@
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as closed:
             port = closed.getsockname()[1]
-        node = Node()
+        node = LoopbackRouter()
         await node.start(entry("o", port, "origin"))  # it refuses connections
-        router = node.host._policy
+        router = node.dispatcher._policy
         router._origin_concurrency.latency_ns = 1e9  # the delay goes by it
         _, writer = await node.dial()
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=edit,t=a,d=2000,k=11", b"v"))
@@ -269,7 +271,7 @@
         dials = node.pool.counters.dials
         writer.close()
         await until(lambda: not node.clients.connection_count)
-        node.host._timer_fired("w1")
+        node.dispatcher._timer_fired("w1")
         assert not router._requests
         assert node.pool.counters.dials == dials == 1
         node.stop()
@@ -295,9 +297,9 @@
         _, writer = await node.dial()
         writer.write(read("gone"))
         await until(lambda: ids(stage.cache)[-1] == "gone")
-        attempt = node.host.open_requests.by_id["gone"].last_attempt
+        attempt = node.dispatcher.open_requests.by_id["gone"].last_attempt
         assert attempt is not None
-        assert node.host._policy._requests["gone"].attempt_timeout_ns > 0
+        assert node.dispatcher._policy._requests["gone"].attempt_timeout_ns > 0
         if read_here:
             writer.close()
             await stage.alone(0)
@@ -310,7 +312,7 @@
         stage.go.set()
         assert await node.ask(read("r4"), len(SERVED)) == SERVED
         assert ids(stage.cache)[2:] == ["r3", "gone", "r4"]
-        assert not node.host.open_requests.by_id
+        assert not node.dispatcher.open_requests.by_id
 
     staged(play)
 
@@ -325,7 +327,7 @@
         stage.go.set()
         asked = asyncio.create_task(stage.node.ask(read("late"), 7))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
-        (request,) = stage.node.host.open_requests.by_id.values()
+        (request,) = stage.node.dispatcher.open_requests.by_id.values()
         request.deadline_ns = 0  # over, and its timer has yet to run
         loop.up.set()
         assert await asked == b"-BUSY\r\n"
@@ -344,7 +346,7 @@
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         told = [entry("s1", stage.cache.port, state="draining")]
         body = {"generation": 2, "reset": False, "instances": told}
-        node.host.apply_endpoint_update(endpoint_list.read_endpoint_list(body, endpoint_list.Clock()))
+        node.dispatcher.apply_endpoint_update(endpoint_list.read_endpoint_list(body, endpoint_list.Clock()))
         loop.up.set()
         assert await asked == SERVED  # by the origin
         assert not stage.cache.seen
@@ -364,7 +366,7 @@
             idempotency=Idempotency.IDEMPOTENCY_KEY,
             dedup_window_ns=S // 2,
         )
-        node, origin = Node(config=settings(classes=(cls,))), Origin(PAGE)
+        node, origin = LoopbackRouter(config=settings(classes=(cls,))), Origin(PAGE)
         origin.breaks = 1  # the first attempt is reset, and may have run
         await origin.start()
         await node.start(entry("o", origin.port, "origin"))
@@ -380,7 +382,7 @@
         cast(Any, node.pool)._dial_for = gated
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=put,t=a,d=900,k=11", b"v"))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
-        (request,) = node.host.open_requests.by_id.values()
+        (request,) = node.dispatcher.open_requests.by_id.values()
         attempt = request.last_attempt
         assert attempt is not None
         assert attempt._write_by_ns > 0
@@ -388,7 +390,7 @@
             attempt._write_by_ns = 1  # over, and its timer has yet to run
         loop.up.set()
         if over:
-            node.host._policy._classes["put"] = replace(cls, dedup_window_ns=0)
+            node.dispatcher._policy._classes["put"] = replace(cls, dedup_window_ns=0)
             request.deadline_ns = 0
             assert (await asyncio.wait_for(reader.readline(), LIMIT_S)).startswith(b"-")
             assert origin.seen == 1
@@ -556,7 +558,7 @@
 
         cache = Cache(answer)
         await cache.start()
-        agent, other = Agent([entry("s1", cache.port)]), Agent([entry("s1", cache.port)])
+        agent, other = DiscoveryServer([entry("s1", cache.port)]), DiscoveryServer([entry("s1", cache.port)])
         await agent.start()
         await other.start()
         told = config_of(tmp_path / "config.json", agent.port)
@@ -621,10 +623,10 @@
     async def test() -> None:
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue"
 
-        class Ends(Peer):
+        class Ends(LoopbackServer):
             seen = 0
 
-            async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.readuntil(b"\r\n\r\n")
                 self.seen += 1
                 writer.write(head)
@@ -634,7 +636,7 @@
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
                     writer.transport.abort()
 
-        origin, node = Ends(), Node()
+        origin, node = Ends(), LoopbackRouter()
         await origin.start()
         await node.start(entry("o", origin.port, "origin"))
         told = await node.ask(read("r1"), len(SERVED))
@@ -671,18 +673,18 @@
         node = stage.node
         asked = asyncio.create_task(node.ask(read("r1"), 100))
         await asyncio.wait_for(stage.asked.wait(), LIMIT_S)
-        (request,) = node.host.open_requests.by_id.values()
+        (request,) = node.dispatcher.open_requests.by_id.values()
         attempt = request.last_attempt
         assert attempt is not None
         connection = attempt.connection
         assert connection is not None
         attempt._timed_out()
         connection.data_received(HIT)  # read in the turn in which its time was over
-        assert node.host.outstanding in (0, 1)
+        assert node.dispatcher.outstanding in (0, 1)
         stage.go.set()
-        told = await asyncio.wait_for(asked, LIMIT_S) if node.host.outstanding else b""
+        told = await asyncio.wait_for(asked, LIMIT_S) if node.dispatcher.outstanding else b""
         assert told.count(b"\r\n") <= 2
-        results = {key: count for key, count in node.host.metrics.results.items() if count}
+        results = {key: count for key, count in node.dispatcher.metrics.results.items() if count}
         assert sum(results.values()) == 1
 
     staged(play)
@@ -691,7 +693,7 @@
 # Lists
 
 
-class Mute(Agent):
+class Mute(DiscoveryServer):
     """Discovery that answers no watch, and only so many of the other calls."""
 
     def __init__(self, instances: list[dict[str, Any]]) -> None:
@@ -700,7 +702,7 @@
         self.refuse = 0  # and those to be answered 503
         self.wholes = 0
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             if b"index=" in head:
@@ -714,7 +716,7 @@
                 self.refuse -= 1
                 writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             else:
-                self.tell(writer)
+                self.send_endpoint_list(writer)
 
 
 @pytest.mark.parametrize(("mute", "refuse"), [(0, 0), (3, 0), (0, 3), (2, 2)])
@@ -922,7 +924,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        caches, node = [Cache(answer), Cache(answer)], Node()
+        caches, node = [Cache(answer), Cache(answer)], LoopbackRouter()
         for cache in caches:
             await cache.start()
         await node.start(*(entry(f"s{i}", cache.port) for i, cache in enumerate(caches)))
@@ -961,7 +963,7 @@
         cls = RequestClass(
             "put", latency_objective_ns=S, deadline_ns=S, idempotency=effect, dedup_window_ns=S // 2
         )
-        node, origin = Node(config=settings(classes=(cls,))), Origin(PAGE)
+        node, origin = LoopbackRouter(config=settings(classes=(cls,))), Origin(PAGE)
         await origin.start()
         await node.start(entry("o", origin.port, "origin"))
         told = b"c=put,t=a,d=900" + b",k=11" * (effect is Idempotency.IDEMPOTENCY_KEY)
--- a/tests/router/test_event_loop_lag.py
+++ b/tests/router/test_event_loop_lag.py
@@ -9,7 +9,7 @@
 import pytest
 
 from holdgw.router.event_loop_lag import MAX_BEAT_DELAY_NS, RECENT_LAG_NS, LagMonitor
-from tests.emulated_nodes import HIT, Cache, Node, entry, read, run
+from tests.emulated_nodes import HIT, Cache, LoopbackRouter, entry, read, run
 
 MS = 1_000_000
 INTERVAL_NS = 20 * MS
@@ -66,7 +66,7 @@
         async def hit(_: list[bytes]) -> bytes:
             return HIT
 
-        cache, node = Cache(hit), Node()
+        cache, node = Cache(hit), LoopbackRouter()
         await cache.start()
         await node.start(entry("cache", cache.port))
         loop = asyncio.get_running_loop()
--- a/tests/router/test_long_values.py
+++ b/tests/router/test_long_values.py
@@ -11,9 +11,9 @@
 
 from holdgw.policy import Outcome, RoutingPolicy, StreamStarted
 from holdgw.router import client_connection, streamed_value
-from holdgw.wire.http import HttpError, HttpReader
+from holdgw.wire.http import HttpError, ResponseReader
 from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE
-from tests.emulated_nodes import LIMIT_S, MISS, Node, Peer, command, entry, read, run
+from tests.emulated_nodes import LIMIT_S, MISS, LoopbackRouter, LoopbackServer, command, entry, read, run
 from tests.helpers import ended, fleet, only_send, request, sends, settings, started
 
 TAIL = b"\r\n$3\r\nhit\r\n$-1\r\n"
@@ -22,7 +22,7 @@
 Writer = asyncio.StreamWriter
 
 
-class Giver(Peer):
+class Giver(LoopbackServer):
     """A cache or an origin that gives each answer by a function of its own, then reads on."""
 
     def __init__(self, *answers: Callable[[Writer], Coroutine[Any, Any, bool]], http: bool = False) -> None:
@@ -30,7 +30,7 @@
         self.answers, self.http = list(answers), http
         self.left = asyncio.Event()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: Writer) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
         try:
             while True:
                 if self.http:
@@ -63,7 +63,7 @@
     """A router between one cache, an origin, and the clients of a test."""
 
     def __init__(self, cache: Giver, origin: Giver | None = None) -> None:
-        self.cache, self.origin, self.node = cache, origin, Node()
+        self.cache, self.origin, self.node = cache, origin, LoopbackRouter()
 
     async def __aenter__(self) -> Scene:
         await self.cache.start()
@@ -88,7 +88,7 @@
     async def at_rest(self) -> None:
         """Wait until nothing of a request or a long value is left in any table."""
         while True:
-            tables = {**self.node.host.tables(), **self.node.pool.tables()}
+            tables = {**self.node.dispatcher.tables(), **self.node.pool.tables()}
             kept = (
                 "requests",
                 "policy_requests",
@@ -125,7 +125,7 @@
             assert await took(reader, 11) == bulk(b"short")
             writer.close()
             await scene.at_rest()
-            assert scene.node.host.metrics.text(0, 0, 0).count(b'succeeded"} 2') == 1
+            assert scene.node.dispatcher.metrics.text(0, 0, 0).count(b'succeeded"} 2') == 1
 
     run(test)
 
@@ -145,7 +145,7 @@
             begin = b"$%d\r\n" % len(VALUE) + VALUE[:1000]
             assert await took(reader, len(begin)) == begin
             await asyncio.sleep(0.3)  # its client's time is up, and the sweep has been round
-            assert scene.node.host.outstanding == 1
+            assert scene.node.dispatcher.outstanding == 1
             go.set()
             assert await took(reader, len(VALUE) - 998) == VALUE[1000:] + b"\r\n"
             writer.close()
@@ -211,7 +211,7 @@
             writer.close()
             await scene.at_rest()
             assert scene.cache.connections == 1
-            assert b'aborted"} 1' in scene.node.host.metrics.text(0, 0, 0)
+            assert b'aborted"} 1' in scene.node.dispatcher.metrics.text(0, 0, 0)
 
     run(test)
 
@@ -234,7 +234,7 @@
             while not scene.cache.connections:
                 await asyncio.sleep(0.01)
             writer.write(read("b", "key-b"))
-            while b'aborted"} 1' not in scene.node.host.metrics.text(0, 0, 0):
+            while b'aborted"} 1' not in scene.node.dispatcher.metrics.text(0, 0, 0):
                 await asyncio.sleep(0.01)
             go.set()
             assert await took(reader, 11) == bulk(b"first")
@@ -296,7 +296,7 @@
             (connection,) = scene.node.clients.connections
             connection.pause_writing()
             last.set()
-            while b'succeeded"} 1' not in scene.node.host.metrics.text(0, 0, 0):
+            while b'succeeded"} 1' not in scene.node.dispatcher.metrics.text(0, 0, 0):
                 await asyncio.sleep(0.01)
             connection.resume_writing()
             assert await took(reader, 12) == VALUE[-10:] + b"\r\n"
@@ -403,14 +403,14 @@
 
 
 def test_a_body_that_ends_with_its_connection_is_whole_only_by_a_good_end() -> None:
-    reader = HttpReader(1000)
+    reader = ResponseReader(1000)
     assert not reader.read(page(b"abc", b"Connection: close"))
     assert reader.ended()
     assert (reader.status, bytes(reader.body)) == (200, b"abc")
-    assert not reader.answer_done()
+    assert not reader.finish_response()
     assert not reader.ended()
     with pytest.raises(HttpError):
-        HttpReader(1000).read(page(b"abc"))
+        ResponseReader(1000).read(page(b"abc"))
 
 
 # Decisions
--- a/tests/router/test_sockets.py
+++ b/tests/router/test_sockets.py
@@ -20,9 +20,9 @@
     LIMIT_S,
     MISS,
     SERVED,
-    Agent,
     Cache,
-    Node,
+    DiscoveryServer,
+    LoopbackRouter,
     Origin,
     command,
     entry,
@@ -47,7 +47,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return first
 
-        cache, node = Cache(answer), Node()
+        cache, node = Cache(answer), LoopbackRouter()
         await cache.start()
         await node.start(entry("s1", cache.port))
         for i in range(3):
@@ -77,7 +77,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return answers.pop(0)
 
-        cache, node = Cache(answer), Node()
+        cache, node = Cache(answer), LoopbackRouter()
         await cache.start()
         await node.start(entry("s1", cache.port))
         assert await node.ask(read("r1"), len(SERVED)) == SERVED
@@ -102,7 +102,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return MISS
 
-        cache, origin, node = Cache(answer), Origin(page), Node()
+        cache, origin, node = Cache(answer), Origin(page), LoopbackRouter()
         await cache.start()
         await origin.start()
         await node.start(entry("s1", cache.port), entry("o1", origin.port, "origin"))
@@ -123,7 +123,7 @@
         async def answer(_: list[bytes]) -> bytes | None:
             return answers.pop(0)
 
-        caches, node = [Cache(answer) for _ in range(3)], Node()
+        caches, node = [Cache(answer) for _ in range(3)], LoopbackRouter()
         for cache in caches:
             await cache.start()
         await node.start(*(entry(f"s{i}", cache.port) for i, cache in enumerate(caches)))
@@ -145,7 +145,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return MISS
 
-        cache, origin, node = Cache(answer), Origin(PAGE), Node()
+        cache, origin, node = Cache(answer), Origin(PAGE), LoopbackRouter()
         await cache.start()
         await origin.start()
         await node.start(entry("s1", cache.port), entry("o1", origin.port, "origin"))
@@ -171,7 +171,7 @@
                 await asyncio.sleep(LIMIT_S)
             return HIT
 
-        cache, node = Cache(answer), Node()
+        cache, node = Cache(answer), LoopbackRouter()
         await cache.start()
         await node.start(entry("s1", cache.port))
         for i in range(3):
@@ -215,13 +215,13 @@
             await go.wait()
             return answers.pop(0) if answers else None
 
-        cache, node = Cache(answer), Node()
+        cache, node = Cache(answer), LoopbackRouter()
         await cache.start()
         await node.start(entry("s1", cache.port))
         first = asyncio.create_task(node.ask(read("r1"), len(SERVED)))
         await asyncio.wait_for(asked.wait(), LIMIT_S)
         second = asyncio.create_task(node.ask(read("r2", "other"), len(SERVED)))
-        while len(node.host.open_requests.by_id) < 2:
+        while len(node.dispatcher.open_requests.by_id) < 2:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
         go.set()
@@ -269,7 +269,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        cache, node = Cache(answer), Node()
+        cache, node = Cache(answer), LoopbackRouter()
         await cache.start()
         await node.start(entry("s1", cache.port))
         told = await node.ask(bad, 1 << 20)
@@ -297,7 +297,7 @@
         cls = RequestClass(
             "main", latency_objective_ns=S, deadline_ns=S, idempotency=effect, dedup_window_ns=S
         )
-        cache, origin, node = Cache(answer), Origin(PAGE), Node(config=settings(classes=(cls,)))
+        cache, origin, node = Cache(answer), Origin(PAGE), LoopbackRouter(config=settings(classes=(cls,)))
         await cache.start()
         await origin.start()
         await node.start(entry("s1", cache.port), entry("o", origin.port, "origin"))
@@ -322,7 +322,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        cache, node = Cache(answer), Node()
+        cache, node = Cache(answer), LoopbackRouter()
         await cache.start()
         await node.start(entry("s1", cache.port))
         usual, sender = await node.dial()
@@ -346,7 +346,7 @@
             await go.wait()
             return HIT
 
-        cache, node = Cache(answer), Node()
+        cache, node = Cache(answer), LoopbackRouter()
         await cache.start()
         await node.start(entry("s1", cache.port))
         first = asyncio.create_task(node.ask(read("same"), len(SERVED)))
@@ -373,7 +373,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        cache, node = Cache(answer), Node(limit=8)
+        cache, node = Cache(answer), LoopbackRouter(limit=8)
         await cache.start()
         await node.start(entry("s1", cache.port))
         usual, sender = await node.dial()
@@ -417,7 +417,7 @@
     monkeypatch.setenv("LB_CONFIG", str(path))
 
     async def test() -> None:
-        old, new = Agent([entry("s1", 9)]), Agent([entry("s2", 9)])
+        old, new = DiscoveryServer([entry("s1", 9)]), DiscoveryServer([entry("s2", 9)])
         await old.start()
         await new.start()
         config = replace(config_of(path, old.port), listen_address=("127.0.0.1", 0), settings=settings())
@@ -457,7 +457,7 @@
 
         cache = Cache(answer)
         await cache.start()
-        agent = Agent([entry("s1", cache.port)])
+        agent = DiscoveryServer([entry("s1", cache.port)])
         await agent.start()
         config = replace(
             config_of(tmp_path / "config.json", agent.port),
@@ -499,7 +499,7 @@
         async def answer(words: list[bytes]) -> bytes:
             return b"*3\r\n$4\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % words[2]
 
-        cache, node = Cache(answer), Node()
+        cache, node = Cache(answer), LoopbackRouter()
         await cache.start()
         await node.start(entry("s1", cache.port))
         for count in (4, 23):
@@ -527,7 +527,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        cache, node = Cache(answer), Node(limit=20)
+        cache, node = Cache(answer), LoopbackRouter(limit=20)
         await cache.start()
         await node.start(entry("s1", cache.port))
         stayed = []
@@ -556,7 +556,7 @@
 
         cache = Cache(answer)
         await cache.start()
-        node = Node()
+        node = LoopbackRouter()
         await node.start(entry("s1", cache.port))
         here, there = socket.socketpair()
         reader, writer = await asyncio.open_connection(sock=here)
@@ -581,9 +581,9 @@
 
     def __init__(self, copies: bool = True) -> None:
         self.go: list[asyncio.Event] = []
-        self.cache, self.node = Cache(self.answer), Node(config=LONG, copies=copies)
+        self.cache, self.node = Cache(self.answer), LoopbackRouter(config=LONG, copies=copies)
 
-    async def start(self) -> tuple[Cache, Node]:
+    async def start(self) -> tuple[Cache, LoopbackRouter]:
         await self.cache.start()
         await self.node.start(entry("s1", self.cache.port))
         return self.cache, self.node
@@ -604,16 +604,16 @@
                 await asyncio.sleep(0.005)
 
 
-def trusted(node: Node) -> Node:
+def trusted(node: LoopbackRouter) -> LoopbackRouter:
     """Have the module send to its server whatever came of the attempts before."""
-    holder = node.host._policy._caches.endpoints["s1"]
+    holder = node.dispatcher._policy._caches.endpoints["s1"]
     holder.health._probability = 1.0
     holder.health._failures.unanswered = 0
     holder.health.ejected = False
     return node
 
 
-async def rests(node: Node) -> None:
+async def rests(node: LoopbackRouter) -> None:
     async with asyncio.timeout(LIMIT_S):
         while not node.pool.tables()["connections_idle"]:
             await asyncio.sleep(0.005)
@@ -691,7 +691,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return b"-BUSY\r\n" if full else HIT
 
-        cache, node = Cache(answer), Node()
+        cache, node = Cache(answer), LoopbackRouter()
         await cache.start()
         await node.start(entry("s1", cache.port))
         await node.ask(read("r1"), len(b"-BUSY\r\n"))
--- a/tests/router/test_watch_timeout.py
+++ b/tests/router/test_watch_timeout.py
@@ -14,7 +14,7 @@
 
 from holdgw.router import discovery, endpoint_list, watch_timeout
 from holdgw.router.watch_timeout import WatchTimeout
-from tests.emulated_nodes import LIMIT_S, Peer, run
+from tests.emulated_nodes import LIMIT_S, LoopbackServer, run
 
 SHORTEST_S, LONGEST_S = discovery.POLL_WAIT_MS / 1000, discovery.MAX_POLL_WAIT_MS / 1000
 TURNED_AWAY_S = 2.0  # a service turns a call away that would wait for its turn longer than this
@@ -144,7 +144,7 @@
     assert wait.wait_s == LONGEST_S
 
 
-class Waits(Peer):
+class Waits(LoopbackServer):
     """A service that answers each watch on the very millisecond at which its wait is over, by a clock that it
     moves itself, and the third with 503; keeps the waits.
     """
@@ -159,7 +159,7 @@
         """The clock, in seconds."""
         return self.now_ms / 1000
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while len(self.waits_ms) < 5:
             head = await reader.readuntil(b"\r\n\r\n")
             self.waits_ms.append(int(head.partition(b"wait=")[2].split(b" ")[0]))
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -16,7 +16,18 @@
 
 from holdgw import native
 from holdgw.harness.deployment import run_command
-from tests.emulated_nodes import HIT, LIMIT_S, SERVED, Agent, Cache, command, entry, read, run, unused_address
+from tests.emulated_nodes import (
+    HIT,
+    LIMIT_S,
+    SERVED,
+    Cache,
+    DiscoveryServer,
+    command,
+    entry,
+    read,
+    run,
+    unused_address,
+)
 from tests.helpers import S
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -57,7 +68,7 @@
 
         self.cache = Cache(answer)
         await self.cache.start()
-        self.agent = Agent([entry("s0", self.cache.port)])
+        self.agent = DiscoveryServer([entry("s0", self.cache.port)])
         await self.agent.start()
         self.address = unused_address()
         classes = [{"name": "read", "aimNs": S, "giveUpNs": 5 * S, "semantics": "retryable"}]
