--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -430,8 +430,8 @@
     "reset-is-an-end": Mutant(
         "a reset ends a body without a length",
         "holdgw.router.origin_connection",
-        "        if exc is None and self.exchange is not None and self._reader.ended():\n",
-        "        if self.exchange is not None and self._reader.ended():\n",
+        "        if exc is None and self.exchange is not None and self._reader.connection_closed():\n",
+        "        if self.exchange is not None and self._reader.connection_closed():\n",
         test="tests/router/test_endings.py::"
         "test_a_page_without_a_length_ends_with_its_connection_and_not_with_a_reset",
     ),
--- a/holdgw/router/cache_connection.py
+++ b/holdgw/router/cache_connection.py
@@ -9,7 +9,7 @@
 from holdgw.policy import CacheStatus, Outcome
 from holdgw.router.endpoint_connection import EndpointConnection
 from holdgw.router.endpoint_pool import EndpointPool
-from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE, bulk
+from holdgw.wire.resp import MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, bulk
 
 MAX_REST_BYTES = 8 << 10
 """Most bytes of an answer without its value: far more than a cache status and a load report take."""
@@ -94,7 +94,7 @@
         value_end = value_start
         if header[2] is None:
             value_end += int(header[3])
-            if data[value_end : value_end + 2] != CRLF or value_end - value_start > MAX_VALUE:
+            if data[value_end : value_end + 2] != CRLF or value_end - value_start > MAX_BUFFERED_VALUE_BYTES:
                 return False
             value_end += 2
         rest = COMMON_REST[elements - 1].fullmatch(data, value_end)
@@ -128,10 +128,10 @@
             self._check_incomplete_header()
             return None
         length = int(header[1])
-        if length > LONGEST_VALUE:
+        if length > MAX_VALUE_BYTES:
             self.fail_malformed("sent a value that is too long")
             return None
-        if length > MAX_VALUE:
+        if length > MAX_BUFFERED_VALUE_BYTES:
             return self._start_stream(header.end(), length)
         return self._cut_value(header.end(), header.end() + length)
 
--- a/holdgw/router/origin_connection.py
+++ b/holdgw/router/origin_connection.py
@@ -7,33 +7,33 @@
 from holdgw.router.endpoint_pool import EndpointPool
 from holdgw.router.origin_protocol import LOAD_REPORT_HEADER, NOT_STARTED, NOT_STARTED_HEADER
 from holdgw.wire.http import HttpError, ResponseReader
-from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE, bulk
+from holdgw.wire.resp import MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES, bulk
 
 STATUS_OK = 200
 STATUSES_NOT_STARTED = (503, 504)
 """Service Unavailable and Gateway Timeout: with NOT_STARTED_HEADER the request has had no effect."""
 
 
-class _AnswerReader(ResponseReader):
-    """Reads one connection's answers; a body too long to be held is passed on as it comes."""
+class _OriginResponseReader(ResponseReader):
+    """Reads one connection's responses; a body too long to buffer is streamed to the exchange."""
 
     def __init__(self, connection: OriginConnection) -> None:
         self._connection = connection
-        super().__init__(MAX_VALUE, LONGEST_VALUE)
+        super().__init__(MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES)
 
-    def body_begins(self, length: int) -> None:
-        """A long value begins."""
+    def body_started(self, length: int) -> None:
+        """Start to stream a long value."""
         self._connection.start_value(length)
 
     def body_part(self, data: bytes) -> None:
-        """A part of a long value came."""
+        """Pass a part of a long value to the exchange."""
         if self._connection.exchange is not None:
             self._connection.exchange.value_part(data)
 
-    def room_for(self, size: int) -> bool:
-        """Whether `size` more bytes may be held of a body without a stated length.
+    def reserve_body_bytes(self, size: int) -> bool:
+        """Reserve `size` bytes for a body without Content-Length; returns whether they are available.
 
-        RESP2 states a value's length first, so such a body can't be passed on before it is complete.
+        RESP2 sends a value's length first, so such a body can't be streamed before it is complete.
         """
         return self._connection.reserve_bytes(size)
 
@@ -43,11 +43,11 @@
 
     def __init__(self, endpoint: EndpointPool) -> None:
         super().__init__(endpoint)
-        self._reader = _AnswerReader(self)
+        self._reader = _OriginResponseReader(self)
         self._reserved_bytes = 0
 
     def reserve_bytes(self, size: int) -> bool:
-        """Reserve `size` bytes of the pool's memory for the answer; returns whether they were to be had."""
+        """Reserve `size` bytes of the pool's memory for the answer; returns whether they were available."""
         if not self.endpoint.pool.reserve_bytes(size):
             return False
         self._reserved_bytes += size
@@ -58,9 +58,9 @@
         self._reserved_bytes = 0
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection is gone; its orderly end completes a body without a stated length."""
-        if exc is None and self.exchange is not None and self._reader.ended():
-            self._finish_by_answer()
+        """Handle the end of the connection; an orderly close completes a body without Content-Length."""
+        if exc is None and self.exchange is not None and self._reader.connection_closed():
+            self._complete_by_answer()
         self._release_reserved()
         super().connection_lost(exc)
 
@@ -69,12 +69,12 @@
         try:
             is_complete = self._reader.read(data)
         except HttpError as error:
-            self.fail_malformed(f"broke the protocol: {error}")
+            self.fail_malformed(f"invalid HTTP response: {error}")
             return
         if is_complete and self.exchange is not None:
-            self._finish_by_answer()
+            self._complete_by_answer()
 
-    def _finish_by_answer(self) -> None:
+    def _complete_by_answer(self) -> None:
         reader = self._reader
         status = reader.status
         report = reader.headers.get(LOAD_REPORT_HEADER)
--- a/holdgw/router/streamed_value.py
+++ b/holdgw/router/streamed_value.py
@@ -33,7 +33,7 @@
 
     def start_answer(self, length: int) -> None:
         """Begin the client's answer, of a value of `length` bytes."""
-        self._request.reply.start_stream(resp.bulk_head(length), self)
+        self._request.reply.start_stream(resp.bulk_header(length), self)
 
     def write(self, data: bytes) -> None:
         """Pass a part of the value on, unless the client has left."""
--- a/holdgw/wire/__init__.py
+++ b/holdgw/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Framing that routers, stand-ins and load generators share. No decisions, no sockets, no clock."""
+"""Wire formats that routers, emulators and load generators share: RESP2, HTTP/1.1, addresses."""
--- a/holdgw/wire/http.py
+++ b/holdgw/wire/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on one connection, both sides of it: answers as a client reads them, requests as a server does."""
+"""HTTP/1.1 for both sides of a connection: reads and encodes requests and responses."""
 
 from __future__ import annotations
 
@@ -6,150 +6,154 @@
 
 import httptools
 
-MAX_HEAD = 32 << 10  # bytes before the body: a peer that sends more is broken
+MAX_HEAD_BYTES = 32 << 10  # bytes of the start line and headers; a longer head is an error
 MAX_HEADERS = 100
 
 
 class HttpError(Exception):
-    """The bytes are no HTTP/1.1 answer."""
+    """The peer's bytes are not valid HTTP/1.1, or exceed a limit."""
 
 
 class ResponseReader:
-    """Reads the answers of one connection, each with a body of at most so many bytes.
+    """Reads the responses of one connection; a subclass may stream long bodies.
 
-    A longer body, of at most `longest` bytes and a stated length, is given to `body_begins` and `body_part`
-    as it comes, where those are overridden; one whose length nobody stated can only be held.
+    A body of up to `max_buffered` bytes is buffered. A longer one, up to `max_body` bytes, is passed to
+    `body_started` and `body_part` as it arrives if it has a Content-Length; without one it is buffered as
+    far as `reserve_body_bytes` allows.
     """
 
-    def __init__(self, most: int, longest: int = 0) -> None:
-        self._most, self._longest = most, max(longest, most)
-        self._next_answer()
+    def __init__(self, max_buffered: int, max_body: int = 0) -> None:
+        self._max_buffered, self._max_body = max_buffered, max(max_body, max_buffered)
+        self._reset()
 
-    def body_begins(self, length: int) -> None:
-        """A body follows that is too long to be held."""
+    def body_started(self, length: int) -> None:
+        """Take the start of a body of `length` bytes that is streamed because it is too long to buffer."""
 
     def body_part(self, data: bytes) -> None:
-        """A part of that body came."""
+        """Take a part of the streamed body."""
 
-    def room_for(self, size: int) -> bool:
-        """Whether `size` more bytes of a body may be buffered past the usual limit."""
+    def reserve_body_bytes(self, size: int) -> bool:
+        """Reserve `size` bytes to buffer beyond `max_buffered`; returns whether they are available."""
         return False
 
-    def _next_answer(self) -> None:
+    def _reset(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
         self.status = 0
-        self._head = 0
+        self._head_bytes = 0
         self._length: int | None = None
-        self._in_body = self._whole = self._more = False
-        self._passed_on: int | None = None  # bytes of a long body so far
-        self._to_end = False  # the body ends with the connection
+        self._in_body = self._complete = self._must_close = False
+        self._streamed: int | None = None  # bytes of the streamed body so far; None: not streamed
+        self._ends_at_close = False  # the close of the connection ends the body
 
     def read(self, data: bytes) -> bool:
-        """Take bytes; returns whether an answer is whole. Raises HttpError on broken ones."""
+        """Read bytes; returns whether a response is complete. Raises HttpError where it is invalid."""
         if not self._in_body:
-            self._head += len(data)
+            self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            # What follows a complete answer is not part of it: to fail on it would throw a good answer away.
-            # The connection is of no further use. Where the stated length is too short, the answer still ends
-            # where it was stated to.
-            if self._whole:
-                self._more = True
+            # Invalid bytes behind a complete response must not discard that response; they only make the
+            # connection unusable. This includes a body longer than its Content-Length: the response ends
+            # where the header says.
+            if self._complete:
+                self._must_close = True
                 return True
             cause = error.__context__
             raise HttpError(str(cause if isinstance(cause, HttpError) else error)) from None
-        if not self._in_body and self._head > MAX_HEAD:
+        if not self._in_body and self._head_bytes > MAX_HEAD_BYTES:
             raise HttpError("head too long")
-        return self._whole
-
-    def ended(self) -> bool:
-        """The connection ended in good order; returns whether that ends an answer, which is whole then."""
-        # RFC 9112, section 6.3: with neither a length nor chunks the close ends the body. A body that was cut
-        # short would look complete; so the answer must have announced the close, and a reset is none.
-        if self._to_end and not self._whole:
-            self._whole = self._more = True
+        return self._complete
+
+    def connection_closed(self) -> bool:
+        """Note an orderly close of the connection; returns whether it completes a response."""
+        # RFC 9112, section 6.3: without Content-Length and chunks the close ends the body. A truncated body
+        # would look complete, so the response must have announced the close with "Connection: close", and a
+        # reset does not count as a close.
+        if self._ends_at_close and not self._complete:
+            self._complete = self._must_close = True
             return True
         return False
 
     def finish_response(self) -> bool:
-        """Make ready for the next answer; returns whether the connection may serve one."""
-        keep = not self._more and self._keep
-        self._next_answer()
-        return keep
+        """Discard the complete response; returns whether the connection can be used for another request."""
+        reusable = not self._must_close and self._keep_alive
+        self._reset()
+        return reusable
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Called by httptools."""
-        if self._whole:
+        if self._complete:
             return
         name, value = name.lower(), value.strip(b" \t")  # RFC 9110, section 5.5
         if name == b"content-length" and self.headers.get(name, value) != value:
-            raise HttpError("two lengths")
+            raise HttpError("conflicting Content-Length headers")
         self.headers[name] = value
 
     def on_headers_complete(self) -> None:
         """Called by httptools."""
-        if self._whole:
+        if self._complete:
             return
         self.status = self._parser.get_status_code()
         if 100 <= self.status < 200:
-            return  # an interim answer: the final one follows
+            return  # an interim response: the final one follows
         self._in_body = True
         length = self.headers.get(b"content-length")
         if length is not None:
-            if not length.isdigit() or int(length) > self._longest:
-                raise HttpError("a length out of bounds")
+            if not length.isdigit() or int(length) > self._max_body:
+                raise HttpError("invalid or too large Content-Length")
             self._length = int(length)
-            if self._length > self._most:
+            if self._length > self._max_buffered:
                 if self.status != 200:
-                    raise HttpError("a length out of bounds")
-                self._passed_on = 0
-                self.body_begins(self._length)
+                    raise HttpError("invalid or too large Content-Length")
+                self._streamed = 0
+                self.body_started(self._length)
         elif self.status != 200:
-            self._whole = self._more = True  # it says all that it has to
+            self._complete = self._must_close = True  # the body of an error is not needed
         elif b"chunked" not in self.headers.get(b"transfer-encoding", b"").lower():
             if b"close" not in self.headers.get(b"connection", b"").lower():
-                raise HttpError("no length")
-            self._to_end = True
+                raise HttpError("neither Content-Length nor chunked nor Connection: close")
+            self._ends_at_close = True
 
     def on_body(self, data: bytes) -> None:
         """Called by httptools."""
-        if self._whole:
+        if self._complete:
             return
-        if self._passed_on is not None:
-            self._passed_on += len(data)
+        if self._streamed is not None:
+            self._streamed += len(data)
             self.body_part(data)
             return
         self.body += data
-        if len(self.body) > self._most and not (len(self.body) <= self._longest and self.room_for(len(data))):
+        if len(self.body) > self._max_buffered and not (
+            len(self.body) <= self._max_body and self.reserve_body_bytes(len(data))
+        ):
             raise HttpError("body too long")
 
     def on_message_begin(self) -> None:
         """Called by httptools."""
-        if self._whole:
-            self._more = True  # a second answer in the same bytes is none that was asked for
+        if self._complete:
+            self._must_close = True  # a second response answers no request: the connection is not reused
 
     def on_message_complete(self) -> None:
         """Called by httptools."""
-        if self._whole:
+        if self._complete:
             return
         if 100 <= self.status < 200:
             self.headers.clear()
             self.status = 0
             return
-        came = len(self.body) if self._passed_on is None else self._passed_on
-        if self._length is not None and came != self._length:
-            raise HttpError("a body of another length than it says")
-        self._keep = self._parser.should_keep_alive()
-        self._whole = True
+        received = len(self.body) if self._streamed is None else self._streamed
+        if self._length is not None and received != self._length:
+            raise HttpError("body length differs from Content-Length")
+        self._keep_alive = self._parser.should_keep_alive()
+        self._complete = True
 
-    _keep = False
+    _keep_alive = False
 
 
 def request(method: str, target: str, host: str, headers: bytes = b"", body: bytes | None = None) -> bytes:
-    """Write a request down; `headers` are whole lines."""
+    """Encode a request; `headers` are complete lines, each with its CRLF."""
     length = b"" if body is None else b"Content-Length: %d\r\n" % len(body)
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n".encode("ascii")
     return b"%b%b%b\r\n%b" % (head, headers, length, body or b"")
@@ -157,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request, as a server reads it; names of headers are in lower case."""
+    """A complete request as a server reads it; header names are in lower case."""
 
     method: bytes
     target: bytes
@@ -166,22 +170,22 @@
 
 
 class RequestReader:
-    """Reads the requests of one connection, each with a body of at most so many bytes."""
+    """Reads the requests of one connection; a body of more than `max_body` bytes is an error."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_body: int) -> None:
+        self._max_body = max_body
         self._parser = httptools.HttpRequestParser(self)
-        self._whole: list[HttpRequest] = []
+        self._complete: list[HttpRequest] = []
         self._target, self._headers, self._body = b"", dict[bytes, bytes](), bytearray()
 
     def read(self, data: bytes) -> list[HttpRequest]:
-        """Take bytes; returns the requests that are whole now. Raises HttpError on broken ones."""
+        """Read bytes; returns the requests that are complete now. Raises HttpError where one is invalid."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             raise HttpError(str(error.__context__ or error)) from None
-        whole, self._whole = self._whole, []
-        return whole
+        complete, self._complete = self._complete, []
+        return complete
 
     def on_message_begin(self) -> None:
         """Called by httptools."""
@@ -190,7 +194,7 @@
     def on_url(self, data: bytes) -> None:
         """Called by httptools."""
         self._target += data
-        if len(self._target) > MAX_HEAD:
+        if len(self._target) > MAX_HEAD_BYTES:
             raise HttpError("target too long")
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -202,13 +206,13 @@
     def on_body(self, data: bytes) -> None:
         """Called by httptools."""
         self._body += data
-        if len(self._body) > self._most:
+        if len(self._body) > self._max_body:
             raise HttpError("body too long")
 
     def on_message_complete(self) -> None:
         """Called by httptools."""
         method = self._parser.get_method()
-        self._whole.append(HttpRequest(method, self._target, self._headers, bytes(self._body)))
+        self._complete.append(HttpRequest(method, self._target, self._headers, bytes(self._body)))
 
 
 _REASONS = {
@@ -222,6 +226,6 @@
 
 
 def response(status: int, body: bytes = b"", headers: bytes = b"") -> bytes:
-    """Write an answer down; `headers` are whole lines."""
+    """Encode a response; `headers` are complete lines, each with its CRLF."""
     head = f"HTTP/1.1 {status} {_REASONS.get(status, 'Unknown')}\r\n".encode("ascii")
     return b"%bContent-Length: %d\r\n%b\r\n%b" % (head, len(body), headers, body)
--- a/holdgw/wire/resp.py
+++ b/holdgw/wire/resp.py
@@ -1,7 +1,8 @@
-"""Clients' commands off the wire: arrays of bulk strings, read strictly and within bounds.
+"""RESP2: reads clients' commands strictly and within size limits, and encodes commands and values.
 
-Caches' answers are left to hiredis. For commands it would allocate whatever a header claims (an array of
-a thousand million places, say) before anything of it has come, and strangers write those headers.
+Answers of cache servers are parsed by hiredis. It is not used for commands, as these come from untrusted
+clients and it allocates what a header announces, such as an array of 10**9 elements, before any element has
+arrived.
 """
 
 from __future__ import annotations
@@ -10,31 +11,31 @@
 import re
 from functools import lru_cache
 
-MAX_VALUE = 64 << 10  # bytes that are buffered; a longer value is streamed
-LONGEST_VALUE = 16 << 20  # past which a length is no length; the longest values in use have 4 MiB
-MAX_PARTS = 5  # a KV.SET's
-MAX_WORD = 4 << 10  # all words of a command but its value together: far more than any has
-MAX_HEADER = 16  # a length line: its mark, digits and end
+MAX_BUFFERED_VALUE_BYTES = 64 << 10  # a longer value is streamed
+MAX_VALUE_BYTES = 16 << 20  # a larger length is treated as malformed; the longest values in use have 4 MiB
+MAX_ARGUMENTS = 5  # KV.SET has the most
+MAX_ARGUMENT_BYTES = 4 << 10  # for each argument except the value; far more than any has
+MAX_LENGTH_LINE_BYTES = 16  # the type byte, the digits and CRLF
 
-# The usual command in one look: what it does not match is read piece by piece, with the same result.
-_GET = re.compile(
+# Fast path for the common command in one read; other input is parsed incrementally, with the same result.
+_COMMON_GET = re.compile(
     rb"\*4\r\n\$6\r\nKV\.GET\r\n\$(\d{1,4})\r\n([^\r\n]*)\r\n"
     rb"\$(\d{1,3})\r\n([^\r\n]*)\r\n\$(\d{1,4})\r\n([^\r\n]*)\r\n"
 )
-_ID = re.compile(rb"[!-+\--~]{1,128}")  # printable, without space and comma
-_KEY_MOST = 1 << 10
-KNOWN_LISTS = 4096  # lists of names and values that are remembered; `d` differs by the millisecond
-KNOWN_LENGTH = 128  # bytes of one, at most: a megabyte or two in all
-_READ = b"*4\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n"
-_WRITE = b"*5" + _READ[2:] + b"$%d\r\n%b\r\n"
+_REQUEST_ID = re.compile(rb"[!-+\--~]{1,128}")  # printable, without space and comma
+_MAX_KEY_BYTES = 1 << 10
+INFO_CACHE_ENTRIES = 4096  # many, as lists differ in `d`, a number of milliseconds
+MAX_CACHED_INFO_BYTES = 128  # longer lists are not cached: the cache takes 1 to 2 MB at most
+_GET_FORMAT = b"*4\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n"
+_SET_FORMAT = b"*5" + _GET_FORMAT[2:] + b"$%d\r\n%b\r\n"
 
 
 class FramingError(Exception):
-    """The stream breaks the protocol's framing; the text is for the client."""
+    """The client's bytes are no valid RESP2 framing; the text is sent to the client."""
 
 
 class Info:
-    """A command's list of names and values, parsed; shared by all commands that have the same list."""
+    """The list of `name=value` fields of a command, parsed; shared by commands with an equal list."""
 
     __slots__ = (
         "_prefix",
@@ -47,8 +48,8 @@
     )
 
     def __init__(self, text: bytes) -> None:
-        """Parse the list; raises ValueError, with the text for the client."""
-        if not _plain(text) or b" " in text:
+        """Parse the list; raises ValueError with the error text for the client."""
+        if not _is_printable_ascii(text) or b" " in text:
             raise ValueError("the list must be plain text without spaces")
         fields = dict[str, str]()
         for part in text.decode("ascii").split(","):
@@ -72,113 +73,115 @@
         self._prefix, self._suffix = text[:start], text[start + len(timeout) :]  # around the value of `d`
 
     def with_timeout(self, timeout_ms: int) -> bytes:
-        """The list as the client wrote it, but for `d`, which is `timeout_ms` milliseconds (1 or more)."""
+        """The client's list with the value of `d` replaced by `timeout_ms` milliseconds (1 or more)."""
         return b"%b%d%b" % (self._prefix, timeout_ms, self._suffix)
 
 
-# Clients can make up any number of lists: only so many are remembered, and only short ones.
-_known_info = lru_cache(maxsize=KNOWN_LISTS)(Info)
+# The cache is bounded in entries and entry size, as clients can send any number of distinct lists.
+_cached_info = lru_cache(maxsize=INFO_CACHE_ENTRIES)(Info)
 
 
 class Command:
-    """A request as it came, and its list of names and values taken apart."""
+    """A client's KV.GET or KV.SET request; `value` is None for KV.GET."""
 
     __slots__ = ("id", "info", "key", "name", "value")
 
-    def __init__(self, name: bytes, key: bytes, request: bytes, info: Info, value: bytes | None) -> None:
-        self.name, self.key, self.id, self.info, self.value = name, key, request, info, value
+    def __init__(self, name: bytes, key: bytes, request_id: bytes, info: Info, value: bytes | None) -> None:
+        self.name, self.key, self.id, self.info, self.value = name, key, request_id, info, value
 
     def encode_with_timeout(self, timeout_ms: int) -> bytes:
         """The command for a cache server, with `d` of `timeout_ms` milliseconds (1 or more)."""
         info = self.info.with_timeout(timeout_ms)
-        name, key, request = self.name, self.key, self.id
-        words = (len(name), name, len(key), key, len(request), request, len(info), info)
+        name, key, request_id = self.name, self.key, self.id
+        words = (len(name), name, len(key), key, len(request_id), request_id, len(info), info)
         if self.value is None:
-            return _READ % words
-        return _WRITE % (*words, len(self.value), self.value)
+            return _GET_FORMAT % words
+        return _SET_FORMAT % (*words, len(self.value), self.value)
 
 
 class CommandReader:
-    """Cuts a client's bytes into commands, each a list of its words; buffers at most one that is partial."""
+    """Splits a client's bytes into commands, each a list of its words, and buffers a partial command."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._at = 0  # where the command under way begins
-        self._need = 1  # bytes from there on that it is known to need
+        self._start = 0  # offset of the current command in the buffer
+        self._min_bytes = 1  # known minimum length of the current command
         self.framing_error = ""
-        """Why the stream can't be followed any further, once that is so."""
+        """Why the input can't be parsed any further; empty while it can."""
 
     def feed(self, data: bytes) -> None:
-        """Take bytes."""
+        """Append received bytes to the buffer; they are dropped after a framing error."""
         if not self.framing_error:
             self._buffer += data
 
     @property
     def buffered(self) -> bytes:
         """The bytes that are buffered: of a partial command, and of complete ones not returned yet."""
-        return bytes(self._buffer[self._at :])
+        return bytes(self._buffer[self._start :])
 
     @property
     def has_partial_command(self) -> bool:
         """Whether bytes of a command are buffered."""
-        return len(self._buffer) > self._at
+        return len(self._buffer) > self._start
 
     def next_command(self) -> list[bytes] | None:
         """The next complete command; None where there is none yet, or `framing_error` is set."""
         if self.framing_error:
             return None
         words = None
-        # A command that arrives byte by byte is parsed again only once the bytes it is known to need are
-        # there; parsing at each byte would take time in the square of its length.
-        if len(self._buffer) - self._at >= self._need:
+        # A partial command is parsed again only once its known minimum length has arrived. Parsing it at each
+        # byte would take time quadratic in its length.
+        if len(self._buffer) - self._start >= self._min_bytes:
             try:
-                words = self._command()
+                words = self._parse_command()
             except FramingError as error:
                 self.framing_error = str(error)
                 self._buffer.clear()
-                self._at = 0
-        if words is None and self._at:
-            del self._buffer[: self._at]
-            self._at = 0
+                self._start = 0
+        if words is None and self._start:
+            del self._buffer[: self._start]
+            self._start = 0
         return words
 
-    def _command(self) -> list[bytes] | None:
-        data, begin = self._buffer, self._at
-        usual = _GET.match(data, begin)
-        if usual is not None:
-            key, request, info = usual[2], usual[4], usual[6]
-            lengths = int(usual[1]), int(usual[3]), int(usual[5])
-            if lengths == (len(key), len(request), len(info)) and max(lengths) <= MAX_WORD:
-                self._at, self._need = usual.end(), 1
-                return [b"KV.GET", key, request, info]
-        count, position = self._length(data, begin, b"*")
-        if position and not 1 <= count <= MAX_PARTS:
+    def _parse_command(self) -> list[bytes] | None:
+        data, begin = self._buffer, self._start
+        common = _COMMON_GET.match(data, begin)
+        if common is not None:
+            key, request_id, info = common[2], common[4], common[6]
+            lengths = int(common[1]), int(common[3]), int(common[5])
+            if lengths == (len(key), len(request_id), len(info)) and max(lengths) <= MAX_ARGUMENT_BYTES:
+                self._start, self._min_bytes = common.end(), 1
+                return [b"KV.GET", key, request_id, info]
+        count, position = self._parse_length_line(data, begin, b"*")
+        if position and not 1 <= count <= MAX_ARGUMENTS:
             raise FramingError("invalid multibulk length")
         words: list[bytes] = []
         while position and len(words) < count:
-            size, start = self._length(data, position, b"$")
+            size, start = self._parse_length_line(data, position, b"$")
             if not start:
                 position = 0
                 break
             position = start + size + 2
-            if size > MAX_VALUE or (len(words) < MAX_PARTS - 1 and size > MAX_WORD):
+            if size > MAX_BUFFERED_VALUE_BYTES or (
+                len(words) < MAX_ARGUMENTS - 1 and size > MAX_ARGUMENT_BYTES
+            ):
                 raise FramingError("invalid bulk length")
             if len(data) < position:
-                self._need = position - begin
+                self._min_bytes = position - begin
                 return None
             if data[position - 2 : position] != b"\r\n":
                 raise FramingError("bulk string without its end")
             words.append(bytes(data[start : position - 2]))
         if not position:
-            self._need = len(data) - begin + 1
+            self._min_bytes = len(data) - begin + 1
             return None
-        self._at, self._need = position, 1
+        self._start, self._min_bytes = position, 1
         return words
 
-    def _length(self, data: bytearray, begin: int, mark: bytes) -> tuple[int, int]:
-        """A length line's number and where the line ends; 0 where it is not whole."""
-        end = data.find(b"\r\n", begin, begin + MAX_HEADER)
-        if end < 0 and len(data) - begin < MAX_HEADER and mark.startswith(data[begin : begin + 1]):
+    def _parse_length_line(self, data: bytearray, begin: int, mark: bytes) -> tuple[int, int]:
+        """Parse a length line; returns its number and the offset behind it, 0 where it is incomplete."""
+        end = data.find(b"\r\n", begin, begin + MAX_LENGTH_LINE_BYTES)
+        if end < 0 and len(data) - begin < MAX_LENGTH_LINE_BYTES and mark.startswith(data[begin : begin + 1]):
             return 0, 0
         digits = data[begin + 1 : end] if end > 0 else bytearray()
         if data[begin : begin + 1] != mark or not digits.isdigit():
@@ -187,33 +190,33 @@
 
 
 def parse_request(words: list[bytes]) -> Command:
-    """Read KV.GET or KV.SET; raises ValueError with the client's error text."""
+    """Check a KV.GET or KV.SET command; raises ValueError with the error text for the client."""
     name = words[0].upper()
     if name not in (b"KV.GET", b"KV.SET"):
         raise ValueError("unknown command")
     is_write = name == b"KV.SET"
     if len(words) != (5 if is_write else 4):
         raise ValueError(f"wrong number of arguments for {name.decode()}")
-    key, request, info = words[1:4]
-    # These words become HTTP lines at the origin, where a line break would forge a header; and a cache server
-    # closes a connection on what it can't read, with all that waits there. So they are checked here.
-    if not _ID.fullmatch(request):
+    key, request_id, info = words[1:4]
+    # The arguments become HTTP lines at the origin, where a line break would inject a header. A cache server
+    # closes a connection on which it can't parse a command, and all requests that wait there are lost.
+    if not _REQUEST_ID.fullmatch(request_id):
         raise ValueError("id must be plain text without spaces or commas")
     try:
-        if not key or len(key) > _KEY_MOST or not key.decode().isprintable() or b" " in key:
+        if not key or len(key) > _MAX_KEY_BYTES or not key.decode().isprintable() or b" " in key:
             raise ValueError("key must be text without spaces")
     except UnicodeDecodeError:
         raise ValueError("key must be text without spaces") from None
-    known = _known_info(info) if len(info) <= KNOWN_LENGTH else Info(info)
-    return Command(name, key, request, known, words[4] if is_write else None)
+    parsed_info = _cached_info(info) if len(info) <= MAX_CACHED_INFO_BYTES else Info(info)
+    return Command(name, key, request_id, parsed_info, words[4] if is_write else None)
 
 
-def _plain(word: bytes) -> bool:
+def _is_printable_ascii(word: bytes) -> bool:
     return bool(word) and word.isascii() and word.decode("ascii").isprintable()
 
 
-def bulk_head(length: int) -> bytes:
-    """Begin a bulk string of so many bytes; CRLF ends it."""
+def bulk_header(length: int) -> bytes:
+    """Encode the header of a bulk string of `length` bytes; the value and CRLF follow."""
     return b"$%d\r\n" % length
 
 
@@ -228,11 +231,11 @@
 
 
 def parse_load(report: bytes, names: tuple[str, ...]) -> tuple[float, ...] | None:
-    """Read a load report into the order of the settings; None where a value is missing or no number."""
+    """Parse a load report into the order of `names`; None where a value is missing or not a finite number."""
     try:
         values = dict(part.split("=", 1) for part in report.decode("ascii").split(","))
         load = tuple(float(values[name]) for name in names)
     except (ValueError, KeyError):
         return None
-    # float() reads inf and nan, which would spoil every sum they enter.
+    # float() accepts inf and nan, which would make every sum that includes them inf or nan.
     return load if load and all(map(math.isfinite, load)) else None
--- a/tests/router/test_long_values.py
+++ b/tests/router/test_long_values.py
@@ -12,7 +12,7 @@
 from holdgw.policy import Outcome, RoutingPolicy, StreamStarted
 from holdgw.router import client_connection, streamed_value
 from holdgw.wire.http import HttpError, ResponseReader
-from holdgw.wire.resp import LONGEST_VALUE, MAX_VALUE
+from holdgw.wire.resp import MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES
 from tests.emulated_nodes import LIMIT_S, MISS, LoopbackRouter, LoopbackServer, command, entry, read, run
 from tests.helpers import ended, fleet, only_send, request, sends, settings, started
 
@@ -114,7 +114,7 @@
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-@pytest.mark.parametrize("size", [MAX_VALUE, MAX_VALUE + 1, len(VALUE)])
+@pytest.mark.parametrize("size", [MAX_BUFFERED_VALUE_BYTES, MAX_BUFFERED_VALUE_BYTES + 1, len(VALUE)])
 def test_a_value_comes_whole_whatever_its_length_and_the_connection_serves_on(size: int) -> None:
     async def test() -> None:
         value = VALUE[:size]
@@ -160,8 +160,8 @@
 
         async def all_of_it(writer: Writer) -> bool:
             nonlocal gone
-            writer.write(head(LONGEST_VALUE))
-            for _ in range(LONGEST_VALUE // (64 << 10)):
+            writer.write(head(MAX_VALUE_BYTES))
+            for _ in range(MAX_VALUE_BYTES // (64 << 10)):
                 writer.write(VALUE[: 64 << 10])
                 await writer.drain()
                 gone += 64 << 10
@@ -180,12 +180,12 @@
             while seen != gone:  # until nothing moves any more
                 seen = gone
                 await asyncio.sleep(0.2)
-            assert gone < LONGEST_VALUE // 2
+            assert gone < MAX_VALUE_BYTES // 2
             (connection,) = scene.node.clients.connections
             assert connection.transport is not None
             assert connection.transport.get_write_buffer_size() < 1 << 20
             length = 0
-            while length < LONGEST_VALUE:
+            while length < MAX_VALUE_BYTES:
                 length += len(await asyncio.wait_for(reader.read(1 << 20), LIMIT_S))
             writer.close()
             await scene.at_rest()
@@ -252,7 +252,7 @@
         go = asyncio.Event()
 
         async def all_of_it(writer: Writer) -> bool:
-            writer.write(head(LONGEST_VALUE) + VALUE[:100])
+            writer.write(head(MAX_VALUE_BYTES) + VALUE[:100])
             await go.wait()
             for _ in range(4):
                 writer.write(VALUE)
@@ -309,7 +309,7 @@
 
 def test_a_client_that_leaves_midway_ends_the_servers_sending() -> None:
     async def test() -> None:
-        async with Scene(Giver(gives(head(LONGEST_VALUE), VALUE, VALUE))) as scene:
+        async with Scene(Giver(gives(head(MAX_VALUE_BYTES), VALUE, VALUE))) as scene:
             reader, writer = await scene.ask("a")
             await took(reader, 10)
             writer.transport.abort()
@@ -337,7 +337,7 @@
     monkeypatch.setattr(client_connection, "STREAM_STALL_TIMEOUT_S", 0.2)
 
     async def test() -> None:
-        async with Scene(Giver(gives(head(LONGEST_VALUE), *[VALUE] * 4, TAIL))) as scene:
+        async with Scene(Giver(gives(head(MAX_VALUE_BYTES), *[VALUE] * 4, TAIL))) as scene:
             _, writer = await scene.ask("a")
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             await asyncio.wait_for(scene.cache.left.wait(), LIMIT_S)
@@ -385,7 +385,7 @@
     "told",
     [
         page(b"x" * 100),  # neither a length nor a word that the close ends it
-        page(VALUE[:100], b"Content-Length: %d" % (LONGEST_VALUE + 1)),
+        page(VALUE[:100], b"Content-Length: %d" % (MAX_VALUE_BYTES + 1)),
         page(chunks(VALUE * 3), b"Transfer-Encoding: chunked"),  # more than there is room to hold
     ],
     ids=["no length", "too long", "no room"],
@@ -405,10 +405,10 @@
 def test_a_body_that_ends_with_its_connection_is_whole_only_by_a_good_end() -> None:
     reader = ResponseReader(1000)
     assert not reader.read(page(b"abc", b"Connection: close"))
-    assert reader.ended()
+    assert reader.connection_closed()
     assert (reader.status, bytes(reader.body)) == (200, b"abc")
     assert not reader.finish_response()
-    assert not reader.ended()
+    assert not reader.connection_closed()
     with pytest.raises(HttpError):
         ResponseReader(1000).read(page(b"abc"))
 
@@ -435,7 +435,7 @@
 def test_a_long_command_is_still_none() -> None:
     async def test() -> None:
         async with Scene(Giver()) as scene:
-            data = command(b"KV.SET", b"k", b"id", b"c=edit,d=500,k=1", b"x" * (MAX_VALUE + 1))
+            data = command(b"KV.SET", b"k", b"id", b"c=edit,d=500,k=1", b"x" * (MAX_BUFFERED_VALUE_BYTES + 1))
             assert (await scene.node.ask(data, 4)) == b"-ERR"
 
     run(test)
--- a/tests/wire/test_resp.py
+++ b/tests/wire/test_resp.py
@@ -38,6 +38,6 @@
     data = b"".join(command(*words) for words in commands) + rest
     usual = read(data, cuts)
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(resp, "_GET", NEVER)
+        patch.setattr(resp, "_COMMON_GET", NEVER)
         assert read(data, cuts) == usual
     assert usual[0] == [list(words) for words in commands][: len(usual[0])]
