--- a/holdgw/router/client_connection.py
+++ b/holdgw/router/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's RESP2 connection: reads commands, writes answers in the order of the commands, and its end."""
+"""One client's RESP2 connection: reads commands, answers them in order, enforces timeouts and closes."""
 
 from __future__ import annotations
 
@@ -18,38 +18,38 @@
     from holdgw.router.client_listener import ClientListener
 
 MAX_PIPELINE = 256
-"""Commands of one connection without an answer; more stay unread."""
-ARRIVED_BEFORE_S = 0.02
-"""After connecting: what is read later had not waited for this process."""
+"""Commands of one connection that may be unanswered; more stay unread."""
+WAITED_INPUT_WINDOW_S = 0.02
+"""Only input that is read within this time after connecting can have waited for this process."""
 COMMAND_TIMEOUT_S = 2.3
-"""For a command to be complete, and for a new connection's first one; clients are promised 3 s."""
+"""For a command to arrive completely, and for the first command; clients are promised 3 s."""
 WRITE_STALL_TIMEOUT_S = 3.0
-"""For a client to accept something of the answers that wait for it."""
+"""For a client to accept any bytes of the answers that wait for it."""
 STREAM_STALL_TIMEOUT_S = 8.0
-"""The same within a streamed answer: clients take seconds to read a long value."""
+"""The same within a streamed answer, as clients take seconds to read a long value."""
 FIRST_COMMAND_S = 0.3
-"""For a new connection's first command; a connection without one counts as silent then."""
+"""A new connection without a command counts as silent after this time."""
 
 log = logging.getLogger("holdgw")
 
 
 class RequestHandler(Protocol):
-    """Takes the requests of clients."""
+    """Serves or rejects the requests of clients."""
 
     ready: bool
     """Whether there is an endpoint list, so that requests can be served."""
 
     def request_arrived(self, command: Command, reply: Reply) -> None:
-        """Serve a request; `reply` takes its answer."""
+        """Serve a request and send its answer through `reply`."""
 
     def reject(self, command: Command, reply: Reply) -> None:
-        """Reject a request because its connection is one too many."""
+        """Reject a request because its connection exceeds the limit."""
 
     def client_disconnected(self, reply: Reply) -> None:
-        """Note that the client that waits for this reply has gone."""
+        """Note that the client that waits for this reply has disconnected."""
 
     def unread_since(self) -> int:
-        """Since when input of this process may lie unread, nanoseconds of its monotonic clock."""
+        """The time since which this process may have unread input, nanoseconds of its monotonic clock."""
 
 
 class ClientConnection:
@@ -61,7 +61,7 @@
         handover: ClientHandover | None = None,
         possible_wait_ns: int = 0,
     ) -> None:
-        """Create a connection that is accepted, or taken over from another process with `handover`.
+        """Create an accepted connection, or one taken over from another process with `handover`.
 
         `possible_wait_ns`: how long its unread input may have waited for this process.
         """
@@ -69,18 +69,18 @@
         self.possible_wait_ns = possible_wait_ns
         self.transport: asyncio.Transport | None = None
         self.replies: deque[Reply] = deque()  # in the order of the commands; the first is written next
-        self.write_blocked = False  # the client does not accept what it asked for
+        self.write_blocked = False  # too many bytes of answers are unsent
         self.closed = False
-        self.last_active_at = listener.loop.time()  # seconds: input came, or output was accepted
-        self.command_started_at = self.last_active_at  # seconds: the command that is being received
+        self.last_active_at = listener.loop.time()  # seconds; when input arrived or output was accepted
+        self.command_started_at = self.last_active_at  # seconds; when the current command began to arrive
         self.has_sent_command = False
-        self.rejecting = False  # one connection too many: its first request is rejected
+        self.rejecting = False  # above the limit of connections: the first request is rejected
         self._handover = handover
         self._connected_at = 0.0
         self._reader = CommandReader()
         self._reading = True
         self._parsing = False
-        self._closing_after_replies = False  # nothing more is read
+        self._closing_after_replies = False  # no further commands are read
         self._closing_when_idle = False
         self._handing_over = False  # further commands are left to the new process
         self._unsent_at_last_check = 0
@@ -102,19 +102,19 @@
             self.command_started_at = self.last_active_at
             if handover.pending_bytes:
                 self._reader.feed(handover.pending_bytes)
-                self._take_commands()
+                self._process_commands()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Release what belongs to a client that is gone."""
+        """Release the resources of a disconnected client."""
         self._on_disconnected()
 
     def eof_received(self) -> bool:
-        """Treat a client that ends its sending as gone."""
+        """Treat a client that shuts down its sending side as disconnected."""
         self._on_disconnected()
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Read commands; an exception here costs this connection and no other."""
+        """Read commands; an exception here closes this connection and no other."""
         if self._lingering is not None:
             self._lingering.discard(data)
             self._update_reading()
@@ -122,22 +122,22 @@
         if self._closing_after_replies or self.closed:
             return
         self.last_active_at = self.listener.loop.time()
-        if self.possible_wait_ns and self.last_active_at - self._connected_at > ARRIVED_BEFORE_S:
+        if self.possible_wait_ns and self.last_active_at - self._connected_at > WAITED_INPUT_WINDOW_S:
             self.possible_wait_ns = 0
         if not self._reader.has_partial_command:
             self.command_started_at = self.last_active_at
         self._reader.feed(data)
-        self._take_commands()
+        self._process_commands()
         self.possible_wait_ns = 0
 
     def pause_writing(self) -> None:
-        """Read no more from a client that does not accept its answers."""
+        """Stop reading from a client that does not accept its answers."""
         self.write_blocked = True
         self.last_active_at = self.listener.loop.time()
         self._update_reading()
 
     def resume_writing(self) -> None:
-        """Go on with a client that accepts answers again."""
+        """Read from and write to a client that accepts answers again."""
         self.write_blocked = False
         self._update_reading()
         self.flush()
@@ -146,7 +146,7 @@
 
     @property
     def taken_over(self) -> bool:
-        """Whether it comes from another process, and is not connected yet."""
+        """Whether the connection is taken over from another process and has no transport yet."""
         return self._handover is not None
 
     @property
@@ -156,12 +156,12 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is between requests."""
+        """Whether no command is unanswered or partly received."""
         return not self.replies and not self._reader.has_partial_command
 
     @property
     def is_lingering(self) -> bool:
-        """Whether its last answer is written, and it waits for the client's end."""
+        """Whether a lingering close is under way."""
         return self._lingering is not None
 
     def unread_ns(self) -> int:
@@ -169,10 +169,11 @@
         return unread_ns(self.transport)
 
     def check_disconnected(self) -> bool:
-        """Ask the kernel whether the client is gone, and drop the connection if so.
+        """Ask the kernel whether the client has disconnected; if so, drop the connection.
 
-        Its end may lie unread: nothing is read of a client that accepts nothing or has too many requests out,
-        nor while this process is stalled. Requests would be forwarded for it long after it left.
+        The end of its input may be unread: the router doesn't read from a client that accepts nothing or has
+        too many unanswered requests, nor while the process is stalled. Without this check requests would be
+        forwarded long after their client left.
         """
         if not self.closed and self.transport is not None and self.listener.peer_closed(self.transport):
             self.abort()
@@ -180,12 +181,12 @@
 
     @property
     def _awaits_first_command(self) -> bool:
-        # A connection that is accepted as the router shuts down has its command unread, and would be closed
-        # without an answer.
+        # Without this time, a connection accepted during the graceful shutdown would be closed before its
+        # first command is read, and would get no answer.
         return not self.has_sent_command and self.listener.loop.time() - self._connected_at <= FIRST_COMMAND_S
 
     def is_silent(self, now_s: float) -> bool:
-        """Whether it has had its time for a first command, and nothing is owed to it."""
+        """Whether the time for a first command has passed without one, and no answer is due."""
         return (
             not self.has_sent_command
             and not self.replies
@@ -194,9 +195,9 @@
 
     # Commands and answers
 
-    def _take_commands(self) -> None:
-        # An answer that is given at once comes back here through flush; the loop below goes on then. Commands
-        # past MAX_PIPELINE have waited here, with the client's end perhaps unread behind them.
+    def _process_commands(self) -> None:
+        # An immediate answer calls this method again through flush; the outer call continues its loop then.
+        # Commands past MAX_PIPELINE have waited in the buffer, perhaps with the end of the input unread.
         if self._parsing or (not self._reading and self.check_disconnected()):
             return
         self._parsing = True
@@ -217,7 +218,7 @@
             if words is None:
                 break
             self.command_started_at = self.last_active_at
-            self._take_command(words)
+            self._process_command(words)
         if self._reader.framing_error and not self._closing_after_replies:
             self._add_reply().send_error_and_close(f"Protocol error: {self._reader.framing_error}")
 
@@ -226,7 +227,7 @@
         self.replies.append(reply)
         return reply
 
-    def _take_command(self, words: list[bytes]) -> None:
+    def _process_command(self, words: list[bytes]) -> None:
         reply = self._add_reply()
         handler = self.listener.handler
         if len(words) == 1 and words[0].upper() == b"PING":
@@ -246,7 +247,7 @@
         handler.request_arrived(command, reply)
 
     def flush(self) -> None:
-        """Write the answers that are next in order."""
+        """Write the answers that are due in command order."""
         replies = self.replies
         while replies and self.transport is not None:
             answer = replies[0].answer
@@ -263,14 +264,14 @@
                 self._start_lingering_close()
             return
         if self._reader.has_partial_command or not self._reading:
-            self._take_commands()  # commands that were past MAX_PIPELINE
+            self._process_commands()  # commands that were past MAX_PIPELINE
         if self._closing_when_idle and self.is_idle:
             self._start_lingering_close()
 
     def _update_reading(self) -> None:
         if self._lingering is not None:
             wanted = self._lingering.accepts_input
-        else:  # a client that leaves while nothing is read is found by check_disconnected
+        else:  # check_disconnected finds a client that disconnects while reading is paused
             wanted = not (
                 self.write_blocked
                 or self._closing_after_replies
@@ -285,19 +286,19 @@
         else:
             self.transport.pause_reading()
 
-    # Its end
+    # Closing
 
     def fail_and_close(self, reply: Reply, message: str) -> None:
-        """Answer with an error, and close once everything before it is answered."""
+        """Answer with an error, and close once all earlier commands are answered."""
         self._closing_after_replies = True
         self._update_reading()
         reply.send(b"-ERR %b\r\n" % message.encode())
 
     def close_amid_answer(self) -> None:
-        """Close behind the written part of an answer that can't be completed.
+        """Close after the written part of an answer that can't be completed.
 
-        The client would take the next answer's bytes for the rest of this one's. The requests behind it are
-        lost with the connection.
+        The client would read the next answer's bytes as the rest of this one. The later requests on the
+        connection are lost.
         """
         self._closing_after_replies = True
         if self.transport is not None:
@@ -313,27 +314,29 @@
         if not self.replies and (even_mid_command or not unfinished):
             self._start_lingering_close()
         elif even_mid_command:
-            # A client that always has a request out would be served until SIGKILL, and lose one.
+            # A client that always has an unanswered request would be served until SIGKILL, and lose one then.
             self._closing_after_replies = True
             self._update_reading()
 
     def evict(self, at_once: bool) -> None:
-        """Give up its descriptor for another connection, with a lingering close unless `at_once`."""
+        """Close to free the descriptor for another connection; `at_once`: without a lingering close."""
         if at_once:
             self.abort()
         else:
             self._start_lingering_close()
 
     def abort(self) -> None:
-        """Close at once; what is unsent is dropped."""
+        """Close at once and drop unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
         self._on_disconnected()
 
     def hand_over(self, send: Callable[[ClientHandover, int], None], stop_reading: bool) -> bool:
-        """Pass the connection to another process by `send`, unless a request is unanswered; returns whether.
+        """Pass the connection to another process if no request is unanswered; returns whether it was passed.
 
-        `stop_reading`: take no more commands, so that this is soon the case.
+        Args:
+            send: Called with the connection's state and a duplicate of its descriptor.
+            stop_reading: Whether to read no more commands, so that no request is unanswered soon.
         """
         transport = self.transport
         if transport is None or self.closed or self._closing_after_replies or self._lingering is not None:
@@ -346,8 +349,8 @@
         buffered = self._reader.buffered
         if len(buffered) > MAX_PENDING_COMMAND_BYTES:
             return False
-        # Input between the descriptor's copy and the close would be read here and lost. There is none: both
-        # happen in one turn of the loop, and the copy keeps the socket open.
+        # Input that this process reads between the duplication and the close would be lost. None is read, as
+        # both happen in one turn of the event loop; the duplicate keeps the socket open.
         descriptor = self.listener.duplicate(transport)
         since = self.command_started_at if self._reader.has_partial_command else self.last_active_at
         waited_s = max(self.listener.loop.time() - since, 0.0)
@@ -383,19 +386,20 @@
     # Timeouts
 
     def enforce_timeouts(self, now_s: float, idle_timeout_s: float) -> None:
-        """Drop a client that neither accepts nor sends: it holds memory and a descriptor."""
+        """Close if the client neither accepts nor sends: the connection holds memory and a descriptor."""
         if self.transport is None:
             return
         unsent = self.unsent_bytes
-        # The kernel keeps a closing connection open for a quarter of an hour where the client accepts
-        # nothing, and what is left may be too little to count as blocked.
+        # If the client accepts nothing, the kernel keeps a closing connection open for 15 minutes. The bytes
+        # left may be too few to set `write_blocked`.
         if self.write_blocked or self.transport.is_closing() or (self._lingering is not None and unsent):
             self._check_write_stall(now_s, unsent)
         elif self.replies or self._closing_after_replies:
             return
         elif not self.has_sent_command or self._reader.has_partial_command:
-            # Half a command, a byte now and then, or nothing at all would hold a descriptor for ever. A
-            # client that connects ahead of its first request has this time, or has to reconnect.
+            # A client that sends a partial command, a byte from time to time, or nothing would hold a
+            # descriptor forever. A client that connects before it has a request must send it in this time, or
+            # reconnect.
             if now_s - self.command_started_at > COMMAND_TIMEOUT_S:
                 self._add_reply().send_error_and_close("Protocol error: no whole command in time")
         elif now_s - self.last_active_at > idle_timeout_s:
--- a/holdgw/router/client_listener.py
+++ b/holdgw/router/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections, bounds their number and memory, drains them and hands them over."""
+"""Accepts clients' connections, limits their number and memory, and closes them or hands them over."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from holdgw.wire.address import Address
 
 LISTEN_BACKLOG = 1024
-"""Connections that arrive while the loop is busy."""
+"""Connections that the kernel queues while the event loop is busy."""
 IDLE_TIMEOUT_S = 30.0
 """For a connection between requests."""
 BUSY_IDLE_TIMEOUT_S = 2.2
-"""The same where connections are many; clients are promised 2 s."""
+"""The same above BUSY_FRACTION; clients are promised 2 s."""
 BUSY_FRACTION = 0.25
-"""Connections are many above this fraction of the limit."""
+"""Fraction of the limit of connections above which BUSY_IDLE_TIMEOUT_S applies."""
 MAX_IDLE_FRACTION = 0.4
 """Fraction of the limit that connections between requests may take."""
 MIN_IDLE_S = 0.3
 """Idle time before a connection is closed because too many are idle."""
 MAX_REJECTING_CONNECTIONS = 32
-"""Connections over the limit whose requests are rejected."""
+"""Connections above the limit that are accepted only to reject their requests."""
 SWEEP_INTERVAL_S = 0.25
 DEFAULT_MAX_UNSENT_BYTES = 8 << 20
 
@@ -53,17 +53,20 @@
     ) -> None:
         """Create a listener that does not accept yet.
 
-        `limit`: connections that are served at a time. `peer_closed`: whether the other side of a transport
-        is closed, be that read or not. `max_unsent_bytes`: answers that all clients together may leave
-        unaccepted.
+        Args:
+            loop: The event loop.
+            handler: Serves the requests.
+            limit: Connections that are served at a time.
+            peer_closed: Whether the other side of a transport is closed, even if its end is unread.
+            max_unsent_bytes: Limit for the unsent answers of all clients together.
         """
         self.loop = loop
         self.handler = handler
         self.peer_closed = peer_closed
         self.duplicate: Callable[[Any], int] = duplicate_descriptor
-        """Duplicates a transport's descriptor for another process; whoever passes it on closes it."""
+        """Duplicates a transport's descriptor for another process; the sender closes the duplicate."""
         self.lingering: dict[ClientConnection, None] = {}
-        """Connections in a lingering close, the longest first."""
+        """Connections in a lingering close, the oldest first."""
         self._limit = limit
         self._max_unsent_bytes = max_unsent_bytes
         self._connections: dict[ClientConnection, None] = {}
@@ -71,7 +74,7 @@
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     async def listen(self, address: Address, passed: socket.socket | None = None) -> Address:
-        """Accept clients at this address, or on a socket that listens already; returns the address."""
+        """Accept clients at `address`, or on `passed`, a listening socket; returns the bound address."""
         factory: Any = partial(ClientConnection, self)
         create = partial(self.loop.create_server, factory, backlog=LISTEN_BACKLOG)
         self._server = await (create(*address) if passed is None else create(sock=passed))
@@ -86,9 +89,10 @@
             self._server = None
 
     def accept_queued(self) -> list[int]:
-        """Accept the connections that wait in the kernel, within the limit; returns their descriptors.
+        """Accept the connections in the kernel's queue, within the limit; returns their descriptors.
 
-        Closing the listening socket would reset them, with requests that the machine has acknowledged.
+        Closing the listening socket would reset these connections, and lose requests that the kernel has
+        already acknowledged.
         """
         server: Any = self._server
         if server is None:
@@ -98,24 +102,24 @@
 
     @property
     def connection_count(self) -> int:
-        """Connections now."""
+        """The number of open connections."""
         return len(self._connections)
 
     @property
     def connections(self) -> tuple[ClientConnection, ...]:
-        """The connections now, the oldest first."""
+        """The open connections, the oldest first."""
         return tuple(self._connections)
 
     def set_limit(self, limit: int) -> None:
-        """Serve so many connections at a time; those above it that are open stay."""
+        """Serve at most `limit` connections at a time; connections above it that are open stay open."""
         self._limit = limit
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Admit a new connection, evicting another if need be."""
-        if connection.taken_over:  # it counted in the old process, which is about to end
+        """Admit a new connection; at the limit, evict another one or have this one reject its requests."""
+        if connection.taken_over:  # it was counted in the old process, which is about to end
             self._connections[connection] = None
             return
-        # Without the limit, clients that only connect would leave no descriptors for endpoints or others.
+        # Without a limit, clients that only connect would leave no descriptors for endpoints or others.
         full = len(self._connections) >= self._limit + MAX_REJECTING_CONNECTIONS
         if full and self.lingering:
             next(iter(self.lingering)).abort()
@@ -132,15 +136,15 @@
         self._connections[connection] = None
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self._connections.pop(connection, None)
         self.lingering.pop(connection, None)
 
     def _eviction_candidate(self) -> ClientConnection | None:
         """The connection to evict: a silent one if there is any, else the one idle longest.
 
-        By idle time alone a flood of silent connections would evict the clients that send requests; and if
-        connections with half a command were kept, they would have every new client rejected.
+        By idle time alone, a flood of silent connections would evict the clients that send requests. If
+        connections with a partial command were kept, they would have every new client rejected.
         """
         now = self.loop.time()
         return min(
@@ -158,17 +162,25 @@
     async def adopt(
         self, handover: ClientHandover | None, descriptor: int, possible_wait_ns: int = 0
     ) -> None:
-        """Take a connection over from another process; `handover` None: nothing was read of it there.
+        """Take a connection over from another process.
 
-        `possible_wait_ns`: how long its unread input may have waited. Raises OSError.
+        Args:
+            handover: The connection's state; None if the other process read nothing from it.
+            descriptor: The descriptor of its socket, which the connection owns from now on.
+            possible_wait_ns: How long its unread input may have waited, nanoseconds.
+
+        Raises:
+            OSError: The descriptor can't be used as a connection.
         """
         factory: Any = partial(ClientConnection, self, handover, possible_wait_ns)
         await self.loop.connect_accepted_socket(factory, socket.socket(fileno=descriptor))
 
     def hand_over(self, send: Callable[[ClientHandover, int], None], stop_reading: bool) -> int:
-        """Pass to another process each connection without an unanswered request; returns their number.
+        """Pass each connection without an unanswered request to another process; returns their number.
 
-        `send` takes the state and a descriptor; `stop_reading`: take no more commands on the others.
+        Args:
+            send: Called with a connection's state and a duplicate of its descriptor.
+            stop_reading: Whether to read no more commands on the other connections.
         """
         handed_over = 0
         for connection in self.connections:
@@ -179,10 +191,10 @@
                 log.warning("client connection not handed over, will retry error=%s", error)
         return handed_over
 
-    # Drain and sweep
+    # Graceful close and sweep
 
     def close_gracefully(self, even_mid_command: bool) -> None:
-        """Close connections between requests; `even_mid_command`: also those amid an incomplete command."""
+        """Close connections between requests; `even_mid_command`: also those with a partial command."""
         for connection in self.connections:
             connection.close_gracefully(even_mid_command)
 
@@ -204,9 +216,9 @@
         self._bound_idle_connections(now)
 
     def _bound_idle_connections(self, now_s: float) -> None:
-        """Close the connections idle longest, where idle ones take too much of the limit.
+        """Close the connections idle longest if idle ones exceed MAX_IDLE_FRACTION of the limit.
 
-        Clients that send one request and stay connected would leave no connections for others.
+        Clients that send one request and stay connected would otherwise leave no connections for others.
         """
         idle = [
             connection
@@ -221,10 +233,10 @@
                 connection.close_gracefully(even_mid_command=False)
 
     def _bound_unsent_bytes(self) -> None:
-        """Drop the clients with the most unsent bytes, where these take too much memory.
+        """Close the clients with the most unsent bytes if all unsent bytes exceed the limit.
 
-        A few clients that pipeline hundreds of requests and accept nothing hold megabytes each, long before
-        WRITE_STALL_TIMEOUT_S is over. A client that is only slow may be dropped with them.
+        A client that pipelines hundreds of requests and accepts nothing holds megabytes long before
+        WRITE_STALL_TIMEOUT_S has passed. A client that is only slow may be closed as well.
         """
         unsent = sum(connection.unsent_bytes for connection in self._connections)
         if unsent <= self._max_unsent_bytes:
--- a/holdgw/router/connection_close.py
+++ b/holdgw/router/connection_close.py
@@ -1,7 +1,8 @@
-"""The lingering close of a client's connection: our side ends first, then we wait for the client's end.
+"""The lingering close of a client's connection: the router shuts down its side, then waits for the client's.
 
-Closing a socket with unread bytes resets the connection, and the reset may overtake the last answer. So input
-is read and discarded until the client ends its side (RFC 9112, section 9.6, describes the same for HTTP).
+Closing a socket with unread bytes resets the connection, and the reset may discard the last answer before
+the client reads it. Input is therefore read and discarded until the client closes its side (RFC 9112, section
+9.6, describes the same for HTTP).
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
     from holdgw.router.client_connection import ClientConnection
 
 LINGER_TIMEOUT_S = 0.5
-"""How long a client may take to end its side; each lingering connection holds a descriptor so long."""
+"""How long a client may take to close its side; meanwhile the connection holds a descriptor."""
 MAX_DISCARDED_BYTES = 256 << 10
-"""Input that is read and discarded meanwhile; a flood beyond it stays in the kernel's buffers."""
+"""Input that is read and discarded meanwhile; more stays in the kernel's buffers."""
 
 
 class LingeringClose:
-    """Waits for the end of the other side, and closes the connection when that takes too long."""
+    """Discards input until the client closes its side, and aborts the connection after a timeout."""
 
     __slots__ = ("_connection", "_loop", "_timer", "discarded_bytes")
 
@@ -27,16 +28,16 @@
         self._connection = connection
         self._loop = loop
         self.discarded_bytes = 0
-        """Input that came since, in bytes."""
+        """Input received since the start of the close."""
         self._timer = loop.call_later(LINGER_TIMEOUT_S, self._timed_out)
 
     def discard(self, data: bytes) -> None:
-        """Count input that is dropped."""
+        """Count input that is discarded."""
         self.discarded_bytes += len(data)
 
     @property
     def accepts_input(self) -> bool:
-        """Whether more input should be read, to be discarded."""
+        """Whether more input should be read and discarded."""
         return self.discarded_bytes <= MAX_DISCARDED_BYTES
 
     def cancel(self) -> None:
@@ -44,8 +45,8 @@
         self._timer.cancel()
 
     def _timed_out(self) -> None:
-        # A client that is slow to accept a large answer still gets the rest of it. One that accepts nothing
-        # is dropped by ClientConnection.enforce_timeouts.
+        # A client that is slow to accept a large answer still gets the rest of it.
+        # ClientConnection.enforce_timeouts drops one that accepts nothing.
         if self._connection.unsent_bytes and not self._connection.closed:
             self._timer = self._loop.call_later(LINGER_TIMEOUT_S, self._timed_out)
         else:
--- a/holdgw/router/error_answers.py
+++ b/holdgw/router/error_answers.py
@@ -1,4 +1,4 @@
-"""The error lines (RESP2 simple errors) by which a request ends without a value."""
+"""The RESP2 simple errors that answer a request without a value."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def busy(retry_after_ns: int) -> bytes:
-    """The answer to a rejected request; it names the Retry-After in milliseconds, rounded up, if over 0."""
+    """Encode the answer to a rejected request; a Retry-After over 0 is in milliseconds, rounded up."""
     if retry_after_ns <= 0:
         return BUSY
     return b"-BUSY %d\r\n" % -(-retry_after_ns // NS_PER_MS)
--- a/holdgw/router/open_request.py
+++ b/holdgw/router/open_request.py
@@ -1,4 +1,4 @@
-"""Requests that are owed an answer or have attempts in flight, and the ids of requests released lately."""
+"""Requests that are unanswered or have attempts in flight, and the ids of recently released requests."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     def __init__(
         self, request_id: str, command: Command, reply: Reply, deadline_ns: int, arrived_ns: int
     ) -> None:
-        """Times are of the router's monotonic clock."""
+        """Create an unanswered request; times are nanoseconds of the router's monotonic clock."""
         self.id = request_id
         self.command = command
         self.reply = reply
@@ -46,35 +46,35 @@
         self.attempts = 0
         self.attempts_in_flight = 0
         self.answered = False
-        """The final answer is given, or begun where its value is streamed; or the client has left."""
+        """Whether the answer is sent, or started if it is streamed, or the client has disconnected."""
         self.last_attempt: Attempt | None = None
         self.stream: StreamedValue | None = None
-        """The long value that is being passed on as the answer."""
+        """The long value that is being streamed as the answer."""
 
     def remaining_ms(self, now_ns: int) -> int:
-        """Whole milliseconds until the deadline, rounded down; 0 or less is too little for an attempt."""
+        """Milliseconds until the deadline, rounded down; below 1 there is no time for an attempt."""
         return (self.deadline_ns - now_ns) // NS_PER_MS
 
 
 class OpenRequestTable:
-    """The open requests by id, and the ids of the last MAX_RECENT_IDS requests that were released."""
+    """The open requests by id, and the ids of the last MAX_RECENT_IDS released requests."""
 
     def __init__(self, max_open: int) -> None:
-        """`max_open`: the number of requests from which on the table is full."""
+        """Create an empty table that is full at `max_open` open requests."""
         self.by_id: dict[str, OpenRequest] = {}
         self._max_open = max_open
         self._recent_ids: dict[str, None] = {}  # in the order of their release
 
     def is_full(self) -> bool:
-        """Whether no further request is to be opened."""
+        """Whether no further request may be opened."""
         return len(self.by_id) >= self._max_open
 
     def knows(self, request_id: str) -> bool:
-        """Whether a request of this id is open, or was released lately."""
+        """Whether a request with this id is open, or was released recently."""
         return request_id in self.by_id or request_id in self._recent_ids
 
     def release_if_done(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has no attempt in flight; others stay."""
+        """Release a request that is answered and has no attempt in flight; others stay open."""
         if request.answered and not request.attempts_in_flight and request.id in self.by_id:
             del self.by_id[request.id]
             self._recent_ids[request.id] = None
@@ -82,12 +82,12 @@
                 del self._recent_ids[next(iter(self._recent_ids))]
 
     def past_deadline(self, due_ns: int) -> list[OpenRequest]:
-        """The requests, answered or not, whose deadline lies before the time `due_ns`."""
+        """The requests, answered or not, whose deadline is before the time `due_ns`."""
         return [request for request in self.by_id.values() if request.deadline_ns < due_ns]
 
     @property
     def outstanding(self) -> int:
-        """The number of requests that have no complete answer yet."""
+        """The number of requests without a complete answer."""
         return sum(not request.answered or request.stream is not None for request in self.by_id.values())
 
     @property
--- a/holdgw/router/reply.py
+++ b/holdgw/router/reply.py
@@ -1,4 +1,4 @@
-"""The answer that one command of a client is owed: sent at once, or streamed as its parts arrive."""
+"""The answer to one command of a client: sent as a whole, or streamed as its parts arrive."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
     from holdgw.router.client_connection import ClientConnection
 
 MAX_UNSENT_BYTES = 64 << 10
-"""Bytes of answers that the kernel has not taken, past which nothing more is read for a client."""
+"""Unsent bytes of answers to a client above which its commands and streamed values are not read."""
 
 
 class StreamSource(Protocol):
-    """Where the parts of a streamed answer come from."""
+    """The source of a streamed answer's parts."""
 
     def pause(self) -> None:
-        """Deliver no more parts for now."""
+        """Stop delivering parts."""
 
     def resume(self) -> None:
-        """Deliver parts again."""
+        """Continue to deliver parts."""
 
 
 class StreamedAnswer:
-    """An answer that is written in parts, as they come from its source."""
+    """An answer that is written in parts as its source delivers them."""
 
     __slots__ = ("complete", "source", "started", "unwritten")
 
     def __init__(self, head: bytes, source: StreamSource) -> None:
         self.unwritten = deque((head,))
         self.source = source
-        self.started = False  # some of it is written
+        self.started = False  # a part is written
         self.complete = False  # its last part has arrived
 
     def write(self, connection: ClientConnection, transport: asyncio.Transport) -> bool:
-        """Write the parts that the client accepts; returns whether the last of them is written."""
+        """Write parts until writing blocks; returns whether the whole answer is written."""
         while self.unwritten and not connection.write_blocked:
             self.started = True
             transport.write(self.unwritten.popleft())
@@ -47,9 +47,9 @@
 
 
 class Reply:
-    """The place of one command's answer among the answers of its connection.
+    """The answer to one command in its connection's queue.
 
-    Answers are written in the order of the commands, whichever comes first.
+    Answers are written in the order of the commands, in whichever order they become known.
     """
 
     __slots__ = ("answer", "connection", "possible_wait_ns", "request", "streamed")
@@ -57,24 +57,24 @@
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
         self.possible_wait_ns = connection.possible_wait_ns
-        """For how long the command may have waited before this process could read it, nanoseconds."""
+        """How long the command may have waited before this process could read it, nanoseconds."""
         self.answer: bytes | None = None
-        """The encoded answer, once it is known."""
+        """The encoded answer; None while it is unknown, and where it is streamed."""
         self.streamed: StreamedAnswer | None = None
-        """The answer where it is streamed; `answer` stays None then."""
+        """The streamed answer; None where it is sent as a whole."""
         self.request: Any = None
-        """The request handler's own record of the request."""
+        """The request handler's state of the request."""
 
     def unread_ns(self) -> int:
         """How long ago the command's last bytes arrived, nanoseconds; 0 where the kernel doesn't tell."""
         return self.connection.unread_ns()
 
     def client_disconnected(self) -> bool:
-        """Ask the kernel whether the client has closed its connection; if so the connection is dropped."""
+        """Ask the kernel whether the client has closed its connection; if so, the connection is dropped."""
         return self.connection.check_disconnected()
 
     def send(self, data: bytes) -> None:
-        """Give the whole answer, encoded."""
+        """Send the whole answer, encoded."""
         self.answer = data
         self.connection.flush()
 
@@ -88,7 +88,7 @@
         assert self.streamed is not None
         self.streamed.unwritten.append(data)
         self.connection.flush()
-        # Without this a slow client would make whole values pile up in memory.
+        # Without this whole values would be buffered for a slow client.
         if self.connection.write_blocked or sum(map(len, self.streamed.unwritten)) > MAX_UNSENT_BYTES:
             self.streamed.source.pause()
 
@@ -100,9 +100,10 @@
         self.connection.flush()
 
     def abort_stream(self, error: bytes) -> None:
-        """End a streamed answer whose rest won't come: by the encoded error, or by closing the connection.
+        """End a streamed answer that can't be completed.
 
-        An error can be sent only while nothing of the answer is written.
+        The client gets the encoded `error` if no part of the answer is written yet; else its connection is
+        closed.
         """
         assert self.streamed is not None
         if self.streamed.started:
@@ -112,9 +113,9 @@
             self.send(error)
 
     def send_error_and_close(self, message: str) -> None:
-        """Answer an invalid command, and close the connection behind the answers that are due before it.
+        """Answer an invalid command with an error, and close once all earlier commands are answered.
 
-        A client that keeps sending invalid commands would cost the time of others' requests. One that means
-        to go on after its own error has to reconnect.
+        A client that keeps sending invalid commands would take processing time from others' requests. To
+        continue after its error, a client has to reconnect.
         """
         self.connection.fail_and_close(self, message)
