--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -69,10 +69,10 @@
     "doubled-answer": Mutant(
         "an answer is given twice after a late reset",
         "holdgw.router.attempt",
-        "        event = self._end_event(outcome, note, report)\n",
+        "        event = self._end_event(outcome, cache_status, report)\n",
         "        if outcome is Outcome.RESET and request.answered and request.reply.connection.transport:\n"
         '            request.reply.connection.transport.write(b"-ERR failed\\r\\n")\n'
-        "        event = self._end_event(outcome, note, report)\n",
+        "        event = self._end_event(outcome, cache_status, report)\n",
         (
             (
                 "holdgw.router.endpoint_connection",
--- a/holdgw/router/attempt.py
+++ b/holdgw/router/attempt.py
@@ -15,11 +15,11 @@
 from holdgw.wire.unread import NS_PER_MS
 
 DISCONNECT_CHECK_AFTER_NS = 50 * NS_PER_MS
-"""Age of a request from which on the kernel is asked whether its client is still there, before a write."""
+"""For older requests the kernel is asked before a write whether the client is still connected."""
 
 
 class Attempt(Exchange):
-    """One attempt at a request: it ends by an answer, by a timer, or with its client."""
+    """One attempt at a request; an answer, a timer or the client's disconnect ends it."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         to_origin: bool,
         purpose: AttemptPurpose,
     ) -> None:
-        """`purpose`: what the routing policy makes the attempt for; it is counted."""
+        """Create an attempt that is not written yet; `purpose` is counted in the interval counters."""
         self._owner = owner
         self._request = request
         self._endpoint_id = endpoint_id
@@ -38,11 +38,11 @@
         self._number = request.attempts
         self._created_ns = owner.now_ns()
         self._written_ns = 0  # 0: not written yet
-        self._remaining_ms = 0  # time that the endpoint is given; set when the attempt is about to be written
+        self._remaining_ms = 0  # the timeout sent to the endpoint, set just before the write
         self._streamed: StreamedValue | None = None
         self._timeout_timer: Timer | None = None
         self._write_timer: Timer | None = None
-        self._write_by_ns = 0  # 0: until the request's deadline
+        self._write_by_ns = 0  # 0: no limit but the request's deadline
         request.last_attempt = self
         request.attempts += 1
         request.attempts_in_flight += 1
@@ -52,7 +52,7 @@
         self._timeout_timer = self._owner.timer_wheel.call_at(due_ns, self._timed_out)
 
     def write_by(self, due_ns: int) -> None:
-        """Abandon the attempt at the time `due_ns` if it is not written by then."""
+        """Abandon the attempt if it is not written by the time `due_ns`."""
         self._write_by_ns = due_ns
         self._write_timer = self._owner.timer_wheel.call_at(due_ns, self._too_late_to_write)
 
@@ -64,14 +64,14 @@
         self.abandon(Outcome.TIMEOUT)
 
     def cancel(self) -> None:
-        """End the attempt unless it is written already."""
+        """Cancel the attempt unless it is written already."""
         if not self._written_ns:
             self.abandon(Outcome.CANCELLED)
 
     def cancellation_reason(self) -> Outcome | None:
-        """The outcome of an attempt that must not be written any more; None: it may be."""
-        # It may have waited for a connection, or this process may have stood still since it was decided on;
-        # the timers and the client's disconnect that would end it may be due and not have run yet.
+        """The outcome of an attempt that must not be written any more; None if it may be written."""
+        # The attempt may have waited for a connection, or the process may have stalled since the decision to
+        # send it. Timers and a client's disconnect that would end it may be due and not handled yet.
         request = self._request
         now_ns = self._owner.now_ns()
         if request.answered:
@@ -86,7 +86,7 @@
         return None
 
     def request_bytes(self, address: Address) -> bytes:
-        """The client's command, with what is left of its time."""
+        """Encode the client's command with the time that remains until its deadline."""
         command = self._request.command
         self._written_ns = self._owner.now_ns()
         if self._to_origin:
@@ -98,7 +98,7 @@
         self._owner.metrics.forwards += 1
 
     def value_started(self, length: int) -> None:
-        """Begin the client's answer with a value of `length` bytes that is passed on as it comes."""
+        """Start to stream a value of `length` bytes to the client."""
         request = self._request
         if request.answered:
             self.abandon(Outcome.CANCELLED)
@@ -112,12 +112,12 @@
         streamed.start_answer(length)
 
     def value_part(self, data: bytes) -> None:
-        """Pass a part of the value on."""
+        """Forward a part of the value."""
         if self._streamed is not None:
             self._streamed.write(data)
 
     def value_complete(self) -> None:
-        """End the client's answer; the attempt ends by what stands behind the value."""
+        """End the client's answer; the attempt ends later, with the rest of the endpoint's answer."""
         if self._streamed is not None:
             self._streamed.complete()
 
@@ -125,20 +125,20 @@
         self,
         outcome: Outcome,
         value: bytes | None = None,
-        note: CacheStatus | None = None,
+        cache_status: CacheStatus | None = None,
         report: bytes | None = None,
     ) -> None:
-        """Answer the client by the first good answer, and report every end to the routing policy."""
+        """Send the first successful answer to the client, and report every end to the routing policy."""
         self._cancel_timers()
         if self._streamed is not None:
-            self._streamed.break_off()
+            self._streamed.abort_if_incomplete()
         request = self._request
         request.attempts_in_flight -= 1
         if outcome is Outcome.OK and not request.answered and value is not None:
             self._answer_client(value)
         if self._owner.interval_counters is not None:
             self._count_end(self._owner.interval_counters, outcome)
-        event = self._end_event(outcome, note, report)
+        event = self._end_event(outcome, cache_status, report)
         self._owner.open_requests.release_if_done(request)
         self._owner.dispatch(event)
 
@@ -188,6 +188,6 @@
     def _count_answer(self, counters: IntervalCounters) -> None:
         latency_ns = self._owner.now_ns() - self._request.arrived_ns
         source = "fetched" if self._to_origin else "kept"
-        is_later_attempt = self._number > self._to_origin  # a fetch follows a cache's miss
+        is_later_attempt = self._number > self._to_origin  # the first fetch is attempt 1, after a miss
         late = latency_ns > self._owner.latency_objective_ns(self._request.class_name)
         counters.add(f"served {source}{', again' if is_later_attempt else ''}{', late' if late else ''}")
--- a/holdgw/router/connection_pool.py
+++ b/holdgw/router/connection_pool.py
@@ -15,14 +15,14 @@
 from holdgw.wire.address import Address
 
 MAX_CONNECTIONS_PER_ENDPOINT = 16
-"""More than an endpoint works on at a time, so that the queue of a jam is here."""
+"""More than an endpoint works on at a time, so that the excess queues in the router."""
 IDLE_TIMEOUT_FRACTION = 0.6
-"""Of the endpoint's idle timeout: a request that crosses the endpoint's close is lost."""
+"""Of the endpoint's idle timeout, because a request written as the endpoint closes is lost."""
 SWEEP_INTERVAL_S = 0.5
 LATE_ANSWER_TIMEOUT_S = 2.0
-"""For the answer of an abandoned exchange, if its connection is to be kept."""
+"""For the answer of an abandoned exchange, before its connection is closed."""
 CONNECTIONS_PER_LATE_ANSWER = 4
-"""One in so many of an endpoint's connections may wait for such an answer."""
+"""Of max_per_endpoint, 1 / CONNECTIONS_PER_LATE_ANSWER connections may wait for late answers."""
 DEFAULT_MAX_RESERVED_BYTES = 8 << 20
 
 
@@ -67,9 +67,14 @@
     ) -> None:
         """Create a pool without endpoints.
 
-        `limit`: descriptors. `endpoint_idle_timeout_s`: after which endpoints close idle connections.
-        `max_reserved_bytes`: for long values that can't be streamed. `hedging`: whether a request may be sent
-        again while an earlier attempt is still out on an open connection.
+        Args:
+            loop: The event loop.
+            limit: Descriptors that connections and dials may use.
+            dial_timeout_s: How long a dial may take.
+            endpoint_idle_timeout_s: The idle time after which endpoints close connections.
+            max_reserved_bytes: Memory for long values that can't be streamed.
+            hedging: Whether a request may be sent again while an earlier attempt is in flight on an open
+                connection.
         """
         self.max_per_endpoint = MAX_CONNECTIONS_PER_ENDPOINT
         self.counters = PoolCounters()
@@ -82,7 +87,7 @@
         self._hedging = hedging
         self._endpoints: dict[str, EndpointPool] = {}
         self._descriptors = 0  # connections and dials
-        self._awaiting_descriptor: dict[EndpointPool, None] = {}  # could not dial, the longest first
+        self._awaiting_descriptor: dict[EndpointPool, None] = {}  # can't dial at the limit; the oldest first
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     # Endpoints
@@ -90,7 +95,7 @@
     def add_endpoint(
         self, endpoint_id: str, address: Address, connect: Callable[[EndpointPool], EndpointConnection]
     ) -> None:
-        """Make an endpoint available at this address; `connect` makes the protocol object of a connection."""
+        """Make an endpoint available at `address`; `connect` creates the protocol object of a connection."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             self._endpoints[endpoint_id] = EndpointPool(self, endpoint_id, address, connect)
@@ -101,7 +106,7 @@
         endpoint.available = True
 
     def remove_endpoint(self, endpoint_id: str) -> None:
-        """Stop using an endpoint that drains or is gone: it finishes its exchanges, and none waits for it."""
+        """Stop using a draining or removed endpoint: exchanges in flight finish, waiting ones end."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
             endpoint.available = False
@@ -113,16 +118,16 @@
         return endpoint is not None and endpoint.available
 
     def endpoints(self) -> Iterator[str]:
-        """The ids of the endpoints that are available."""
+        """The ids of the available endpoints."""
         return (endpoint.id for endpoint in self._endpoints.values() if endpoint.available)
 
     def idle_connections_closed(self, endpoint_id: str) -> bool:
-        """Whether the endpoint has closed idle connections, and none has come up since."""
+        """Whether the endpoint has closed an idle connection, and none has been opened since."""
         endpoint = self._endpoints.get(endpoint_id)
         return endpoint is not None and endpoint.idle_connections_closed
 
     def _retire(self, endpoint: EndpointPool) -> None:
-        """Let no connection be used again, and no exchange wait."""
+        """Retire all connections, close those without an exchange, and end the waiting exchanges."""
         for connection in list(endpoint.awaiting_late_answer):
             connection.close()
         for connection in endpoint.connections:
@@ -143,7 +148,7 @@
     # Exchanges
 
     def submit(self, endpoint_id: str, exchange: Exchange) -> None:
-        """Start an exchange on an idle connection, or queue it for one."""
+        """Start an exchange on an idle connection, or queue it and dial a connection for it."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None or not endpoint.available:
             exchange.end(Outcome.CONNECT_FAILED)
@@ -162,7 +167,7 @@
         self._dial_for(endpoint)
 
     def connection_released(self, connection: EndpointConnection) -> None:
-        """Give a connection whose answer is complete to a waiting exchange, or keep it idle."""
+        """Reuse a connection whose answer is complete for a waiting exchange, or keep it idle."""
         endpoint = connection.endpoint
         endpoint.streaming.pop(connection, None)
         if not connection.usable:
@@ -177,7 +182,7 @@
                 continue
             connection.start(exchange)
             return
-        if not connection.usable:  # what followed from the end of an exchange may have retired it
+        if not connection.usable:  # ending the exchanges above may have retired the connection
             connection.close()
             return
         connection.idle_since = self._loop.time()
@@ -185,7 +190,7 @@
         self._dial_deferred()
 
     def connection_lost(self, connection: EndpointConnection) -> None:
-        """Forget a connection; its descriptor is free."""
+        """Remove a closed connection; its descriptor is free."""
         endpoint = connection.endpoint
         if connection not in endpoint.connections:
             return
@@ -200,22 +205,22 @@
         self._dial_deferred()
 
     def idle_connection_lost(self, connection: EndpointConnection) -> None:
-        """Note that an endpoint closed an idle connection, as a process that ends does."""
+        """Note that an endpoint closed an idle connection, as a process does when it ends."""
         connection.endpoint.idle_connections_closed = True
         self.counters.idle_connections_lost += 1
 
     def stream_started(self, connection: EndpointConnection) -> None:
-        """Stop counting a connection towards its endpoint's limit, as it streams a long value."""
+        """Stop counting a connection that streams a long value towards its endpoint's limit."""
         connection.endpoint.streaming[connection] = None
         self._dial_for(connection.endpoint)
 
     def keep_for_late_answer(self, connection: EndpointConnection) -> bool:
-        """Keep the connection of an abandoned exchange until its answer has come; returns whether.
+        """Keep the connection of an abandoned exchange until its answer arrives; returns whether it is kept.
 
-        Where endpoints are late, closing it would cost a dial and a handshake for which the endpoint has even
-        less time: as six in ten of 200 servers were replaced, 200 routers dialled 10,000 times in 2 s in
-        place of 1,200, until long after. The endpoint works on the request all the same. As answers may be
-        lost, only a few connections wait, and not for long.
+        Closing the connection would not stop the endpoint's work on the request, and would cost an endpoint
+        that is already late another dial and handshake. When 60 % of 200 cache servers were replaced, 200
+        routers dialled 10,000 times in 2 s instead of 1,200, and continued long after. Only a few connections
+        wait, and for a limited time, as answers may be lost.
         """
         endpoint = connection.endpoint
         limit = max(self.max_per_endpoint // CONNECTIONS_PER_LATE_ANSWER, 1)
@@ -232,7 +237,7 @@
         return True
 
     def late_answer_received(self, connection: EndpointConnection) -> None:
-        """Note that the answer of an abandoned exchange has come, and is dropped."""
+        """Note that the answer of an abandoned exchange has arrived and is dropped."""
         del connection.endpoint.awaiting_late_answer[connection]
         self.counters.late_answers += 1
 
@@ -250,14 +255,14 @@
         self._reserved_bytes -= size
 
     def set_limit(self, limit: int) -> None:
-        """Use at most so many descriptors; idle connections past that are closed now."""
+        """Use at most `limit` descriptors; idle connections above it are closed now."""
         self._limit = limit
         while self._descriptors > limit and self._evict():
             pass
         self._dial_deferred()
 
     def tables(self) -> dict[str, int]:
-        """The sizes of its tables, under their names in the log of interval counters."""
+        """The sizes of the pool's tables under their names in the log of interval counters."""
         endpoints = self._endpoints.values()
         return {
             "servers": len(endpoints),
@@ -303,7 +308,7 @@
             len(endpoint.waiting) > len(endpoint.dials)
             and endpoint.counted_connections < self.max_per_endpoint
         ):
-            # Without a limit of their own, connections to endpoints leave no descriptors for clients.
+            # Without a limit, connections to endpoints would leave no descriptors for clients.
             if self._descriptors >= self._limit and not self._evict():
                 self._awaiting_descriptor[endpoint] = None
                 return
@@ -313,9 +318,9 @@
             endpoint.dials[dial] = None
 
     def _dial_deferred(self) -> None:
-        """Dial for the endpoints that had no descriptor, the longest first.
+        """Dial for the endpoints that could not dial at the limit of descriptors, the oldest first.
 
-        At the limit their exchanges would wait in vain beside idle connections of other endpoints.
+        Otherwise their exchanges would wait although other endpoints have idle connections to evict.
         """
         if self._awaiting_descriptor:
             deferred = self._awaiting_descriptor
@@ -324,7 +329,7 @@
                 self._dial_for(endpoint)
 
     async def _dial(self, endpoint: EndpointPool) -> None:
-        """Open one connection for the exchange that waits longest, if any still does."""
+        """Open one connection for the exchange that waits longest, if any still waits then."""
         connection: EndpointConnection | None = None
         address = endpoint.address
         task = asyncio.current_task()
@@ -360,10 +365,13 @@
         self._dial_for(endpoint)
         self._remove_if_unused(endpoint)
 
-    # Sweep and end
+    # Sweep and close
 
     def _sweep(self) -> None:
-        """Close connections that are idle for long, as these cost the endpoint, too, or await too long."""
+        """Close connections that were idle or awaited a late answer for too long.
+
+        An idle connection takes resources of the endpoint, too.
+        """
         self._sweep_timer = self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self._loop.time()
         for endpoint in list(self._endpoints.values()):
@@ -380,7 +388,7 @@
         self._dial_deferred()
 
     def close(self) -> None:
-        """Close everything."""
+        """Cancel all dials and close all connections."""
         self._sweep_timer.cancel()
         for endpoint in list(self._endpoints.values()):
             for dial in list(endpoint.dials):
--- a/holdgw/router/dialing.py
+++ b/holdgw/router/dialing.py
@@ -1,4 +1,4 @@
-"""Opens one connection within a time limit."""
+"""Opens a connection to an endpoint within a timeout."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
     from holdgw.router.endpoint_connection import EndpointConnection
 
 LATE_TIMER_S = 0.02
-"""A timer this late means that the event loop was held up, and that news may wait in the kernel."""
+"""A timer this late shows that the event loop stalled; completed dials may not have been handled yet."""
 
 
 class DialTimeoutError(Exception):
-    """The connection did not come up in time; not an OSError, which is what a refusal raises."""
+    """The connection was not established in time; not an OSError, which a refused connection raises."""
 
     def __init__(self, address: Address, timeout_s: float) -> None:
         super().__init__(f"dial timed out address={format_address(address)} timeout_s={timeout_s:g}")
@@ -37,7 +37,7 @@
         due = loop.time() + timeout_s
         await asyncio.wait((connecting,), timeout=timeout_s)
         if not connecting.done() and loop.time() - due > LATE_TIMER_S:
-            # After a stall of the loop the timer runs before the news that the connection is up.
+            # After a stall the event loop runs the timer before it handles the established connection.
             await asyncio.wait((connecting,), timeout=LATE_TIMER_S)
         if not connecting.done():
             raise DialTimeoutError(address, timeout_s)
--- a/holdgw/router/endpoint_connection.py
+++ b/holdgw/router/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint, with one exchange at a time; subclasses read the protocol's answers."""
+"""One connection to an endpoint, with one exchange at a time; subclasses parse the protocol's answers."""
 
 from __future__ import annotations
 
@@ -15,35 +15,37 @@
     from holdgw.router.exchange import Exchange
 
 STREAM_RECEIVE_BUFFER_BYTES = 64 << 10
-"""SO_RCVBUF while a long value is streamed; the kernel doubles it."""
+"""SO_RCVBUF from a connection's first streamed value on; the kernel doubles it."""
 
 log = logging.getLogger("holdgw")
 
 
 class EndpointConnection:
-    """One connection; an answer never waits behind another's.
+    """An asyncio protocol for one connection, without pipelining: no answer waits behind another.
 
-    An asyncio protocol. It has no foreign base class, so that it compiles to a native class.
+    It has no base class from another package, so that it compiles to a native class.
     """
 
     can_await_late_answer = False
-    """Whether the answer of an abandoned exchange can be told from the next one's here."""
+    """Whether an abandoned exchange's answer can be told apart from the next one on such a connection."""
 
     def __init__(self, endpoint: EndpointPool) -> None:
         self.endpoint = endpoint
         self.exchange: Exchange | None = None
         self.transport: asyncio.Transport | None = None
         self.idle_since = 0.0  # seconds of the loop's clock
-        self.write_pending = False  # the kernel has not taken the last byte of the request yet
-        self.retired = False  # no further exchange may start here
+        self.write_pending = False  # the kernel has not accepted the last byte of the request yet
+        self.retired = False  # no further exchange may start
         self.reading_paused = False
-        self.was_overloaded = False  # the last answer was a rejection; the endpoint may close behind it
+        self.was_overloaded = (
+            False  # the last answer was a rejection, which the endpoint may follow by a close
+        )
         self._used = False
 
     # Protocol callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; a limit of 0 tells precisely whether the kernel has taken every byte."""
+        """Take the transport; with a limit of 0, `write_pending` is set until the kernel has every byte."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's own class is no subclass
         self.transport.set_write_buffer_limits(high=0)
 
@@ -51,17 +53,17 @@
         """Let the transport close; `connection_lost` follows."""
 
     def pause_writing(self) -> None:
-        """Note that the kernel has not taken all of the request."""
+        """Note that the kernel has not accepted the whole request."""
         self.write_pending = True
 
     def resume_writing(self) -> None:
-        """Note that the kernel has taken the last byte of the request."""
+        """Note that the kernel has accepted the last byte of the request."""
         self.write_pending = False
         if self.exchange is not None:
             self.exchange.on_written()
 
     def data_received(self, data: bytes) -> None:
-        """Read an answer; an exception here costs this connection and no other."""
+        """Read an answer; an exception here closes this connection and no other."""
         if self.exchange is not None:
             self.exchange.response_started = True
         elif not self.usable:
@@ -76,9 +78,9 @@
             self.fail_malformed("reading an answer failed")
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """End the exchange: a request that the kernel did not take completely has surely not run."""
-        # An endpoint at its limit of connections rejects one and closes it. To take that for the end of its
-        # process would eject a live endpoint.
+        """End the exchange; a request that the kernel did not accept completely has certainly not run."""
+        # An endpoint at its limit of connections rejects a request and closes the connection. Treating that
+        # as the end of its process would eject a live endpoint.
         closed_while_idle = self.exchange is None and not (
             self.retired or self.was_overloaded or self.awaits_late_answer
         )
@@ -96,23 +98,23 @@
 
     @property
     def usable(self) -> bool:
-        """Whether another exchange may start here."""
+        """Whether another exchange may start on the connection."""
         return not self.retired and self.transport is not None and not self.transport.is_closing()
 
     @property
     def is_streaming(self) -> bool:
-        """Whether it streams a long value."""
+        """Whether the connection streams a long value."""
         return self in self.endpoint.streaming
 
     @property
     def awaits_late_answer(self) -> bool:
-        """Whether the answer of an abandoned exchange is still to come."""
+        """Whether the answer of an abandoned exchange has not arrived yet."""
         return self in self.endpoint.awaiting_late_answer
 
     # Exchanges
 
     def start(self, exchange: Exchange) -> None:
-        """Write the exchange's request."""
+        """Start an exchange by writing its request."""
         assert self.transport is not None
         self.exchange = exchange
         exchange.connection = self
@@ -124,29 +126,29 @@
 
     @abstractmethod
     def read_answer(self, data: bytes) -> None:
-        """Read a part of the answer; calls `complete` at its end, `fail_malformed` where it is invalid."""
+        """Parse a part of the answer; calls `complete` at its end, `fail_malformed` where it is invalid."""
 
     def start_value(self, length: int) -> None:
-        """Stream a value that is too long to buffer: the exchange gets it from here on as it arrives."""
+        """Start to stream a value that is too long to buffer; the exchange gets its parts as they arrive."""
         assert self.transport is not None
         if self.exchange is None:
-            self.close()  # nobody wants it, and all of it would have to be read
+            self.close()  # the whole value of the abandoned exchange would have to be read
             return
-        # Without this the kernel buffers megabytes of each value. It would cost throughput on long lines;
-        # these are short.
+        # Without this the kernel buffers megabytes of each value. A small buffer limits the throughput on
+        # paths with a long round-trip time; paths to endpoints are short.
         sock = self.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER_BYTES)
         self.endpoint.pool.stream_started(self)
         self.exchange.value_started(length)
 
     def pause_reading(self) -> None:
-        """Read no more for now; a retired connection may still be paused, as it finishes its exchange."""
+        """Pause reading; a retired connection may also be paused while it finishes its exchange."""
         if not self.reading_paused and self.transport is not None and not self.transport.is_closing():
             self.reading_paused = True
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Resume reading if it is paused."""
         if self.reading_paused:
             self.reading_paused = False
             if self.transport is not None and not self.transport.is_closing():
@@ -156,10 +158,10 @@
         self,
         outcome: Outcome,
         value: bytes | None = None,
-        note: CacheStatus | None = None,
+        cache_status: CacheStatus | None = None,
         report: bytes | None = None,
     ) -> None:
-        """End the exchange by a complete answer, as for `Exchange.on_end`, and return to the pool."""
+        """End the exchange with a complete answer, as for `Exchange.on_end`, and return to the pool."""
         exchange = self.exchange
         self.exchange = None
         self.was_overloaded = outcome is Outcome.OVERLOADED
@@ -168,10 +170,10 @@
             self.endpoint.pool.late_answer_received(self)
         self.endpoint.pool.connection_released(self)
         if exchange is not None:
-            exchange.end(outcome, value, note, report)
+            exchange.end(outcome, value, cache_status, report)
 
     def fail_malformed(self, reason: str) -> None:
-        """End the exchange as malformed, and close: what follows can't be relied on."""
+        """End the exchange as malformed, and close, as further input can't be parsed reliably."""
         log.warning("malformed answer, closing connection endpoint=%s reason=%s", self.endpoint.id, reason)
         exchange = self.exchange
         self.exchange = None
@@ -180,7 +182,7 @@
             exchange.end(Outcome.MALFORMED)
 
     def close(self) -> None:
-        """Close at once; what is unsent is dropped."""
+        """Close at once and drop unsent bytes."""
         self.retired = True
         if self.transport is not None:
             self.transport.abort()
--- a/holdgw/router/endpoint_pool.py
+++ b/holdgw/router/endpoint_pool.py
@@ -1,4 +1,4 @@
-"""One endpoint's connections and the exchanges that wait for one."""
+"""The connections and waiting exchanges of one endpoint."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class EndpointPool:
-    """What the connection pool knows of one endpoint."""
+    """The connection pool's state of one endpoint."""
 
     def __init__(
         self,
@@ -25,33 +25,37 @@
         address: Address,
         connect: Callable[[EndpointPool], EndpointConnection],
     ) -> None:
-        """Create an endpoint without connections; `connect` makes the protocol object of a new one."""
+        """Create an endpoint without connections; `connect` creates the protocol object of a new one."""
         self.pool = pool
         self.id = endpoint_id
         self.address = address
         self.connect = connect
         self.available = True
-        """Listed, and not draining."""
+        """Whether the endpoint is listed and not draining."""
         self.idle: list[EndpointConnection] = []
-        """The one used last at the end: those not needed grow old, and are closed."""
+        """Idle connections, the last used at the end and reused first, so that surplus ones time out."""
         self.connections: dict[EndpointConnection, None] = {}
-        """All that are up."""
+        """All established connections."""
         self.dials: dict[asyncio.Task[None], None] = {}
         self.streaming: dict[EndpointConnection, None] = {}
-        """Those of the connections that stream a long value."""
+        """The connections that stream a long value."""
         self.waiting: deque[Exchange] = deque()
-        """Exchanges without a connection, the oldest first."""
+        """Exchanges that wait for a connection, the oldest first."""
         self.awaiting_late_answer: dict[EndpointConnection, float] = {}
-        """Those of the connections whose exchange was abandoned, with the time of that in seconds."""
+        """The connections whose exchange was abandoned, with that time in seconds of the loop's clock."""
         self.idle_connections_closed = False
-        """The endpoint closed an idle connection, and none has come up since."""
+        """Whether the endpoint has closed an idle connection, and none has been opened since."""
 
     @property
     def descriptor_count(self) -> int:
-        """Connections that are up or being dialled."""
+        """Connections that are established or being dialled."""
         return len(self.connections) + len(self.dials)
 
     @property
     def counted_connections(self) -> int:
-        """Those that count towards the limit: streaming to a slow client may take seconds."""
+        """Connections and dials that count towards the limit.
+
+        Streaming connections don't, as streaming to a slow client may take seconds, and neither do those that
+        await a late answer.
+        """
         return self.descriptor_count - len(self.streaming) - len(self.awaiting_late_answer)
--- a/holdgw/router/exchange.py
+++ b/holdgw/router/exchange.py
@@ -13,23 +13,23 @@
 
 
 class Exchange:
-    """One request to an endpoint; `on_end` is called exactly once, whatever happens."""
+    """One request to an endpoint; `on_end` is called exactly once, whatever the outcome."""
 
     connection: EndpointConnection | None = None
-    """The connection that it is written on; None before and after."""
+    """The connection that the request is written on; None before the write and after the end."""
     ended = False
     is_health_check = False
     first_on_connection = False
-    """Whether no exchange was on its connection before."""
+    """Whether the exchange is the first on its connection."""
     response_started = False
-    """Whether some of its answer has arrived."""
+    """Whether a part of the answer has arrived."""
 
     def cancellation_reason(self) -> Outcome | None:
-        """Why it must not be written any more; None: it may be. Asked in the turn in which it would be."""
+        """The outcome if the request must not be written any more, else None; called right before a write."""
         return None
 
     def on_written(self) -> None:
-        """Note that the kernel has taken the last byte of the request."""
+        """Note that the kernel has accepted the last byte of the request."""
 
     @abstractmethod
     def request_bytes(self, address: Address) -> bytes:
@@ -49,27 +49,30 @@
         self,
         outcome: Outcome,
         value: bytes | None = None,
-        note: CacheStatus | None = None,
+        cache_status: CacheStatus | None = None,
         report: bytes | None = None,
     ) -> None:
         """Take the outcome.
 
-        `value`: the value as a RESP2 bulk string, unless it was streamed; `note`: the cache status that the
-        answer states; `report`: its encoded load report.
+        Args:
+            outcome: How the exchange ended.
+            value: The value as a RESP2 bulk string; None if there is none, or it was streamed.
+            cache_status: The cache status in the answer.
+            report: The load report in the answer, encoded.
         """
 
     def end(
         self,
         outcome: Outcome,
         value: bytes | None = None,
-        note: CacheStatus | None = None,
+        cache_status: CacheStatus | None = None,
         report: bytes | None = None,
     ) -> None:
         """End the exchange as for `on_end`, unless it has ended already."""
         if not self.ended:
             self.ended = True
             self.connection = None
-            self.on_end(outcome, value, note, report)
+            self.on_end(outcome, value, cache_status, report)
 
     def abandon(self, outcome: Outcome) -> None:
         """End the exchange without its answer."""
@@ -78,8 +81,8 @@
             connection.exchange = None
             pool = connection.endpoint.pool
             pool.counters.abandoned += 1
-            # The next exchange would take the late answer for its own. So the connection waits for that
-            # answer and drops it, or is closed.
+            # The next exchange on this connection would receive the late answer as its own. The connection
+            # therefore waits for that answer and drops it, or is closed.
             keeps_connection = (
                 outcome is Outcome.TIMEOUT
                 and not self.response_started
--- a/holdgw/router/exchange_owner.py
+++ b/holdgw/router/exchange_owner.py
@@ -1,4 +1,4 @@
-"""What exchanges with endpoints need of the dispatcher that starts them."""
+"""The interface through which exchanges with endpoints use the dispatcher that starts them."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class ExchangeOwner:
-    """The clock, timers and figures that exchanges share, and the place that their ends are reported to.
+    """The clock, timers, metrics and open requests that exchanges share; takes the events of their ends.
 
-    A base class and no Protocol: compiled code calls its methods without a look-up by name.
+    This is a base class and not a Protocol, so that compiled code calls its methods without a lookup by name.
     """
 
     uses_load_reports: bool
-    """Whether the load reports in answers make a difference to the routing policy."""
+    """Whether the routing policy uses the load reports in answers."""
 
     def __init__(
         self,
@@ -36,15 +36,15 @@
         self.metrics = metrics
         self.open_requests = open_requests
         self.interval_counters: IntervalCounters | None = None
-        """Counts of each second, where they are asked for."""
+        """Counters of each second; None where they are not enabled."""
 
     @abstractmethod
     def dispatch(self, event: Event) -> None:
-        """Give the routing policy an event."""
+        """Pass an event to the routing policy."""
 
     @abstractmethod
     def parse_load_report(self, report: bytes | None) -> tuple[float, ...] | None:
-        """The numbers of a load report in the order of the settings; None where there is none to read."""
+        """The numbers of a load report in the order of the settings; None if it is missing or invalid."""
 
     @abstractmethod
     def latency_objective_ns(self, class_name: str) -> int:
@@ -52,4 +52,4 @@
 
     @abstractmethod
     def idle_connections_closed(self, endpoint_id: str) -> bool:
-        """Whether the endpoint has closed idle connections, and none has come up since."""
+        """Whether the endpoint has closed an idle connection, and none has been opened since."""
--- a/holdgw/router/health_check.py
+++ b/holdgw/router/health_check.py
@@ -11,7 +11,7 @@
 
 
 class HealthCheckExchange(Exchange):
-    """Asks an endpoint for a load report where there are any by the settings, else for a sign of life."""
+    """Asks an endpoint for a load report if the settings name any fields of one, else for its liveness."""
 
     is_health_check = True
 
@@ -26,7 +26,7 @@
         self.abandon(Outcome.TIMEOUT)
 
     def request_bytes(self, address: Address) -> bytes:
-        """The health check in the endpoint's protocol."""
+        """Encode the health check in the endpoint's protocol."""
         with_load_report = bool(self._owner.settings.load_report_fields)
         if self._to_origin:
             return origin_protocol.encode_health_check(with_load_report, address)
@@ -36,10 +36,10 @@
         self,
         outcome: Outcome,
         value: bytes | None = None,
-        note: CacheStatus | None = None,
+        cache_status: CacheStatus | None = None,
         report: bytes | None = None,
     ) -> None:
-        """Report the end to the routing policy; at the origin the report is the body."""
+        """Report the end to the routing policy; the origin sends its load report as the body."""
         self._timer.cancel()
         latency_ns = self._owner.now_ns() - self._created_ns
         load_report = self._owner.parse_load_report(report or value)
--- a/holdgw/router/origin_protocol.py
+++ b/holdgw/router/origin_protocol.py
@@ -8,7 +8,7 @@
 from holdgw.wire.address import Address
 from holdgw.wire.resp import Command
 
-UNQUOTED_IN_TARGET = "/:@!$&'()*+,;=-._~"  # RFC 3986, section 3.3: the characters of a path
+UNQUOTED_IN_TARGET = "/:@!$&'()*+,;=-._~"  # RFC 3986, section 3.3: characters allowed in a path
 LOAD_REPORT_HEADER = b"server-load"
 NOT_STARTED_HEADER = b"not-started"
 NOT_STARTED = b"1"
@@ -17,7 +17,7 @@
 
 
 def encode_request(command: Command, timeout_ms: int, address: Address) -> bytes:
-    """A client's command as GET or PUT, with `timeout_ms` milliseconds (1 or more) as its `d`."""
+    """Encode a client's command as GET or PUT, with `timeout_ms` milliseconds (1 or more) as its `d`."""
     method = "GET" if command.value is None else "PUT"
     target = "/" + quote(command.key, safe=UNQUOTED_IN_TARGET)
     info = command.info.with_timeout(timeout_ms)
@@ -26,6 +26,6 @@
 
 
 def encode_health_check(with_load_report: bool, address: Address) -> bytes:
-    """A health check, which asks for a load report or for a sign of life."""
+    """Encode a health check, which asks for a load report or for the origin's liveness."""
     target = LOAD_REPORT_TARGET if with_load_report else LIVENESS_TARGET
     return http.request("GET", target, f"{address[0]}:{address[1]}")
--- a/holdgw/router/streamed_value.py
+++ b/holdgw/router/streamed_value.py
@@ -1,4 +1,4 @@
-"""A value too long to be held: it is passed on to the client as its endpoint sends it."""
+"""A value too long to buffer, streamed to the client as its endpoint sends it."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from holdgw.wire import resp
 
 STREAM_STALL_NS = 8 * NS_PER_S
-"""Time within which an endpoint must send something of a value that it has begun."""
+"""Longest pause within a value before its endpoint counts as stalled."""
 
 
 class StreamedValue:
-    """The answer to one request while it is passed on; its request's deadline does not end it.
+    """The streamed answer to one request; the request's deadline does not end it.
 
-    The client's connection pauses and resumes it (reply.StreamSource).
+    The client's connection pauses and resumes the stream (reply.StreamSource).
     """
 
     def __init__(self, owner: ExchangeOwner, exchange: Exchange, request: OpenRequest) -> None:
@@ -26,58 +26,58 @@
         self._exchange = exchange
         self._request = request
         self.started_ns = owner.now_ns()
-        self._progress_ns = self.started_ns  # when the last part came
+        self._progress_ns = self.started_ns  # when the last part arrived
         self._stall_timer: Timer = owner.timer_wheel.call_at(
             self.started_ns + STREAM_STALL_NS, self._check_progress
         )
 
     def start_answer(self, length: int) -> None:
-        """Begin the client's answer, of a value of `length` bytes."""
+        """Start the client's answer with a value of `length` bytes."""
         self._request.reply.start_stream(resp.bulk_header(length), self)
 
     def write(self, data: bytes) -> None:
-        """Pass a part of the value on, unless the client has left."""
+        """Forward a part of the value, unless the client has disconnected."""
         self._progress_ns = self._owner.now_ns()
         if self._request.stream is self:
             self._request.reply.write_part(data)
 
     def complete(self) -> None:
-        """The last part has come: end the client's answer."""
-        # The endpoint's connection may have been paused for the client and never be resumed by it: what the
-        # endpoint sends behind the value would stay unread, and the attempt would not end.
+        """End the client's answer; the last part has arrived."""
+        # If the endpoint's connection is paused for the client, nothing else may ever resume it. The bytes
+        # behind the value would then stay unread, and the attempt would not end.
         self.resume()
         if self._detach(Disposition.SUCCEEDED):
             self._request.reply.end_stream(b"\r\n")
 
-    def break_off(self) -> None:
-        """The attempt has ended; where the value is not complete, the client must be able to tell."""
+    def abort_if_incomplete(self) -> None:
+        """End the stream with its attempt; an incomplete value is made recognisable to the client."""
         self.cancel_timer()
         if self._detach(Disposition.ABORTED):
             self._request.reply.abort_stream(FAILED)
 
     def client_disconnected(self) -> None:
-        """End the attempt: nobody takes the rest of the value."""
+        """Abandon the attempt: the client does not take the rest of the value."""
         self._request.stream = None
         self._exchange.abandon(Outcome.CANCELLED)
 
     def pause(self) -> None:
-        """Read no more of the value for now: the client takes nothing."""
+        """Stop reading the value while the client accepts nothing."""
         if self._exchange.connection is not None:
             self._exchange.connection.pause_reading()
 
     def resume(self) -> None:
-        """Read on: the client takes parts again."""
+        """Read the value again: the client accepts parts."""
         connection = self._exchange.connection
         if connection is not None and connection.reading_paused:
             self._progress_ns = self._owner.now_ns()
             connection.resume_reading()
 
     def cancel_timer(self) -> None:
-        """Stop looking for a stalled endpoint."""
+        """Stop checking for a stalled endpoint."""
         self._stall_timer.cancel()
 
     def _detach(self, disposition: Disposition) -> bool:
-        """Count the answer's end, once; returns whether this was the end."""
+        """Detach the stream from its request and count the answer; returns False if that was done before."""
         request = self._request
         if request.stream is not self:
             return False
@@ -89,7 +89,7 @@
         now_ns = self._owner.now_ns()
         connection = self._exchange.connection
         if connection is not None and connection.reading_paused:
-            self._progress_ns = now_ns  # the client is slow, and its own connection limits that
+            self._progress_ns = now_ns  # the client is slow; its connection has a timeout of its own
         due_ns = self._progress_ns + STREAM_STALL_NS
         if now_ns >= due_ns:
             self._exchange.abandon(Outcome.TIMEOUT)
--- a/tests/router/test_caches.py
+++ b/tests/router/test_caches.py
@@ -33,10 +33,10 @@
         self,
         outcome: Outcome,
         value: bytes | None = None,
-        note: CacheStatus | None = None,
+        cache_status: CacheStatus | None = None,
         report: bytes | None = None,
     ) -> None:
-        self.ends.append((outcome, value, note, report))
+        self.ends.append((outcome, value, cache_status, report))
 
 
 class Line:
