--- a/holdgw/router/attempt.py
+++ b/holdgw/router/attempt.py
@@ -15,7 +15,7 @@
 from holdgw.wire.unread import NS_PER_MS
 
 DISCONNECT_CHECK_AFTER_NS = 50 * NS_PER_MS
-"""For older requests the kernel is asked before a write whether the client is still connected."""
+"""Age of a request above which the kernel is asked, before a write, whether its client has disconnected."""
 
 
 class Attempt(Exchange):
--- a/tests/emulated_nodes.py
+++ b/tests/emulated_nodes.py
@@ -1,4 +1,4 @@
-"""Loopback peers for the socket tests: a cache server, an origin, discovery, and a router between them."""
+"""Loopback servers (cache, origin, discovery) and an in-process router for the socket tests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from holdgw.router.endpoint_list import Clock, read_endpoint_list
 from tests.helpers import settings
 
-LIMIT_S = 60.0  # a hang: far beyond what any step takes, also on a machine ten times as busy as it has cores
+LIMIT_S = 60.0  # a step that takes longer hangs, even on a machine with ten times more load than cores
 
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
@@ -33,15 +33,15 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test on the router's own kind of loop, within a limit."""
+    """Run a test on the router's kind of event loop, within a time limit."""
     uvloop.run(asyncio.wait_for(test(), 3 * LIMIT_S))
 
 
 def unused_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> tuple[str, int]:
-    """An address that a process under test can bind a while later.
+    """An address that a process under test can bind some time later.
 
-    It is of a loopback IP of this test process alone. On 127.0.0.1 a connection of any other test could be
-    given the port, as its own ephemeral one, before the process binds it.
+    Its loopback IP is used by this test process only. On 127.0.0.1 the kernel could give the port to a
+    connection of another test as its ephemeral port before the process binds it.
     """
     pid, number = os.getpid(), next(_addresses_used)
     ip = f"127.{128 + (pid >> 8) % 120}.{pid % 256}.{1 + number % 250}"
@@ -52,7 +52,7 @@
 
 
 class LoopbackServer:
-    """A listener on a free loopback port that hands each connection to a handler."""
+    """A server on a free loopback port; subclasses serve a connection in `serve`."""
 
     def __init__(self) -> None:
         self.port = 0
@@ -83,7 +83,7 @@
 
 
 class Cache(LoopbackServer):
-    """A cache server: `answer` gives the bytes for a command; None closes the connection."""
+    """A cache server: `answer` returns the bytes for a command, or None to close the connection."""
 
     def __init__(self, answer: Handler) -> None:
         super().__init__()
@@ -104,7 +104,7 @@
 
 
 class Origin(LoopbackServer):
-    """An origin that answers every request with these bytes, but first breaks so many connections."""
+    """An origin that closes its first `breaks` connections on a request, and answers others with `data`."""
 
     def __init__(self, data: bytes) -> None:
         super().__init__()
@@ -123,7 +123,7 @@
 
 
 class DiscoveryServer(LoopbackServer):
-    """Discovery: the whole list to each call without a version, and silence to a watch."""
+    """A discovery server: a poll gets the full endpoint list at once, a watch gets no answer."""
 
     def __init__(self, instances: list[dict[str, Any]]) -> None:
         super().__init__()
@@ -141,7 +141,7 @@
             self.send_endpoint_list(writer)
 
     def send_endpoint_list(self, writer: asyncio.StreamWriter) -> None:
-        """Answer with the whole list."""
+        """Answer with the full endpoint list."""
         body = orjson.dumps({"generation": self.generation, "reset": True, "instances": self.instances})
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
@@ -157,17 +157,17 @@
 
 
 class LoopbackRouter:
-    """The router's parts on one loop, with a list of servers that the test gives."""
+    """The parts of a router on the test's event loop, with an endpoint list from the test."""
 
     def __init__(
         self,
         limit: int = 64,
         config: Settings | None = None,
-        copies: bool = False,
+        hedging: bool = False,
         now: Callable[[], int] = time.monotonic_ns,
     ) -> None:
         loop = asyncio.get_running_loop()
-        self.pool = ConnectionPool(loop, 64, 5.0, 10.0, hedging=copies)
+        self.pool = ConnectionPool(loop, 64, 5.0, 10.0, hedging=hedging)
         self.dispatcher = Dispatcher(loop, config or settings(), 7, self.pool, 1000, now)
         self.dispatcher.ready = True
         self.clients = ClientListener(loop, self.dispatcher, limit)
@@ -182,7 +182,7 @@
         return await asyncio.open_connection(*self.address)
 
     async def ask(self, data: bytes, size: int) -> bytes:
-        """Send bytes on a new connection and read so many, or up to the end."""
+        """Send `data` on a new connection and read `size` bytes, or fewer up to the end of the connection."""
         reader, writer = await self.dial()
         writer.write(data)
         try:
--- a/tests/router/test_caches.py
+++ b/tests/router/test_caches.py
@@ -1,4 +1,4 @@
-"""Answers of cache servers: what is taken in one look reads as what comes byte by byte."""
+"""Answers of cache servers: the fast path for complete answers parses like the incremental parser."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 End = tuple[Outcome, bytes | None, CacheStatus | None, bytes | None]
 
 
-class Kept(Exchange):
-    """Keeps how it ended."""
+class RecordingExchange(Exchange):
+    """Records how it ended."""
 
     def __init__(self) -> None:
         self.ends: list[End] = []
@@ -39,8 +39,8 @@
         self.ends.append((outcome, value, cache_status, report))
 
 
-class Line:
-    """A transport that only closes."""
+class StubTransport:
+    """A transport that only records that it is closed."""
 
     closing = False
 
@@ -54,28 +54,28 @@
         self.closing = True
 
 
-def read(parts: list[bytes]) -> tuple[list[End], bool]:
-    """How an exchange ends that is given these reads, and whether the connection serves another."""
+def read_parts(parts: list[bytes]) -> tuple[list[End], bool]:
+    """How an exchange ends that receives `parts`, and whether its connection is usable after it."""
 
-    async def scene() -> tuple[list[End], bool]:
+    async def run() -> tuple[list[End], bool]:
         pool = ConnectionPool(asyncio.get_running_loop(), 10, 0.1, 10.0)
         connection = CacheConnection(EndpointPool(pool, "s", ("127.0.0.1", 1), cast(Any, CacheConnection)))
-        connection.connection_made(cast(Any, Line()))
-        exchange = Kept()
+        connection.connection_made(cast(Any, StubTransport()))
+        exchange = RecordingExchange()
         connection.exchange, exchange.connection = exchange, connection
         for part in parts:
             connection.data_received(part)
         pool.close()
         return exchange.ends, connection.usable
 
-    return asyncio.run(scene())
+    return asyncio.run(run())
 
 
 VALUES = st.one_of(st.none(), st.binary(max_size=40), st.just(b"\r\n$3\r\nhit\r\n"), st.just(b"v" * 70_000))
 
 
 @given(VALUES, st.sampled_from([None, b"hit", b"miss", b"pending"]), st.sampled_from([None, b"q=1,l=2", b""]))
-def test_an_answer_in_one_read_is_as_one_byte_by_byte(
+def test_an_answer_in_one_read_parses_like_one_byte_by_byte(
     value: bytes | None, note: bytes | None, report: bytes | None
 ) -> None:
     value = None if value is not None and len(value) > 64 << 10 else value
@@ -83,10 +83,10 @@
     if note is not None:
         elements += [bulk(note)] + ([] if report is None else [bulk(report)])
     answer = b"*%d\r\n" % len(elements) + b"".join(elements)
-    whole = read([answer])
-    assert whole == read([bytes([byte]) for byte in answer])
-    ((outcome, told, _, _),) = whole[0]
-    assert (outcome, told) == ((Outcome.MISS, None) if value is None else (Outcome.OK, bulk(value)))
+    in_one_read = read_parts([answer])
+    assert in_one_read == read_parts([bytes([byte]) for byte in answer])
+    ((outcome, ended_with, _, _),) = in_one_read[0]
+    assert (outcome, ended_with) == ((Outcome.MISS, None) if value is None else (Outcome.OK, bulk(value)))
 
 
 @pytest.mark.parametrize(
@@ -102,5 +102,5 @@
         b"*4\r\n$-1\r\n",
     ],
 )
-def test_an_odd_answer_in_one_read_is_as_one_in_two(answer: bytes) -> None:
-    assert read([answer]) == read([answer[:7], answer[7:]])
+def test_an_uncommon_answer_in_one_read_parses_like_one_in_two(answer: bytes) -> None:
+    assert read_parts([answer]) == read_parts([answer[:7], answer[7:]])
--- a/tests/router/test_lines.py
+++ b/tests/router/test_lines.py
@@ -1,4 +1,4 @@
-"""Lines that the laboratory cuts: gates in front of stand-ins, and the relay between routers."""
+"""Network partitions of the harness: fault proxies before emulated endpoints, the relay between routers."""
 
 from __future__ import annotations
 
@@ -23,11 +23,14 @@
 from holdgw.wire.address import Address
 
 LIMIT_S = 20.0
-A_WHILE_S = 0.25
+SILENCE_S = 0.25
 
 
 class Echo(asyncio.Protocol):
-    """A stand-in that answers every byte, and tells what it saw."""
+    """An emulated endpoint that answers every byte, and records its events in `seen`.
+
+    "held" marks data that the fault proxy delayed.
+    """
 
     def __init__(self, seen: list[str]) -> None:
         self.seen, self.left = seen, 0.0
@@ -44,50 +47,52 @@
         self.seen.append("lost")
 
 
-def played(act: Callable[[FaultProxy, ProxiedListener, Address, list[str]], Awaitable[None]]) -> None:
-    async def scene() -> None:
+def run_with_proxy(
+    steps: Callable[[FaultProxy, ProxiedListener, Address, list[str]], Awaitable[None]],
+) -> None:
+    async def run_steps() -> None:
         loop = asyncio.get_running_loop()
-        gate = FaultProxy(loop, loop.time)
-        listener = ProxiedListener(gate)
+        proxy = FaultProxy(loop, loop.time)
+        listener = ProxiedListener(proxy)
         seen: list[str] = []
         address = listener.open(("127.0.0.1", 0), lambda: Echo(seen))
         try:
-            await asyncio.wait_for(act(gate, listener, address, seen), LIMIT_S)
+            await asyncio.wait_for(steps(proxy, listener, address, seen), LIMIT_S)
         finally:
             listener.end()
 
-    uvloop.run(scene())
+    uvloop.run(run_steps())
 
 
-async def nothing_comes(reader: asyncio.StreamReader) -> None:
+async def assert_silent(reader: asyncio.StreamReader) -> None:
     with pytest.raises(TimeoutError):
-        await asyncio.wait_for(reader.read(1), A_WHILE_S)
+        await asyncio.wait_for(reader.read(1), SILENCE_S)
 
 
-def test_a_dial_over_a_cut_line_neither_comes_up_nor_is_refused_and_comes_up_later() -> None:
-    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
-        gate.block("both", 1.0)
+def test_a_dial_during_a_partition_hangs_and_succeeds_after_it() -> None:
+    async def steps(proxy: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
+        proxy.block("both", 1.0)
         dial = asyncio.create_task(asyncio.open_connection(*address))
-        await asyncio.sleep(A_WHILE_S)
+        await asyncio.sleep(SILENCE_S)
         assert not dial.done()
-        reader, writer = await dial  # the kernel knocks again
-        assert not gate.cut
+        reader, writer = await dial  # the kernel sends another SYN
+        assert not proxy.cut
         writer.write(b"a")
         assert await reader.read(1) == b"A"
         writer.close()
 
-    played(act)
+    run_with_proxy(steps)
 
 
 @pytest.mark.parametrize("way", ["to", "from"])
-def test_a_line_cut_one_way_carries_the_other_and_loses_nothing(way: str) -> None:
-    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
+def test_a_one_way_partition_delays_that_direction_and_loses_no_bytes(way: str) -> None:
+    async def steps(proxy: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"a")
         assert await reader.read(1) == b"A"
-        gate.block("to" if way == "to" else "from", 0.8)
+        proxy.block("to" if way == "to" else "from", 0.8)
         writer.write(b"b")
-        await nothing_comes(reader)
+        await assert_silent(reader)
         assert seen == ["made", "a"] + ["b"] * (way == "from")
         assert await reader.read(1) == b"B"
         assert seen[2] == ("b held" if way == "to" else "b")
@@ -96,91 +101,93 @@
         assert seen[3] == "c"
         writer.close()
 
-    played(act)
+    run_with_proxy(steps)
 
 
-def test_what_came_up_just_before_a_cut_is_up_and_tells_when_its_bytes_were_sent() -> None:
-    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
+def test_a_connection_opened_just_before_a_partition_survives_with_the_send_time_of_its_bytes() -> None:
+    async def steps(proxy: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         await asyncio.sleep(0)
-        with socket.create_connection(address) as early:  # it waits in the listener's queue
-            gate.block("both", 0.5)
+        with socket.create_connection(address) as early:  # this connection waits in the listener's queue
+            proxy.block("both", 0.5)
             early.sendall(b"a")
             early.setblocking(False)
             loop = asyncio.get_running_loop()
             assert await asyncio.wait_for(loop.sock_recv(early, 1), LIMIT_S) == b"A"
         assert seen[:2] == ["made", "a held"]
 
-    played(act)
+    run_with_proxy(steps)
 
 
-def test_a_dial_that_came_up_amid_a_cut_is_reset_at_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("holdgw.emulators.fault_proxy.KNOCKS", 0)  # so that one does
+def test_a_connection_established_during_a_partition_is_reset_at_its_end(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    monkeypatch.setattr("holdgw.emulators.fault_proxy.KNOCKS", 0)  # leaves room in the listen queue
 
-    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
-        gate.block("both", 0.5)
-        with socket.create_connection(address) as amid:
-            amid.sendall(b"a")
-            amid.setblocking(False)
+    async def steps(proxy: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
+        proxy.block("both", 0.5)
+        with socket.create_connection(address) as during:
+            during.sendall(b"a")
+            during.setblocking(False)
             with pytest.raises(ConnectionResetError):
-                await asyncio.wait_for(asyncio.get_running_loop().sock_recv(amid, 1), LIMIT_S)
-        assert not gate.cut
+                await asyncio.wait_for(asyncio.get_running_loop().sock_recv(during, 1), LIMIT_S)
+        assert not proxy.cut
         assert seen == []
 
-    played(act)
+    run_with_proxy(steps)
 
 
-def test_cuts_that_overlap_end_with_the_last_one() -> None:
-    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
+def test_overlapping_partitions_end_with_the_last_one() -> None:
+    async def steps(proxy: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         reader, writer = await asyncio.open_connection(*address)
-        gate.block("both", 0.3)
-        gate.block("both", 1.0)
+        proxy.block("both", 0.3)
+        proxy.block("both", 1.0)
         writer.write(b"a")
-        await asyncio.sleep(0.3 + A_WHILE_S)
-        assert gate.cut
+        await asyncio.sleep(0.3 + SILENCE_S)
+        assert proxy.cut
         assert "a held" not in seen
         assert await reader.read(1) == b"A"
         writer.close()
 
-    played(act)
+    run_with_proxy(steps)
 
 
-def test_what_dies_behind_a_cut_line_is_silent_until_the_line_is_back() -> None:
-    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
+def test_an_endpoint_that_ends_during_a_partition_is_silent_until_the_partition_ends() -> None:
+    async def steps(proxy: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         reader, writer = await asyncio.open_connection(*address)
         writer.write(b"a")
         assert await reader.read(1) == b"A"
-        gate.block("both", 1.2)
-        (connection,) = gate._connections
+        proxy.block("both", 1.2)
+        (connection,) = proxy._connections
         connection.abort()
         listener.close()
         writer.write(b"b")
-        await nothing_comes(reader)
+        await assert_silent(reader)
         dial = asyncio.create_task(asyncio.open_connection(*address))
-        await asyncio.sleep(A_WHILE_S)
+        await asyncio.sleep(SILENCE_S)
         assert not dial.done()
         assert await reader.read(1) == b""
         with pytest.raises(ConnectionError):
             await dial
         assert "b held" not in seen
 
-    played(act)
+    run_with_proxy(steps)
 
 
-def test_a_stand_in_that_is_back_before_its_line_takes_what_comes_then() -> None:
-    async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
-        gate.block("both", 0.8)
+def test_an_endpoint_restarted_during_a_partition_serves_after_it() -> None:
+    async def steps(proxy: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
+        proxy.block("both", 0.8)
         listener.close()
         assert listener.open(address, lambda: Echo(seen)) == address
         reader, writer = await asyncio.open_connection(*address)
-        assert not gate.cut
+        assert not proxy.cut
         writer.write(b"a")
         assert await reader.read(1) == b"A"
         writer.close()
 
-    played(act)
+    run_with_proxy(steps)
 
 
-def test_routers_that_share_a_fate_share_a_line() -> None:
+def test_routers_cut_off_by_the_same_partitions_share_a_fault_proxy() -> None:
     text = """
 name = "x"
 length_s = 20.0
@@ -201,29 +208,31 @@
 """
     found = lines_of_routers(read_scenario(text, "x"), 1)
     counted = Counter(found.values())
-    assert counted["lozenets"] == 1  # router06 alone
+    assert counted["lozenets"] == 1  # only router06
     assert len({found["router00"], found["router03"], found["router06"]}) == 3
     assert found["router01"] != found["router04"] == found["router07"] == "mladost"
 
 
-# Between routers
+# The relay between routers
 
 
 def model(**weather: float) -> RelayModel:
     return RelayModel(1, lambda a, b: 0.001, PeerWeather(jitter=0.0, **weather))
 
 
-def test_a_line_between_routers_loses_doubles_and_reorders_its_share() -> None:
+def test_the_relay_model_drops_duplicates_and_reorders_the_configured_shares() -> None:
     relay = model(loss=0.2, duplicates=0.1, reordered=0.3)
-    came = [relay.carries(i * 0.01, "a", "b", 100) for i in range(5000)]
-    copies = [delay for delays in came for delay in delays]
-    assert len(copies) / 5000 == pytest.approx(1.1 * 0.8, abs=0.03)
-    assert sum(delay > 0.001 for delay in copies) / len(copies) == pytest.approx(0.3, abs=0.03)
-    assert max(copies) <= 0.051
+    delays_by_datagram = [relay.carries(i * 0.01, "a", "b", 100) for i in range(5000)]
+    delays_of_copies = [delay for delays in delays_by_datagram for delay in delays]
+    assert len(delays_of_copies) / 5000 == pytest.approx(1.1 * 0.8, abs=0.03)
+    assert sum(delay > 0.001 for delay in delays_of_copies) / len(delays_of_copies) == pytest.approx(
+        0.3, abs=0.03
+    )
+    assert max(delays_of_copies) <= 0.051
     assert relay.counts["a"].lost > 800
 
 
-def test_a_cut_between_two_routers_leaves_the_third_and_the_other_way() -> None:
+def test_a_one_way_partition_of_two_routers_spares_a_third_and_the_reverse_direction() -> None:
     relay = model()
     relay.block(["a"], ["b"], 5.0, both=False)
     assert relay.carries(1.0, "a", "b", 10) == []
@@ -232,17 +241,17 @@
     assert relay.counts["a"].cut == 1
 
 
-def test_a_line_carries_no_more_bytes_than_its_bound_and_no_long_datagram() -> None:
+def test_the_relay_model_limits_the_byte_rate_and_the_datagram_size() -> None:
     relay = model(bytes_per_s=1000.0)
-    passed = sum(bool(relay.carries(i * 0.01, "a", "b", 100)) for i in range(1000))
-    assert 95 <= passed <= 105  # 10 s at 1,000 bytes
+    forwarded = sum(bool(relay.carries(i * 0.01, "a", "b", 100)) for i in range(1000))
+    assert 95 <= forwarded <= 105  # 10 s at 1,000 bytes/s, 100 bytes each
     assert relay.carries(100.0, "a", "c", MOST_BYTES)
     assert relay.carries(200.0, "a", "c", MOST_BYTES + 1) == []
     assert relay.counts["a"].long == 1
 
 
-def test_the_relay_passes_datagrams_from_the_address_that_their_sender_is_known_by() -> None:
-    async def scene() -> None:
+def test_the_relay_forwards_datagrams_from_their_senders_relay_address() -> None:
+    async def run_steps() -> None:
         loop = asyncio.get_running_loop()
         socks = {name: socket.socket(type=socket.SOCK_DGRAM) for name in "abc"}
         for sock in socks.values():
@@ -265,12 +274,12 @@
             sock.close()
 
     async def limited() -> None:
-        await asyncio.wait_for(scene(), LIMIT_S)
+        await asyncio.wait_for(run_steps(), LIMIT_S)
 
     asyncio.run(limited())
 
 
-def test_simulated_routers_speak_over_the_same_lines() -> None:
+def test_simulated_routers_send_datagrams_through_the_same_relay_model() -> None:
     text = """
 name = "x"
 length_s = 4.0
@@ -283,41 +292,43 @@
 allowed = true
 """
     scenario = read_scenario(text, "x")
-    heard: list[tuple[str, float]] = []
+    received: list[tuple[str, float]] = []
 
-    class Ear(asyncio.DatagramProtocol):
+    class Receiver(asyncio.DatagramProtocol):
         def __init__(self, name: str) -> None:
             self.name = name
 
         def datagram_received(self, data: bytes, addr: Address) -> None:
-            heard.append((self.name, float(data)))
+            received.append((self.name, float(data)))
 
-    async def speaker(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
+    async def run_router(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
         ip = process.host.ips[0]
-        end, _ = await process.network.datagrams(process, lambda: Ear(process.name), (ip, PEER_PORT), None)
+        end, _ = await process.network.datagrams(
+            process, lambda: Receiver(process.name), (ip, PEER_PORT), None
+        )
         while process.name == "router00":
             await asyncio.sleep(0.1)
-            end.sendto(f"{theatre.clock()}".encode(), theatre.peers["router00"].all)
+            end.sendto(f"{simulated_fleet.clock()}".encode(), simulated_fleet.peers["router00"].all)
         return int(await process.loop.create_future())
 
     async def main() -> int:
-        for router in theatre.routers.values():
+        for router in simulated_fleet.routers.values():
             await router.start(("10.0.0.3", 1))
         await asyncio.sleep(1.0)
         cut = {"a": ["router00"], "b": ["router01"], "way": "to", "seconds": 1.0}
-        begun = theatre.clock()
-        await theatre.carry_out(ScheduledFault(0.0, "partition", PEERS, cut))
+        partition_start = simulated_fleet.clock()
+        await simulated_fleet.carry_out(ScheduledFault(0.0, "partition", PEERS, cut))
         await asyncio.sleep(2.0)
-        reached = {name for name, at in heard if begun < at < begun + 1.0}
+        reached = {name for name, at in received if partition_start < at < partition_start + 1.0}
         assert reached == {"router02"}
-        assert {name for name, at in heard if at > begun + 1.0} == {"router01", "router02"}
+        assert {name for name, at in received if at > partition_start + 1.0} == {"router01", "router02"}
         return 0
 
-    theatre = SimulatedFleet(draw_schedule(scenario, 1), main=speaker)
-    assert theatre.network.peers is not None
-    assert theatre.network.peers.weather == relay_model(scenario, 1).weather
-    theatre.stage.on_exit = lambda _: theatre.world.stop()
-    theatre.stage.start(main())
-    theatre.world.run(None)
-    assert theatre.stage.faults == []
-    assert heard
+    simulated_fleet = SimulatedFleet(draw_schedule(scenario, 1), main=run_router)
+    assert simulated_fleet.network.peers is not None
+    assert simulated_fleet.network.peers.weather == relay_model(scenario, 1).weather
+    simulated_fleet.stage.on_exit = lambda _: simulated_fleet.world.stop()
+    simulated_fleet.stage.start(main())
+    simulated_fleet.world.run(None)
+    assert simulated_fleet.stage.faults == []
+    assert received
--- a/tests/router/test_long_values.py
+++ b/tests/router/test_long_values.py
@@ -1,4 +1,4 @@
-"""Values too long to be held: passed on as they come, from caches and the origin, to clients of any speed."""
+"""Values too long to buffer, streamed from cache servers and the origin to clients of any speed."""
 
 from __future__ import annotations
 
@@ -22,13 +22,16 @@
 Writer = asyncio.StreamWriter
 
 
-class Giver(LoopbackServer):
-    """A cache or an origin that gives each answer by a function of its own, then reads on."""
+class ScriptedServer(LoopbackServer):
+    """A cache server or an origin that writes each answer by a function from the test.
+
+    Such a function returns whether the connection stays open.
+    """
 
     def __init__(self, *answers: Callable[[Writer], Coroutine[Any, Any, bool]], http: bool = False) -> None:
         super().__init__()
         self.answers, self.http = list(answers), http
-        self.left = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: Writer) -> None:
         try:
@@ -42,54 +45,54 @@
                 if not await self.answers.pop(0)(writer):
                     return
         finally:
-            self.left.set()
+            self.disconnected.set()
 
 
-def gives(*parts: bytes, stays: bool = True) -> Callable[[Writer], Coroutine[Any, Any, bool]]:
+def answer_with(*parts: bytes, stays_open: bool = True) -> Callable[[Writer], Coroutine[Any, Any, bool]]:
     async def answer(writer: Writer) -> bool:
         for part in parts:
             writer.write(part)
             await writer.drain()
-        return stays
+        return stays_open
 
     return answer
 
 
-def head(length: int) -> bytes:
+def array_header(length: int) -> bytes:
     return b"*3\r\n$%d\r\n" % length
 
 
-class Scene:
-    """A router between one cache, an origin, and the clients of a test."""
+class StreamingSetup:
+    """A router with one cache server, perhaps an origin, and the clients of a test."""
 
-    def __init__(self, cache: Giver, origin: Giver | None = None) -> None:
-        self.cache, self.origin, self.node = cache, origin, LoopbackRouter()
+    def __init__(self, cache: ScriptedServer, origin: ScriptedServer | None = None) -> None:
+        self.cache, self.origin, self.router = cache, origin, LoopbackRouter()
 
-    async def __aenter__(self) -> Scene:
+    async def __aenter__(self) -> StreamingSetup:
         await self.cache.start()
         listed = [entry("s1", self.cache.port)]
         if self.origin is not None:
             await self.origin.start()
             listed.append(entry("o1", self.origin.port, "origin"))
-        await self.node.start(*listed)
+        await self.router.start(*listed)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.node.stop()
+        self.router.stop()
         self.cache.stop()
         if self.origin is not None:
             self.origin.stop()
 
     async def ask(self, *names: str, wait: int = 900) -> tuple[asyncio.StreamReader, Writer]:
-        reader, writer = await self.node.dial()
+        reader, writer = await self.router.dial()
         writer.write(b"".join(read(name, f"key-{name}", wait) for name in names))
         return reader, writer
 
-    async def at_rest(self) -> None:
-        """Wait until nothing of a request or a long value is left in any table."""
+    async def until_idle(self) -> None:
+        """Wait until no request and no long value is left in any table."""
         while True:
-            tables = {**self.node.dispatcher.tables(), **self.node.pool.tables()}
-            kept = (
+            tables = {**self.router.dispatcher.tables(), **self.router.pool.tables()}
+            names = (
                 "requests",
                 "policy_requests",
                 "policy_coalesced_fetches",
@@ -97,16 +100,16 @@
                 "bytes_held",
                 "waiting",
             )
-            if not any(tables[name] for name in kept):
+            if not any(tables[name] for name in names):
                 return
             await asyncio.sleep(0.01)
 
 
-async def took(reader: asyncio.StreamReader, size: int) -> bytes:
+async def read_exactly(reader: asyncio.StreamReader, size: int) -> bytes:
     return await asyncio.wait_for(reader.readexactly(size), LIMIT_S)
 
 
-async def rest(reader: asyncio.StreamReader) -> bytes:
+async def read_to_end(reader: asyncio.StreamReader) -> bytes:
     return await asyncio.wait_for(reader.read(), LIMIT_S)
 
 
@@ -115,80 +118,88 @@
 
 
 @pytest.mark.parametrize("size", [MAX_BUFFERED_VALUE_BYTES, MAX_BUFFERED_VALUE_BYTES + 1, len(VALUE)])
-def test_a_value_comes_whole_whatever_its_length_and_the_connection_serves_on(size: int) -> None:
+def test_a_value_of_any_length_arrives_complete_and_its_connection_is_reused(size: int) -> None:
     async def test() -> None:
         value = VALUE[:size]
-        pieces = [head(size)[:5], head(size)[5:] + value[:7], value[7:-1], value[-1:] + TAIL[:1], TAIL[1:]]
-        async with Scene(Giver(gives(*pieces), gives(head(5) + b"short" + TAIL))) as scene:
+        pieces = [
+            array_header(size)[:5],
+            array_header(size)[5:] + value[:7],
+            value[7:-1],
+            value[-1:] + TAIL[:1],
+            TAIL[1:],
+        ]
+        async with StreamingSetup(
+            ScriptedServer(answer_with(*pieces), answer_with(array_header(5) + b"short" + TAIL))
+        ) as scene:
             reader, writer = await scene.ask("a", "b")
-            assert await took(reader, len(bulk(value))) == bulk(value)
-            assert await took(reader, 11) == bulk(b"short")
+            assert await read_exactly(reader, len(bulk(value))) == bulk(value)
+            assert await read_exactly(reader, 11) == bulk(b"short")
             writer.close()
-            await scene.at_rest()
-            assert scene.node.dispatcher.metrics.text(0, 0, 0).count(b'succeeded"} 2') == 1
+            await scene.until_idle()
+            assert scene.router.dispatcher.metrics.text(0, 0, 0).count(b'succeeded"} 2') == 1
 
     run(test)
 
 
-def test_the_first_bytes_go_on_before_the_last_come_and_no_deadline_ends_them() -> None:
+def test_a_long_value_is_streamed_while_it_arrives_and_beyond_the_deadline() -> None:
     async def test() -> None:
         go = asyncio.Event()
 
         async def slowly(writer: Writer) -> bool:
-            writer.write(head(len(VALUE)) + VALUE[:1000])
+            writer.write(array_header(len(VALUE)) + VALUE[:1000])
             await go.wait()
             writer.write(VALUE[1000:] + TAIL)
             return True
 
-        async with Scene(Giver(slowly)) as scene:
+        async with StreamingSetup(ScriptedServer(slowly)) as scene:
             reader, writer = await scene.ask("a", wait=150)
             begin = b"$%d\r\n" % len(VALUE) + VALUE[:1000]
-            assert await took(reader, len(begin)) == begin
-            await asyncio.sleep(0.3)  # its client's time is up, and the sweep has been round
-            assert scene.node.dispatcher.outstanding == 1
+            assert await read_exactly(reader, len(begin)) == begin
+            await asyncio.sleep(0.3)  # beyond the client's timeout, and the sweep has run
+            assert scene.router.dispatcher.outstanding == 1
             go.set()
-            assert await took(reader, len(VALUE) - 998) == VALUE[1000:] + b"\r\n"
+            assert await read_exactly(reader, len(VALUE) - 998) == VALUE[1000:] + b"\r\n"
             writer.close()
-            await scene.at_rest()
+            await scene.until_idle()
 
     run(test)
 
 
-def test_a_client_that_does_not_take_its_value_holds_back_the_server_and_not_memory() -> None:
+def test_a_client_that_does_not_read_its_value_pauses_the_endpoint_and_takes_no_memory() -> None:
     async def test() -> None:
-        gone = 0
+        written = 0
 
         async def all_of_it(writer: Writer) -> bool:
-            nonlocal gone
-            writer.write(head(MAX_VALUE_BYTES))
+            nonlocal written
+            writer.write(array_header(MAX_VALUE_BYTES))
             for _ in range(MAX_VALUE_BYTES // (64 << 10)):
                 writer.write(VALUE[: 64 << 10])
                 await writer.drain()
-                gone += 64 << 10
+                written += 64 << 10
             writer.write(TAIL)
             return True
 
-        async with Scene(Giver(all_of_it)) as scene:
+        async with StreamingSetup(ScriptedServer(all_of_it)) as scene:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
-            await asyncio.get_running_loop().sock_connect(sock, scene.node.address)
+            await asyncio.get_running_loop().sock_connect(sock, scene.router.address)
             reader, writer = await asyncio.open_connection(sock=sock, limit=4096)
             writer.write(read("slow"))
-            assert await took(reader, 4) == b"$167"
+            assert await read_exactly(reader, 4) == b"$167"
             seen = -1
-            while seen != gone:  # until nothing moves any more
-                seen = gone
+            while seen != written:  # until no more bytes are written
+                seen = written
                 await asyncio.sleep(0.2)
-            assert gone < MAX_VALUE_BYTES // 2
-            (connection,) = scene.node.clients.connections
+            assert written < MAX_VALUE_BYTES // 2
+            (connection,) = scene.router.clients.connections
             assert connection.transport is not None
             assert connection.transport.get_write_buffer_size() < 1 << 20
             length = 0
             while length < MAX_VALUE_BYTES:
                 length += len(await asyncio.wait_for(reader.read(1 << 20), LIMIT_S))
             writer.close()
-            await scene.at_rest()
+            await scene.until_idle()
 
     run(test)
 
@@ -196,153 +207,163 @@
 @pytest.mark.parametrize(
     "parts",
     [
-        (head(len(VALUE)), VALUE[:500_000]),
-        (head(len(VALUE) - 9), VALUE, TAIL),
+        (array_header(len(VALUE)), VALUE[:500_000]),
+        (array_header(len(VALUE) - 9), VALUE, TAIL),
     ],
     ids=["broken off", "longer than it says"],
 )
-def test_a_value_that_cannot_be_finished_closes_the_clients_connection(parts: tuple[bytes, ...]) -> None:
+def test_a_streamed_value_that_cannot_be_completed_closes_the_clients_connection(
+    parts: tuple[bytes, ...],
+) -> None:
     async def test() -> None:
-        async with Scene(Giver(gives(*parts, stays=False))) as scene:
+        async with StreamingSetup(ScriptedServer(answer_with(*parts, stays_open=False))) as scene:
             reader, writer = await scene.ask("a")
-            came = await rest(reader)
-            assert came.startswith(b"$")
-            assert not came.endswith(b"\r\n")
+            received = await read_to_end(reader)
+            assert received.startswith(b"$")
+            assert not received.endswith(b"\r\n")
             writer.close()
-            await scene.at_rest()
+            await scene.until_idle()
             assert scene.cache.connections == 1
-            assert b'aborted"} 1' in scene.node.dispatcher.metrics.text(0, 0, 0)
+            assert b'aborted"} 1' in scene.router.dispatcher.metrics.text(0, 0, 0)
 
     run(test)
 
 
-def test_one_that_breaks_before_its_turn_is_an_error_in_its_place() -> None:
+def test_a_streamed_value_that_breaks_before_its_turn_becomes_an_error() -> None:
     async def test() -> None:
         go = asyncio.Event()
 
         async def later(writer: Writer) -> bool:
             await go.wait()
-            writer.write(head(5) + b"first" + TAIL)
+            writer.write(array_header(5) + b"first" + TAIL)
             return True
 
         async def breaks(writer: Writer) -> bool:
-            writer.write(head(len(VALUE)) + VALUE[:100])
+            writer.write(array_header(len(VALUE)) + VALUE[:100])
             return False
 
-        async with Scene(Giver(later, breaks, gives(head(5) + b"third" + TAIL))) as scene:
+        async with StreamingSetup(
+            ScriptedServer(later, breaks, answer_with(array_header(5) + b"third" + TAIL))
+        ) as scene:
             reader, writer = await scene.ask("a")
             while not scene.cache.connections:
                 await asyncio.sleep(0.01)
             writer.write(read("b", "key-b"))
-            while b'aborted"} 1' not in scene.node.dispatcher.metrics.text(0, 0, 0):
+            while b'aborted"} 1' not in scene.router.dispatcher.metrics.text(0, 0, 0):
                 await asyncio.sleep(0.01)
             go.set()
-            assert await took(reader, 11) == bulk(b"first")
-            assert await took(reader, 13) == b"-ERR failed\r\n"
+            assert await read_exactly(reader, 11) == bulk(b"first")
+            assert await read_exactly(reader, 13) == b"-ERR failed\r\n"
             writer.write(read("c", "key-c"))
-            assert await took(reader, 11) == bulk(b"third")
+            assert await read_exactly(reader, 11) == bulk(b"third")
             writer.close()
 
     run(test)
 
 
-def test_a_client_holds_its_server_back_though_that_server_drains_meanwhile() -> None:
-    # Found on reading: a connection of a server that drains was not paused, and its value piled up here.
+def test_a_slow_client_pauses_the_stream_of_a_draining_endpoint() -> None:
+    # A connection to a draining server was not paused, and its value was buffered in the router.
     async def test() -> None:
         go = asyncio.Event()
 
         async def all_of_it(writer: Writer) -> bool:
-            writer.write(head(MAX_VALUE_BYTES) + VALUE[:100])
+            writer.write(array_header(MAX_VALUE_BYTES) + VALUE[:100])
             await go.wait()
             for _ in range(4):
                 writer.write(VALUE)
                 await writer.drain()
             return True
 
-        async with Scene(Giver(all_of_it)) as scene:
+        async with StreamingSetup(ScriptedServer(all_of_it)) as scene:
             reader, writer = await scene.ask("a")
-            await took(reader, 50)
-            scene.node.pool.remove_endpoint("s1")
-            (connection,) = scene.node.clients.connections
+            await read_exactly(reader, 50)
+            scene.router.pool.remove_endpoint("s1")
+            (connection,) = scene.router.clients.connections
             connection.pause_writing()
             go.set()
-            (upstream,) = scene.node.pool._endpoints["s1"].connections
+            (upstream,) = scene.router.pool._endpoints["s1"].connections
             while upstream.exchange is not None and not upstream.reading_paused:
                 await asyncio.sleep(0.01)
             assert upstream.reading_paused
             writer.transport.abort()
-            await scene.at_rest()
+            await scene.until_idle()
 
     run(test)
 
 
-def test_what_stands_behind_a_value_is_read_though_its_client_was_slow() -> None:
-    # Found on reading: a client that took its last bytes late left the server's side paused for ever.
+def test_the_rest_of_an_answer_after_a_streamed_value_is_read_despite_a_slow_client() -> None:
+    # A client that accepted its last bytes late left the connection to the server paused forever.
     async def test() -> None:
         last, tail = asyncio.Event(), asyncio.Event()
 
         async def in_three(writer: Writer) -> bool:
-            writer.write(head(len(VALUE)) + VALUE[:-10])
+            writer.write(array_header(len(VALUE)) + VALUE[:-10])
             await last.wait()
             writer.write(VALUE[-10:] + TAIL[:2])
             await tail.wait()
             writer.write(TAIL[2:])
             return True
 
-        async with Scene(Giver(in_three)) as scene:
+        async with StreamingSetup(ScriptedServer(in_three)) as scene:
             reader, writer = await scene.ask("a")
             begin = len(bulk(VALUE)) - 12
-            await took(reader, begin)
-            (connection,) = scene.node.clients.connections
+            await read_exactly(reader, begin)
+            (connection,) = scene.router.clients.connections
             connection.pause_writing()
             last.set()
-            while b'succeeded"} 1' not in scene.node.dispatcher.metrics.text(0, 0, 0):
+            while b'succeeded"} 1' not in scene.router.dispatcher.metrics.text(0, 0, 0):
                 await asyncio.sleep(0.01)
             connection.resume_writing()
-            assert await took(reader, 12) == VALUE[-10:] + b"\r\n"
+            assert await read_exactly(reader, 12) == VALUE[-10:] + b"\r\n"
             tail.set()
-            await asyncio.wait_for(scene.at_rest(), LIMIT_S)
+            await asyncio.wait_for(scene.until_idle(), LIMIT_S)
             writer.close()
 
     run(test)
 
 
-def test_a_client_that_leaves_midway_ends_the_servers_sending() -> None:
+def test_a_client_that_disconnects_during_a_stream_ends_the_endpoints_sending() -> None:
     async def test() -> None:
-        async with Scene(Giver(gives(head(MAX_VALUE_BYTES), VALUE, VALUE))) as scene:
+        async with StreamingSetup(
+            ScriptedServer(answer_with(array_header(MAX_VALUE_BYTES), VALUE, VALUE))
+        ) as scene:
             reader, writer = await scene.ask("a")
-            await took(reader, 10)
+            await read_exactly(reader, 10)
             writer.transport.abort()
-            await asyncio.wait_for(scene.cache.left.wait(), LIMIT_S)
-            await scene.at_rest()
+            await asyncio.wait_for(scene.cache.disconnected.wait(), LIMIT_S)
+            await scene.until_idle()
 
     run(test)
 
 
 @pytest.mark.sources_only
-def test_a_server_that_gives_nothing_more_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_stream_from_a_stalled_endpoint_is_abandoned(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(streamed_value, "STREAM_STALL_NS", 200_000_000)
 
     async def test() -> None:
-        async with Scene(Giver(gives(head(len(VALUE)), VALUE[:1000]))) as scene:
+        async with StreamingSetup(
+            ScriptedServer(answer_with(array_header(len(VALUE)), VALUE[:1000]))
+        ) as scene:
             reader, writer = await scene.ask("a")
-            assert len(await rest(reader)) < len(VALUE)
+            assert len(await read_to_end(reader)) < len(VALUE)
             writer.close()
-            await scene.at_rest()
+            await scene.until_idle()
 
     run(test)
 
 
-def test_a_client_that_takes_nothing_of_its_value_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_reads_nothing_of_its_stream_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connection, "STREAM_STALL_TIMEOUT_S", 0.2)
 
     async def test() -> None:
-        async with Scene(Giver(gives(head(MAX_VALUE_BYTES), *[VALUE] * 4, TAIL))) as scene:
+        async with StreamingSetup(
+            ScriptedServer(answer_with(array_header(MAX_VALUE_BYTES), *[VALUE] * 4, TAIL))
+        ) as scene:
             _, writer = await scene.ask("a")
             writer.transport.pause_reading()  # type: ignore[attr-defined]
-            await asyncio.wait_for(scene.cache.left.wait(), LIMIT_S)
-            await scene.at_rest()
-            assert not scene.node.clients.connection_count
+            await asyncio.wait_for(scene.cache.disconnected.wait(), LIMIT_S)
+            await scene.until_idle()
+            assert not scene.router.clients.connection_count
             writer.close()
 
     run(test)
@@ -351,91 +372,95 @@
 # The origin
 
 
-def page(value: bytes, *headers: bytes) -> bytes:
+def response(value: bytes, *headers: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\n%b\r\n\r\n%b" % (b"\r\n".join(headers), value)
 
 
-def chunks(value: bytes) -> bytes:
+def chunked_body(value: bytes) -> bytes:
     return b"%x\r\n%b\r\n0\r\n\r\n" % (len(value), value)
 
 
 @pytest.mark.parametrize(
-    ("told", "stays"),
+    ("response_bytes", "stays_open"),
     [
-        (page(VALUE, b"Content-Length: %d" % len(VALUE)), True),
-        (page(VALUE, b"Content-Length: %d  " % len(VALUE), b"X-Note: " + b"n" * 9000), True),
-        (page(chunks(VALUE), b"Transfer-Encoding: chunked"), True),
-        (page(VALUE, b"Connection: close"), False),
+        (response(VALUE, b"Content-Length: %d" % len(VALUE)), True),
+        (response(VALUE, b"Content-Length: %d  " % len(VALUE), b"X-Note: " + b"n" * 9000), True),
+        (response(chunked_body(VALUE), b"Transfer-Encoding: chunked"), True),
+        (response(VALUE, b"Connection: close"), False),
     ],
     ids=["length", "length and spaces", "chunks", "to the close"],
 )
-def test_the_origins_long_values_come_whole(told: bytes, stays: bool) -> None:
+def test_long_values_from_the_origin_arrive_complete(response_bytes: bytes, stays_open: bool) -> None:
     async def test() -> None:
-        origin = Giver(gives(told[:100], told[100:], stays=stays), http=True)
-        async with Scene(Giver(gives(MISS)), origin) as scene:
+        origin = ScriptedServer(
+            answer_with(response_bytes[:100], response_bytes[100:], stays_open=stays_open), http=True
+        )
+        async with StreamingSetup(ScriptedServer(answer_with(MISS)), origin) as scene:
             reader, writer = await scene.ask("a")
-            assert await took(reader, len(bulk(VALUE))) == bulk(VALUE)
+            assert await read_exactly(reader, len(bulk(VALUE))) == bulk(VALUE)
             writer.close()
-            await scene.at_rest()
+            await scene.until_idle()
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    "told",
+    "response_bytes",
     [
-        page(b"x" * 100),  # neither a length nor a word that the close ends it
-        page(VALUE[:100], b"Content-Length: %d" % (MAX_VALUE_BYTES + 1)),
-        page(chunks(VALUE * 3), b"Transfer-Encoding: chunked"),  # more than there is room to hold
+        response(b"x" * 100),  # neither a length nor "Connection: close"
+        response(VALUE[:100], b"Content-Length: %d" % (MAX_VALUE_BYTES + 1)),
+        response(chunked_body(VALUE * 3), b"Transfer-Encoding: chunked"),  # more than the pool reserves
     ],
     ids=["no length", "too long", "no room"],
 )
-def test_a_page_that_can_neither_be_passed_on_nor_held_is_none(told: bytes) -> None:
+def test_an_origin_response_that_can_neither_be_streamed_nor_buffered_is_an_error(
+    response_bytes: bytes,
+) -> None:
     async def test() -> None:
-        origin = Giver(*[gives(told, stays=False)] * 4, http=True)
-        async with Scene(Giver(*[gives(MISS)] * 4), origin) as scene:
+        origin = ScriptedServer(*[answer_with(response_bytes, stays_open=False)] * 4, http=True)
+        async with StreamingSetup(ScriptedServer(*[answer_with(MISS)] * 4), origin) as scene:
             reader, writer = await scene.ask("a")
-            assert (await took(reader, 4)) in (b"-ERR", b"-BUS")
+            assert (await read_exactly(reader, 4)) in (b"-ERR", b"-BUS")
             writer.close()
-            await scene.at_rest()
+            await scene.until_idle()
 
     run(test)
 
 
-def test_a_body_that_ends_with_its_connection_is_whole_only_by_a_good_end() -> None:
+def test_a_body_that_ends_with_its_connection_needs_an_announced_close() -> None:
     reader = ResponseReader(1000)
-    assert not reader.read(page(b"abc", b"Connection: close"))
+    assert not reader.read(response(b"abc", b"Connection: close"))
     assert reader.connection_closed()
     assert (reader.status, bytes(reader.body)) == (200, b"abc")
     assert not reader.finish_response()
     assert not reader.connection_closed()
     with pytest.raises(HttpError):
-        ResponseReader(1000).read(page(b"abc"))
+        ResponseReader(1000).read(response(b"abc"))
 
 
-# Decisions
+# The routing policy
 
 
-def test_a_value_under_way_is_no_load_and_frees_those_who_wait_for_its_key() -> None:
-    router: RoutingPolicy = started(settings(), fleet(1))
-    first = only_send(router.handle(request("a"), 1))
-    fetch = only_send(router.handle(ended(first, Outcome.MISS), 2))
-    second = only_send(router.handle(request("b"), 3))
-    assert not sends(router.handle(ended(second, Outcome.MISS), 4))  # it waits for the fetch
-    load = [node.in_flight for node in router._origins.endpoints.values()]
-    again = only_send(router.handle(StreamStarted("a", 1), 5))
+def test_a_started_stream_is_not_in_flight_and_releases_the_requests_that_wait_for_its_fetch() -> None:
+    policy: RoutingPolicy = started(settings(), fleet(1))
+    first = only_send(policy.handle(request("a"), 1))
+    fetch = only_send(policy.handle(ended(first, Outcome.MISS), 2))
+    second = only_send(policy.handle(request("b"), 3))
+    assert not sends(policy.handle(ended(second, Outcome.MISS), 4))  # the request waits for the fetch
+    load = [endpoint.in_flight for endpoint in policy._origins.endpoints.values()]
+    again = only_send(policy.handle(StreamStarted("a", 1), 5))
     assert (again.request_id, again.endpoint_id) == ("b", second.endpoint_id)
-    assert [node.in_flight for node in router._origins.endpoints.values()] == [load[0] - 1]
-    assert not router.handle(StreamStarted("a", 1), 6)  # told twice, it counts once
-    router.handle(ended(fetch, Outcome.OK, attempt=1), 7)
-    assert [node.in_flight for node in router._origins.endpoints.values()] == [0]
-    assert not router.handle(StreamStarted("gone", 1), 8)
+    assert [endpoint.in_flight for endpoint in policy._origins.endpoints.values()] == [load[0] - 1]
+    assert not policy.handle(StreamStarted("a", 1), 6)  # a repeated event counts once
+    policy.handle(ended(fetch, Outcome.OK, attempt=1), 7)
+    assert [endpoint.in_flight for endpoint in policy._origins.endpoints.values()] == [0]
+    assert not policy.handle(StreamStarted("gone", 1), 8)
 
 
-def test_a_long_command_is_still_none() -> None:
+def test_a_command_with_a_long_value_is_still_invalid() -> None:
     async def test() -> None:
-        async with Scene(Giver()) as scene:
+        async with StreamingSetup(ScriptedServer()) as scene:
             data = command(b"KV.SET", b"k", b"id", b"c=edit,d=500,k=1", b"x" * (MAX_BUFFERED_VALUE_BYTES + 1))
-            assert (await scene.node.ask(data, 4)) == b"-ERR"
+            assert (await scene.router.ask(data, 4)) == b"-ERR"
 
     run(test)
--- a/tests/router/test_sockets.py
+++ b/tests/router/test_sockets.py
@@ -1,4 +1,4 @@
-"""The router over loopback sockets: one test for each failure found on rough days."""
+"""The router over loopback sockets: regression tests of failures found in overload and fault scenarios."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 )
 from tests.helpers import MS, S, settings
 
-PAGE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue"
 
 
 @pytest.mark.parametrize(
@@ -42,25 +42,25 @@
         b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$9\r\nqueue=inf\r\n",
     ],
 )
-def test_a_good_answer_is_served_whatever_follows_it(first: bytes) -> None:
+def test_a_valid_answer_is_served_whatever_follows_its_value(first: bytes) -> None:
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
             return first
 
-        cache, node = Cache(answer), LoopbackRouter()
+        cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
-        await node.start(entry("s1", cache.port))
+        await router.start(entry("s1", cache.port))
         for i in range(3):
-            assert await node.ask(read(f"r{i}"), len(SERVED)) == SERVED
+            assert await router.ask(read(f"r{i}"), len(SERVED)) == SERVED
         assert len(cache.seen) == 3
-        node.stop()
+        router.stop()
         cache.stop()
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"*3\r\n$4\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n",
         b"*3\r\n$3000000000\r\n" + b"v" * 100_000,
@@ -70,138 +70,138 @@
         b"x" * 100_000,
     ],
 )
-def test_a_spoilt_answer_is_asked_for_again_where_it_was_made(spoilt: bytes) -> None:
+def test_a_malformed_answer_is_retried_at_the_same_endpoint(malformed: bytes) -> None:
     async def test() -> None:
-        answers = [spoilt, HIT]
+        answers = [malformed, HIT]
 
         async def answer(_: list[bytes]) -> bytes:
             return answers.pop(0)
 
-        cache, node = Cache(answer), LoopbackRouter()
+        cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
-        await node.start(entry("s1", cache.port))
-        assert await node.ask(read("r1"), len(SERVED)) == SERVED
+        await router.start(entry("s1", cache.port))
+        assert await router.ask(read("r1"), len(SERVED)) == SERVED
         assert cache.connections == 2
-        node.stop()
+        router.stop()
         cache.stop()
 
     run(test)
 
 
 @pytest.mark.parametrize(
-    "page",
+    "response",
     [
-        PAGE + PAGE,
-        PAGE + b"\x00junk",
-        b"HTTP/1.1 100 Continue\r\n\r\n" + PAGE,
-        b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + PAGE,
+        RESPONSE + RESPONSE,
+        RESPONSE + b"\x00junk",
+        b"HTTP/1.1 100 Continue\r\n\r\n" + RESPONSE,
+        b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + RESPONSE,
     ],
 )
-def test_a_good_page_of_the_origin_is_served_whatever_stands_around_it(page: bytes) -> None:
+def test_a_valid_origin_response_is_served_whatever_surrounds_it(response: bytes) -> None:
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
             return MISS
 
-        cache, origin, node = Cache(answer), Origin(page), LoopbackRouter()
+        cache, origin, router = Cache(answer), Origin(response), LoopbackRouter()
         await cache.start()
         await origin.start()
-        await node.start(entry("s1", cache.port), entry("o1", origin.port, "origin"))
+        await router.start(entry("s1", cache.port), entry("o1", origin.port, "origin"))
         for i in range(2):
-            assert await node.ask(read(f"r{i}", f"k{i}"), len(SERVED)) == SERVED
-        node.stop()
+            assert await router.ask(read(f"r{i}", f"k{i}"), len(SERVED)) == SERVED
+        router.stop()
         cache.stop()
         origin.stop()
 
     run(test)
 
 
-def test_a_connection_that_breaks_twice_is_no_reason_to_ask_another_server() -> None:
-    # Found in issue 5: the second loss went to the next-ranked server, which missed and cost a fetch.
+def test_a_request_stays_at_its_endpoint_after_two_connection_losses() -> None:
+    # Issue 5: after the second loss the request went to the next-ranked server, and its miss cost a fetch.
     async def test() -> None:
         answers: list[bytes | None] = [None, None, HIT] * 9
 
         async def answer(_: list[bytes]) -> bytes | None:
             return answers.pop(0)
 
-        caches, node = [Cache(answer) for _ in range(3)], LoopbackRouter()
+        caches, router = [Cache(answer) for _ in range(3)], LoopbackRouter()
         for cache in caches:
             await cache.start()
-        await node.start(*(entry(f"s{i}", cache.port) for i, cache in enumerate(caches)))
+        await router.start(*(entry(f"s{i}", cache.port) for i, cache in enumerate(caches)))
         for i in range(9):
-            assert await node.ask(read(f"r{i}", f"k{i}"), len(SERVED)) == SERVED
+            assert await router.ask(read(f"r{i}", f"k{i}"), len(SERVED)) == SERVED
         asked = [{words[2] for words in cache.seen} for cache in caches]
         assert sum(len(ids) for ids in asked) == 9  # each request at one server only
         assert sum(len(cache.seen) for cache in caches) == 27
-        node.stop()
+        router.stop()
         for cache in caches:
             cache.stop()
 
     run(test)
 
 
-def test_broken_connections_to_the_origin_starve_no_tenant() -> None:
-    # Found in issue 5: they cut every tenant's limit while the origin was idle, or had the read given up.
+def test_lost_origin_connections_do_not_reduce_a_tenants_limit() -> None:
+    # Issue 5: the losses reduced every tenant's limit while the origin was idle, or failed the read.
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
             return MISS
 
-        cache, origin, node = Cache(answer), Origin(PAGE), LoopbackRouter()
+        cache, origin, router = Cache(answer), Origin(RESPONSE), LoopbackRouter()
         await cache.start()
         await origin.start()
-        await node.start(entry("s1", cache.port), entry("o1", origin.port, "origin"))
+        await router.start(entry("s1", cache.port), entry("o1", origin.port, "origin"))
         for i in range(300):
             origin.breaks = 2
-            assert await node.ask(read(f"r{i}", f"k{i}"), len(SERVED)) == SERVED
+            assert await router.ask(read(f"r{i}", f"k{i}"), len(SERVED)) == SERVED
         assert (origin.seen, len(cache.seen)) == (900, 300)
-        node.stop()
+        router.stop()
         cache.stop()
         origin.stop()
 
     run(test)
 
 
-def test_requests_that_get_no_answer_shed_no_server_that_answers_others() -> None:
-    # Found in incident r02ff52: a few silent requests had the servers of all others refuse them.
+def test_unanswered_requests_shed_no_load_of_an_endpoint_that_answers_others() -> None:
+    # Incident r02ff52: a few unanswered requests led to the rejection of all others for the same servers.
     async def test() -> None:
-        came = asyncio.Semaphore(0)
+        received = asyncio.Semaphore(0)
 
         async def answer(words: list[bytes]) -> bytes:
             if words[2].startswith(b"lost"):
-                came.release()
+                received.release()
                 await asyncio.sleep(LIMIT_S)
             return HIT
 
-        cache, node = Cache(answer), LoopbackRouter()
+        cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
-        await node.start(entry("s1", cache.port))
+        await router.start(entry("s1", cache.port))
         for i in range(3):
-            assert await node.ask(read(f"first{i}"), len(SERVED)) == SERVED
-        lost = [asyncio.create_task(node.ask(read(f"lost{i}", wait=400), 7)) for i in range(8)]
+            assert await router.ask(read(f"first{i}"), len(SERVED)) == SERVED
+        lost = [asyncio.create_task(router.ask(read(f"lost{i}", wait=400), 7)) for i in range(8)]
         for _ in lost:
-            await asyncio.wait_for(came.acquire(), LIMIT_S)
+            await asyncio.wait_for(received.acquire(), LIMIT_S)
         asked = 0
         while not all(task.done() for task in lost):
-            assert await node.ask(read(f"while{asked}"), 7) == SERVED[:7]
+            assert await router.ask(read(f"while{asked}"), 7) == SERVED[:7]
             asked += 1
         assert [await task for task in lost] == [b"-BUSY\r\n"] * 8
         for i in range(60):
-            assert await node.ask(read(f"r{i}"), 7) == SERVED[:7]
-        node.stop()
+            assert await router.ask(read(f"r{i}"), 7) == SERVED[:7]
+        router.stop()
         cache.stop()
 
     run(test)
 
 
 @pytest.mark.sources_only
-def test_the_module_is_told_what_only_the_sockets_know(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Found in issue 5: the wait for a connection, and its slow first answer, were taken for the server's.
-    told: list[AttemptEnded] = []
+def test_attempt_ended_events_carry_the_state_of_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Issue 5: the wait for a connection and its slow first answer were counted as the server's latency.
+    events: list[AttemptEnded] = []
     handle = RoutingPolicy.handle
 
-    def spy(router: RoutingPolicy, event: Event, now: int) -> list[Action]:
+    def spy(policy: RoutingPolicy, event: Event, now: int) -> list[Action]:
         if isinstance(event, AttemptEnded):
-            told.append(event)
-        return handle(router, event, now)
+            events.append(event)
+        return handle(policy, event, now)
 
     monkeypatch.setattr(RoutingPolicy, "handle", spy)
     monkeypatch.setattr(connection_pool, "MAX_CONNECTIONS_PER_ENDPOINT", 1)
@@ -215,26 +215,26 @@
             await go.wait()
             return answers.pop(0) if answers else None
 
-        cache, node = Cache(answer), LoopbackRouter()
+        cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
-        await node.start(entry("s1", cache.port))
-        first = asyncio.create_task(node.ask(read("r1"), len(SERVED)))
+        await router.start(entry("s1", cache.port))
+        first = asyncio.create_task(router.ask(read("r1"), len(SERVED)))
         await asyncio.wait_for(asked.wait(), LIMIT_S)
-        second = asyncio.create_task(node.ask(read("r2", "other"), len(SERVED)))
-        while len(node.dispatcher.open_requests.by_id) < 2:
+        second = asyncio.create_task(router.ask(read("r2", "other"), len(SERVED)))
+        while len(router.dispatcher.open_requests.by_id) < 2:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
         go.set()
         assert await first == await second == SERVED
-        assert [(event.first_on_connection, event.response_started) for event in told] == [
+        assert [(event.first_on_connection, event.response_started) for event in events] == [
             (True, True),
             (False, True),
         ]
-        assert told[1].queued_ns > 40 * MS
-        third = asyncio.create_task(node.ask(read("r3", wait=250), 7))
+        assert events[1].queued_ns > 40 * MS
+        third = asyncio.create_task(router.ask(read("r3", wait=250), 7))
         assert await third == b"-BUSY\r\n"
-        assert [(event.outcome, event.response_started) for event in told[2:]] == [(Outcome.TIMEOUT, True)]
-        node.stop()
+        assert [(event.outcome, event.response_started) for event in events[2:]] == [(Outcome.TIMEOUT, True)]
+        router.stop()
         cache.stop()
 
     run(test)
@@ -264,20 +264,20 @@
 
 
 @pytest.mark.parametrize("bad", BAD)
-def test_what_is_no_request_gets_one_error_and_a_close_and_reaches_no_server(bad: bytes) -> None:
+def test_an_invalid_request_gets_one_error_and_a_close_and_reaches_no_endpoint(bad: bytes) -> None:
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        cache, node = Cache(answer), LoopbackRouter()
+        cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
-        await node.start(entry("s1", cache.port))
-        told = await node.ask(bad, 1 << 20)
-        assert told.startswith(b"-ERR ")
-        assert told.count(b"\r\n") == 1
+        await router.start(entry("s1", cache.port))
+        answered = await router.ask(bad, 1 << 20)
+        assert answered.startswith(b"-ERR ")
+        assert answered.count(b"\r\n") == 1
         assert cache.seen == []
-        assert await node.ask(read("good"), len(SERVED)) == SERVED
-        node.stop()
+        assert await router.ask(read("good"), len(SERVED)) == SERVED
+        router.stop()
         cache.stop()
 
     run(test)
@@ -285,10 +285,10 @@
 
 @pytest.mark.parametrize("effect", list(Idempotency))
 @pytest.mark.parametrize("write", [False, True])
-def test_the_command_says_if_it_writes_and_the_class_what_a_repeat_does(
+def test_the_command_decides_whether_it_writes_and_the_class_its_idempotency(
     effect: Idempotency, write: bool
 ) -> None:
-    """Found on a site whose main class is a keyed read: all its requests were answered with an error."""
+    """Guards against errors for all requests where the main class is a read with an idempotency key."""
 
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
@@ -297,15 +297,19 @@
         cls = RequestClass(
             "main", latency_objective_ns=S, deadline_ns=S, idempotency=effect, dedup_window_ns=S
         )
-        cache, origin, node = Cache(answer), Origin(PAGE), LoopbackRouter(config=settings(classes=(cls,)))
+        cache, origin, router = (
+            Cache(answer),
+            Origin(RESPONSE),
+            LoopbackRouter(config=settings(classes=(cls,))),
+        )
         await cache.start()
         await origin.start()
-        await node.start(entry("s1", cache.port), entry("o", origin.port, "origin"))
-        told = b"c=main,t=a,d=900" + (b",k=1" if effect is Idempotency.IDEMPOTENCY_KEY else b"")
-        words = [b"KV.SET", b"k", b"id1", told, b"v"] if write else [b"KV.GET", b"k", b"id1", told]
-        assert await node.ask(command(*words), len(SERVED)) == SERVED
+        await router.start(entry("s1", cache.port), entry("o", origin.port, "origin"))
+        info = b"c=main,t=a,d=900" + (b",k=1" if effect is Idempotency.IDEMPOTENCY_KEY else b"")
+        words = [b"KV.SET", b"k", b"id1", info, b"v"] if write else [b"KV.GET", b"k", b"id1", info]
+        assert await router.ask(command(*words), len(SERVED)) == SERVED
         assert (origin.seen, len(cache.seen)) == ((1, 0) if write else (0, 1))
-        node.stop()
+        router.stop()
         cache.stop()
         origin.stop()
 
@@ -313,7 +317,7 @@
 
 
 @pytest.mark.parametrize("start", [b"", b"*", b"*4\r\n$6\r\nKV.GET\r\n$3\r\nab"])
-def test_a_connection_without_a_whole_command_is_ended_and_an_asking_one_stays(
+def test_a_connection_without_a_complete_command_is_closed_and_an_active_one_stays(
     start: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_connection, "COMMAND_TIMEOUT_S", 0.05)
@@ -322,22 +326,22 @@
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        cache, node = Cache(answer), LoopbackRouter()
+        cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
-        await node.start(entry("s1", cache.port))
-        usual, sender = await node.dial()
+        await router.start(entry("s1", cache.port))
+        usual, sender = await router.dial()
         sender.write(read("r1"))
         assert await asyncio.wait_for(usual.readexactly(len(SERVED)), LIMIT_S) == SERVED
-        assert (await node.ask(start, 1000)).startswith(b"-ERR ")
+        assert (await router.ask(start, 1000)).startswith(b"-ERR ")
         sender.write(read("r2"))
         assert await asyncio.wait_for(usual.readexactly(len(SERVED)), LIMIT_S) == SERVED
-        node.stop()
+        router.stop()
         cache.stop()
 
     run(test)
 
 
-def test_the_id_of_a_request_open_or_just_over_is_refused() -> None:
+def test_the_id_of_an_open_or_recently_released_request_is_an_error() -> None:
     async def test() -> None:
         asked, go = asyncio.Event(), asyncio.Event()
 
@@ -346,26 +350,24 @@
             await go.wait()
             return HIT
 
-        cache, node = Cache(answer), LoopbackRouter()
+        cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
-        await node.start(entry("s1", cache.port))
-        first = asyncio.create_task(node.ask(read("same"), len(SERVED)))
+        await router.start(entry("s1", cache.port))
+        first = asyncio.create_task(router.ask(read("same"), len(SERVED)))
         await asyncio.wait_for(asked.wait(), LIMIT_S)
-        assert (await node.ask(read("same"), 1000)).startswith(b"-ERR ")
+        assert (await router.ask(read("same"), 1000)).startswith(b"-ERR ")
         go.set()
         assert await first == SERVED
-        assert (await node.ask(read("same"), 1000)).startswith(b"-ERR ")
+        assert (await router.ask(read("same"), 1000)).startswith(b"-ERR ")
         assert len(cache.seen) == 1
-        node.stop()
+        router.stop()
         cache.stop()
 
     run(test)
 
 
 @pytest.mark.parametrize("start", [b"", b"*4\r\n$6\r\nKV."])
-def test_connections_that_ask_nothing_do_not_push_out_those_that_ask(
-    start: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_silent_connections_do_not_evict_active_ones(start: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connection, "FIRST_COMMAND_S", 0.0)
     monkeypatch.setattr(client_connection, "COMMAND_TIMEOUT_S", 1000.0)
 
@@ -373,25 +375,25 @@
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        cache, node = Cache(answer), LoopbackRouter(limit=8)
+        cache, router = Cache(answer), LoopbackRouter(limit=8)
         await cache.start()
-        await node.start(entry("s1", cache.port))
-        usual, sender = await node.dial()
+        await router.start(entry("s1", cache.port))
+        usual, sender = await router.dial()
         sender.write(read("r1"))
         assert await asyncio.wait_for(usual.readexactly(len(SERVED)), LIMIT_S) == SERVED
         silent = []
         for _ in range(30):
-            silent.append(await node.dial())
+            silent.append(await router.dial())
             silent[-1][1].write(start)
-            await asyncio.sleep(0.01)  # for the router to read it; none of it needs this to hold
-        while node.clients.connection_count < 8 or sum(reader.at_eof() for reader, _ in silent) < 20:
+            await asyncio.sleep(0.01)  # lets the router read it; the assertions don't depend on it
+        while router.clients.connection_count < 8 or sum(reader.at_eof() for reader, _ in silent) < 20:
             await asyncio.sleep(0.01)
         sender.write(read("r2"))
         assert await asyncio.wait_for(usual.readexactly(len(SERVED)), LIMIT_S) == SERVED
-        assert await node.ask(read("r3"), len(SERVED)) == SERVED  # a newcomer finds room
+        assert await router.ask(read("r3"), len(SERVED)) == SERVED  # a new client is admitted
         for _, writer in silent:
             writer.close()
-        node.stop()
+        router.stop()
         cache.stop()
 
     run(test)
@@ -399,18 +401,18 @@
 
 def config_of(path: Path, discovery: int) -> Config:
     facts = orjson.loads((Path(__file__).parent.parent / "facts.json").read_bytes())
-    told = {
+    body = {
         "name": "n0",
         "listen": "127.0.0.1:1",
         "discovery": f"127.0.0.1:{discovery}",
         "known": {"generation": 0, "reset": True, "instances": []},
         "settings": facts,
     }
-    path.write_bytes(orjson.dumps(told))
+    path.write_bytes(orjson.dumps(body))
     return load_config({"LB_CONFIG": str(path)})
 
 
-def test_sighup_moves_the_watch_and_a_bad_file_or_address_keeps_the_old_view(
+def test_sighup_moves_the_watch_and_an_invalid_file_or_address_keeps_the_old_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "config.json"
@@ -421,12 +423,12 @@
         await old.start()
         await new.start()
         config = replace(config_of(path, old.port), listen_address=("127.0.0.1", 0), settings=settings())
-        monkeypatch.setenv("LB_DISCOVERY", f"127.0.0.1:{old.port}")  # as old as the process
+        monkeypatch.setenv("LB_DISCOVERY", f"127.0.0.1:{old.port}")  # as at the start of the process
         router = asyncio.create_task(program.serve(config))
         await asyncio.wait_for(old.watched.wait(), LIMIT_S)
         path.write_text("{not json")
         os.kill(os.getpid(), signal.SIGHUP)
-        config_of(path, 1)  # nobody listens there
+        config_of(path, 1)  # nothing listens on this port
         os.kill(os.getpid(), signal.SIGHUP)
         await asyncio.sleep(0)
         assert not new.asked.is_set()
@@ -442,7 +444,7 @@
     run(test)
 
 
-def test_sigterm_answers_what_is_taken_and_closes_what_is_idle(
+def test_sigterm_answers_open_requests_and_closes_idle_connections(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_AFTER_SIGTERM_S", 0.05)
@@ -479,7 +481,7 @@
         os.kill(os.getpid(), signal.SIGTERM)
         assert await asyncio.wait_for(idle.read(), LIMIT_S) == b""  # closed while the other waits
         go.set()
-        assert await asyncio.wait_for(busy.read(), LIMIT_S) == SERVED  # the answer, and then the close
+        assert await asyncio.wait_for(busy.read(), LIMIT_S) == SERVED  # the answer, then the close
         await asyncio.wait_for(router, LIMIT_S)
         for writer in (idler, sender):
             writer.close()
@@ -489,36 +491,36 @@
     run(test)
 
 
-def test_more_commands_at_once_than_are_taken_are_all_answered_in_order(
+def test_a_pipeline_above_the_limit_is_answered_completely_and_in_order(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Found by reading: at the bound reading stopped, and nothing began it again.
+    # At the limit reading stopped, and nothing resumed it.
     monkeypatch.setattr(client_connection, "MAX_PIPELINE", 4)
 
     async def test() -> None:
         async def answer(words: list[bytes]) -> bytes:
             return b"*3\r\n$4\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % words[2]
 
-        cache, node = Cache(answer), LoopbackRouter()
+        cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
-        await node.start(entry("s1", cache.port))
+        await router.start(entry("s1", cache.port))
         for count in (4, 23):
             ids = [f"{count:02}{i:02}" for i in range(count)]
-            reader, writer = await node.dial()
+            reader, writer = await router.dial()
             writer.write(b"".join(read(name, f"k{name}") for name in ids))
             want = b"".join(b"$4\r\n%b\r\n" % name.encode() for name in ids)
             assert await asyncio.wait_for(reader.readexactly(len(want)), LIMIT_S) == want
             writer.write(command(b"PING"))
             assert await asyncio.wait_for(reader.readexactly(7), LIMIT_S) == b"+PONG\r\n"
             writer.close()
-        node.stop()
+        router.stop()
         cache.stop()
 
     run(test)
 
 
-def test_clients_that_ask_once_and_stay_leave_room_for_the_next(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Found in incident re4a685: they held every connection that clients may have, idle, for 2.2 s each.
+def test_connections_idle_after_one_request_leave_room_for_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Incident re4a685: idle connections took the whole limit, for 2.2 s each.
     monkeypatch.setattr(client_connection, "FIRST_COMMAND_S", 0.0)
     monkeypatch.setattr(client_listener, "MIN_IDLE_S", 0.0)
     monkeypatch.setattr(client_listener, "BUSY_IDLE_TIMEOUT_S", 1000.0)
@@ -527,47 +529,47 @@
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        cache, node = Cache(answer), LoopbackRouter(limit=20)
+        cache, router = Cache(answer), LoopbackRouter(limit=20)
         await cache.start()
-        await node.start(entry("s1", cache.port))
+        await router.start(entry("s1", cache.port))
         stayed = []
         for i in range(16):
-            reader, writer = await node.dial()
+            reader, writer = await router.dial()
             writer.write(read(f"r{i}"))
             assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
             stayed.append((reader, writer))
-        assert await asyncio.wait_for(stayed[0][0].read(), LIMIT_S) == b""  # the one idle longest goes first
-        while node.clients.connection_count > 8:
+        assert await asyncio.wait_for(stayed[0][0].read(), LIMIT_S) == b""  # idle longest: closed first
+        while router.clients.connection_count > 8:
             await asyncio.sleep(0.01)
         for _, writer in stayed:
             writer.close()
-        node.stop()
+        router.stop()
         cache.stop()
 
     run(test)
 
 
-def test_what_waited_for_a_process_has_so_much_less_time() -> None:
-    # Found in simulated time (cores-storm, seed 3): a connection waited 0.2 s for a worker, and its request
-    # had the whole of its time from then on: it was answered after its client had given up.
+def test_time_waiting_for_a_process_counts_towards_the_deadline() -> None:
+    # Simulation of cores-storm, seed 3: a connection waited 0.2 s for a worker process, and its request got
+    # its full time from then on. It was answered after its client's timeout.
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
         cache = Cache(answer)
         await cache.start()
-        node = LoopbackRouter()
-        await node.start(entry("s1", cache.port))
+        router = LoopbackRouter()
+        await router.start(entry("s1", cache.port))
         here, there = socket.socketpair()
         reader, writer = await asyncio.open_connection(sock=here)
         writer.write(read("late", wait=100) + read("later", wait=900))
-        await node.clients.adopt(None, there.detach(), possible_wait_ns=200 * 1_000_000)
+        await router.clients.adopt(None, there.detach(), possible_wait_ns=200 * 1_000_000)
         assert (await asyncio.wait_for(reader.readline(), LIMIT_S)).startswith((b"-BUSY", b"-ERR failed"))
         assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         assert [words[2] for words in cache.seen] == [b"later"]
         assert int(cache.seen[0][3].partition(b"d=")[2]) <= 700
         writer.close()
-        node.stop()
+        router.stop()
         cache.stop()
 
     run(test)
@@ -576,130 +578,134 @@
 LONG = settings(classes=(RequestClass("read", latency_objective_ns=10 * S, deadline_ns=60 * S),))
 
 
-class Late:
-    """A cache server that answers each command once it is let, and a router before it."""
+class DelayedAnswers:
+    """A cache server that answers a command once its event in `released` is set, and a router in front."""
 
-    def __init__(self, copies: bool = True) -> None:
-        self.go: list[asyncio.Event] = []
-        self.cache, self.node = Cache(self.answer), LoopbackRouter(config=LONG, copies=copies)
+    def __init__(self, hedging: bool = True) -> None:
+        self.released: list[asyncio.Event] = []
+        self.cache, self.router = Cache(self.answer), LoopbackRouter(config=LONG, hedging=hedging)
 
     async def start(self) -> tuple[Cache, LoopbackRouter]:
         await self.cache.start()
-        await self.node.start(entry("s1", self.cache.port))
-        return self.cache, self.node
+        await self.router.start(entry("s1", self.cache.port))
+        return self.cache, self.router
 
     def stop(self) -> None:
-        self.node.stop()
+        self.router.stop()
         self.cache.stop()
 
     async def answer(self, words: list[bytes]) -> bytes:
-        mine = asyncio.Event()
-        self.go.append(mine)
-        await mine.wait()
+        release = asyncio.Event()
+        self.released.append(release)
+        await release.wait()
         return b"*3\r\n$5\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % words[1]
 
-    async def came(self, count: int) -> None:
+    async def commands_received(self, count: int) -> None:
         async with asyncio.timeout(LIMIT_S):
-            while len(self.go) < count:
+            while len(self.released) < count:
                 await asyncio.sleep(0.005)
 
 
-def trusted(node: LoopbackRouter) -> LoopbackRouter:
-    """Have the module send to its server whatever came of the attempts before."""
-    holder = node.dispatcher._policy._caches.endpoints["s1"]
-    holder.health._probability = 1.0
-    holder.health._failures.unanswered = 0
-    holder.health.ejected = False
-    return node
+def with_trusted_endpoint(router: LoopbackRouter) -> LoopbackRouter:
+    """Make the routing policy admit requests to its server, whatever the outcomes of earlier attempts."""
+    endpoint = router.dispatcher._policy._caches.endpoints["s1"]
+    endpoint.health._probability = 1.0
+    endpoint.health._failures.unanswered = 0
+    endpoint.health.ejected = False
+    return router
 
 
-async def rests(node: LoopbackRouter) -> None:
+async def until_idle(router: LoopbackRouter) -> None:
     async with asyncio.timeout(LIMIT_S):
-        while not node.pool.tables()["connections_idle"]:
+        while not router.pool.tables()["connections_idle"]:
             await asyncio.sleep(0.005)
 
 
-def test_a_late_answer_is_dropped_and_its_connection_used_again() -> None:
-    # Found on join+mass: each request given up on cost a dial, and the dials kept the servers late.
+def test_a_late_answer_is_dropped_and_its_connection_reused() -> None:
+    # Scenario join+mass: each abandoned request cost a dial, and the dials kept the servers late.
     async def test() -> None:
-        late = Late()
-        cache, node = await late.start()
-        assert not (await node.ask(read("r1", "first", 60), 7)).startswith(b"$")
-        assert node.pool.tables()["owed"] == 1
-        assert node.pool.tables()["connections"] == 1
-        late.go[0].set()
-        await rests(node)
-        assert node.pool.counters.late_answers == 1
-        asked = asyncio.create_task(trusted(node).ask(read("r2", "other", 60_000), len(SERVED)))
-        await late.came(2)
-        late.go[1].set()
+        late = DelayedAnswers()
+        cache, router = await late.start()
+        assert not (await router.ask(read("r1", "first", 60), 7)).startswith(b"$")
+        assert router.pool.tables()["owed"] == 1
+        assert router.pool.tables()["connections"] == 1
+        late.released[0].set()
+        await until_idle(router)
+        assert router.pool.counters.late_answers == 1
+        asked = asyncio.create_task(
+            with_trusted_endpoint(router).ask(read("r2", "other", 60_000), len(SERVED))
+        )
+        await late.commands_received(2)
+        late.released[1].set()
         assert await asked == b"$5\r\nother\r\n"
         assert cache.connections == 1
-        assert node.pool.tables()["owed"] == 0
+        assert router.pool.tables()["owed"] == 0
         late.stop()
 
     run(test)
 
 
-@pytest.mark.parametrize("copies", [True, False])
-def test_an_answer_that_never_comes_costs_its_connection_and_no_other(
-    monkeypatch: pytest.MonkeyPatch, copies: bool
+@pytest.mark.parametrize("hedging", [True, False])
+def test_a_late_answer_that_never_arrives_closes_only_its_connection(
+    monkeypatch: pytest.MonkeyPatch, hedging: bool
 ) -> None:
     monkeypatch.setattr(connection_pool, "LATE_ANSWER_TIMEOUT_S", 0.0)
 
     async def test() -> None:
-        late = Late(copies)
-        _, node = await late.start()
-        for i in range(6):  # no more than a quarter of a server's connections is kept for it
-            await trusted(node).ask(read(f"r{i}", "first", 60), 7)
-        assert node.pool.tables()["owed"] == (4 if copies else 0)
+        late = DelayedAnswers(hedging)
+        _, router = await late.start()
+        for i in range(6):  # at most a quarter of a server's connections await late answers
+            await with_trusted_endpoint(router).ask(read(f"r{i}", "first", 60), 7)
+        assert router.pool.tables()["owed"] == (4 if hedging else 0)
         async with asyncio.timeout(LIMIT_S):
-            while node.pool.tables()["connections"]:  # the sweep
+            while router.pool.tables()["connections"]:  # the sweep
                 await asyncio.sleep(0.01)
-        assert node.pool.tables()["owed"] == node.pool.tables()["descriptors_counted"] == 0
-        asked = asyncio.create_task(trusted(node).ask(read("last", "other", 60_000), len(SERVED)))
-        await late.came(7)
-        late.go[-1].set()
+        assert router.pool.tables()["owed"] == router.pool.tables()["descriptors_counted"] == 0
+        asked = asyncio.create_task(
+            with_trusted_endpoint(router).ask(read("last", "other", 60_000), len(SERVED))
+        )
+        await late.commands_received(7)
+        late.released[-1].set()
         assert await asked == b"$5\r\nother\r\n"
         late.stop()
 
     run(test)
 
 
-def test_a_server_that_drains_keeps_no_connection_for_a_late_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection_pool, "LATE_ANSWER_TIMEOUT_S", 1e9)  # the sweep would close it too, later
+def test_a_draining_endpoint_keeps_no_connection_for_a_late_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(connection_pool, "LATE_ANSWER_TIMEOUT_S", 1e9)  # the sweep must not close it
 
     async def test() -> None:
-        late = Late()
-        _, node = await late.start()
-        await node.ask(read("r1", "first", 60), 7)
-        assert node.pool.tables()["owed"] == 1
-        node.pool.remove_endpoint("s1")
+        late = DelayedAnswers()
+        _, router = await late.start()
+        await router.ask(read("r1", "first", 60), 7)
+        assert router.pool.tables()["owed"] == 1
+        router.pool.remove_endpoint("s1")
         async with asyncio.timeout(LIMIT_S):
-            while node.pool.tables()["connections"]:
+            while router.pool.tables()["connections"]:
                 await asyncio.sleep(0.005)
-        assert node.pool.tables()["owed"] == node.pool.tables()["servers"] == 0
+        assert router.pool.tables()["owed"] == router.pool.tables()["servers"] == 0
         late.stop()
 
     run(test)
 
 
 @pytest.mark.parametrize("full", [True, False])
-def test_a_connection_closed_for_a_full_table_is_no_sign_of_death(full: bool) -> None:
-    # Found on join+mass: 8,000 connections in 2 s that met a full table counted as servers that had died.
+def test_a_connection_closed_after_a_rejection_does_not_count_as_a_dead_endpoint(full: bool) -> None:
+    # Scenario join+mass: 8,000 connections in 2 s that servers closed at their limit counted as dead servers.
     async def test() -> None:
         async def answer(_: list[bytes]) -> bytes:
             return b"-BUSY\r\n" if full else HIT
 
-        cache, node = Cache(answer), LoopbackRouter()
+        cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
-        await node.start(entry("s1", cache.port))
-        await node.ask(read("r1"), len(b"-BUSY\r\n"))
+        await router.start(entry("s1", cache.port))
+        await router.ask(read("r1"), len(b"-BUSY\r\n"))
         cache.stop()
         async with asyncio.timeout(LIMIT_S):
-            while node.pool.tables()["connections"]:
+            while router.pool.tables()["connections"]:
                 await asyncio.sleep(0.005)
-        assert node.pool.idle_connections_closed("s1") is not full
-        node.stop()
+        assert router.pool.idle_connections_closed("s1") is not full
+        router.stop()
 
     run(test)
