--- a/holdgw/wire/resp.py
+++ b/holdgw/wire/resp.py
@@ -34,7 +34,7 @@
     """The client's bytes are no valid RESP2 framing; the text is sent to the client."""
 
 
-class Info:
+class RequestInfo:
     """The list of `name=value` fields of a command, parsed; shared by commands with an equal list."""
 
     __slots__ = (
@@ -78,7 +78,7 @@
 
 
 # The cache is bounded in entries and entry size, as clients can send any number of distinct lists.
-_cached_info = lru_cache(maxsize=INFO_CACHE_ENTRIES)(Info)
+_cached_info = lru_cache(maxsize=INFO_CACHE_ENTRIES)(RequestInfo)
 
 
 class Command:
@@ -86,7 +86,9 @@
 
     __slots__ = ("id", "info", "key", "name", "value")
 
-    def __init__(self, name: bytes, key: bytes, request_id: bytes, info: Info, value: bytes | None) -> None:
+    def __init__(
+        self, name: bytes, key: bytes, request_id: bytes, info: RequestInfo, value: bytes | None
+    ) -> None:
         self.name, self.key, self.id, self.info, self.value = name, key, request_id, info, value
 
     def encode_with_timeout(self, timeout_ms: int) -> bytes:
@@ -207,7 +209,7 @@
             raise ValueError("key must be text without spaces")
     except UnicodeDecodeError:
         raise ValueError("key must be text without spaces") from None
-    parsed_info = _cached_info(info) if len(info) <= MAX_CACHED_INFO_BYTES else Info(info)
+    parsed_info = _cached_info(info) if len(info) <= MAX_CACHED_INFO_BYTES else RequestInfo(info)
     return Command(name, key, request_id, parsed_info, words[4] if is_write else None)
 
 
