--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -69,10 +69,10 @@
     "doubled-answer": Mutant(
         "an answer is given twice after a late reset",
         "holdgw.router.attempt",
-        "        event = self._end_event(outcome, note, report)\n",
+        "        event = self._end_event(outcome, cache_status, report)\n",
         "        if outcome is Outcome.RESET and request.answered and request.reply.connection.transport:\n"
         '            request.reply.connection.transport.write(b"-ERR failed\\r\\n")\n'
-        "        event = self._end_event(outcome, note, report)\n",
+        "        event = self._end_event(outcome, cache_status, report)\n",
         (
             (
                 "holdgw.router.endpoint_connection",
@@ -430,8 +430,8 @@
     "reset-is-an-end": Mutant(
         "a reset ends a body without a length",
         "holdgw.router.origin_connection",
-        "        if exc is None and self.exchange is not None and self._reader.ended():\n",
-        "        if self.exchange is not None and self._reader.ended():\n",
+        "        if exc is None and self.exchange is not None and self._reader.connection_closed():\n",
+        "        if self.exchange is not None and self._reader.connection_closed():\n",
         test="tests/router/test_endings.py::"
         "test_an_answer_without_a_length_ends_with_a_close_and_not_with_a_reset",
     ),
--- a/holdgw/wire/__init__.py
+++ b/holdgw/wire/__init__.py
@@ -1,1 +1,4 @@
-"""Framing that routers, stand-ins and load generators share. No decisions, no sockets, no clock."""
+"""Wire formats that routers, emulators and load generators share: RESP2, HTTP/1.1, addresses.
+
+The package makes no decisions, opens no sockets and reads no clock.
+"""
--- a/tests/emulated_nodes.py
+++ b/tests/emulated_nodes.py
@@ -1,4 +1,4 @@
-"""Loopback peers for the socket tests: a cache server, an origin, discovery, and a router between them."""
+"""Loopback servers (cache, origin, discovery) and an in-process router for the socket tests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from holdgw.router.endpoint_list import Clock, read_endpoint_list
 from tests.helpers import settings
 
-LIMIT_S = 60.0  # a hang: far beyond what any step takes, also on a machine ten times as busy as it has cores
+LIMIT_S = 60.0  # a step that takes longer hangs, even on a machine with ten times more load than cores
 
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
@@ -33,15 +33,15 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a test on the router's own kind of loop, within a limit."""
+    """Run a test on the router's kind of event loop, within a time limit."""
     uvloop.run(asyncio.wait_for(test(), 3 * LIMIT_S))
 
 
 def unused_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> tuple[str, int]:
-    """An address that a process under test can bind a while later.
+    """An address that a process under test can bind some time later.
 
-    It is of a loopback IP of this test process alone. On 127.0.0.1 a connection of any other test could be
-    given the port, as its own ephemeral one, before the process binds it.
+    Its loopback IP is used by this test process only. On 127.0.0.1 the kernel could give the port to a
+    connection of another test as its ephemeral port before the process binds it.
     """
     pid, number = os.getpid(), next(_addresses_used)
     ip = f"127.{128 + (pid >> 8) % 120}.{pid % 256}.{1 + number % 250}"
@@ -51,8 +51,8 @@
     return address
 
 
-class Peer:
-    """A listener on a free loopback port that hands each connection to a handler."""
+class LoopbackServer:
+    """A server on a free loopback port; subclasses serve a connection in `serve`."""
 
     def __init__(self) -> None:
         self.port = 0
@@ -68,11 +68,11 @@
         self.connections += 1
         self._writers.add(writer)
         with suppress(OSError, EOFError):
-            await self.talk(reader, writer)
+            await self.serve(reader, writer)
         self._writers.discard(writer)
         writer.close()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         raise NotImplementedError
 
     def stop(self) -> None:
@@ -82,15 +82,15 @@
             writer.transport.abort()
 
 
-class Cache(Peer):
-    """A cache server: `answer` gives the bytes for a command; None closes the connection."""
+class Cache(LoopbackServer):
+    """A cache server: `answer` returns the bytes for a command, or None to close the connection."""
 
     def __init__(self, answer: Handler) -> None:
         super().__init__()
         self.answer = answer
         self.seen: list[list[bytes]] = []
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             words = []
             for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
@@ -103,8 +103,8 @@
             writer.write(data)
 
 
-class Origin(Peer):
-    """An origin that answers every request with these bytes, but first breaks so many connections."""
+class Origin(LoopbackServer):
+    """An origin that closes its first `breaks` connections on a request, and answers others with `data`."""
 
     def __init__(self, data: bytes) -> None:
         super().__init__()
@@ -112,7 +112,7 @@
         self.breaks = 0
         self.seen = 0
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             await reader.readuntil(b"\r\n\r\n")
             self.seen += 1
@@ -122,8 +122,8 @@
             writer.write(self.data)
 
 
-class Agent(Peer):
-    """Discovery: the whole list to each call without a version, and silence to a watch."""
+class DiscoveryServer(LoopbackServer):
+    """A discovery server: a poll gets the full endpoint list at once, a watch gets no answer."""
 
     def __init__(self, instances: list[dict[str, Any]]) -> None:
         super().__init__()
@@ -131,17 +131,17 @@
         self.asked = asyncio.Event()
         self.watched = asyncio.Event()
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             if b"index=" in head:
                 self.watched.set()
                 continue
             self.asked.set()
-            self.tell(writer)
+            self.send_endpoint_list(writer)
 
-    def tell(self, writer: asyncio.StreamWriter) -> None:
-        """Answer with the whole list."""
+    def send_endpoint_list(self, writer: asyncio.StreamWriter) -> None:
+        """Answer with the full endpoint list."""
         body = orjson.dumps({"generation": self.generation, "reset": True, "instances": self.instances})
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
@@ -156,33 +156,33 @@
     }
 
 
-class Node:
-    """The router's parts on one loop, with a list of servers that the test gives."""
+class LoopbackRouter:
+    """The parts of a router on the test's event loop, with an endpoint list from the test."""
 
     def __init__(
         self,
         limit: int = 64,
         config: Settings | None = None,
-        copies: bool = False,
+        hedging: bool = False,
         now: Callable[[], int] = time.monotonic_ns,
     ) -> None:
         loop = asyncio.get_running_loop()
-        self.pool = ConnectionPool(loop, 64, 5.0, 10.0, hedging=copies)
-        self.host = Dispatcher(loop, config or settings(), 7, self.pool, 1000, now)
-        self.host.ready = True
-        self.clients = ClientListener(loop, self.host, limit)
+        self.pool = ConnectionPool(loop, 64, 5.0, 10.0, hedging=hedging)
+        self.dispatcher = Dispatcher(loop, config or settings(), 7, self.pool, 1000, now)
+        self.dispatcher.ready = True
+        self.clients = ClientListener(loop, self.dispatcher, limit)
         self.address = ("", 0)
 
     async def start(self, *instances: dict[str, Any]) -> None:
         body = {"generation": 1, "reset": True, "instances": list(instances)}
-        self.host.apply_endpoint_update(read_endpoint_list(body, Clock(), UpdateKind.FULL))
+        self.dispatcher.apply_endpoint_update(read_endpoint_list(body, Clock(), UpdateKind.FULL))
         self.address = await self.clients.listen(("127.0.0.1", 0))
 
     async def dial(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         return await asyncio.open_connection(*self.address)
 
     async def ask(self, data: bytes, size: int) -> bytes:
-        """Send bytes on a new connection and read so many, or up to the end."""
+        """Send `data` on a new connection and read `size` bytes, or fewer up to the end of the connection."""
         reader, writer = await self.dial()
         writer.write(data)
         try:
@@ -194,7 +194,7 @@
 
     def stop(self) -> None:
         self.clients.close()
-        self.host.close()
+        self.dispatcher.close()
         self.pool.close()
 
 
--- a/tests/router/test_endings.py
+++ b/tests/router/test_endings.py
@@ -50,11 +50,11 @@
     LIMIT_S,
     MISS,
     SERVED,
-    Agent,
     Cache,
-    Node,
+    DiscoveryServer,
+    LoopbackRouter,
+    LoopbackServer,
     Origin,
-    Peer,
     command,
     entry,
     read,
@@ -86,7 +86,7 @@
         self.answers_released, self.request_received = asyncio.Event(), asyncio.Event()
         self.answer: bytes | None = answer
         self.cache, self.origin = Cache(self._answer), Origin(page)
-        self.node = Node(limit=limit)
+        self.node = LoopbackRouter(limit=limit)
 
     async def _answer(self, _: list[bytes]) -> bytes | None:
         self.request_received.set()
@@ -156,7 +156,7 @@
         leaving = [await setup.node.dial() for _ in range(count)]
         for i, (_, writer) in enumerate(leaving):
             writer.write(read(f"g{i}", f"k{i}"))
-        await until(lambda: len(setup.node.host.open_requests.by_id) == 1 + count)
+        await until(lambda: len(setup.node.dispatcher.open_requests.by_id) == 1 + count)
         for _, writer in leaving:
             if reset:
                 sock = writer.get_extra_info("socket")
@@ -164,7 +164,7 @@
             writer.close()
         await setup.wait_for_client_count(1)
         assert setup.node.pool.tables()["waiting"] in (0, count)  # cancelled attempts may still be queued
-        assert len(setup.node.host.open_requests.by_id) == 1
+        assert len(setup.node.dispatcher.open_requests.by_id) == 1
         setup.answers_released.set()
         assert await first == SERVED
         assert await setup.node.ask(read("r1"), len(SERVED)) == SERVED
@@ -208,10 +208,12 @@
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         follower = asyncio.create_task(node.ask(read("r2"), len(SERVED)))
         await until(
-            lambda: request_ids(setup.cache)[-1] == "r2" and bool(node.host._policy._fetches._waiters["k"])
+            lambda: (
+                request_ids(setup.cache)[-1] == "r2" and bool(node.dispatcher._policy._fetches._waiters["k"])
+            )
         )
         leader.close()
-        await until(lambda: "gone" not in node.host.open_requests.by_id)
+        await until(lambda: "gone" not in node.dispatcher.open_requests.by_id)
         loop.up.set()
         assert await follower == SERVED
         assert setup.origin.seen == 2
@@ -262,9 +264,9 @@
     async def test() -> None:
         with socket.create_server(("127.0.0.1", 0)) as closed:
             port = closed.getsockname()[1]
-        node = Node()
+        node = LoopbackRouter()
         await node.start(entry("o", port, "origin"))  # nothing listens on this port
-        router = node.host._policy
+        router = node.dispatcher._policy
         router._origin_concurrency.latency_ns = 1e9  # the retry's delay depends on the latency
         _, writer = await node.dial()
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=edit,t=a,d=2000,k=11", b"v"))
@@ -272,7 +274,7 @@
         dials = node.pool.counters.dials
         writer.close()
         await until(lambda: not node.clients.connection_count)
-        node.host._timer_fired("w1")
+        node.dispatcher._timer_fired("w1")
         assert not router._requests
         assert node.pool.counters.dials == dials == 1
         node.stop()
@@ -299,9 +301,9 @@
         _, writer = await node.dial()
         writer.write(read("gone"))
         await until(lambda: request_ids(setup.cache)[-1] == "gone")
-        attempt = node.host.open_requests.by_id["gone"].last_attempt
+        attempt = node.dispatcher.open_requests.by_id["gone"].last_attempt
         assert attempt is not None
-        assert node.host._policy._requests["gone"].attempt_timeout_ns > 0
+        assert node.dispatcher._policy._requests["gone"].attempt_timeout_ns > 0
         if disconnect_is_read:
             writer.close()
             await setup.wait_for_client_count(0)
@@ -314,7 +316,7 @@
         setup.answers_released.set()
         assert await node.ask(read("r4"), len(SERVED)) == SERVED
         assert request_ids(setup.cache)[2:] == ["r3", "gone", "r4"]
-        assert not node.host.open_requests.by_id
+        assert not node.dispatcher.open_requests.by_id
 
     run_with_setup(steps)
 
@@ -329,7 +331,7 @@
         setup.answers_released.set()
         client = asyncio.create_task(setup.node.ask(read("late"), 7))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
-        (request,) = setup.node.host.open_requests.by_id.values()
+        (request,) = setup.node.dispatcher.open_requests.by_id.values()
         request.deadline_ns = 0  # has passed, but its timer has not fired yet
         loop.up.set()
         assert await client == b"-BUSY\r\n"
@@ -348,7 +350,7 @@
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
         instances = [entry("s1", setup.cache.port, state="draining")]
         body = {"generation": 2, "reset": False, "instances": instances}
-        node.host.apply_endpoint_update(endpoint_list.read_endpoint_list(body, endpoint_list.Clock()))
+        node.dispatcher.apply_endpoint_update(endpoint_list.read_endpoint_list(body, endpoint_list.Clock()))
         loop.up.set()
         assert await client == SERVED  # from the origin
         assert not setup.cache.seen
@@ -368,7 +370,7 @@
             idempotency=Idempotency.IDEMPOTENCY_KEY,
             dedup_window_ns=S // 2,
         )
-        node, origin = Node(config=settings(classes=(cls,))), Origin(PAGE)
+        node, origin = LoopbackRouter(config=settings(classes=(cls,))), Origin(PAGE)
         origin.breaks = 1  # the first attempt's connection breaks, so the write may have been executed
         await origin.start()
         await node.start(entry("o", origin.port, "origin"))
@@ -384,7 +386,7 @@
         cast(Any, node.pool)._dial_for = gate_later_dials
         writer.write(command(b"KV.SET", b"k", b"w1", b"c=put,t=a,d=900,k=11", b"v"))
         await asyncio.wait_for(loop.dialled.wait(), LIMIT_S)
-        (request,) = node.host.open_requests.by_id.values()
+        (request,) = node.dispatcher.open_requests.by_id.values()
         attempt = request.last_attempt
         assert attempt is not None
         assert attempt._write_by_ns > 0
@@ -392,7 +394,7 @@
             attempt._write_by_ns = 1  # has passed, but its timer has not fired yet
         loop.up.set()
         if window_is_over:
-            node.host._policy._classes["put"] = replace(cls, dedup_window_ns=0)
+            node.dispatcher._policy._classes["put"] = replace(cls, dedup_window_ns=0)
             request.deadline_ns = 0
             assert (await asyncio.wait_for(reader.readline(), LIMIT_S)).startswith(b"-")
             assert origin.seen == 1
@@ -562,7 +564,7 @@
 
         cache = Cache(answer)
         await cache.start()
-        agent, other = Agent([entry("s1", cache.port)]), Agent([entry("s1", cache.port)])
+        agent, other = DiscoveryServer([entry("s1", cache.port)]), DiscoveryServer([entry("s1", cache.port)])
         await agent.start()
         await other.start()
         base_config = config_of(tmp_path / "config.json", agent.port)
@@ -627,10 +629,10 @@
     async def test() -> None:
         head = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue"
 
-        class UnframedOrigin(Peer):
+        class UnframedOrigin(LoopbackServer):
             seen = 0
 
-            async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.readuntil(b"\r\n\r\n")
                 self.seen += 1
                 writer.write(head)
@@ -640,7 +642,7 @@
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
                     writer.transport.abort()
 
-        origin, node = UnframedOrigin(), Node()
+        origin, node = UnframedOrigin(), LoopbackRouter()
         await origin.start()
         await node.start(entry("o", origin.port, "origin"))
         answer = await node.ask(read("r1"), len(SERVED))
@@ -679,18 +681,18 @@
         node = setup.node
         client = asyncio.create_task(node.ask(read("r1"), 100))
         await asyncio.wait_for(setup.request_received.wait(), LIMIT_S)
-        (request,) = node.host.open_requests.by_id.values()
+        (request,) = node.dispatcher.open_requests.by_id.values()
         attempt = request.last_attempt
         assert attempt is not None
         connection = attempt.connection
         assert connection is not None
         attempt._timed_out()
         connection.data_received(HIT)  # read in the iteration in which the attempt timed out
-        assert node.host.outstanding in (0, 1)
+        assert node.dispatcher.outstanding in (0, 1)
         setup.answers_released.set()
-        answer = await asyncio.wait_for(client, LIMIT_S) if node.host.outstanding else b""
+        answer = await asyncio.wait_for(client, LIMIT_S) if node.dispatcher.outstanding else b""
         assert answer.count(b"\r\n") <= 2
-        results = {key: count for key, count in node.host.metrics.results.items() if count}
+        results = {key: count for key, count in node.dispatcher.metrics.results.items() if count}
         assert sum(results.values()) == 1
 
     run_with_setup(steps)
@@ -699,7 +701,7 @@
 # Endpoint lists
 
 
-class UnresponsiveAgent(Agent):
+class UnresponsiveAgent(DiscoveryServer):
     """Discovery that answers no watch, and fails a set number of calls for the complete list."""
 
     def __init__(self, instances: list[dict[str, Any]]) -> None:
@@ -708,7 +710,7 @@
         self.rejects = 0  # number of such calls to answer with 503 after these
         self.lists = 0  # number of such calls received
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
             if b"index=" in head:
@@ -722,7 +724,7 @@
                 self.rejects -= 1
                 writer.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             else:
-                self.tell(writer)
+                self.send_endpoint_list(writer)
 
 
 @pytest.mark.parametrize(("ignores", "rejects"), [(0, 0), (3, 0), (0, 3), (2, 2)])
@@ -937,7 +939,7 @@
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
-        caches, node = [Cache(answer), Cache(answer)], Node()
+        caches, node = [Cache(answer), Cache(answer)], LoopbackRouter()
         for cache in caches:
             await cache.start()
         await node.start(*(entry(f"s{i}", cache.port) for i, cache in enumerate(caches)))
@@ -976,7 +978,7 @@
         cls = RequestClass(
             "put", latency_objective_ns=S, deadline_ns=S, idempotency=effect, dedup_window_ns=S // 2
         )
-        node, origin = Node(config=settings(classes=(cls,))), Origin(PAGE)
+        node, origin = LoopbackRouter(config=settings(classes=(cls,))), Origin(PAGE)
         await origin.start()
         await node.start(entry("o", origin.port, "origin"))
         info = b"c=put,t=a,d=900" + b",k=11" * (effect is Idempotency.IDEMPOTENCY_KEY)
--- a/tests/router/test_watch_timeout.py
+++ b/tests/router/test_watch_timeout.py
@@ -14,7 +14,7 @@
 
 from holdgw.router import discovery, endpoint_list, watch_timeout
 from holdgw.router.watch_timeout import WatchTimeout
-from tests.emulated_nodes import LIMIT_S, Peer, run
+from tests.emulated_nodes import LIMIT_S, LoopbackServer, run
 
 SHORTEST_S, LONGEST_S = discovery.POLL_WAIT_MS / 1000, discovery.MAX_POLL_WAIT_MS / 1000
 MAX_QUEUE_DELAY_S = 2.0  # the service rejects a call that would wait in its queue for longer than this
@@ -144,7 +144,7 @@
     assert wait.wait_s == LONGEST_S
 
 
-class RecordingService(Peer):
+class RecordingService(LoopbackServer):
     """A service that answers each watch exactly at the end of its wait, and the third one with 503.
 
     It advances the test's clock itself, and records the waits.
@@ -160,7 +160,7 @@
         """The clock, in seconds."""
         return self.now_ms / 1000
 
-    async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while len(self.waits_ms) < 5:
             head = await reader.readuntil(b"\r\n\r\n")
             self.waits_ms.append(int(head.partition(b"wait=")[2].split(b" ")[0]))
