--- a/holdgw/cores/host_system.py
+++ b/holdgw/cores/host_system.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerSlot:
+class WorkerParameters:
     """A worker's index among those of its router, and the descriptors that it is started with."""
 
     index: int
@@ -45,7 +45,7 @@
     table_descriptor: int
 
     @classmethod
-    def read(cls, environ: Mapping[str, str]) -> WorkerSlot:
+    def read(cls, environ: Mapping[str, str]) -> WorkerParameters:
         """Read what the supervisor has set; raises ConfigError."""
         names = (INDEX_VARIABLE, WORKERS_VARIABLE, LINK_VARIABLE, TABLE_VARIABLE)
         try:
@@ -132,7 +132,7 @@
 class WorkerHostSystem(DescriptorOwner, Protocol):
     """What a worker needs."""
 
-    def attach_table(self, slot: WorkerSlot) -> SharedTable:
+    def attach_table(self, parameters: WorkerParameters) -> SharedTable:
         """The shared memory as this worker sees it; the caller closes it."""
 
     def open_link(self, handlers: LinkHandlers) -> ProcessLink[Any]:
@@ -233,11 +233,11 @@
     ) -> tuple[RunningProcess, ProcessLink[Any]]:
         """Start a worker process and link to it."""
         here, there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        slot = WorkerSlot(index, workers, there.fileno(), self._table_descriptor)
+        parameters = WorkerParameters(index, workers, there.fileno(), self._table_descriptor)
         try:
             process = await asyncio.create_subprocess_exec(
                 *python_with("holdgw.cores.worker"),
-                env={**environ, **slot.variables(), "PYTHONHASHSEED": self._hash_seed},
+                env={**environ, **parameters.variables(), "PYTHONHASHSEED": self._hash_seed},
                 pass_fds=(there.fileno(), self._table_descriptor),
             )
         except OSError:
@@ -255,18 +255,18 @@
 class LinuxWorkerHostSystem(_LinuxDescriptors):
     """Linux, for a worker that was started with these descriptors."""
 
-    def __init__(self, slot: WorkerSlot) -> None:
-        self._slot = slot
+    def __init__(self, parameters: WorkerParameters) -> None:
+        self._parameters = parameters
 
-    def attach_table(self, slot: WorkerSlot) -> SharedTable:
+    def attach_table(self, parameters: WorkerParameters) -> SharedTable:
         """The shared memory as this worker sees it; the caller closes it."""
-        memory = attach(slot.table_descriptor, slot.worker_count)
-        os.close(slot.table_descriptor)
-        return SharedTable(memory, slot.worker_count, slot.index)
+        memory = attach(parameters.table_descriptor, parameters.worker_count)
+        os.close(parameters.table_descriptor)
+        return SharedTable(memory, parameters.worker_count, parameters.index)
 
     def open_link(self, handlers: LinkHandlers) -> ProcessLink[Any]:
         """Open the link to the supervisor."""
-        sock = socket.socket(fileno=self._slot.link_descriptor)
+        sock = socket.socket(fileno=self._parameters.link_descriptor)
         return ProcessLink(asyncio.get_running_loop(), sock, *handlers)
 
     async def adopt_client(
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -1,6 +1,6 @@
 """One worker process: a router that gets its clients and its endpoint list from a supervisor.
 
-Started by the supervisor alone, which sets the environment variables of WorkerSlot.
+Started by the supervisor alone, which sets the environment variables of WorkerParameters.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from dataclasses import replace
 from typing import Any
 
-from holdgw.cores.host_system import LinkHandlers, LinuxWorkerHostSystem, WorkerHostSystem, WorkerSlot
+from holdgw.cores.host_system import LinkHandlers, LinuxWorkerHostSystem, WorkerHostSystem, WorkerParameters
 from holdgw.cores.messages import (
     ClientsAccepted,
     EndpointUpdatePart,
@@ -44,17 +44,20 @@
 log = logging.getLogger("holdgw")
 
 
-def worker_config(config: Config, slot: WorkerSlot) -> Config:
+def worker_config(config: Config, parameters: WorkerParameters) -> Config:
     """A worker's part of its router's configuration; the supervisor counts as one more process."""
-    processes = slot.worker_count + 1
+    processes = parameters.worker_count + 1
     settings = replace(
-        config.settings, workers=slot.worker_count, worker_index=slot.index, subscription_required=False
+        config.settings,
+        workers=parameters.worker_count,
+        worker_index=parameters.index,
+        subscription_required=False,
     )
     return replace(
         config,
         settings=settings,
-        seed=config.seed * SEED_STRIDE + slot.index,
-        max_open_requests=max(config.max_open_requests // slot.worker_count, 1),
+        seed=config.seed * SEED_STRIDE + parameters.index,
+        max_open_requests=max(config.max_open_requests // parameters.worker_count, 1),
         memory_bytes=config.memory_bytes // processes,
         max_descriptors=config.max_descriptors // processes,
         admin_address=None,
@@ -70,16 +73,16 @@
     def __init__(
         self,
         config: Config,
-        slot: WorkerSlot,
+        parameters: WorkerParameters,
         host_system: WorkerHostSystem,
         platform: Platform | None = None,
     ) -> None:
-        super().__init__(worker_config(config, slot), platform)
+        super().__init__(worker_config(config, parameters), platform)
         self.pool.max_per_endpoint = max(
-            MAX_CONNECTIONS_PER_ENDPOINT // slot.worker_count, MIN_CONNECTIONS_PER_ENDPOINT
+            MAX_CONNECTIONS_PER_ENDPOINT // parameters.worker_count, MIN_CONNECTIONS_PER_ENDPOINT
         )
         self._host_system = host_system
-        self._shared_table = host_system.attach_table(slot)
+        self._shared_table = host_system.attach_table(parameters)
         self.clients.duplicate = host_system.duplicate_client
         self._update_assembler = UpdateAssembler()
         self._accepted_clients = 0
@@ -221,16 +224,16 @@
     """Run one worker; returns the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
-        slot = WorkerSlot.read(os.environ)
+        parameters = WorkerParameters.read(os.environ)
         config = load_config(os.environ)
         if os.environ.get("PYTHONHASHSEED", "random") in ("", "random", "0"):
             raise ConfigError("workers need one PYTHONHASHSEED")
     except ConfigError as error:
         return report_usage_error(error)
-    configure_logging(f"{config.name}.{slot.index}")
+    configure_logging(f"{config.name}.{parameters.index}")
 
     async def run() -> None:
-        await Worker(config, slot, LinuxWorkerHostSystem(slot)).run()
+        await Worker(config, parameters, LinuxWorkerHostSystem(parameters)).run()
 
     return run_until_exit(run)
 
--- a/holdgw/operation/interval_counters.py
+++ b/holdgw/operation/interval_counters.py
@@ -53,32 +53,40 @@
         self.add(name, total - self._running_totals.get(name, 0))
         self._running_totals[name] = total
 
-    def count_client_request(self, again: bool, hasty: bool) -> None:
+    def count_client_request(self, is_retry: bool, tight_deadline: bool) -> None:
         """Count a client's request.
 
-        `again`: marked as a retry; `hasty`: its deadline is nearer than its class's latency objective.
+        `is_retry`: marked as a retry; `tight_deadline`: its deadline is nearer than its class's latency
+        objective.
         """
-        self.add(f"tries{' again' if again else ''}{', hasty' if hasty else ''}")
+        self.add(f"tries{' again' if is_retry else ''}{', hasty' if tight_deadline else ''}")
 
     def count_attempt(
-        self, server: str, outcome: str, fresh: bool, late: bool, fetched: str | None, why: str = ""
+        self,
+        endpoint_id: str,
+        outcome: str,
+        first_on_connection: bool,
+        late: bool,
+        fetched_key: str | None,
+        purpose: str = "",
     ) -> None:
         """Count an attempt's end.
 
-        `fresh`: the first on its connection; `late`: after its class's latency objective; `fetched`: the key,
-        where the attempt went to the origin; `why`: the reason of the attempt.
+        `first_on_connection`: whether it was its connection's first; `late`: whether it ended after its
+        class's latency objective; `fetched_key`: the key, if the attempt went to the origin, else None;
+        `purpose`: why the attempt was made.
         """
-        if why:
-            self.add(f"why {why}.{outcome}")
-        where = "origin" if fetched is not None else "cache"
-        self.add(f"{where}.{outcome}{'.fresh' if fresh else ''}{'.late' if late else ''}")
-        if fetched is None:
-            self._count_endpoint(server, late, answered=outcome in ("ok", "miss"))
+        if purpose:
+            self.add(f"why {purpose}.{outcome}")
+        where = "origin" if fetched_key is not None else "cache"
+        self.add(f"{where}.{outcome}{'.fresh' if first_on_connection else ''}{'.late' if late else ''}")
+        if fetched_key is None:
+            self._count_endpoint(endpoint_id, late, answered=outcome in ("ok", "miss"))
         elif len(self._fetched_keys) < MAX_KEYS:
-            self._fetched_keys.append(crc32(fetched.encode()))
+            self._fetched_keys.append(crc32(fetched_key.encode()))
 
-    def _count_endpoint(self, server: str, late: bool, answered: bool) -> None:
-        row = self._endpoints.setdefault(server, [0, 0, 0])
+    def _count_endpoint(self, endpoint_id: str, late: bool, answered: bool) -> None:
+        row = self._endpoints.setdefault(endpoint_id, [0, 0, 0])
         row[0] += 1
         row[1] += late
         row[2] += not answered
--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -14,7 +14,7 @@
 from typing import Any, cast
 
 from holdgw.cores import shared_table
-from holdgw.cores.host_system import LISTEN_BACKLOG, Acceptor, LinkHandlers, WorkerSlot
+from holdgw.cores.host_system import LISTEN_BACKLOG, Acceptor, LinkHandlers, WorkerParameters
 from holdgw.cores.supervisor import Supervisor
 from holdgw.cores.worker import Worker
 from holdgw.cores.worker_pool import InsufficientResourcesError, WorkerState
@@ -222,9 +222,9 @@
         self.duplicate_client: Callable[[Any], int] = self._descriptors.open
         self.close_descriptor = self._descriptors.close_descriptor
 
-    def attach_table(self, slot: WorkerSlot) -> shared_table.SharedTable:
+    def attach_table(self, parameters: WorkerParameters) -> shared_table.SharedTable:
         """The shared memory as this worker sees it."""
-        return shared_table.SharedTable(self._memory, slot.worker_count, slot.index)
+        return shared_table.SharedTable(self._memory, parameters.worker_count, parameters.index)
 
     def open_link(self, handlers: LinkHandlers) -> ProcessLink[Any]:
         """Open the link to the supervisor."""
@@ -289,7 +289,7 @@
                 child.monotonic_ns, child.unix_ns, environ, self.router.read, peer_closed=has_left
             )
             host_system = _SimulatedWorkerHostSystem(child, self, there)
-            await Worker(config, WorkerSlot(index, workers, -1, -1), host_system, platform).run()
+            await Worker(config, WorkerParameters(index, workers, -1, -1), host_system, platform).run()
             return 0
 
         child.on_signal(signal.SIGHUP, lambda: None)
--- a/tests/policy/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -146,8 +146,8 @@
     log = FleetLog(1.0)
     for router, at in (("n0", 100.1), ("n1", 100.6), ("n1", 101.7)):
         tally = IntervalCounters()
-        tally.count_attempt("s-1", "ok", fresh=True, late=False, fetched=None)
-        tally.count_attempt("origin", "ok", fresh=False, late=True, fetched="left-pad")
+        tally.count_attempt("s-1", "ok", first_on_connection=True, late=False, fetched_key=None)
+        tally.count_attempt("origin", "ok", first_on_connection=False, late=True, fetched_key="left-pad")
         tally.add_growth("dials", 3)
         log.read(router, f"12:00 n0 INFO {tally.log_line(at, {'shy': 1.0})}\nsomething else\ntally {{}}\n")
     first, second = (log.intervals[at] for at in sorted(log.intervals))
@@ -179,9 +179,11 @@
 
 def test_a_tally_counts_tries_and_attempts_by_their_reason() -> None:
     tally = IntervalCounters()
-    tally.count_client_request(again=False, hasty=False)
-    tally.count_client_request(again=True, hasty=True)
-    tally.count_attempt("s-1", "timeout", fresh=True, late=False, fetched=None, why="next")
+    tally.count_client_request(is_retry=False, tight_deadline=False)
+    tally.count_client_request(is_retry=True, tight_deadline=True)
+    tally.count_attempt(
+        "s-1", "timeout", first_on_connection=True, late=False, fetched_key=None, purpose="next"
+    )
     counts = orjson.loads(tally.log_line(1.0, {}).removeprefix("tally "))["counts"]
     assert counts == {"tries": 1, "tries again, hasty": 1, "why next.timeout": 1, "cache.timeout.fresh": 1}
 
