--- a/holdgw/operation/__init__.py
+++ b/holdgw/operation/__init__.py
@@ -1,1 +1,1 @@
-"""What on-call staff need of a router in service: its door, its figures, servers out by hand, upgrades."""
+"""Operating a running router: admin endpoint, metrics, administrative overrides and takeover."""
--- a/holdgw/operation/admin_endpoint.py
+++ b/holdgw/operation/admin_endpoint.py
@@ -1,4 +1,7 @@
-"""The admin endpoint: a second address that speaks HTTP/1.1, one call to a connection."""
+"""The admin endpoint: an HTTP/1.1 server for operators and scrapers, on an address of its own.
+
+A call is one HTTP request; a connection carries one call and is closed after its response.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 
 class AdminOperations(Protocol):
-    """What the admin endpoint calls for its callers."""
+    """The operations that calls of the admin endpoint invoke."""
 
     def can_serve(self) -> bool:
         """Whether this process can serve clients now."""
@@ -29,15 +32,15 @@
     def metrics_text(self) -> bytes:
         """The metrics in the exposition format of `holdgw.operation.metrics`."""
 
-    def enter_maintenance(self, server_id: str) -> None:
+    def enter_maintenance(self, endpoint_id: str) -> None:
         """Set the administrative override of a cache server; raises UnknownEndpointError."""
 
-    def exit_maintenance(self, server_id: str) -> None:
+    def exit_maintenance(self, endpoint_id: str) -> None:
         """Clear the administrative override; raises UnknownEndpointError."""
 
 
 def handle_call(operations: AdminOperations, call: http.HttpRequest) -> bytes:
-    """Carry out one call; returns the encoded HTTP response."""
+    """Handle one call; returns the encoded HTTP response."""
     path = call.target.partition(b"?")[0]
     queries: dict[bytes, Callable[[], bytes]] = {
         b"/status": lambda: _status_response(operations.can_serve()),
@@ -60,16 +63,16 @@
 
 def _run_command(path: str, command: Callable[[str], None], body: bytes) -> bytes:
     try:
-        server_id = body.decode().strip()
+        endpoint_id = body.decode().strip()
     except UnicodeDecodeError:
-        server_id = ""
-    if not server_id:
+        endpoint_id = ""
+    if not endpoint_id:
         return _response(400, b"the body must be a server's id\n")
     try:
-        command(server_id)
+        command(endpoint_id)
     except UnknownEndpointError as error:
         return _response(404, f"{error}\n".encode())
-    log.info("admin endpoint: call carried out path=%s endpoint=%s", path, server_id)
+    log.info("admin endpoint: command applied path=%s endpoint=%s", path, endpoint_id)
     return _response(200, b"ok\n")
 
 
@@ -87,7 +90,7 @@
 
 
 class _AdminConnection(asyncio.Protocol):
-    """One connection, and the one call on it."""
+    """A connection to the admin endpoint, which carries one call."""
 
     def __init__(self, endpoint: AdminEndpoint) -> None:
         self._endpoint = endpoint
@@ -98,7 +101,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's own class is no subclass
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transports are not subclasses of it
         self._timeout = self._endpoint.loop.call_later(CALL_TIMEOUT_S, self.abort)
         self._endpoint.add_connection(self)
 
@@ -140,25 +143,25 @@
 
 
 class AdminEndpoint:
-    """The listening socket and its connections; calls are carried out by `operations`."""
+    """Listens for admin calls and handles them with `operations`."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, operations: AdminOperations) -> None:
         self.loop = loop
         self.operations = operations
-        self._connections: dict[_AdminConnection, None] = {}  # the oldest first
+        self._connections: dict[_AdminConnection, None] = {}  # oldest first
         self._listener: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
-        """Listen at this address; returns it, with the port that was bound. Raises OSError."""
+        """Listen at this address; returns it with the port that was bound. Raises OSError."""
         self._listener = await self.loop.create_server(lambda: _AdminConnection(self), *address)
         host, port = self._listener.sockets[0].getsockname()[:2]
         return str(host), int(port)
 
     def add_connection(self, connection: _AdminConnection) -> None:
-        """Note a new connection; beyond MAX_CONNECTIONS the oldest one is aborted.
+        """Register a new connection; where MAX_CONNECTIONS are open, the oldest one is aborted.
 
-        Callers that never finish a call would otherwise keep operators out, and hold descriptors that
-        clients need.
+        Without this limit, callers that never finish a call would keep operators out and hold descriptors
+        that clients need.
         """
         if len(self._connections) >= MAX_CONNECTIONS:
             oldest = next(iter(self._connections))
@@ -167,12 +170,12 @@
         self._connections[connection] = None
 
     def remove_connection(self, connection: _AdminConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self._connections.pop(connection, None)
 
     @property
     def connection_count(self) -> int:
-        """Connections now."""
+        """The number of open connections."""
         return len(self._connections)
 
     def close(self) -> None:
--- a/holdgw/operation/endpoint_overrides.py
+++ b/holdgw/operation/endpoint_overrides.py
@@ -1,7 +1,7 @@
-"""Administrative overrides of single endpoints, laid over discovery's list. No I/O, no clock.
+"""Administrative overrides of single endpoints, applied on top of discovery's list. No I/O, no clock.
 
-An overridden endpoint is shown to the router as draining, whatever discovery says of it, so that everything
-that honours a drain honours an override too. All times are nanoseconds of the monotonic clock.
+An overridden endpoint is presented to the router as draining, whatever state discovery lists, so all code
+that handles draining endpoints handles overrides too. All times are nanoseconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,11 +14,14 @@
 from holdgw.policy import Endpoint, EndpointsChanged, EndpointState, UpdateKind
 from holdgw.wire.address import Address
 
-MAX_OVERRIDES = 4096  # many times the endpoints there are
+MAX_OVERRIDES = 4096  # many times the number of endpoints
 
 
 class UnknownEndpointError(Exception):
-    """The id is of no cache server in the list; the text is one plain line."""
+    """The endpoint id can't be overridden, mostly as no cache server is listed with it.
+
+    The text is one plain line, which the admin endpoint returns to its caller.
+    """
 
 
 class _ListedEndpoint(NamedTuple):
@@ -36,18 +39,18 @@
 
 
 class EndpointOverrides:
-    """Discovery's list as last received, and which of its endpoints are overridden."""
+    """The endpoint list as last received from discovery, and the overrides of its endpoints."""
 
     def __init__(self, origin_kind: str | None) -> None:
-        """`origin_kind`: the kind of the origin, which can't be overridden; None: there is no origin."""
+        """`origin_kind`: the kind of the origin, which can't be overridden; None if there is no origin."""
         self._origin_kind = origin_kind
         self._listed: dict[str, _ListedEndpoint] = {}
         self._generation = 0
-        self._overridden: dict[str, int] = {}  # id -> since when
+        self._overridden: dict[str, int] = {}  # endpoint id -> since when
         self._past: dict[str, _PastOverride] = {}
 
     def apply(self, update: EndpointUpdate) -> EndpointUpdate:
-        """Apply an update of discovery; returns it with the overrides laid over it."""
+        """Apply an endpoint update from discovery; returns it with the overrides applied."""
         self._generation = update.generation
         is_delta = update.change.kind is UpdateKind.DELTA
         if not is_delta:
@@ -66,62 +69,62 @@
         return replace(update, change=EndpointsChanged(update.change.kind, endpoints))
 
     def full_update(self) -> EndpointUpdate:
-        """The complete list with the overrides laid over it."""
+        """The complete endpoint list with the overrides applied."""
         endpoints = tuple(self._effective(listed.endpoint) for listed in self._listed.values())
         addresses = {name: listed.address for name, listed in self._listed.items()}
         return EndpointUpdate(self._generation, EndpointsChanged(UpdateKind.FULL, endpoints), addresses)
 
-    def enter_maintenance(self, server_id: str, now: int) -> EndpointUpdate | None:
-        """Override an endpoint; returns the update for the router, None where it was overridden already.
+    def enter_maintenance(self, endpoint_id: str, now_ns: int) -> EndpointUpdate | None:
+        """Override an endpoint; returns the update for the router, None if it was overridden already.
 
-        Raises UnknownEndpointError, also where MAX_OVERRIDES is reached.
+        Raises UnknownEndpointError, also if there are MAX_OVERRIDES already.
         """
-        self._check_overridable(server_id)
-        if server_id in self._overridden:
+        self._check_overridable(endpoint_id)
+        if endpoint_id in self._overridden:
             return None
         if len(self._overridden) >= MAX_OVERRIDES:
             raise UnknownEndpointError("too many servers are out by hand")
-        return self.restore_override(server_id, now)
+        return self.restore_override(endpoint_id, now_ns)
 
-    def restore_override(self, server_id: str, since: int) -> EndpointUpdate | None:
-        """Apply an override that another process of this router has sent; the id may not be listed yet."""
-        if server_id in self._overridden or len(self._overridden) >= MAX_OVERRIDES:
+    def restore_override(self, endpoint_id: str, since_ns: int) -> EndpointUpdate | None:
+        """Apply an override sent by another process of this router; the endpoint may not be listed yet."""
+        if endpoint_id in self._overridden or len(self._overridden) >= MAX_OVERRIDES:
             return None
-        self._overridden[server_id] = since
-        self._past.pop(server_id, None)
-        return self._update_of(server_id)
+        self._overridden[endpoint_id] = since_ns
+        self._past.pop(endpoint_id, None)
+        return self._update_of(endpoint_id)
 
-    def exit_maintenance(self, server_id: str, now: int) -> EndpointUpdate | None:
-        """Clear an override, however often it was set; returns the update for the router.
+    def exit_maintenance(self, endpoint_id: str, now_ns: int) -> EndpointUpdate | None:
+        """Clear an override, however often it was set; returns the update for the router, or None.
 
-        Raises UnknownEndpointError.
+        Raises UnknownEndpointError where there was no override and no cache server is listed by this id.
         """
-        since = self._overridden.pop(server_id, None)
-        if since is None:
-            self._check_overridable(server_id)
+        since_ns = self._overridden.pop(endpoint_id, None)
+        if since_ns is None:
+            self._check_overridable(endpoint_id)
             return None
-        # The endpoint may have been restarted during its override, which discovery lists seconds late. Taken
-        # for warm, it would be sent its full load at once and be overloaded; so it counts as started now. One
-        # that was not restarted gets its load back over the warm-up time.
-        self._past[server_id] = _PastOverride(since, now)
-        return self._update_of(server_id)
-
-    def _check_overridable(self, server_id: str) -> None:
-        listed = self._listed.get(server_id)
+        # The endpoint may have been restarted during its override, and discovery lists the new start time
+        # seconds late. Taken for warm, the endpoint would get its full load at once and be overloaded, so its
+        # start time is set to now. An endpoint that was not restarted regains its load over the warm-up time.
+        self._past[endpoint_id] = _PastOverride(since_ns, now_ns)
+        return self._update_of(endpoint_id)
+
+    def _check_overridable(self, endpoint_id: str) -> None:
+        listed = self._listed.get(endpoint_id)
         if listed is None:
-            raise UnknownEndpointError(f"no server {server_id!r} in the list")
+            raise UnknownEndpointError(f"no server {endpoint_id!r} in the list")
         if listed.endpoint.kind == self._origin_kind:
-            raise UnknownEndpointError(f"{server_id!r} is the origin, which nothing can stand in for")
+            raise UnknownEndpointError(f"{endpoint_id!r} is the origin, which nothing can stand in for")
 
-    def _update_of(self, server_id: str) -> EndpointUpdate | None:
-        listed = self._listed.get(server_id)
+    def _update_of(self, endpoint_id: str) -> EndpointUpdate | None:
+        listed = self._listed.get(endpoint_id)
         if listed is None:
             return None
         change = EndpointsChanged(UpdateKind.DELTA, (self._effective(listed.endpoint),))
-        return EndpointUpdate(self._generation, change, {server_id: listed.address})
+        return EndpointUpdate(self._generation, change, {endpoint_id: listed.address})
 
     def _effective(self, endpoint: Endpoint) -> Endpoint:
-        """The endpoint with its override, or with the start time that a past one stands for."""
+        """The endpoint with its override applied, or with the start time that a past override implies."""
         if endpoint.id in self._overridden and endpoint.state is EndpointState.READY:
             return replace(endpoint, state=EndpointState.DRAINING)
         past = self._past.get(endpoint.id)
@@ -131,12 +134,12 @@
 
     @property
     def overridden(self) -> dict[str, int]:
-        """The overridden ids, listed or not, and since when."""
+        """The overridden endpoint ids, listed or not, and since when, monotonic ns."""
         return dict(self._overridden)
 
     @property
     def discovered_count(self) -> int:
-        """How many cache servers are listed, draining ones among them."""
+        """How many cache servers are listed, draining ones included."""
         return sum(listed.endpoint.kind != self._origin_kind for listed in self._listed.values())
 
     def excluded_count(self, ejected: list[str]) -> int:
--- a/holdgw/operation/endpoint_update.py
+++ b/holdgw/operation/endpoint_update.py
@@ -1,4 +1,4 @@
-"""One change of the endpoint list, in the router's own terms, whatever it was learnt from."""
+"""A change of the endpoint list, independent of the source that it was read from."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class EndpointUpdate(Struct, frozen=True):
-    """An endpoint update: the policy's event, and the addresses of the endpoints in it that are not gone."""
+    """An endpoint update: the policy's event, and the addresses of its endpoints that are not gone."""
 
     generation: int
-    """Discovery's number of the list, from which a watch goes on."""
+    """Discovery's generation number of the list, from which a watch continues."""
     change: EndpointsChanged
     addresses: dict[str, Address]
     """By endpoint id."""
--- a/holdgw/operation/interval_counters.py
+++ b/holdgw/operation/interval_counters.py
@@ -1,7 +1,7 @@
-"""What a router did in each second, as a line of JSON in its log, for `holdgw fleet-log`.
+"""Interval counters: what a router did in each second, logged as a line of JSON for `holdgw fleet-log`.
 
-Off unless HOLDGW_TALLY is set: a line is a kilobyte or two. The names that are counted are bounded: outcomes,
-reasons, listed endpoints. A key is logged as a short hash, at most MAX_KEYS a line.
+Off unless HOLDGW_TALLY is set, as each line takes a kilobyte or two. The set of counted names is bounded:
+outcomes, reasons and listed endpoints. Keys are logged as short hashes, at most MAX_KEYS in a line.
 """
 
 from __future__ import annotations
@@ -12,31 +12,31 @@
 import orjson
 
 LOG_LINE_PREFIX = "tally "
-"""Begins the line, behind whatever the platform puts before it."""
+"""Begins the record in its log line, after whatever the log's formatter puts before it."""
 MAX_KEYS = 64
 
 
 class IntervalRecord(msgspec.Struct, frozen=True):
-    """One line: what was counted since the line before, and states as of the line's time."""
+    """The record of one line: the counts since the previous line, and states as of the line's time."""
 
     time_s: float = msgspec.field(name="t")
     """Unix time, seconds."""
     counts: dict[str, float]
     states: dict[str, float | bool]
     endpoints: dict[str, list[int]] = msgspec.field(name="servers", default_factory=dict)
-    """By endpoint id: attempts, those answered late, those without a usable answer."""
+    """By endpoint id: all attempts, attempts answered late, attempts without a usable answer."""
     fetched_keys: list[int] = msgspec.field(name="fetched", default_factory=list)
-    """CRC-32 of keys fetched from the origin."""
+    """The CRC-32 of each key fetched from the origin."""
 
 
 def parse_log_line(line: str) -> IntervalRecord | None:
-    """The record of a log line; None where the line has none. Raises msgspec.DecodeError."""
+    """Decode the record of a log line; None if the line has none. Raises msgspec.DecodeError."""
     _, prefix, record = line.partition(LOG_LINE_PREFIX)
     return msgspec.json.decode(record, type=IntervalRecord) if prefix else None
 
 
 class IntervalCounters:
-    """Counts since the last line."""
+    """Counts events since the last logged line."""
 
     def __init__(self) -> None:
         self._counts: dict[str, float] = {}
@@ -49,7 +49,7 @@
         self._counts[name] = self._counts.get(name, 0) + amount
 
     def add_growth(self, name: str, total: float) -> None:
-        """Add what a running total has grown by since the last call for this name."""
+        """Add the increase of a running total since the last call for this name."""
         self.add(name, total - self._running_totals.get(name, 0))
         self._running_totals[name] = total
 
@@ -70,7 +70,7 @@
         fetched_key: str | None,
         purpose: str = "",
     ) -> None:
-        """Count an attempt's end.
+        """Count a finished attempt.
 
         `first_on_connection`: whether it was its connection's first; `late`: whether it ended after its
         class's latency objective; `fetched_key`: the key, if the attempt went to the origin, else None;
@@ -92,7 +92,10 @@
         row[2] += not answered
 
     def log_line(self, time_s: float, states: dict[str, float]) -> str:
-        """The line for what was counted since the last one. `time_s`: Unix time; `states`: as of now."""
+        """The log line of the counts since the last one, which are reset.
+
+        `time_s`: Unix time, seconds; `states`: gauges as of now, by name.
+        """
         line = {
             "t": round(time_s, 3),
             "counts": {name: round(amount, 6) for name, amount in self._counts.items() if amount},
--- a/holdgw/operation/metrics.py
+++ b/holdgw/operation/metrics.py
@@ -1,6 +1,6 @@
-"""What a router reports of itself: counts since its start and states as of now, as text for a scraper.
+"""The router's metrics: counters since its start and gauges, as text for a scraper.
 
-The text is Prometheus' exposition format, version 0.0.4. Only this module knows the `lb_...` names.
+The text is in the Prometheus exposition format, version 0.0.4. The `lb_...` names occur only in this module.
 """
 
 from __future__ import annotations
@@ -23,47 +23,47 @@
 
 
 class PeerMetrics(NamedTuple):
-    """What a router reports of itself as a member of the membership."""
+    """The metrics of a router as a member of the membership."""
 
     members: Mapping[str, int]
-    """Routers by membership state."""
+    """The number of routers by membership state."""
     load_view: Mapping[str, int]
-    """Routers and requests that the load view rests on, and endpoints that it knows of."""
+    """The numbers of routers and requests that the load view is based on, and of endpoints in it."""
     dropped: Mapping[str, int]
-    """Datagrams that were not read, or not sent, by reason."""
+    """Datagrams that were not read or not sent, by reason."""
     aggregation: Mapping[str, int]
     """The state of aggregation at this member."""
     payload_bytes: Mapping[str, int]
-    """Payload of datagrams by direction."""
+    """Payload bytes of datagrams by direction."""
 
 
 class Metrics:
-    """The counts; whoever gives an answer or makes an attempt counts it there and then."""
+    """The router's counters, updated where an answer is given or an attempt is made."""
 
     def __init__(self, classes: Iterable[str], disabled_features: Iterable[str] = ()) -> None:
-        """`classes`: names of the request classes; `disabled_features`: what the settings switch off."""
+        """`classes`: names of the request classes; `disabled_features`: those that the settings disable."""
         self.results = {(name, disposition): 0 for name in classes for disposition in Disposition}
         self.forwards = 0
-        """Attempts written completely to endpoints, the origin among them."""
+        """Attempts written completely to endpoints, the origin included."""
         self.reloads_applied = 0
         self.reloads_rejected = 0
         self.disabled_features = tuple(disabled_features)
 
     def count_answer(self, request_class: str, disposition: Disposition) -> None:
-        """Count a request's final answer; a class that the settings don't name is not counted."""
+        """Count a request's final answer; ignored for a request class that the settings don't name."""
         key = request_class, disposition
         if key in self.results:
             self.results[key] += 1
 
     def counts(self) -> dict[str, list[int]]:
-        """The final answers of each class, in Disposition's order, for another process."""
+        """The final answers of each request class, in Disposition's order, to send to another process."""
         rows: dict[str, list[int]] = {}
         for (name, _), count in self.results.items():
             rows.setdefault(name, []).append(count)
         return rows
 
     def add(self, counts: dict[str, list[int]], forwards: int) -> None:
-        """Add what another process of the router has counted."""
+        """Add the counts of another process of this router."""
         for name, row in counts.items():
             for disposition, count in zip(Disposition, row, strict=True):
                 self.results[name, disposition] += count
@@ -79,8 +79,8 @@
     ) -> bytes:
         """Write all metrics in the exposition format.
 
-        `outstanding`: requests not answered yet; `discovered`, `ejected`: cache servers; `rebalancing`:
-        donors, receivers and the least slot retention.
+        `outstanding`: unanswered requests; `discovered`, `ejected`: numbers of cache servers; `rebalancing`:
+        numbers of donors and receivers, and the lowest slot retention.
         """
         lines = self._result_lines()
         lines += _metric("forwards", "counter", self.forwards)
@@ -110,7 +110,7 @@
 
 
 def worker_count_text(serving: int) -> bytes:
-    """How many worker processes can serve, to be added to a supervisor's text."""
+    """The metric of how many worker processes can serve, to append to a supervisor's text."""
     return "\n".join([*_metric("workers", "gauge", serving), ""]).encode()
 
 
@@ -119,8 +119,8 @@
 
 
 def _labelled(name: str, kind: str, label: str, values: Mapping[str, float]) -> list[str]:
-    """One metric with a value for each value of a label; nothing where there are none."""
+    """One metric with a sample for each value of its label; nothing if there are no samples."""
     if not values:
         return []
-    rows = [f'lb_{name}{{{label}="{word}"}} {value}' for word, value in values.items()]
+    rows = [f'lb_{name}{{{label}="{label_value}"}} {value}' for label_value, value in values.items()]
     return [f"# TYPE lb_{name} {kind}", *rows]
--- a/holdgw/operation/process_link.py
+++ b/holdgw/operation/process_link.py
@@ -1,6 +1,7 @@
-"""A link between processes of one router: messages in order, and descriptors with them.
+"""A link between two processes of one router: ordered messages, each with at most one file descriptor.
 
-A Unix socket of type SOCK_SEQPACKET; a descriptor is copied into the other process (unix(7), SCM_RIGHTS).
+The link is a Unix socket of type SOCK_SEQPACKET; the kernel duplicates a descriptor that is sent into the
+receiving process (unix(7), SCM_RIGHTS).
 """
 
 from __future__ import annotations
@@ -19,10 +20,10 @@
 
 from holdgw.policy import HandoverState
 
-MAX_PENDING_COMMAND_BYTES = 32 << 10  # a connection amid a longer command stays until it is complete
-MAX_MESSAGE_BYTES = MAX_PENDING_COMMAND_BYTES + (64 << 10)  # a message of another kind has thousands of ids
-MAX_PART_ITEMS = 500  # endpoints, slots or calls in one message, of some 110 bytes each at most
-MAX_UNSENT_MESSAGES = 4096  # beyond this the other process counts as stuck
+MAX_PENDING_COMMAND_BYTES = 32 << 10  # with more, a connection stays until its command is complete
+MAX_MESSAGE_BYTES = MAX_PENDING_COMMAND_BYTES + (64 << 10)  # other messages hold thousands of ids
+MAX_PART_ITEMS = 500  # endpoints, slots or calls in a message, each up to some 110 bytes
+MAX_UNSENT_MESSAGES = 4096  # beyond this the other process counts as unresponsive
 
 Message = TypeVar("Message")
 Item = TypeVar("Item")
@@ -47,24 +48,24 @@
     },
     frozen=True,
 ):
-    """A client's connection, whose descriptor comes along."""
+    """A client's connection, handed over with its descriptor."""
 
     pending_bytes: bytes
-    """What was read of a command that is not complete."""
+    """The bytes that were read of an incomplete command."""
     has_sent_command: bool
-    """Whether a complete command came on the connection."""
+    """Whether a complete command was received on the connection."""
     waited_s: float
-    """Seconds since the pending command began, or else since the connection's last one."""
+    """Seconds since the pending command began or, where there is none, since the last command."""
     unread_since_ns: int = 0
-    """Since when bytes may lie unread there, on the machine's monotonic clock; 0: not known, as an earlier
-    version does not send it."""
+    """Since when the socket may hold unread bytes, on the machine's monotonic clock; 0 if unknown, as from an
+    earlier version, which does not send the field."""
 
 
 encode = msgspec.msgpack.Encoder().encode
 
 
 def split_handover(state: HandoverState) -> Iterator[HandoverState]:
-    """Cut handover state into parts that fit a message each."""
+    """Split handover state into parts that each fit into one message."""
     yield replace(state, endpoints={}, tenants={}, slot_popularity={}, tenant_usage={})
     for names in batched(state.endpoints, MAX_PART_ITEMS):
         yield HandoverState(endpoints={name: state.endpoints[name] for name in names})
@@ -77,14 +78,14 @@
 
 
 def batched(items: Iterable[Item], size: int) -> Iterator[list[Item]]:
-    """Lists of at most so many items, in order."""
+    """Split items into lists of at most `size`, in order."""
     remaining = iter(items)
     while batch := list(islice(remaining, size)):
         yield batch
 
 
-class _Unsent(NamedTuple):
-    """An encoded message, and the descriptor that goes with it, which is the link's to close."""
+class _UnsentMessage(NamedTuple):
+    """An encoded message, and the descriptor to send with it, which the link owns and closes."""
 
     data: bytes
     descriptor: int | None
@@ -95,7 +96,7 @@
 
 
 class ProcessLink(Generic[Message]):
-    """One connection between two processes of a router; owns it and every descriptor on the way."""
+    """A connection between two processes of a router; owns its socket and the descriptors not sent yet."""
 
     def __init__(
         self,
@@ -105,33 +106,33 @@
         on_message: Callable[[ProcessLink[Message], Message, int | None], None],
         on_closed: Callable[[ProcessLink[Message]], None],
     ) -> None:
-        """`on_message`: given each message, and a descriptor that came along, which is then the callee's.
+        """`on_message`: given each message and the descriptor received with it, which the callee then owns.
 
-        `decode` may raise msgspec.DecodeError. `on_closed`: called once, whichever side has closed the link.
+        `decode` may raise msgspec.DecodeError. `on_closed`: called once, whichever side closes the link.
         """
         self._loop = loop
         self._sock = sock
         self._decode = decode
         self._on_message = on_message
         self._on_closed = on_closed
-        self._unsent: deque[_Unsent] = deque()
+        self._unsent: deque[_UnsentMessage] = deque()
         self.open = True
         self.ready = False
-        """Whether the other side is a new process that can serve."""
+        """Whether the other process is a new one that can serve; set by the link's owner."""
         sock.setblocking(False)
         loop.add_reader(sock, self.read)
 
     def send(self, message: object, descriptor: int | None = None) -> None:
-        """Send in order, and close the descriptor once it is on its way. Nothing is sent on a closed link."""
+        """Send in order, and close the descriptor once the kernel has it. A closed link drops both."""
         if not self.open:
             if descriptor is not None:
                 os.close(descriptor)
             return
-        self._unsent.append(_Unsent(encode(message), descriptor))
+        self._unsent.append(_UnsentMessage(encode(message), descriptor))
         if len(self._unsent) == 1:
             self._write()
         elif len(self._unsent) > MAX_UNSENT_MESSAGES:
-            log.error("link: closed, the other process reads nothing unsent=%d", len(self._unsent))
+            log.error("link: closed, the other process does not read unsent=%d", len(self._unsent))
             self.close()
 
     def _write(self) -> None:
@@ -144,7 +145,7 @@
                 self._loop.add_writer(self._sock, self._write)
                 return
             except OSError as error:
-                log.warning("link: closed, sending failed error=%s", error)
+                log.warning("link: closed, send failed error=%s", error)
                 self.close()
                 return
             self._unsent.popleft()
@@ -153,13 +154,14 @@
 
     @property
     def sent(self) -> bool:
-        """Whether the kernel has all that was sent."""
+        """Whether the kernel has accepted all messages."""
         return not self._unsent
 
     def read(self) -> None:
-        """Read all that has arrived.
+        """Read all messages that have arrived.
 
-        One message a turn of the loop would let a hundred connections wait for as many turns of a busy one.
+        With one message per iteration of a busy event loop, a hundred handed-over connections would wait for
+        a hundred iterations.
         """
         while self.open:
             try:
@@ -167,7 +169,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                log.warning("link: closed, reading failed error=%s", error)
+                log.warning("link: closed, receive failed error=%s", error)
                 self.close()
                 return
             if not data:
@@ -179,7 +181,7 @@
         try:
             message = self._decode(data)
         except msgspec.DecodeError as error:
-            log.error("link: closed, a message can't be decoded error=%s", error)
+            log.error("link: closed, received a malformed message error=%s", error)
             if descriptor is not None:
                 os.close(descriptor)
             self.close()
@@ -187,7 +189,7 @@
         self._on_message(self, message, descriptor)
 
     def close(self) -> None:
-        """Close the link; what is not sent yet is dropped with its descriptors."""
+        """Close the link, and drop the messages not sent yet with their descriptors."""
         if not self.open:
             return
         self.open = False
--- a/holdgw/operation/takeover.py
+++ b/holdgw/operation/takeover.py
@@ -1,9 +1,9 @@
-"""The takeover: the old process of a router passes its clients' connections to a new one.
+"""The takeover: the old process of a router hands its clients' connections over to a new process.
 
-The old process listens on a Unix socket in a private folder; a new process that starts beside it connects
-there. Both then belong to one router: each is notified of every administrative override that is set at the
-other, and on SIGTERM the old process sends its clients' connections over, a message and a descriptor each
-(unix(7), SCM_RIGHTS).
+The old process listens on a Unix socket in a private folder, and a new process connects to it as it starts.
+Both then serve as one router: each is notified of every administrative override that is set at the other, and
+on SIGTERM the old process hands its clients' connections over, each as a message with a descriptor (unix(7),
+SCM_RIGHTS).
 """
 
 from __future__ import annotations
@@ -23,24 +23,24 @@
 
 VERSION = 1
 SOCKET_NAME = "holdgw.link"
-HELLO_TIMEOUT_S = 1.0  # without an answer by then the old process counts as stuck
-MAX_LINKS = 4  # processes of one router beside this one
+HELLO_TIMEOUT_S = 1.0  # without an answer by then, the old process counts as unresponsive
+MAX_LINKS = 4  # to other processes of this router
 
 log = logging.getLogger("holdgw")
 
 
 class Hello(msgspec.Struct, tag="hello", frozen=True):
-    """The new process's first message. Unknown fields of any message are ignored."""
+    """The first message of a new process. Unknown fields of any message are ignored."""
 
     version: int
 
 
 class OverrideList(msgspec.Struct, tag="outs", rename={"since_ns": "since"}, frozen=True):
-    """The old process's answer, after its handover state: the administrative overrides."""
+    """The administrative overrides: the old process's answer to Hello, sent after its handover state."""
 
     version: int
     since_ns: dict[str, int]
-    """By endpoint id: when the override was set, on the machine's monotonic clock."""
+    """When each override was set, by endpoint id, on the machine's monotonic clock."""
 
 
 class OverrideChanged(
@@ -54,7 +54,7 @@
     endpoint_id: str
     overridden: bool
     at_ns: int
-    """When, on the machine's monotonic clock."""
+    """The time of the change, on the machine's monotonic clock."""
 
 
 class Ready(msgspec.Struct, tag="ready", frozen=True):
@@ -67,29 +67,29 @@
 
 
 class TakeoverOwner(Protocol):
-    """What a Takeover calls of the process that it belongs to."""
+    """The process that a Takeover belongs to, as the Takeover calls it."""
 
     def overridden_endpoints(self) -> dict[str, int]:
-        """The administrative overrides, by endpoint id: since when, monotonic ns. Asked by a new process."""
+        """Since when endpoints are overridden, monotonic ns, by endpoint id. Called for a new process."""
 
     def handover_state(self) -> HandoverState:
-        """What the routing policy passes on. Asked by a new process."""
+        """The routing policy's handover state. Called for a new process."""
 
     def apply_override(self, change: OverrideChanged) -> None:
-        """An override was set or cleared at another process of this router."""
+        """Apply an override that was set or cleared at another process of this router."""
 
     def restore_state(self, state: HandoverState) -> None:
-        """A part of the old process's handover state has come."""
+        """Restore a part of the old process's handover state."""
 
     def adopt_client(self, handover: ClientHandover, descriptor: int) -> None:
-        """A client's connection has come; the descriptor is the owner's from here on."""
+        """Serve a client's connection that was handed over; the owner closes the descriptor."""
 
     def links_changed(self) -> None:
-        """Another process has connected, or a link to one is closed."""
+        """Called when another process has connected, or a link to one has closed."""
 
 
 class _Listener(NamedTuple):
-    """The socket on which a new process is awaited."""
+    """The socket that a new process connects to."""
 
     sock: socket.socket
     path: Path
@@ -97,32 +97,32 @@
 
 
 class Takeover:
-    """The links of this process: at most one to an old process, and one to each new process."""
+    """The links of this process: at most one to its old process, and one to each newer process."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, owner: TakeoverOwner) -> None:
         self._loop = loop
         self._owner = owner
         self._links: dict[ProcessLink[Message], None] = {}
         self._old_process: ProcessLink[Message] | None = None
-        self._old_process_answered = asyncio.Event()  # or its link is closed
+        self._old_process_answered = asyncio.Event()  # also set when its link closes
         self._listener: _Listener | None = None
 
     async def begin(self, folder: Path) -> None:
-        """Connect to the old process in this folder, if there is one, and then await a new one there.
+        """Connect to the old process in this folder, if there is one, and then listen there for a new one.
 
-        Never fails: without a link an upgrade is a plain restart, and the log says why.
+        Errors are only logged: without a link, an upgrade is a restart that closes clients' connections.
         """
         path = folder / SOCKET_NAME
         try:
             await self._connect(path)
             self._listen(path)
         except OSError as error:
-            log.warning("takeover: not possible error=%s", error)
+            log.warning("takeover: unavailable error=%s", error)
 
     async def _connect(self, path: Path) -> None:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
-            sock.connect(os.fspath(path))  # local: it succeeds or fails at once
+            sock.connect(os.fspath(path))  # a local connect succeeds or fails at once
         except (FileNotFoundError, ConnectionRefusedError):
             sock.close()
             return
@@ -131,15 +131,17 @@
             raise
         self._old_process = self._add_link(sock)
         self._old_process.send(Hello(VERSION))
-        # A process that served before it knows the overrides would send requests to overridden endpoints.
+        # A process that serves before it has the overrides would send requests to overridden endpoints.
         try:
             await asyncio.wait_for(self._old_process_answered.wait(), HELLO_TIMEOUT_S)
         except TimeoutError:
-            log.error("takeover: no answer of the old process, going on timeout_s=%g", HELLO_TIMEOUT_S)
+            log.error(
+                "takeover: the old process does not answer, starting without it timeout_s=%g", HELLO_TIMEOUT_S
+            )
 
     def _listen(self, path: Path) -> None:
         with suppress(FileNotFoundError):
-            path.unlink()  # the old process's: its link goes on, or it is dead
+            path.unlink()  # the old process's path: its link stays open, or it has died
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         try:
             sock.bind(os.fspath(path))
@@ -185,7 +187,7 @@
                 self._old_process_answered.set()
             case OverrideChanged():
                 self._owner.apply_override(message)
-                self.broadcast(message, but=link)
+                self.broadcast(message, exclude=link)
             case HandoverPart():
                 self._owner.restore_state(message.state)
             case Ready():
@@ -201,30 +203,30 @@
             link.send(HandoverPart(part))
         link.send(OverrideList(VERSION, self._owner.overridden_endpoints()))
 
-    def broadcast(self, message: Message, but: ProcessLink[Message] | None = None) -> None:
-        """Send to all other processes, except by the link `but`."""
+    def broadcast(self, message: Message, exclude: ProcessLink[Message] | None = None) -> None:
+        """Send to all other processes except the one at the link `exclude`."""
         for link in list(self._links):
-            if link is not but:
+            if link is not exclude:
                 link.send(message)
 
     def announce_ready(self) -> None:
-        """Notify the old process that this one can serve."""
+        """Notify the old process that this process can serve."""
         if self._old_process is not None:
             self._old_process.send(Ready())
 
     @property
     def linked(self) -> bool:
-        """Whether another process of this router is alive."""
+        """Whether a link to another process of this router is open."""
         return bool(self._links)
 
     @property
     def new_process(self) -> ProcessLink[Message] | None:
-        """The link to the process that takes over, once it can serve; the newest of several."""
+        """The link to the newest of the new processes that can serve, which takes over."""
         ready = [link for link in self._links if link.ready and link.open]
         return ready[-1] if ready else None
 
     def close(self) -> None:
-        """Close all links and stop listening; the path stays if a new process has bound it by now."""
+        """Close all links and stop listening; the path is kept if a new process has bound it since."""
         if self._listener is not None:
             self._close_listener(self._listener)
         for link in list(self._links):
--- a/tests/operation/test_admin_endpoint.py
+++ b/tests/operation/test_admin_endpoint.py
@@ -42,15 +42,15 @@
     def metrics_text(self) -> bytes:
         return b"lb_outstanding 0\n"
 
-    def enter_maintenance(self, server_id: str) -> None:
-        if server_id == "fault":
-            raise RuntimeError(server_id)
-        if server_id != "a":
-            raise UnknownEndpointError(server_id)
-        self.out.append(server_id)
-
-    def exit_maintenance(self, server_id: str) -> None:
-        self.out.remove(server_id)
+    def enter_maintenance(self, endpoint_id: str) -> None:
+        if endpoint_id == "fault":
+            raise RuntimeError(endpoint_id)
+        if endpoint_id != "a":
+            raise UnknownEndpointError(endpoint_id)
+        self.out.append(endpoint_id)
+
+    def exit_maintenance(self, endpoint_id: str) -> None:
+        self.out.remove(endpoint_id)
 
 
 @pytest.mark.parametrize(
