--- a/holdgw/cli/__init__.py
+++ b/holdgw/cli/__init__.py
@@ -10,7 +10,7 @@
 import typer
 
 from holdgw.cli.aggregate import aggregate
-from holdgw.cli.common import INTERRUPTED, USAGE, UsageError
+from holdgw.cli.common import EXIT_INTERRUPTED, EXIT_USAGE, UsageError
 from holdgw.cli.fleet_log import fleet_log
 from holdgw.cli.rehearse import rehearse, scenarios
 from holdgw.cli.run import run
@@ -36,15 +36,15 @@
     except typer.Exit as end:
         return end.exit_code
     except typer.Abort:
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
     except (ScenarioError, DeployError, UsageError) as error:
         print(f"holdgw: {error}", file=sys.stderr)
-        return USAGE
+        return EXIT_USAGE
     except Exception as error:
         # click's usage errors, whichever class this typer raises them by; anything else is a fault of ours.
         message = getattr(error, "format_message", None)
         if message is None:
             raise
         print(f"holdgw: {message()}", file=sys.stderr)
-        return USAGE
+        return EXIT_USAGE
     return code if isinstance(code, int) else 0
--- a/holdgw/cli/common.py
+++ b/holdgw/cli/common.py
@@ -4,10 +4,10 @@
 
 from pathlib import Path
 
-BROKEN = 1
-USAGE = 2
-FAILED = 4
-INTERRUPTED = 130
+EXIT_RULE_BROKEN = 1
+EXIT_USAGE = 2
+EXIT_FAILED = 4
+EXIT_INTERRUPTED = 130
 
 
 class UsageError(Exception):
--- a/holdgw/cli/fleet_log.py
+++ b/holdgw/cli/fleet_log.py
@@ -34,7 +34,7 @@
     console.print(_table(log.state_names(), rows, states=True))
     if servers:
         for row in rows:
-            console.print(_busiest_line(row))
+            console.print(_busiest_endpoints_line(row))
     if log.malformed_lines:
         console.print(f"{log.malformed_lines} lines could not be read")
     return 0
@@ -55,7 +55,7 @@
     return log
 
 
-def _busiest_line(row: Interval) -> str:
+def _busiest_endpoints_line(row: Interval) -> str:
     busiest = row.busiest(BUSIEST_ENDPOINTS)
     counts = ", ".join(f"{name} {sent}/{late}/{unanswered}" for name, (sent, late, unanswered) in busiest)
     return f"{row.start_s:6.1f} sent/late/unanswered: {counts}"
--- a/holdgw/cli/rehearse.py
+++ b/holdgw/cli/rehearse.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
-from holdgw.cli.common import FAILED, INTERRUPTED, UsageError, require_parent_folder
+from holdgw.cli.common import EXIT_FAILED, EXIT_INTERRUPTED, UsageError, require_parent_folder
 from holdgw.cli.run_report import print_report
 from holdgw.harness.deployment import build, run_command
 from holdgw.harness.html_report import render
@@ -58,10 +58,10 @@
         result = _play(schedule, command, root, console, logs)
     except (asyncio.CancelledError, KeyboardInterrupt):
         console.print("interrupted; every process that was started is ended")
-        raise typer.Exit(INTERRUPTED) from None
+        raise typer.Exit(EXIT_INTERRUPTED) from None
     except HarnessError as error:
         print(f"holdgw: the day could not be played: {error}", file=sys.stderr)
-        raise typer.Exit(FAILED) from None
+        raise typer.Exit(EXIT_FAILED) from None
     report = make_report(result)
     if json is not None:
         json.write_bytes(orjson.dumps(report.body, option=orjson.OPT_INDENT_2))
--- a/holdgw/cli/run_report.py
+++ b/holdgw/cli/run_report.py
@@ -10,9 +10,9 @@
 from holdgw.harness.report import Report
 
 FILE_WIDTH = 140  # columns of a report that goes to no terminal
-MAX_ODD = 5
-MAX_BROKEN = 20
-MAX_NODES = 8
+MAX_UNEXPECTED_SHOWN = 5
+MAX_BROKEN_SHOWN = 20
+MAX_NODES_SHOWN = 8
 COLUMNS = ("asked", "in_aim", "served", "refused", "failed", "service", "p50_ms", "p99_ms")
 WINDOW_COLUMNS = (
     "asked",
@@ -38,10 +38,10 @@
     body = report.body
     for group in ("classes", "tenants", "sources"):
         if len(body[group]) > 1 or group == "classes":
-            console.print(_group(group, body[group]))
-    console.print(_windows(body["windows"]))
-    console.print(_routers(body["routers"]))
-    console.print(_nodes(body["nodes"]))
+            console.print(_group_table(group, body[group]))
+    console.print(_window_table(body["windows"]))
+    console.print(_router_table(body["routers"]))
+    console.print(_node_table(body["nodes"]))
     for fault in body["troubles"]:
         console.print(f"{fault['at']:6.1f} s  {fault['text']}")
     _print_machine(console, body)
@@ -82,9 +82,9 @@
 
 
 def _print_verdict(console: Console, body: dict[str, Any]) -> None:
-    for odd in body["odd"][:MAX_ODD]:
+    for odd in body["odd"][:MAX_UNEXPECTED_SHOWN]:
         console.print(f"odd: {odd['at']:.3f} s {odd['server']}: {odd['text']}")
-    for one in body["broken"][:MAX_BROKEN]:
+    for one in body["broken"][:MAX_BROKEN_SHOWN]:
         ids = " ".join(one["requests"])
         console.print(f"[red]broken: {one['rule']}[/] at {one['at']:.3f} s {ids}: {one['text']}")
     rules = ", ".join(f"{name} {number}" for name, number in body["rules"].items())
@@ -94,7 +94,7 @@
         console.print(f"rules: {rules}")
 
 
-def _table(first: str, columns: tuple[str, ...]) -> Table:
+def _empty_table(first: str, columns: tuple[str, ...]) -> Table:
     table = Table(box=None, pad_edge=False, header_style="bold")
     table.add_column(first)
     for column in columns:
@@ -102,34 +102,36 @@
     return table
 
 
-def _group(group: str, rows: dict[str, Any]) -> Table:
-    table = _table(group, COLUMNS)
+def _group_table(group: str, rows: dict[str, Any]) -> Table:
+    table = _empty_table(group, COLUMNS)
     for name, row in rows.items():
         table.add_row(name, *(str(row[column]) for column in COLUMNS))
     return table
 
 
-def _windows(rows: list[dict[str, Any]]) -> Table:
-    table = _table("second", (*WINDOW_COLUMNS, "missing"))
+def _window_table(rows: list[dict[str, Any]]) -> Table:
+    table = _empty_table("second", (*WINDOW_COLUMNS, "missing"))
     for row in rows:
         missing = " ".join(f"{name} {number}" for name, number in sorted(row["missing"].items()))
         table.add_row(f"{row['at']:g}", *(str(row[column]) for column in WINDOW_COLUMNS), missing)
     return table
 
 
-def _routers(rows: dict[str, Any]) -> Table:
-    table = _table("router", ROUTER_COLUMNS)
+def _router_table(rows: dict[str, Any]) -> Table:
+    table = _empty_table("router", ROUTER_COLUMNS)
     for name, row in rows.items():
         table.add_row(name, *(str(row.get(column, "-")) for column in ROUTER_COLUMNS))
     return table
 
 
-def _nodes(rows: dict[str, Any]) -> Table:
+def _node_table(rows: dict[str, Any]) -> Table:
     """The nodes with the most and the least work."""
-    table = _table("node", NODE_COLUMNS)
+    table = _empty_table("node", NODE_COLUMNS)
     ordered = sorted(rows.items(), key=lambda pair: -pair[1]["work_s"])
     shown = (
-        ordered if len(ordered) <= MAX_NODES else [*ordered[: MAX_NODES // 2], *ordered[-MAX_NODES // 2 :]]
+        ordered
+        if len(ordered) <= MAX_NODES_SHOWN
+        else [*ordered[: MAX_NODES_SHOWN // 2], *ordered[-MAX_NODES_SHOWN // 2 :]]
     )
     for name, row in shown:
         table.add_row(name, *(str(row.get(column, 0)) for column in NODE_COLUMNS))
--- a/holdgw/cli/simulate.py
+++ b/holdgw/cli/simulate.py
@@ -15,7 +15,13 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from holdgw.cli.common import BROKEN, FAILED, INTERRUPTED, UsageError, require_parent_folder
+from holdgw.cli.common import (
+    EXIT_FAILED,
+    EXIT_INTERRUPTED,
+    EXIT_RULE_BROKEN,
+    UsageError,
+    require_parent_folder,
+)
 from holdgw.harness.scenario import Scenario, load_scenario
 from holdgw.simulation.fleet_run import Outcome
 from holdgw.simulation.random_faults import told, written_out
@@ -72,15 +78,15 @@
             outcomes = _play_many(scenario, chosen, jobs, console)
     except KeyboardInterrupt:
         console.print("interrupted")
-        raise typer.Exit(INTERRUPTED) from None
+        raise typer.Exit(EXIT_INTERRUPTED) from None
     if json is not None:
-        json.write_bytes(orjson.dumps([_row(one) for one in outcomes], option=orjson.OPT_INDENT_2))
-    failed = _failed(outcomes)
+        json.write_bytes(orjson.dumps([_outcome_row(one) for one in outcomes], option=orjson.OPT_INDENT_2))
+    failed = _failed_outcomes(outcomes)
     if failed and shrink_to is not None:
         _shrink(scenario, failed[0], shrink_to, console)
     if any(one.fault for one in failed):
-        raise typer.Exit(FAILED)
-    raise typer.Exit(BROKEN if failed else 0)
+        raise typer.Exit(EXIT_FAILED)
+    raise typer.Exit(EXIT_RULE_BROKEN if failed else 0)
 
 
 def _load(file: str, seconds: float | None) -> Scenario:
@@ -100,15 +106,15 @@
         raise UsageError("--seed and --seeds: give one of them")
     if trace is not None:
         raise UsageError("--trace: needs one seed; give --seed")
-    return _range(seeds)
+    return _parse_seed_range(seeds)
 
 
-def _failed(outcomes: list[Outcome]) -> list[Outcome]:
+def _failed_outcomes(outcomes: list[Outcome]) -> list[Outcome]:
     """The runs that failed, in order of their seeds."""
     return sorted((one for one in outcomes if one.failed), key=lambda one: one.seed)
 
 
-def _range(text: str) -> range:
+def _parse_seed_range(text: str) -> range:
     first, dots, last = text.partition("..")
     try:
         if not dots:
@@ -123,7 +129,7 @@
     return found
 
 
-def _row(outcome: Outcome) -> dict[str, object]:
+def _outcome_row(outcome: Outcome) -> dict[str, object]:
     return {
         "seed": outcome.seed,
         "digest": outcome.digest,
@@ -147,7 +153,7 @@
 def _play_one(scenario: Scenario, seed: int, trace: Path | None) -> Outcome:
     """Play one seed, and print what came of it."""
     began = perf_counter()
-    outcome = _traced(scenario, seed, trace)
+    outcome = _play_with_trace(scenario, seed, trace)
     speed = outcome.seconds / max(perf_counter() - began, 1e-9)
     print(
         f"{scenario.name}, seed {outcome.seed}: {outcome.events} events in {outcome.seconds:.1f} s of "
@@ -155,7 +161,7 @@
         f"{outcome.served}; digest {outcome.digest}"
     )
     if outcome.failed:
-        _explain(scenario, outcome)
+        _print_failure(scenario, outcome)
     else:
         print("rules and invariants: kept")
     return outcome
@@ -164,8 +170,8 @@
 def _play_many(scenario: Scenario, seeds: range, jobs: int, console: Console) -> list[Outcome]:
     """Play seeds, and print how many failed, by rule."""
     began = perf_counter()
-    outcomes = _searched(scenario, seeds, jobs, console)
-    failed = _failed(outcomes)
+    outcomes = _search_with_progress(scenario, seeds, jobs, console)
+    failed = _failed_outcomes(outcomes)
     took_s = perf_counter() - began
     print(
         f"{scenario.name}, seeds {seeds[0]}..{seeds[-1]}: {len(outcomes)} played in {took_s:.1f} s "
@@ -176,11 +182,11 @@
         rest = " ..." if len(shown) > MAX_SEEDS_SHOWN else ""
         print(f"  {rule}: {number}, seeds {' '.join(islice(shown, MAX_SEEDS_SHOWN))}{rest}")
     if failed:
-        _explain(scenario, failed[0])
+        _print_failure(scenario, failed[0])
     return outcomes
 
 
-def _searched(scenario: Scenario, seeds: range, jobs: int, console: Console) -> list[Outcome]:
+def _search_with_progress(scenario: Scenario, seeds: range, jobs: int, console: Console) -> list[Outcome]:
     """Play seeds beside a progress bar."""
     columns = (
         TextColumn("{task.description}"),
@@ -203,14 +209,14 @@
     return played
 
 
-def _traced(scenario: Scenario, seed: int, trace: Path | None) -> Outcome:
+def _play_with_trace(scenario: Scenario, seed: int, trace: Path | None) -> Outcome:
     if trace is None:
         return play_seed(scenario, seed)
     with trace.open("wb") as file:
         return play_seed(scenario, seed, Trace(TraceFile(file, START_NS)))
 
 
-def _explain(scenario: Scenario, outcome: Outcome) -> None:
+def _print_failure(scenario: Scenario, outcome: Outcome) -> None:
     """The rule, the seed, and the last events of the request concerned."""
     drawn = written_out(scenario, outcome.seed)
     print(f"seed {outcome.seed} fails: {told(drawn)}")
--- a/holdgw/cores/endpoint_feed.py
+++ b/holdgw/cores/endpoint_feed.py
@@ -73,13 +73,13 @@
         """Follow discovery at the address of another configuration."""
         self._discovery.change_address(config.discovery_address)
 
-    def enter_maintenance(self, server_id: str) -> None:
+    def enter_maintenance(self, endpoint_id: str) -> None:
         """Set the override of a cache server; raises UnknownEndpointError."""
-        self._pass_on(self.overrides.enter_maintenance(server_id, self._now()))
+        self._pass_on(self.overrides.enter_maintenance(endpoint_id, self._now()))
 
-    def exit_maintenance(self, server_id: str) -> None:
+    def exit_maintenance(self, endpoint_id: str) -> None:
         """Clear the override; raises UnknownEndpointError."""
-        self._pass_on(self.overrides.exit_maintenance(server_id, self._now()))
+        self._pass_on(self.overrides.exit_maintenance(endpoint_id, self._now()))
 
     def close(self) -> None:
         """Stop following discovery."""
--- a/holdgw/cores/messages.py
+++ b/holdgw/cores/messages.py
@@ -96,11 +96,11 @@
 
     def add(self, part: EndpointUpdatePart) -> EndpointUpdate | None:
         """Add a part; returns the update once it is complete."""
-        update = part.update if self._incomplete is None else _joined(self._incomplete, part.update)
+        update = part.update if self._incomplete is None else _join(self._incomplete, part.update)
         self._incomplete = update if part.more else None
         return None if part.more else update
 
 
-def _joined(update: EndpointUpdate, more: EndpointUpdate) -> EndpointUpdate:
+def _join(update: EndpointUpdate, more: EndpointUpdate) -> EndpointUpdate:
     change = EndpointsChanged(update.change.kind, update.change.endpoints + more.change.endpoints)
     return replace(update, change=change, addresses=update.addresses | more.addresses)
--- a/holdgw/cores/shared_table.py
+++ b/holdgw/cores/shared_table.py
@@ -25,8 +25,8 @@
         self._cells = memoryview(self._memory).cast("Q")
         starts = [HEADER_CELLS + index * CELLS_PER_WORKER for index in range(workers)]
         tables = [self._cells[start : start + CELLS_PER_WORKER] for start in starts]
-        self._own = tables.pop(worker)
-        self._others = tables
+        self._own_cells = tables.pop(worker)
+        self._other_cells = tables
 
     @property
     def revision(self) -> int:
@@ -46,14 +46,14 @@
         digest = hash(request_id) & HASH_MASK or 1
         cell = digest % CELLS_PER_WORKER
         # The own table first: the process that this one replaces may have inserted the id there.
-        if self._own[cell] == digest:
+        if self._own_cells[cell] == digest:
             return False
-        self._own[cell] = digest
-        return all(other[cell] != digest for other in self._others)
+        self._own_cells[cell] = digest
+        return all(other[cell] != digest for other in self._other_cells)
 
     def close(self) -> None:
         """Release the memory."""
-        for view in (self._own, *self._others, self._cells):
+        for view in (self._own_cells, *self._other_cells, self._cells):
             view.release()
         if isinstance(self._memory, mmap.mmap):
             self._memory.close()
--- a/holdgw/cores/supervisor.py
+++ b/holdgw/cores/supervisor.py
@@ -175,9 +175,9 @@
 
     def _restart_after(self, index: int, delay_s: float | None) -> None:
         if delay_s is not None:
-            self._call_later(delay_s, partial(self._start_soon, index))
+            self._call_later(delay_s, partial(self._schedule_start, index))
 
-    def _start_soon(self, index: int) -> None:
+    def _schedule_start(self, index: int) -> None:
         self._create_task(self._start_worker(index))
 
     def _create_task(self, work: Coroutine[Any, Any, None]) -> None:
@@ -197,10 +197,10 @@
         for client in worker.unconfirmed:
             self._assign(client)
         worker.unconfirmed.clear()
-        self._note_end(worker, code)
+        self._handle_end(worker, code)
         self._restart_after(worker.state.index, delay_s)
 
-    def _note_end(self, worker: Worker, code: int) -> None:
+    def _handle_end(self, worker: Worker, code: int) -> None:
         index = worker.state.index
         expected = worker.replacement is not None or self.pool.ending
         log.log(
@@ -225,12 +225,12 @@
 
     def _tick(self) -> None:
         self._call_later(TICK_S, self._tick)
-        for state in self.pool.overdue(self.loop.time()):
+        for state in self.pool.overdue_starts(self.loop.time()):
             log.error("worker not serving in time, killing it worker=%d", state.index)
             self._signal(self.workers[state], signal.SIGKILL)
         index = self.pool.next_to_replace()
         if index is not None:
-            self._start_soon(index)
+            self._schedule_start(index)
         elif self.pool.finish_replacement():
             log.info("replacement of workers done workers=%d", self.pool.workers)
         self._send_shares()
@@ -355,10 +355,10 @@
         text = total.text(outstanding, overrides.discovered_count, overrides.excluded_count(ejected))
         return text + worker_count_text(self.pool.serving_count)
 
-    def enter_maintenance(self, server_id: str) -> None:
+    def enter_maintenance(self, endpoint_id: str) -> None:
         """Set the administrative override of a cache server; raises UnknownEndpointError."""
-        self._feed.enter_maintenance(server_id)
+        self._feed.enter_maintenance(endpoint_id)
 
-    def exit_maintenance(self, server_id: str) -> None:
+    def exit_maintenance(self, endpoint_id: str) -> None:
         """Clear the administrative override; raises UnknownEndpointError."""
-        self._feed.exit_maintenance(server_id)
+        self._feed.exit_maintenance(endpoint_id)
--- a/holdgw/cores/worker_pool.py
+++ b/holdgw/cores/worker_pool.py
@@ -13,7 +13,7 @@
 MAX_BACKOFF_S = 5.0
 UNRESPONSIVE_AFTER_S = 0.1  # without accepting what was assigned, a worker gets no more clients
 START_TIMEOUT_S = 10.0  # within which a worker must be able to serve
-EVEN_PART = 0.25  # of a tenant's limit, divided evenly; the rest is divided by demand
+EVEN_SHARE_FRACTION = 0.25  # of a tenant's limit, divided evenly; the rest is divided by demand
 MIN_SHARE_CHANGE = 0.02  # smaller changes are not worth a message
 MIN_SHARE = 1e-9  # of a worker that may use nothing
 MIN_PROCESS_MEMORY_BYTES = 24 << 20
@@ -169,7 +169,7 @@
             return 0.0
         return float(min(INITIAL_BACKOFF_S * 2 ** (failures - 1), MAX_BACKOFF_S))
 
-    def overdue(self, now: float) -> list[WorkerProcess]:
+    def overdue_starts(self, now: float) -> list[WorkerProcess]:
         """Processes that could not serve within START_TIMEOUT_S, and are to be killed."""
         starting = (process for process in self.processes if process.state is WorkerState.STARTING)
         return [process for process in starting if now - process.started_s > START_TIMEOUT_S]
@@ -263,7 +263,9 @@
             total = sum(one.demands.get(tenant, 0.0) for one in serving)
             for one in serving:
                 by_demand = one.demands.get(tenant, 0.0) / total if total > 0 else 1 / len(serving)
-                targets[one][tenant] = EVEN_PART / len(serving) + (1 - EVEN_PART) * by_demand
+                targets[one][tenant] = (
+                    EVEN_SHARE_FRACTION / len(serving) + (1 - EVEN_SHARE_FRACTION) * by_demand
+                )
         return targets
 
     def rebalance_shares(self) -> Shares:
--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -19,8 +19,8 @@
 from importlib.metadata import PackageNotFoundError, version
 from pathlib import Path
 
-FOLDER = ".native"
-DIGEST = "digest"
+COPY_FOLDER = ".native"
+DIGEST_FILE = "digest"
 MODULES = (
     "operation/metrics.py",
     "policy/actions.py",
@@ -77,8 +77,8 @@
 What msgspec encodes or decodes must not be compiled (`policy/endpoints.py`, `policy/handover_state.py`): of
 an annotation like dict[str, EndpointHandover] mypyc keeps the dict alone, and msgspec returns plain dicts.
 """
-TIMEOUT_S = 900.0  # a compile takes 40 s; a build may take 20 minutes
-EXCERPT = 600  # characters of the compiler's words that are shown
+COMPILE_TIMEOUT_S = 900.0  # a compile takes 40 s; a build may take 20 minutes
+MAX_ERROR_CHARACTERS = 600  # characters of the compiler's words that are shown
 
 
 class NativeError(Exception):
@@ -104,10 +104,10 @@
     return told.hexdigest()
 
 
-def held(root: Path) -> str:
+def digest_of_copy(root: Path) -> str:
     """The digest of what the compiled copy there was made from; empty where there is none."""
     try:
-        return (root / FOLDER / DIGEST).read_text()
+        return (root / COPY_FOLDER / DIGEST_FILE).read_text()
     except OSError:
         return ""
 
@@ -118,12 +118,12 @@
     Raises NativeError, and leaves no copy then: an old one would run in place of newer sources.
     """
     wanted = digest(root)
-    if held(root) == wanted:
+    if digest_of_copy(root) == wanted:
         return False
-    shutil.rmtree(root / FOLDER, ignore_errors=True)
+    shutil.rmtree(root / COPY_FOLDER, ignore_errors=True)
     # An interrupted build would leave half a copy, so the copy gets its name only once it is complete. Of two
     # builds at once the later one finds the name taken.
-    with tempfile.TemporaryDirectory(dir=root, prefix=f"{FOLDER}-") as name:
+    with tempfile.TemporaryDirectory(dir=root, prefix=f"{COPY_FOLDER}-") as name:
         made = Path(name) / "copy"
         for path in _sources(root):
             target = made / path.relative_to(root)
@@ -133,11 +133,11 @@
         shutil.rmtree(made / "build", ignore_errors=True)
         shutil.rmtree(made / ".mypy_cache", ignore_errors=True)
         compileall.compile_dir(made, quiet=2, stripdir=str(made))
-        (made / DIGEST).write_text(wanted)
+        (made / DIGEST_FILE).write_text(wanted)
         try:
-            made.rename(root / FOLDER)
+            made.rename(root / COPY_FOLDER)
         except OSError:
-            if held(root) != wanted:
+            if digest_of_copy(root) != wanted:
                 raise
     return True
 
@@ -152,14 +152,14 @@
             env=environment,
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
-            timeout=TIMEOUT_S,
+            timeout=COMPILE_TIMEOUT_S,
             check=False,
         )
     except subprocess.TimeoutExpired:
-        raise NativeError(f"mypyc took more than {TIMEOUT_S:.0f} s") from None
+        raise NativeError(f"mypyc took more than {COMPILE_TIMEOUT_S:.0f} s") from None
     if ran.returncode:
         told = [line for line in ran.stdout.decode(errors="replace").splitlines() if "rror" in line]
-        raise NativeError(f"mypyc ended with {ran.returncode}: {' / '.join(told)[-EXCERPT:]}")
+        raise NativeError(f"mypyc ended with {ran.returncode}: {' / '.join(told)[-MAX_ERROR_CHARACTERS:]}")
     suffixes = (".so", ".pyd")
     for name in MODULES:
         stem = folder / "holdgw" / name.removesuffix(".py")
--- a/tests/cores/test_worker_pool.py
+++ b/tests/cores/test_worker_pool.py
@@ -131,11 +131,11 @@
     assert pool.process_ended(old, 61.0) is None
     assert pool.next_to_replace() == 1
     assert not pool.finish_replacement()
-    assert pool.overdue(1000.0) == []
-    assert pool.overdue(1000.0) == [m for m in pool.processes if m.state is WorkerState.STARTING]
+    assert pool.overdue_starts(1000.0) == []
+    assert pool.overdue_starts(1000.0) == [m for m in pool.processes if m.state is WorkerState.STARTING]
     late = pool.process_started(1, 70.0)
-    assert pool.overdue(79.0) == []
-    assert pool.overdue(81.0) == [late]
+    assert pool.overdue_starts(79.0) == []
+    assert pool.overdue_starts(81.0) == [late]
 
 
 def test_no_worker_is_started_once_the_router_is_ending() -> None:
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -43,7 +43,7 @@
 @pytest.fixture(scope="module")
 def compiled() -> Path:
     native.build(ROOT)
-    return ROOT / native.FOLDER
+    return ROOT / native.COPY_FOLDER
 
 
 def in_a_process(code: str, *path: Path, words: tuple[str, ...] = ()) -> str:
@@ -97,7 +97,9 @@
 
 
 def told_by(folder: Path) -> str:
-    return in_a_process("import holdgw.one as m; print(m.one(), m.__file__)", folder / native.FOLDER, folder)
+    return in_a_process(
+        "import holdgw.one as m; print(m.one(), m.__file__)", folder / native.COPY_FOLDER, folder
+    )
 
 
 def test_a_copy_is_made_once_and_anew_when_a_source_changes(
@@ -110,10 +112,12 @@
     assert first.startswith("1 ")
     assert not first.strip().endswith(".py")
     (project / "holdgw/one.py").write_text("def one() -> int:\n    return 2\n")
-    assert native.held(project) != native.digest(project)
+    assert native.digest_of_copy(project) != native.digest(project)
     assert native.build(project)
     assert told_by(project).startswith("2 ")
-    assert [path.name for path in project.iterdir() if path.name.startswith(native.FOLDER)] == [native.FOLDER]
+    assert [path.name for path in project.iterdir() if path.name.startswith(native.COPY_FOLDER)] == [
+        native.COPY_FOLDER
+    ]
 
 
 def test_what_does_not_compile_leaves_no_copy_and_the_sources_run(
