--- a/holdgw/cores/__init__.py
+++ b/holdgw/cores/__init__.py
@@ -1,1 +1,1 @@
-"""One router on several cores: a supervisor accepts clients and follows discovery, worker processes serve."""
+"""A router on several cores: a supervisor accepts clients and follows discovery, worker processes serve."""
--- a/holdgw/cores/__main__.py
+++ b/holdgw/cores/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m holdgw.cores N`: a router on N cores, without the command line's libraries in memory."""
+"""`python -m holdgw.cores N`: a router on N cores, without loading the command line's libraries."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def main(workers: int) -> int:
-    """Run a router on so many cores; returns the exit code."""
+    """Run a router with this many worker processes; returns the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGUSR2, signal.SIG_IGN)
     try:
--- a/holdgw/cores/endpoint_feed.py
+++ b/holdgw/cores/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""The endpoint list of a router on several cores: followed once, by the supervisor, for all workers."""
+"""The endpoint list of a router on several cores, which the supervisor follows for all workers."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 
 
 class EndpointFeed:
-    """Follows discovery, lays administrative overrides over its list, and passes on each update.
+    """Follows discovery, applies administrative overrides to its list, and publishes each update.
 
-    Where the settings have the policy ask for subscriptions, a policy of its own decides when: it is given
-    the events of the list alone.
+    If the settings require subscriptions, a routing policy of its own decides when to subscribe; it receives
+    only endpoint updates and its timers.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         call_later: Callable[[float, Callable[[], None]], None],
         on_update: Callable[[EndpointUpdate], None],
     ) -> None:
-        """`call_later`: a delay in seconds, and what to call then; `on_update`: given each update."""
+        """`call_later`: given a delay in seconds and a callback; `on_update`: given each update."""
         self._config = config
         self._now = platform.monotonic_ns
         self._clock = Clock(platform.monotonic_ns, platform.unix_ns)
@@ -49,13 +49,13 @@
             config.settings.subscription_required,
             self._clock,
             self._apply,
-            self._failed,
+            self._handle_failure,
         )
         self.overrides = EndpointOverrides(config.settings.origin_kind)
         self.has_list = False
 
     def load_cached(self) -> None:
-        """Begin with the cached list of the configuration, if it names one."""
+        """Apply the cached endpoint list that the configuration names, if any."""
         if self._config.known_endpoints is None:
             return
         cached = read_endpoint_list(self._config.known_endpoints, self._clock, UpdateKind.CACHED)
@@ -63,23 +63,23 @@
         self._apply(cached)
 
     def start(self) -> None:
-        """Follow discovery from now on."""
+        """Start following discovery."""
         if not self._config.settings.subscription_required:
             self._discovery.start()
         elif self._config.known_endpoints is None:
             self._dispatch(EndpointsChanged(UpdateKind.CACHED))
 
     def change_address(self, config: Config) -> None:
-        """Follow discovery at the address of another configuration."""
+        """Follow discovery at the address that a reloaded configuration names."""
         self._discovery.change_address(config.discovery_address)
 
     def enter_maintenance(self, endpoint_id: str) -> None:
-        """Set the override of a cache server; raises UnknownEndpointError."""
-        self._pass_on(self.overrides.enter_maintenance(endpoint_id, self._now()))
+        """Set the administrative override of a cache server; raises UnknownEndpointError."""
+        self._publish(self.overrides.enter_maintenance(endpoint_id, self._now()))
 
     def exit_maintenance(self, endpoint_id: str) -> None:
-        """Clear the override; raises UnknownEndpointError."""
-        self._pass_on(self.overrides.exit_maintenance(endpoint_id, self._now()))
+        """Clear the administrative override; raises UnknownEndpointError."""
+        self._publish(self.overrides.exit_maintenance(endpoint_id, self._now()))
 
     def close(self) -> None:
         """Stop following discovery."""
@@ -88,20 +88,20 @@
     def _apply(self, update: EndpointUpdate) -> None:
         self._dispatch(update.change)
         self.has_list = True
-        self._pass_on(self.overrides.apply(update))
+        self._publish(self.overrides.apply(update))
 
-    def _pass_on(self, update: EndpointUpdate | None) -> None:
+    def _publish(self, update: EndpointUpdate | None) -> None:
         if update is not None:
             self._on_update(update)
 
-    def _failed(self) -> None:
+    def _handle_failure(self) -> None:
         self._dispatch(EndpointsChanged(UpdateKind.FAILED))
 
     def _dispatch(self, event: EndpointsChanged | TimerFired) -> None:
         for action in self._policy.handle(event, self._now()):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         if isinstance(action, Subscribe):
             self._discovery.subscribe()
         elif isinstance(action, SetTimer):
--- a/holdgw/cores/host_system.py
+++ b/holdgw/cores/host_system.py
@@ -1,7 +1,7 @@
-"""What a supervisor and its workers need of the operating system: processes, links, descriptors, memory.
+"""The operating system as a supervisor and its workers use it: processes, links, descriptors, shared memory.
 
-Here are the protocols and what Linux gives; a simulation gives them its own. Descriptors are numbers; whoever
-has one closes it.
+Defines the protocols and their implementation on Linux; the simulation has its own. Descriptors are plain
+numbers, and the owner of a descriptor closes it.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 TABLE_VARIABLE = "HOLDGW_BOARD"
 LISTEN_BACKLOG = 1024
 MAX_ACCEPTS_PER_TURN = 64  # of the event loop
-ACCEPT_RETRY_S = 0.1  # after accepting has failed
+ACCEPT_RETRY_S = 0.1  # pause after a failed accept
 MAX_HASH_SEED = 4_000_000_000
 
 log = logging.getLogger("holdgw")
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerParameters:
-    """A worker's index among those of its router, and the descriptors that it is started with."""
+    """A worker's index among the workers of its router, and the descriptors that it inherits."""
 
     index: int
     worker_count: int
@@ -46,15 +46,15 @@
 
     @classmethod
     def read(cls, environ: Mapping[str, str]) -> WorkerParameters:
-        """Read what the supervisor has set; raises ConfigError."""
+        """Read the environment variables that the supervisor has set; raises ConfigError."""
         names = (INDEX_VARIABLE, WORKERS_VARIABLE, LINK_VARIABLE, TABLE_VARIABLE)
         try:
             return cls(*(int(environ[name]) for name in names))
         except (KeyError, ValueError) as error:
-            raise ConfigError(f"a worker is started by its supervisor alone: {error}") from None
+            raise ConfigError(f"a worker can only be started by its supervisor: {error}") from None
 
     def variables(self) -> dict[str, str]:
-        """The environment variables that `read` reads."""
+        """The environment variables from which `read` restores these parameters."""
         return {
             INDEX_VARIABLE: str(self.index),
             WORKERS_VARIABLE: str(self.worker_count),
@@ -64,11 +64,11 @@
 
 
 def ignore_close(_: ProcessLink[Any]) -> None:
-    """For a link whose end is noticed by the end of its process."""
+    """The `on_closed` handler of a link whose owner watches the process at its other end instead."""
 
 
 class LinkHandlers(NamedTuple):
-    """What a ProcessLink is made with; see there."""
+    """The callbacks of a ProcessLink; see its constructor."""
 
     decode: Callable[[bytes], Any]
     on_message: Callable[[ProcessLink[Any], Any, int | None], None]
@@ -80,22 +80,22 @@
 
     @property
     def returncode(self) -> int | None:
-        """None while it runs."""
+        """The exit code; None while the process runs."""
 
     async def wait(self) -> int:
-        """Wait for its end; returns its exit code."""
+        """Wait until the process ends; returns its exit code."""
 
     def send_signal(self, number: int) -> None:
-        """Send it a signal; raises ProcessLookupError where it has ended."""
+        """Send the process a signal; raises ProcessLookupError if it has ended."""
 
 
 class Acceptor(Protocol):
-    """The clients' listening socket."""
+    """The listening socket for clients."""
 
     address: Address
 
     def set_accepting(self, wanted: bool) -> None:
-        """Accept connections, or leave them in the kernel's queue."""
+        """Start or stop accepting connections; while stopped, they stay in the kernel's queue."""
 
     def close(self) -> None:
         """Stop listening."""
@@ -109,31 +109,31 @@
 
 
 class HostSystem(DescriptorOwner, Protocol):
-    """What a supervisor needs."""
+    """The operating system's services for a supervisor."""
 
     def create_table(self, workers: int) -> SharedTable:
         """Create the shared memory; the caller closes it."""
 
     def listen(self, config: Config, on_connection: Callable[[int], None]) -> Acceptor:
-        """Listen for clients; each connection is passed on by its descriptor. Raises OSError."""
+        """Listen for clients; `on_connection` is given each connection's descriptor. Raises OSError."""
 
     async def start_worker(
         self, index: int, workers: int, environ: Mapping[str, str], handlers: LinkHandlers
     ) -> tuple[RunningProcess, ProcessLink[Any]]:
-        """Start a worker process and link to it; raises OSError."""
+        """Start a worker process and open the link to it; raises OSError."""
 
     def duplicate(self, descriptor: int) -> int:
-        """Another descriptor of the same connection."""
+        """Return another descriptor of the same connection."""
 
     def close(self) -> None:
-        """Close what was kept for the start of workers."""
+        """Close the descriptors that were kept for starting workers."""
 
 
 class WorkerHostSystem(DescriptorOwner, Protocol):
-    """What a worker needs."""
+    """The operating system's services for a worker."""
 
     def attach_table(self, parameters: WorkerParameters) -> SharedTable:
-        """The shared memory as this worker sees it; the caller closes it."""
+        """Attach the shared memory as this worker's; the caller closes it."""
 
     def open_link(self, handlers: LinkHandlers) -> ProcessLink[Any]:
         """Open the link to the supervisor."""
@@ -141,14 +141,14 @@
     async def adopt_client(
         self, clients: ClientListener, handover: ClientHandover | None, descriptor: int, late_ns: int
     ) -> None:
-        """Serve a client's connection; `late_ns`: how long its bytes may have waited unread."""
+        """Serve a client's connection; `late_ns`: how long its bytes may have lain unread."""
 
     def duplicate_client(self, transport: Any) -> int:
-        """A descriptor of a client's connection, to hand over."""
+        """Return another descriptor of a client's connection, to hand over."""
 
 
 class _SocketAcceptor:
-    """A listening socket, accepted from without asyncio: a connection is never this process's to read."""
+    """A listening socket accepted from without asyncio, as this process never reads from its connections."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, sock: socket.socket, on_connection: Callable[[int], None]
@@ -162,7 +162,7 @@
         self.address: Address = sock.getsockname()[:2]
 
     def set_accepting(self, wanted: bool) -> None:
-        """Accept connections, or leave them in the kernel's queue."""
+        """Start or stop accepting connections; while stopped, they stay in the kernel's queue."""
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
@@ -183,8 +183,8 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                # With no descriptor left the loop would call this again at once, and take the whole core.
-                log.warning("accepting failed error=%s retry_s=%g", error, ACCEPT_RETRY_S)
+                # With no descriptor left, the event loop would call this again at once and use a whole core.
+                log.warning("accept failed error=%s retry_s=%g", error, ACCEPT_RETRY_S)
                 self.set_accepting(False)
                 self._retry = self._loop.call_later(ACCEPT_RETRY_S, self.set_accepting, True)
                 return
@@ -200,7 +200,7 @@
     """Descriptors of this process."""
 
     def duplicate(self, descriptor: int) -> int:
-        """Another descriptor of the same connection."""
+        """Return another descriptor of the same connection."""
         return os.dup(descriptor)
 
     def close_descriptor(self, descriptor: int) -> None:
@@ -209,7 +209,7 @@
 
 
 class LinuxHostSystem(_LinuxDescriptors):
-    """Linux, for a supervisor."""
+    """The services for a supervisor on Linux."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -231,21 +231,21 @@
     async def start_worker(
         self, index: int, workers: int, environ: Mapping[str, str], handlers: LinkHandlers
     ) -> tuple[RunningProcess, ProcessLink[Any]]:
-        """Start a worker process and link to it."""
-        here, there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        parameters = WorkerParameters(index, workers, there.fileno(), self._table_descriptor)
+        """Start a worker process and open the link to it."""
+        supervisor_end, worker_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        parameters = WorkerParameters(index, workers, worker_end.fileno(), self._table_descriptor)
         try:
             process = await asyncio.create_subprocess_exec(
                 *python_with("holdgw.cores.worker"),
                 env={**environ, **parameters.variables(), "PYTHONHASHSEED": self._hash_seed},
-                pass_fds=(there.fileno(), self._table_descriptor),
+                pass_fds=(worker_end.fileno(), self._table_descriptor),
             )
         except OSError:
-            here.close()
+            supervisor_end.close()
             raise
         finally:
-            there.close()
-        return process, ProcessLink(self._loop, here, *handlers)
+            worker_end.close()
+        return process, ProcessLink(self._loop, supervisor_end, *handlers)
 
     def close(self) -> None:
         """Close the descriptor of the shared memory."""
@@ -253,13 +253,13 @@
 
 
 class LinuxWorkerHostSystem(_LinuxDescriptors):
-    """Linux, for a worker that was started with these descriptors."""
+    """The services for a worker on Linux, using the descriptors that it was started with."""
 
     def __init__(self, parameters: WorkerParameters) -> None:
         self._parameters = parameters
 
     def attach_table(self, parameters: WorkerParameters) -> SharedTable:
-        """The shared memory as this worker sees it; the caller closes it."""
+        """Attach the shared memory as this worker's; the caller closes it."""
         memory = attach(parameters.table_descriptor, parameters.worker_count)
         os.close(parameters.table_descriptor)
         return SharedTable(memory, parameters.worker_count, parameters.index)
@@ -276,5 +276,5 @@
         await clients.adopt(handover, descriptor, late_ns)
 
     def duplicate_client(self, transport: Any) -> int:
-        """A descriptor of a client's connection, to hand over."""
+        """Return another descriptor of a client's connection, to hand over."""
         return duplicate_descriptor(transport)
--- a/holdgw/cores/messages.py
+++ b/holdgw/cores/messages.py
@@ -13,7 +13,7 @@
 
 
 class EndpointUpdatePart(msgspec.Struct, tag="listed", rename={"update": "listing"}, frozen=True):
-    """An endpoint update, or a part of it; it is applied once all parts are there."""
+    """An endpoint update or a part of one, which the worker applies once it has all parts."""
 
     update: EndpointUpdate
     more: bool
@@ -21,23 +21,23 @@
 
 
 class LimitShares(msgspec.Struct, tag="shares", frozen=True):
-    """The worker's limit shares from now on."""
+    """The limit shares that the worker applies from now on."""
 
     number: int
-    """Counts the messages of this kind to one worker."""
+    """The sequence number of this message among those of its kind to one worker."""
     shares: dict[str, float]
-    """By tenant, 0 to 1; a tenant that is not named keeps its share."""
+    """By tenant, 0 to 1; a tenant that is absent keeps its share."""
 
 
 class NewClient(msgspec.Struct, tag="fresh", rename={"accepted_ns": "since"}, frozen=True):
-    """A new client's connection, whose descriptor comes along."""
+    """A new client's connection, sent with its descriptor."""
 
     accepted_ns: int
-    """When it was accepted, on the machine's monotonic clock: its first request has waited since then."""
+    """When it was accepted, on the machine's monotonic clock; its first request has waited since then."""
 
 
 class HandOver(msgspec.Struct, tag="handover", frozen=True):
-    """Hand every client's connection back, each once nothing is unanswered on it, and end."""
+    """Tells the worker to hand back each client's connection once all its requests are answered, and end."""
 
 
 class Serving(msgspec.Struct, tag="serving", frozen=True):
@@ -45,10 +45,10 @@
 
 
 class ClientsAccepted(msgspec.Struct, tag="took", rename={"accepted": "dealt"}, frozen=True):
-    """So many of the connections sent are the worker's now; nothing is read of the last one yet."""
+    """Confirms that the worker owns the connections sent so far; nothing is read of the last one yet."""
 
     accepted: int
-    """Since the worker's start."""
+    """The number of connections since the worker's start."""
 
 
 class WorkerReport(
@@ -57,17 +57,17 @@
     """A worker's load, demand and metrics."""
 
     connected: int
-    """Clients."""
+    """The number of connected clients."""
     shares_number: int
-    """Number of the last LimitShares that it applied."""
+    """The number of the last LimitShares that the worker applied."""
     demands: dict[str, float]
-    """Each tenant's calls for the origin a second."""
+    """Calls to the origin that each tenant asks for, per second."""
     results: dict[str, list[int]]
-    """Final answers since its start, by class, in Disposition's order."""
+    """Final answers since the worker's start, by request class, in Disposition's order."""
     forwards: int
-    """Attempts since its start."""
+    """Attempts since the worker's start."""
     outstanding: int
-    """Requests not answered yet."""
+    """The number of unanswered requests."""
     ejected: list[str]
     """Ids of ejected endpoints."""
 
@@ -80,7 +80,7 @@
 
 
 def split_update(update: EndpointUpdate) -> Iterator[EndpointUpdatePart]:
-    """Cut an endpoint update into messages."""
+    """Split an endpoint update into messages."""
     batches = list(batched(update.change.endpoints, MAX_PART_ITEMS)) or [[]]
     for i, batch in enumerate(batches):
         change = EndpointsChanged(update.change.kind, tuple(batch))
@@ -95,7 +95,7 @@
         self._incomplete: EndpointUpdate | None = None
 
     def add(self, part: EndpointUpdatePart) -> EndpointUpdate | None:
-        """Add a part; returns the update once it is complete."""
+        """Add a part; returns the update once all its parts are there, else None."""
         update = part.update if self._incomplete is None else _join(self._incomplete, part.update)
         self._incomplete = update if part.more else None
         return None if part.more else update
--- a/holdgw/cores/shared_table.py
+++ b/holdgw/cores/shared_table.py
@@ -1,8 +1,8 @@
-"""Memory that the workers of one router share: recent request ids, and the revision of the endpoint list.
+"""Memory shared by the workers of one router: recent request ids, and the revision of the endpoint list.
 
-Every cell has one writer: the supervisor that of the revision, each worker those of its own ids. A worker
-writes its cell before it reads the others', so of two that insert one id at the same instant at least one
-finds the other's.
+Every cell has a single writer: the supervisor writes the revision, each worker its own ids. A worker writes
+its cell before it reads those of the others, so when two workers insert the same id at the same instant, at
+least one of them finds the other's entry.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class SharedTable:
-    """The shared memory as one process sees it."""
+    """The shared memory as mapped by one process."""
 
     def __init__(self, memory: mmap.mmap | bytearray, workers: int, worker: int = 0) -> None:
-        """`memory`: `size_bytes(workers)` bytes that all share; `worker`: index of this worker."""
+        """`memory`: the `size_bytes(workers)` shared bytes; `worker`: the index of this worker."""
         self._memory = memory
         self._cells = memoryview(self._memory).cast("Q")
         starts = [HEADER_CELLS + index * CELLS_PER_WORKER for index in range(workers)]
@@ -34,18 +34,19 @@
         return self._cells[0]
 
     def advance_revision(self) -> None:
-        """The list has changed, and the update is sent to every worker."""
+        """Note a change of the endpoint list, after the update was sent to every worker."""
         self._cells[0] += 1
 
     def insert_if_absent(self, request_id: bytes) -> bool:
-        """Insert an id for this worker; returns whether no worker had it, as far as is remembered.
+        """Insert a request id for this worker; returns whether no worker's cells held it.
 
-        Python's hash, keyed (SipHash): the supervisor gives all workers one PYTHONHASHSEED, so nobody outside
-        can make two ids collide, and by chance they hardly ever do: 64 bits are compared.
+        The cells hold Python's keyed hash (SipHash). The supervisor gives all workers the same secret
+        PYTHONHASHSEED, so clients can't construct colliding ids. Accidental collisions are negligible, as 64
+        bits are compared.
         """
         digest = hash(request_id) & HASH_MASK or 1
         cell = digest % CELLS_PER_WORKER
-        # The own table first: the process that this one replaces may have inserted the id there.
+        # The worker's own cells first: the process that this one replaces may have inserted the id there.
         if self._own_cells[cell] == digest:
             return False
         self._own_cells[cell] = digest
@@ -60,17 +61,17 @@
 
 
 def size_bytes(workers: int) -> int:
-    """Size of the memory for so many workers."""
+    """The size of the memory for this many workers."""
     return (HEADER_CELLS + workers * CELLS_PER_WORKER) * CELL_BYTES
 
 
 def attach(descriptor: int, workers: int) -> mmap.mmap:
-    """Map the memory behind a descriptor of `create`; raises OSError."""
+    """Map the memory of a descriptor that `create` returned; raises OSError."""
     return mmap.mmap(descriptor, size_bytes(workers))
 
 
 def create(workers: int) -> int:
-    """Create the memory, all zeros; returns its descriptor, which the caller closes. Raises OSError."""
+    """Create the memory, zeroed; returns its descriptor, which the caller closes. Raises OSError."""
     descriptor = os.memfd_create("holdgw")
     os.ftruncate(descriptor, size_bytes(workers))
     return descriptor
--- a/holdgw/cores/supervisor.py
+++ b/holdgw/cores/supervisor.py
@@ -1,7 +1,7 @@
-"""The supervisor of `holdgw run --cores N`: its sockets and processes. Decisions are WorkerPool's.
+"""The supervisor of `holdgw run --cores N`: its sockets and processes. WorkerPool makes its decisions.
 
-It owns the clients' listening socket and sends each new connection to a worker by its descriptor; it follows
-discovery once, for all workers; it has the admin endpoint. It holds no client's bytes.
+The supervisor owns the listening socket for clients and sends the descriptor of each new connection to a
+worker, follows discovery for all workers, and serves the admin endpoint. It reads nothing from clients.
 """
 
 from __future__ import annotations
@@ -35,38 +35,38 @@
 from holdgw.router.timer_wheel import TimerWheel
 
 LAG_CHECK_INTERVAL_S = 0.02
-TICK_S = 0.1  # limit shares, overdue starts, replacements
+TICK_S = 0.1  # interval of limit shares, overdue starts and replacements
 DRAIN_CHECK_INTERVAL_S = 0.01
-MAX_WAITING_CLIENTS = 4096  # that no worker can take yet; more stay in the kernel's queue
-TASK_TIMEOUT_S = 1.0  # for each task that watches a worker's end
+MAX_WAITING_CLIENTS = 4096  # accepted while no worker can serve; more stay in the kernel's queue
+TASK_TIMEOUT_S = 1.0  # at shutdown, for each task that waits for a worker's end
 
 log = logging.getLogger("holdgw")
 
 
-class Client(NamedTuple):
+class ClientTransfer(NamedTuple):
     """A client's connection on its way to a worker."""
 
     message: messages.NewClient | ClientHandover
     descriptor: int
-    """The supervisor's own; a worker is sent a duplicate."""
+    """The supervisor's descriptor; a worker is sent a duplicate."""
 
 
 @dataclass(eq=False)
-class Worker:
-    """A worker process with its link, as the supervisor holds it."""
+class WorkerHandle:
+    """A worker process, the link to it, and its record in the worker pool."""
 
-    state: WorkerProcess
+    record: WorkerProcess
     process: RunningProcess
     link: ProcessLink[messages.ToSupervisor]
-    unconfirmed: deque[Client] = field(default_factory=deque)
-    """What was sent and is not confirmed yet."""
+    unconfirmed: deque[ClientTransfer] = field(default_factory=deque)
+    """Connections that were sent to the worker and are not confirmed yet."""
     report: messages.WorkerReport | None = None
-    replacement: Worker | None = None
-    """The new process that its connections go to."""
+    replacement: WorkerHandle | None = None
+    """The new process that its connections are handed over to."""
 
 
 class Supervisor:
-    """One router on several cores; `run` is its whole life."""
+    """A router on several cores; `run` serves until SIGTERM."""
 
     def __init__(
         self,
@@ -81,15 +81,15 @@
         self.platform = platform or Platform()
         self.loop = asyncio.get_running_loop()
         self.pool = WorkerPool(workers, tuple(tenant.name for tenant in config.settings.tenants))
-        self.workers: dict[WorkerProcess, Worker] = {}
+        self.workers: dict[WorkerProcess, WorkerHandle] = {}
         self._admin_endpoint = AdminEndpoint(self.loop, self)
         self._feed = EndpointFeed(config, self.platform, self._call_later, self._send_update)
         self._host_system = host_system or LinuxHostSystem()
         self._shared_table = self._host_system.create_table(workers)
         self._acceptor: Acceptor | None = None
-        self._waiting: deque[Client] = deque()
+        self._waiting: deque[ClientTransfer] = deque()
         classes = (cls.name for cls in config.settings.classes)
-        # Counts of workers that have ended.
+        # The counts of workers that have ended.
         self._ended_metrics = Metrics(classes, disabled_features(config.settings))
         self._terminated = asyncio.Event()
         self._tasks: dict[asyncio.Task[None], None] = {}
@@ -97,7 +97,7 @@
         self._lag_monitor = LagMonitor(int(LAG_CHECK_INTERVAL_S * NS_PER_S), self.platform.monotonic_ns())
 
     async def run(self, listening: asyncio.Future[Any] | None = None) -> None:
-        """Serve until SIGTERM, and then until every worker has drained; `listening`: given the address."""
+        """Serve until SIGTERM, then drain every worker; `listening`: resolved with the bound address."""
         log_callback_errors(self.loop)
         self._acceptor = self._host_system.listen(self.config, self._accept_client)
         self.loop.add_signal_handler(signal.SIGTERM, self._terminated.set)
@@ -120,7 +120,7 @@
         await self._close()
 
     async def _drain(self) -> None:
-        """Accept for a while yet, as clients go on connecting; then wait for every worker's end."""
+        """Accept for ACCEPT_AFTER_SIGTERM_S more, as clients still connect, then wait for the workers."""
         self.pool.ending = True
         begun = self.loop.time()
         for worker in list(self.workers.values()):
@@ -132,7 +132,7 @@
         while self.workers and self.loop.time() < begun + self.config.max_deadline_s + SHUTDOWN_SLACK_S:
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         for worker in list(self.workers.values()):
-            log.error("worker does not end, killing it worker=%d", worker.state.index)
+            log.error("worker did not drain in time, killing it worker=%d", worker.record.index)
             self._signal(worker, signal.SIGKILL)
         for task in list(self._tasks):
             await asyncio.wait((task,), timeout=TASK_TIMEOUT_S)
@@ -154,18 +154,18 @@
     async def _start_worker(self, index: int) -> None:
         if self.pool.ending:
             return
-        state = self.pool.process_started(index, self.loop.time())
-        handlers = LinkHandlers(messages.decode_to_supervisor, partial(self._receive, state))
+        record = self.pool.process_started(index, self.loop.time())
+        handlers = LinkHandlers(messages.decode_to_supervisor, partial(self._receive, record))
         try:
             process, link = await self._host_system.start_worker(
                 index, self.pool.workers, self.platform.environ, handlers
             )
         except OSError as error:
             log.error("worker can't be started worker=%d error=%s", index, error)
-            self._restart_after(index, self.pool.process_ended(state, self.loop.time()))
+            self._restart_after(index, self.pool.process_ended(record, self.loop.time()))
             return
-        worker = Worker(state, process, link)
-        self.workers[state] = worker
+        worker = WorkerHandle(record, process, link)
+        self.workers[record] = worker
         if self._feed.has_list:
             for part in messages.split_update(self._feed.overrides.full_update()):
                 link.send(part)
@@ -185,37 +185,37 @@
         self._tasks[task] = None
         task.add_done_callback(lambda done: self._tasks.pop(done, None))
 
-    async def _await_end(self, worker: Worker) -> None:
+    async def _await_end(self, worker: WorkerHandle) -> None:
         code = await worker.process.wait()
-        worker.link.read()  # what it sent before its end
+        worker.link.read()  # messages that it sent before its end
         worker.link.close()
-        del self.workers[worker.state]
-        delay_s = self.pool.process_ended(worker.state, self.loop.time())
+        del self.workers[worker.record]
+        delay_s = self.pool.process_ended(worker.record, self.loop.time())
         if worker.report is not None:
             self._ended_metrics.add(worker.report.results, worker.report.forwards)
-        # What it had not confirmed it has not read of: another worker gets it, and the client waits on.
+        # The worker has read nothing of connections that it did not confirm, so other workers get these.
         for client in worker.unconfirmed:
             self._assign(client)
         worker.unconfirmed.clear()
         self._handle_end(worker, code)
-        self._restart_after(worker.state.index, delay_s)
+        self._restart_after(worker.record.index, delay_s)
 
-    def _handle_end(self, worker: Worker, code: int) -> None:
-        index = worker.state.index
+    def _handle_end(self, worker: WorkerHandle, code: int) -> None:
+        index = worker.record.index
         expected = worker.replacement is not None or self.pool.ending
         log.log(
             logging.INFO if expected else logging.ERROR, "worker ended worker=%d exit_code=%d", index, code
         )
         if not expected and self.pool.abort_replacement(index):
-            log.error("replacement of workers aborted, old processes go on worker=%d", index)
+            log.error("replacement of workers aborted, old processes keep serving worker=%d", index)
 
-    def _signal(self, worker: Worker, number: signal.Signals) -> None:
+    def _signal(self, worker: WorkerHandle, number: signal.Signals) -> None:
         if worker.process.returncode is None:
-            with suppress(ProcessLookupError):  # it has just ended
+            with suppress(ProcessLookupError):  # the process has just ended
                 worker.process.send_signal(number)
 
     def replace_workers(self) -> None:
-        """Replace every worker process, one after the other; the sources are read anew."""
+        """Replace the worker processes one after the other; the new ones load the current sources."""
         if self.pool.begin_replacement(self.loop.time()):
             log.info("replacement of workers began workers=%d", self.pool.workers)
 
@@ -225,28 +225,28 @@
 
     def _tick(self) -> None:
         self._call_later(TICK_S, self._tick)
-        for state in self.pool.overdue_starts(self.loop.time()):
-            log.error("worker not serving in time, killing it worker=%d", state.index)
-            self._signal(self.workers[state], signal.SIGKILL)
+        for record in self.pool.overdue_starts(self.loop.time()):
+            log.error("worker did not start serving in time, killing it worker=%d", record.index)
+            self._signal(self.workers[record], signal.SIGKILL)
         index = self.pool.next_to_replace()
         if index is not None:
             self._schedule_start(index)
         elif self.pool.finish_replacement():
-            log.info("replacement of workers done workers=%d", self.pool.workers)
+            log.info("replacement of workers finished workers=%d", self.pool.workers)
         self._send_shares()
 
     def _send_shares(self) -> None:
-        for state, shares in self.pool.rebalance_shares().items():
-            self.workers[state].link.send(messages.LimitShares(state.shares_number, shares))
+        for record, shares in self.pool.rebalance_shares().items():
+            self.workers[record].link.send(messages.LimitShares(record.shares_number, shares))
 
     def _receive(
         self,
-        state: WorkerProcess,
+        record: WorkerProcess,
         _: ProcessLink[messages.ToSupervisor],
         message: messages.ToSupervisor,
         descriptor: int | None,
     ) -> None:
-        worker = self.workers[state]
+        worker = self.workers[record]
         match message:
             case messages.Serving():
                 self._worker_serving(worker)
@@ -254,17 +254,17 @@
                 self._clients_accepted(worker, message.accepted)
             case messages.WorkerReport():
                 worker.report = message
-                self.pool.apply_report(state, message.connected, message.shares_number, message.demands)
+                self.pool.apply_report(record, message.connected, message.shares_number, message.demands)
             case HandoverPart() if worker.replacement is not None:
                 worker.replacement.link.send(message)
             case ClientHandover() if descriptor is not None:
-                self._assign(Client(message, descriptor))
+                self._assign(ClientTransfer(message, descriptor))
                 descriptor = None
         if descriptor is not None:
             self._host_system.close_descriptor(descriptor)
 
-    def _worker_serving(self, worker: Worker) -> None:
-        replaced = self.pool.process_serving(worker.state)
+    def _worker_serving(self, worker: WorkerHandle) -> None:
+        replaced = self.pool.process_serving(worker.record)
         self._send_shares()
         if replaced is not None:
             old_worker = self.workers[replaced]
@@ -282,15 +282,15 @@
     def _accept_client(self, descriptor: int) -> None:
         now = self.platform.monotonic_ns()
         accepted_ns = now - self._lag_monitor.possible_lag_ns(now)
-        self._assign(Client(messages.NewClient(accepted_ns), descriptor))
+        self._assign(ClientTransfer(messages.NewClient(accepted_ns), descriptor))
         if len(self._waiting) >= MAX_WAITING_CLIENTS and self._acceptor is not None:
             self._acceptor.set_accepting(False)
 
-    def _assign(self, client: Client) -> None:
-        """Send a connection to a worker; it waits where none can serve, and is closed where none will."""
-        state = self.pool.assign_client(self.loop.time())
-        if state is not None:
-            worker = self.workers[state]
+    def _assign(self, client: ClientTransfer) -> None:
+        """Send a connection to a worker, or queue it until one can serve; close it if none will any more."""
+        record = self.pool.assign_client(self.loop.time())
+        if record is not None:
+            worker = self.workers[record]
             worker.unconfirmed.append(client)
             worker.link.send(client.message, self._host_system.duplicate(client.descriptor))
         elif self.pool.ending and not self.workers:
@@ -298,18 +298,18 @@
         else:
             self._waiting.append(client)
 
-    def _clients_accepted(self, worker: Worker, accepted: int) -> None:
-        self.pool.clients_accepted(worker.state, accepted, self.loop.time())
-        while len(worker.unconfirmed) > worker.state.assigned - accepted:
+    def _clients_accepted(self, worker: WorkerHandle, accepted: int) -> None:
+        self.pool.clients_accepted(worker.record, accepted, self.loop.time())
+        while len(worker.unconfirmed) > worker.record.assigned - accepted:
             self._host_system.close_descriptor(worker.unconfirmed.popleft().descriptor)
 
     def close_all_clients(self) -> None:
-        """Close every connection that this process holds, as the kernel does at its end."""
+        """Close every connection that this process holds, as the kernel does when the process ends."""
         for worker in self.workers.values():
             self._close_clients(worker.unconfirmed)
         self._close_clients(self._waiting)
 
-    def _close_clients(self, clients: deque[Client]) -> None:
+    def _close_clients(self, clients: deque[ClientTransfer]) -> None:
         while clients:
             self._host_system.close_descriptor(clients.popleft().descriptor)
 
@@ -333,14 +333,14 @@
         for worker in self.workers.values():
             self._signal(worker, signal.SIGHUP)
 
-    # Calls of the admin endpoint
+    # AdminOperations
 
     def can_serve(self) -> bool:
-        """Whether some worker can serve clients now."""
+        """Whether any worker can serve clients now."""
         return self.pool.can_serve and not self.pool.ending
 
     def metrics_text(self) -> bytes:
-        """The metrics of all workers together, as of their last reports."""
+        """The metrics summed over all workers, as of their last reports."""
         reports = [worker.report for worker in self.workers.values() if worker.report is not None]
         ended = self._ended_metrics
         total = Metrics((name for name, _ in ended.results), ended.disabled_features)
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -1,6 +1,6 @@
-"""One worker process: a router that gets its clients and its endpoint list from a supervisor.
+"""A worker process: a router that gets its clients and its endpoint list from a supervisor.
 
-Started by the supervisor alone, which sets the environment variables of WorkerParameters.
+Only the supervisor starts it, with the environment variables of WorkerParameters.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
 from holdgw.router.program import Program
 
 REPORT_INTERVAL_S = 0.05
-SEED_STRIDE = 1009  # no two workers of any two routers draw from one seed
-MIN_CONNECTIONS_PER_ENDPOINT = 2  # with one, a connection that is slow to close leaves the endpoint unreached
+SEED_STRIDE = 1009  # above MAX_WORKERS, so that workers of different routers never share a seed
+MIN_CONNECTIONS_PER_ENDPOINT = 2  # with 1, a connection that is slow to close makes the endpoint unreachable
 
 log = logging.getLogger("holdgw")
 
 
 def worker_config(config: Config, parameters: WorkerParameters) -> Config:
-    """A worker's part of its router's configuration; the supervisor counts as one more process."""
+    """A worker's part of its router's configuration; the supervisor gets a part of memory and descriptors."""
     processes = parameters.worker_count + 1
     settings = replace(
         config.settings,
@@ -68,7 +68,7 @@
 
 
 class Worker(Program):
-    """A router's parts, directed by a supervisor."""
+    """A router program whose clients, endpoint list and shutdown are controlled by a supervisor."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         self._announced_serving = False
         self._handing_over = False
         self._report_timer: asyncio.TimerHandle | None = None
-        # Until it is sent its shares it would use some that others still have.
+        # Until the worker is sent its limit shares, it must not use shares that other workers still have.
         tenants = (*(tenant.name for tenant in config.settings.tenants), "")
         self.dispatcher.dispatch(LimitSharesChanged(dict.fromkeys(tenants, MIN_SHARE)))
         self.dispatcher.shared = self
@@ -99,21 +99,21 @@
             LinkHandlers(decode_to_worker, self._receive, self._link_closed)
         )
 
-    # What the dispatcher asks
+    # Calls of the dispatcher
 
     def claim(self, request_id: bytes) -> bool:
-        """Remember an id as this worker's; returns whether no worker had it lately."""
+        """Record a request id as this worker's; returns whether no worker has had it lately."""
         return self._shared_table.insert_if_absent(request_id)
 
     def catch_up(self) -> None:
-        """Apply endpoint updates that are on their way to this worker."""
+        """Apply endpoint updates that were sent to this worker and not read yet."""
         revision = self._shared_table.revision
         if revision != self._seen_revision:
             self._seen_revision = revision
             if self.link.open:
                 self.link.read()
 
-    # Messages of the supervisor
+    # Messages from the supervisor
 
     def _receive(self, _: ProcessLink[ToWorker], message: ToWorker, descriptor: int | None) -> None:
         match message:
@@ -139,10 +139,11 @@
             self._host_system.close_descriptor(descriptor)
 
     def _confirm_client(self) -> None:
-        """Confirm a client's connection, before anything of it is read.
+        """Confirm a client's connection, before anything is read from it.
 
-        Until then the supervisor keeps a copy of it. Were it read of first and this process to end, what was
-        read would be lost, and the copy be sent to another worker from amid a command.
+        Until then the supervisor keeps a duplicate of the descriptor. If this process read from the
+        connection before confirming and then ended, the bytes read would be lost, and the supervisor would
+        send the duplicate to another worker in the middle of a command.
         """
         self._accepted_clients += 1
         self.link.send(ClientsAccepted(self._accepted_clients))
@@ -163,7 +164,7 @@
         self._shutdown_requested.set()
 
     def _link_closed(self, _: ProcessLink[ToWorker]) -> None:
-        """Drain: without a supervisor nothing would notify this worker of drains, or end it."""
+        """Drain: without a supervisor, this worker would not learn of draining endpoints, nor be ended."""
         if not self._shutdown_requested.is_set():
             log.error("worker: the supervisor has ended, draining")
         self._shutdown_requested.set()
@@ -188,7 +189,7 @@
         self._report_timer = self.loop.call_later(REPORT_INTERVAL_S, self._report_periodically)
         self._report()
 
-    # A router's life, where it differs
+    # Overridden methods of Program
 
     def _connect_client(
         self, handover: ClientHandover | None, descriptor: int, wait_ns: int
@@ -196,7 +197,7 @@
         return self._host_system.adopt_client(self.clients, handover, descriptor, wait_ns)
 
     def _reload(self) -> None:
-        """Count the reload: the supervisor moves discovery, and nothing else of it is applied."""
+        """Count the reload: the supervisor applies the discovery address, and nothing else."""
         self.dispatcher.metrics.reloads_applied += 1
 
     async def _start_serving(self, _: asyncio.Future[Any] | None) -> None:
@@ -204,7 +205,7 @@
         self._report_periodically()
 
     def handover_link(self) -> ProcessLink[Any] | None:
-        """The supervisor's link, once it has asked for the handover."""
+        """The link to the supervisor, once the supervisor has requested the handover."""
         return self.link if self._handing_over and self.link.open else None
 
     async def run(self, listening: asyncio.Future[Any] | None = None) -> None:
@@ -221,13 +222,13 @@
 
 
 def main() -> int:
-    """Run one worker; returns the exit code."""
+    """Run a worker process; returns the exit code."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         parameters = WorkerParameters.read(os.environ)
         config = load_config(os.environ)
         if os.environ.get("PYTHONHASHSEED", "random") in ("", "random", "0"):
-            raise ConfigError("workers need one PYTHONHASHSEED")
+            raise ConfigError("PYTHONHASHSEED must be set to a number that all workers share")
     except ConfigError as error:
         return report_usage_error(error)
     configure_logging(f"{config.name}.{parameters.index}")
--- a/holdgw/cores/worker_pool.py
+++ b/holdgw/cores/worker_pool.py
@@ -1,4 +1,4 @@
-"""The supervisor's decisions: which workers run, who gets the next client, and the limit shares.
+"""The supervisor's decisions: which worker processes run, which of them gets a client, and the limit shares.
 
 No I/O, no clock. All times are seconds of the caller's monotonic clock.
 """
@@ -8,25 +8,25 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-STABLE_AFTER_S = 10.0  # a worker that ends sooner has failed at its start
+STABLE_AFTER_S = 10.0  # a worker that ends sooner counts as a failed start
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
-UNRESPONSIVE_AFTER_S = 0.1  # without accepting what was assigned, a worker gets no more clients
-START_TIMEOUT_S = 10.0  # within which a worker must be able to serve
-EVEN_SHARE_FRACTION = 0.25  # of a tenant's limit, divided evenly; the rest is divided by demand
-MIN_SHARE_CHANGE = 0.02  # smaller changes are not worth a message
-MIN_SHARE = 1e-9  # of a worker that may use nothing
+UNRESPONSIVE_AFTER_S = 0.1  # a worker that accepts no assigned client for longer gets no more
+START_TIMEOUT_S = 10.0  # a starting worker that cannot serve by then is killed
+EVEN_SHARE_FRACTION = 0.25  # of a tenant's limit is divided evenly, the rest by demand
+MIN_SHARE_CHANGE = 0.02  # smaller changes of a limit share are not sent
+MIN_SHARE = 1e-9  # the limit share of a worker that may use none of the limit
 MIN_PROCESS_MEMORY_BYTES = 24 << 20
 MIN_PROCESS_SOCKETS = 64
 MAX_WORKERS = 64
 
 
 class InsufficientResourcesError(Exception):
-    """The router's limits don't suffice for so many workers; the text is one plain line."""
+    """The router's limits don't suffice for this many workers; the text is one plain line."""
 
 
 def check_resources(workers: int, memory_bytes: int, sockets: int) -> None:
-    """Check the router's limits for so many workers and their supervisor.
+    """Check that the router's limits suffice for this many workers and their supervisor.
 
     Raises InsufficientResourcesError.
     """
@@ -46,62 +46,62 @@
 
 
 class WorkerState(Enum):
-    """Where a worker process stands in its life."""
+    """The life-cycle state of a worker process."""
 
     STARTING = "starting"
     SERVING = "serving"
     DRAINING = "draining"
-    """Hands its connections back."""
+    """The process hands its connections back, and then ends."""
     ENDED = "ended"
 
 
 @dataclass(eq=False)
 class WorkerProcess:
-    """One worker process, as the supervisor knows it."""
+    """The supervisor's record of a worker process."""
 
     index: int
-    """Of its worker; the process that replaces it has the same."""
+    """The worker's index; a process that replaces this one has the same."""
     started_s: float
     state: WorkerState = WorkerState.STARTING
     connected: int = 0
-    """Clients by its last report."""
+    """The number of its clients by its last report."""
     assigned: int = 0
-    """Connections sent to it so far."""
+    """The number of connections sent to the process so far."""
     accepted: int = 0
-    """Those of them that it has accepted."""
+    """How many of the assigned connections it has accepted."""
     reported: int = 0
-    """Those of them that it had accepted at its last report, and so are counted in `connected`."""
+    """How many it had accepted at its last report; these are counted in `connected`."""
     shares: dict[str, float] = field(default_factory=dict)
-    """The limit shares that it was sent last."""
+    """The limit shares last sent to the process, by tenant."""
     shares_number: int = 0
-    """Of the message with them."""
+    """The number of the message with these shares."""
     peak_shares: dict[str, float] = field(default_factory=dict)
-    """The largest shares that it was sent since those that it is known to apply."""
+    """The largest limit shares sent since the ones that the process is known to apply, by tenant."""
     demands: dict[str, float] = field(default_factory=dict)
-    """Each tenant's calls for the origin a second."""
+    """Origin calls per second, admitted or not, by tenant, of its last report."""
     unanswered_since: float | None = None
-    """Since when it has accepted nothing of what was sent; None: it has accepted all."""
+    """Since when the process has accepted none of the connections sent; None if it has accepted all."""
 
     @property
     def load(self) -> int:
-        """Its clients, as far as is known, those on their way among them."""
+        """The estimated number of its clients, including those sent and not accepted yet."""
         return self.connected + self.assigned - self.reported
 
     def peak_share(self, tenant: str) -> float:
-        """The largest share of a tenant's limit that it may be using now."""
+        """The largest share of a tenant's limit that the process may be applying now."""
         return self.peak_shares.get(tenant, 0.0)
 
     def share(self, tenant: str) -> float:
-        """The share that it was sent last."""
+        """The last share of a tenant's limit that was sent to the process."""
         return self.shares.get(tenant, 0.0)
 
     def set_share(self, tenant: str, share: float) -> None:
-        """Note a share that it is sent."""
+        """Record a share that is sent to the process."""
         self.shares[tenant] = share
         self.peak_shares[tenant] = max(self.peak_share(tenant), share)
 
     def unresponsive_s(self, now: float) -> float:
-        """How long it has accepted nothing, 0 where that is within UNRESPONSIVE_AFTER_S."""
+        """How long the process has accepted no connection; 0 up to UNRESPONSIVE_AFTER_S."""
         unanswered = now - self.unanswered_since if self.unanswered_since is not None else 0.0
         return unanswered if unanswered > UNRESPONSIVE_AFTER_S else 0.0
 
@@ -114,34 +114,34 @@
     """The worker processes of one router."""
 
     def __init__(self, workers: int, tenants: tuple[str, ...]) -> None:
-        """`tenants`: their names; requests without a tenant are one more, under an empty name."""
+        """`tenants`: the tenants' names; requests without a tenant belong to one more, with an empty name."""
         self.workers = workers
         self._tenants = (*tenants, "")
         self.processes: list[WorkerProcess] = []
         self._failed_starts = [0] * workers  # in a row, by index
         self.ending = False
-        """No worker is started any more."""
-        self._replaced: set[int] | None = None  # indices done, while all workers are being replaced
+        """Whether the router is shutting down, so that no worker is started any more."""
+        self._replaced: set[int] | None = None  # indices replaced so far; None: no replacement
         self._replacement_began = 0.0
 
     # Starts and ends
 
     def process_started(self, index: int, now: float) -> WorkerProcess:
-        """A process was started."""
+        """Add the record of a process that was started."""
         assert 0 <= index < self.workers
         process = WorkerProcess(index, now)
         self.processes.append(process)
         return process
 
     def process_serving(self, process: WorkerProcess) -> WorkerProcess | None:
-        """A process can serve; returns the one that it replaces, which is to hand over."""
+        """Note that a process can serve; returns the process that it replaces, which is to hand over."""
         if process.state is not WorkerState.STARTING:
             return None
         process.state = WorkerState.SERVING
-        # One that was still starting when the replacement began may run the old version: it is replaced too.
+        # A process that was starting when the replacement began may run the old version: it is replaced too.
         if self._replaced is not None and process.started_s >= self._replacement_began:
             self._replaced.add(process.index)
-        old_process = self._serving_at(process.index, but=process)
+        old_process = self._serving_at(process.index, exclude=process)
         if old_process is not None:
             old_process.state = WorkerState.DRAINING
         return old_process
@@ -149,12 +149,12 @@
     def _serving(self) -> list[WorkerProcess]:
         return [process for process in self.processes if process.state is WorkerState.SERVING]
 
-    def _serving_at(self, index: int, but: WorkerProcess | None = None) -> WorkerProcess | None:
-        found = (one for one in self._serving() if one.index == index and one is not but)
+    def _serving_at(self, index: int, exclude: WorkerProcess | None = None) -> WorkerProcess | None:
+        found = (process for process in self._serving() if process.index == index and process is not exclude)
         return next(found, None)
 
     def process_ended(self, process: WorkerProcess, now: float) -> float | None:
-        """A process has ended; returns after how many seconds to start another, None: not at all."""
+        """Remove a process that has ended; returns the seconds until its restart, None for no restart."""
         before = process.state
         process.state = WorkerState.ENDED
         self.processes.remove(process)
@@ -164,20 +164,20 @@
         failures = self._failed_starts[process.index] + 1 if failed else 0
         self._failed_starts[process.index] = failures
         if self._serving_at(process.index) is not None:
-            return None  # a new version that does not start: the old process goes on
+            return None  # a new version that does not start: the old process keeps serving
         if not failures:
             return 0.0
         return float(min(INITIAL_BACKOFF_S * 2 ** (failures - 1), MAX_BACKOFF_S))
 
     def overdue_starts(self, now: float) -> list[WorkerProcess]:
-        """Processes that could not serve within START_TIMEOUT_S, and are to be killed."""
+        """The processes that could not serve within START_TIMEOUT_S, to be killed."""
         starting = (process for process in self.processes if process.state is WorkerState.STARTING)
         return [process for process in starting if now - process.started_s > START_TIMEOUT_S]
 
     # Replacement of all workers
 
     def begin_replacement(self, now: float) -> bool:
-        """Begin to replace every process; False where that is under way, or the router ends."""
+        """Begin to replace every process; False if a replacement is in progress or the router is ending."""
         if self._replaced is not None or self.ending:
             return False
         self._replaced = set()
@@ -185,17 +185,17 @@
         return True
 
     def next_to_replace(self) -> int | None:
-        """The next index to start a new process for, one at a time; None while one is under way."""
+        """The index to start the next new process for; None while one is starting or draining."""
         if self._replaced is None:
             return None
-        if any(one.state in (WorkerState.STARTING, WorkerState.DRAINING) for one in self.processes):
+        if any(process.state in (WorkerState.STARTING, WorkerState.DRAINING) for process in self.processes):
             return None
         return next((index for index in range(self.workers) if index not in self._replaced), None)
 
     def abort_replacement(self, index: int) -> bool:
-        """A process has ended unexpectedly; returns whether that aborts the replacement.
+        """Handle the unexpected end of a process; returns whether this aborts the replacement.
 
-        It does where that worker was still to be replaced.
+        The replacement is aborted if the worker at this index was still to be replaced.
         """
         aborts = self._replaced is not None and index not in self._replaced
         if aborts:
@@ -203,7 +203,7 @@
         return aborts
 
     def finish_replacement(self) -> bool:
-        """Whether the last worker is replaced; True once."""
+        """Whether every worker is replaced; returns True once for each replacement."""
         done = self._replaced is not None and len(self._replaced) == self.workers
         if done:
             self._replaced = None
@@ -211,7 +211,7 @@
 
     @property
     def serving_count(self) -> int:
-        """How many processes can serve."""
+        """The number of processes that can serve."""
         return len(self._serving())
 
     @property
@@ -222,31 +222,33 @@
     # Clients
 
     def assign_client(self, now: float) -> WorkerProcess | None:
-        """Choose who gets the next connection: the process with the fewest; None: none can serve.
+        """Choose the process with the fewest clients for the next connection; None if none can serve.
 
-        A process whose core is taken away accepts nothing, and what is sent to it can't be taken back, as it
-        may read of it at any time: unresponsive ones come last, the longest unresponsive last of all. Reports
-        come one after the other, so what was accepted since a process's last one counts beside it: it would
-        otherwise get all clients until its next.
+        A process without CPU time accepts no connections, and those sent to it can't be withdrawn, as it may
+        read from them at any time. Unresponsive processes are therefore chosen last, the longest unresponsive
+        last of all. Connections accepted since a process's last report count as load too, because the process
+        would otherwise get all clients until its next report.
         """
         serving = self._serving()
         if not serving:
             return None
-        chosen = min(serving, key=lambda one: (one.unresponsive_s(now), one.load, one.assigned))
+        chosen = min(
+            serving, key=lambda process: (process.unresponsive_s(now), process.load, process.assigned)
+        )
         if chosen.unanswered_since is None:
             chosen.unanswered_since = now
         chosen.assigned += 1
         return chosen
 
     def clients_accepted(self, process: WorkerProcess, accepted: int, now: float) -> None:
-        """A process has accepted so many of the connections sent to it."""
+        """Note how many of the connections sent to a process it has accepted since its start."""
         process.accepted = accepted
         process.unanswered_since = None if accepted == process.assigned else now
 
     def apply_report(
         self, process: WorkerProcess, connected: int, shares_number: int, demands: dict[str, float]
     ) -> None:
-        """Apply a process's report; `shares_number`: of the limit shares that it applies."""
+        """Apply a process's report; `shares_number`: the number of the limit shares that it applies."""
         process.connected = connected
         process.demands = demands
         process.reported = process.accepted
@@ -256,23 +258,23 @@
     # Limit shares
 
     def target_shares(self) -> Shares:
-        """The shares by demand, with an even part for each process that serves."""
+        """The limit shares by demand, with an even part for each process that can serve."""
         serving = self._serving()
         targets: Shares = {process: {} for process in serving}
         for tenant in self._tenants:
-            total = sum(one.demands.get(tenant, 0.0) for one in serving)
-            for one in serving:
-                by_demand = one.demands.get(tenant, 0.0) / total if total > 0 else 1 / len(serving)
-                targets[one][tenant] = (
+            total = sum(process.demands.get(tenant, 0.0) for process in serving)
+            for process in serving:
+                by_demand = process.demands.get(tenant, 0.0) / total if total > 0 else 1 / len(serving)
+                targets[process][tenant] = (
                     EVEN_SHARE_FRACTION / len(serving) + (1 - EVEN_SHARE_FRACTION) * by_demand
                 )
         return targets
 
     def rebalance_shares(self) -> Shares:
-        """The shares to send now, such that all shares in use never sum to more than 1.
+        """The changed limit shares to send now, such that the shares in use never sum to more than 1.
 
-        A share that is reduced counts in full until the process reports that it applies less; only what is
-        free by then is given to others. A process that is killed keeps its shares until it has ended.
+        A reduced share counts in full until its process reports that it applies the reduction; only then is
+        the difference given to other processes. A process that is killed keeps its shares until it has ended.
         """
         changes: Shares = {}
         targets = self.target_shares()
@@ -284,17 +286,20 @@
         return changes
 
     def _reduce_shares(self, tenant: str, targets: Shares, changes: Shares) -> None:
-        for one in self.processes:
-            target = targets[one][tenant] if one in targets else 0.0
-            if one.state is not WorkerState.STARTING and one.share(tenant) - target > MIN_SHARE_CHANGE:
-                one.set_share(tenant, max(target, MIN_SHARE))
-                changes.setdefault(one, {})[tenant] = one.share(tenant)
+        for process in self.processes:
+            target = targets[process][tenant] if process in targets else 0.0
+            if (
+                process.state is not WorkerState.STARTING
+                and process.share(tenant) - target > MIN_SHARE_CHANGE
+            ):
+                process.set_share(tenant, max(target, MIN_SHARE))
+                changes.setdefault(process, {})[tenant] = process.share(tenant)
 
     def _raise_shares(self, tenant: str, targets: Shares, changes: Shares) -> None:
-        free = 1.0 - sum(one.peak_share(tenant) for one in self.processes)
-        for one in sorted(targets, key=lambda one: one.share(tenant)):
-            raised_by = min(targets[one][tenant] - one.share(tenant), free)
+        free = 1.0 - sum(process.peak_share(tenant) for process in self.processes)
+        for process in sorted(targets, key=lambda process: process.share(tenant)):
+            raised_by = min(targets[process][tenant] - process.share(tenant), free)
             if raised_by > MIN_SHARE_CHANGE:
-                one.set_share(tenant, one.share(tenant) + raised_by)
-                changes.setdefault(one, {})[tenant] = one.share(tenant)
+                process.set_share(tenant, process.share(tenant) + raised_by)
+                changes.setdefault(process, {})[tenant] = process.share(tenant)
                 free -= raised_by
