--- a/holdgw/__init__.py
+++ b/holdgw/__init__.py
@@ -1,1 +1,1 @@
-"""holdgw: a cache router built for large fleets and for failure. docs/ARCHITECTURE.md shows its rooms."""
+"""holdgw: a cache router for large fleets and for failure. docs/ARCHITECTURE.md describes its packages."""
--- a/holdgw/__main__.py
+++ b/holdgw/__main__.py
@@ -1,4 +1,4 @@
-"""The command `holdgw`; `python -m holdgw` is the same."""
+"""The entry point of the command `holdgw` and of `python -m holdgw`."""
 
 from __future__ import annotations
 
--- a/holdgw/cli/__init__.py
+++ b/holdgw/cli/__init__.py
@@ -1,6 +1,6 @@
-"""The command line, a file a command.
+"""The command line, with one module for each command.
 
-What can't be used ends in one plain line that names file and field, and exit code 2.
+Invalid input ends a command with exit code 2 and one line that names the file and the field.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
         print(f"holdgw: {error}", file=sys.stderr)
         return EXIT_USAGE
     except Exception as error:
-        # click's usage errors, whichever class this typer raises them by; anything else is a fault of ours.
+        # Usage errors of click: their class depends on the version of typer. Any other exception is a bug.
         message = getattr(error, "format_message", None)
         if message is None:
             raise
--- a/holdgw/cli/aggregate.py
+++ b/holdgw/cli/aggregate.py
@@ -1,4 +1,4 @@
-"""`holdgw aggregate`: a machine set aside to aggregate load reports."""
+"""`holdgw aggregate`: an aggregator of load reports on a machine of its own."""
 
 from __future__ import annotations
 
--- a/holdgw/cli/common.py
+++ b/holdgw/cli/common.py
@@ -1,4 +1,4 @@
-"""What all commands share: exit codes, and errors that are one plain line."""
+"""Exit codes and usage errors, shared by all commands."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class UsageError(Exception):
-    """An argument can't be used; the text is one plain line."""
+    """An argument is invalid; the text is one plain line."""
 
 
 def require_parent_folder(path: Path | None) -> None:
-    """Raise UsageError where the folder of a file to be written is missing, before hours of work."""
+    """Raise UsageError if the folder of an output file is missing; checked before hours of work."""
     if path is not None and not path.absolute().parent.is_dir():
         raise UsageError(f"{path}: the folder is not there")
--- a/holdgw/cli/fleet_log.py
+++ b/holdgw/cli/fleet_log.py
@@ -1,4 +1,4 @@
-"""`holdgw fleet-log`: what all routers of a run did, interval by interval, from their logs."""
+"""`holdgw fleet-log`: the interval counters of all routers of a run, merged from their logs."""
 
 from __future__ import annotations
 
@@ -14,17 +14,19 @@
 from holdgw.operation.interval_counters import LOG_LINE_PREFIX
 
 CONSOLE_COLUMNS = 220
-TABLE_COLUMNS = 14  # names a table
+TABLE_COLUMNS = 14  # counters in one table
 BUSIEST_ENDPOINTS = 8
 
 
 def fleet_log(
     folder: Annotated[Path, typer.Argument(help="The folder with the routers' logs.")],
-    step: Annotated[float, typer.Option(min=0.1, help="Seconds a row.")] = 1.0,
-    servers: Annotated[bool, typer.Option(help="The servers that were sent the most, row by row.")] = False,
-    everything: Annotated[bool, typer.Option("--all", help="Counts of any size.")] = False,
+    step: Annotated[float, typer.Option(min=0.1, help="Seconds covered by a row.")] = 1.0,
+    servers: Annotated[
+        bool, typer.Option(help="Also list, for each row, the servers with the most attempts.")
+    ] = False,
+    everything: Annotated[bool, typer.Option("--all", help="Show counts of any size.")] = False,
 ) -> int:
-    """Merge the tallies that routers log where HOLDGW_TALLY is set."""
+    """Merge the interval counters that routers log if HOLDGW_TALLY is set."""
     log = _read_logs(folder, step)
     console = Console(width=CONSOLE_COLUMNS, highlight=False)
     rows = [log.intervals[start_s] for start_s in sorted(log.intervals)]
@@ -41,7 +43,7 @@
 
 
 def _read_logs(folder: Path, interval_s: float) -> FleetLog:
-    """Read every file of the folder; raises UsageError where there is nothing to show."""
+    """Read every file in the folder; raises UsageError if there is no record."""
     paths = sorted(path for path in folder.glob("*") if path.is_file()) if folder.is_dir() else []
     if not paths:
         raise UsageError(f"{folder}: holds no logs")
--- a/holdgw/cli/rehearse.py
+++ b/holdgw/cli/rehearse.py
@@ -1,4 +1,4 @@
-"""`holdgw rehearse` and `holdgw scenarios`: a scenario on real sockets."""
+"""`holdgw rehearse` runs a scenario on real sockets; `holdgw scenarios` lists the shipped scenarios."""
 
 from __future__ import annotations
 
@@ -25,26 +25,28 @@
 
 
 def scenarios() -> None:
-    """List the scenarios that come with holdgw."""
+    """List the scenarios shipped with holdgw."""
     for name in shipped():
         print(f"{name:18} {load_scenario(name).about}")
 
 
 def rehearse(
     file: Annotated[str, typer.Argument(help="A scenario file, or the name of a shipped one.")],
-    seed: Annotated[int | None, typer.Option(help="Another drawing of the same scenario.")] = None,
-    seconds: Annotated[float | None, typer.Option("--for", help="End the run after so many seconds.")] = None,
-    json: Annotated[Path | None, typer.Option(help="Write the report there.")] = None,
-    html: Annotated[Path | None, typer.Option(help="Write a page with plots there.")] = None,
+    seed: Annotated[int | None, typer.Option(help="Draw the schedule from another seed.")] = None,
+    seconds: Annotated[
+        float | None, typer.Option("--for", help="End the run after this many seconds.")
+    ] = None,
+    json: Annotated[Path | None, typer.Option(help="Write the report to this file.")] = None,
+    html: Annotated[Path | None, typer.Option(help="Write a page with plots to this file.")] = None,
     deploy: Annotated[Path, typer.Option(help="The deploy file that names `run`.")] = Path(
         "deploy/balancer.toml"
     ),
     logs: Annotated[Path | None, typer.Option(help="Keep the routers' logs in this folder.")] = None,
 ) -> None:
-    """Play a scenario: real routers amid an emulated fleet on loopback.
+    """Play a scenario: real routers in an emulated fleet on loopback.
 
-    Exit code 0: the rules were kept; 1: one was broken; 2: something given can't be used; 3: the emulator was
-    late and the run is void; 4: the day could not be played to its end.
+    Exit code 0: the rules were kept; 1: a rule was broken; 2: an argument or file is invalid; 3: the emulator
+    was late and the run is void; 4: the scenario could not be played to its end.
     """
     scenario = _load(file, seconds)
     for path in (json, html):
@@ -60,7 +62,7 @@
         console.print("interrupted; every process that was started is ended")
         raise typer.Exit(EXIT_INTERRUPTED) from None
     except HarnessError as error:
-        print(f"holdgw: the day could not be played: {error}", file=sys.stderr)
+        print(f"holdgw: the scenario could not be played: {error}", file=sys.stderr)
         raise typer.Exit(EXIT_FAILED) from None
     report = make_report(result)
     if json is not None:
@@ -72,7 +74,7 @@
 
 
 def _load(file: str, seconds: float | None) -> Scenario:
-    """Read the scenario, cut to so many seconds; raises UsageError where it can't be played on sockets."""
+    """Load a scenario, cut to this many seconds; raises UsageError if it can't be played on sockets."""
     scenario = load_scenario(file)
     if seconds is not None:
         if seconds <= 0:
--- a/holdgw/cli/run.py
+++ b/holdgw/cli/run.py
@@ -1,4 +1,4 @@
-"""`holdgw run`: one router."""
+"""`holdgw run`: a router, in one process or on several cores."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 def run(
     cores: Annotated[
         int | None,
-        typer.Option(min=1, help="Serve with so many worker processes behind the one address."),
+        typer.Option(min=1, help="Serve with this many worker processes behind one address."),
     ] = None,
 ) -> None:
     """Run one router, configured by LB_CONFIG and the variables beside it (deploy/balancer.toml's `run`)."""
     if cores is None:
         raise typer.Exit(run_router())
-    # The same process, without this command's libraries: a supervisor lives as long as the router.
+    # Replaces the process image, as a supervisor would hold the command line's libraries in memory for good.
     sys.stdout.flush()
     os.execv(sys.executable, python_with("holdgw.cores", str(cores)))
--- a/holdgw/cli/run_report.py
+++ b/holdgw/cli/run_report.py
@@ -1,4 +1,4 @@
-"""The report of a run on the terminal."""
+"""Prints the report of a run on the terminal."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from holdgw.harness.report import Report
 
-FILE_WIDTH = 140  # columns of a report that goes to no terminal
+FILE_WIDTH = 140  # columns, where the output is not a terminal
 MAX_UNEXPECTED_SHOWN = 5
 MAX_BROKEN_SHOWN = 20
 MAX_NODES_SHOWN = 8
@@ -30,7 +30,7 @@
 
 
 def print_report(report: Report) -> None:
-    """Print the service, tables by class, window, router and node, and what broke a rule."""
+    """Print the service, tables by request class, window, router and node, and the broken rules."""
     console = Console(highlight=False)
     if not console.is_terminal:
         console.width = FILE_WIDTH
@@ -67,7 +67,7 @@
 
 
 def _print_machine(console: Console, body: dict[str, Any]) -> None:
-    """Print how late the emulator was, and what the processes took of the machine."""
+    """Print the emulator's lag and the processes' use of the machine."""
     lag = body["emulator"]
     console.print(
         f"emulator: lag p99 {lag['p99_ms']:g} ms, worst {lag['worst_ms']:g} ms "
@@ -84,9 +84,9 @@
 def _print_verdict(console: Console, body: dict[str, Any]) -> None:
     for odd in body["odd"][:MAX_UNEXPECTED_SHOWN]:
         console.print(f"odd: {odd['at']:.3f} s {odd['server']}: {odd['text']}")
-    for one in body["broken"][:MAX_BROKEN_SHOWN]:
-        ids = " ".join(one["requests"])
-        console.print(f"[red]broken: {one['rule']}[/] at {one['at']:.3f} s {ids}: {one['text']}")
+    for broken in body["broken"][:MAX_BROKEN_SHOWN]:
+        ids = " ".join(broken["requests"])
+        console.print(f"[red]broken: {broken['rule']}[/] at {broken['at']:.3f} s {ids}: {broken['text']}")
     rules = ", ".join(f"{name} {number}" for name, number in body["rules"].items())
     if body["void"]:
         console.print(f"[red]void: {body['void']}; nothing is judged[/] ({rules})")
@@ -125,7 +125,7 @@
 
 
 def _node_table(rows: dict[str, Any]) -> Table:
-    """The nodes with the most and the least work."""
+    """A table of the nodes with the most and the least work."""
     table = _empty_table("node", NODE_COLUMNS)
     ordered = sorted(rows.items(), key=lambda pair: -pair[1]["work_s"])
     shown = (
--- a/holdgw/cli/simulate.py
+++ b/holdgw/cli/simulate.py
@@ -1,4 +1,4 @@
-"""`holdgw simulate`: a scenario in simulated time, one seed or many."""
+"""`holdgw simulate`: a scenario in simulated time, with one seed or many."""
 
 from __future__ import annotations
 
@@ -37,16 +37,18 @@
 
 
 File = Annotated[str, typer.Argument(help="A scenario file, or the name of a shipped one.")]
-Seed = Annotated[int | None, typer.Option(help="One seed; the file's own where none is given.")]
-Seeds = Annotated[str | None, typer.Option(help="Many seeds, as A..B, both ends played.")]
-Jobs = Annotated[int, typer.Option(help="Play so many seeds at a time, each on a core.")]
-TraceTo = Annotated[Path | None, typer.Option(help="Write every event of the one seed there (JSON lines).")]
+Seed = Annotated[int | None, typer.Option(help="One seed; default: the seed in the file.")]
+Seeds = Annotated[str | None, typer.Option(help="Many seeds, as A..B, both included.")]
+Jobs = Annotated[int, typer.Option(help="Play this many seeds at a time, each on a core.")]
+TraceTo = Annotated[
+    Path | None, typer.Option(help="Write every event of the seed to this file (JSON lines).")
+]
 ShrinkTo = Annotated[
     Path | None,
-    typer.Option("--shrink", help="Look for the least scenario that still fails alike, and write it there."),
+    typer.Option("--shrink", help="Find the smallest scenario that fails alike; write it to this file."),
 ]
-Seconds = Annotated[float | None, typer.Option("--for", help="End the run after so many seconds.")]
-Json = Annotated[Path | None, typer.Option(help="Write what came of each seed there.")]
+Seconds = Annotated[float | None, typer.Option("--for", help="End the run after this many seconds.")]
+Json = Annotated[Path | None, typer.Option(help="Write each seed's outcome to this file.")]
 
 
 def simulate(
@@ -61,8 +63,8 @@
 ) -> None:
     """Play a scenario in simulated time: the same code on a seeded loop and network, repeatable to the byte.
 
-    Exit code 0: rules and invariants were kept; 1: one was broken; 2: something given can't be used; 4: a run
-    could not go on (a spin, a hang, a leak of the real world).
+    Exit code 0: rules and invariants were kept; 1: one was broken; 2: an argument or file is invalid; 4: a
+    run could not continue (an endless loop, a hang, or a use of real time, randomness or threads).
     """
     scenario = _load(file, seconds)
     if not 1 <= jobs <= MAX_JOBS:
@@ -100,8 +102,8 @@
 
 def _chosen_seeds(scenario: Scenario, seed: int | None, seeds: str | None, trace: Path | None) -> range:
     if seeds is None:
-        one = scenario.seed if seed is None else seed
-        return range(one, one + 1)
+        single = scenario.seed if seed is None else seed
+        return range(single, single + 1)
     if seed is not None:
         raise UsageError("--seed and --seeds: give one of them")
     if trace is not None:
@@ -110,7 +112,7 @@
 
 
 def _failed_outcomes(outcomes: list[Outcome]) -> list[Outcome]:
-    """The runs that failed, in order of their seeds."""
+    """The outcomes of failed runs, in order of their seeds."""
     return sorted((one for one in outcomes if one.failed), key=lambda one: one.seed)
 
 
@@ -151,7 +153,7 @@
 
 
 def _play_one(scenario: Scenario, seed: int, trace: Path | None) -> Outcome:
-    """Play one seed, and print what came of it."""
+    """Play one seed and print its outcome."""
     began = perf_counter()
     outcome = _play_with_trace(scenario, seed, trace)
     speed = outcome.seconds / max(perf_counter() - began, 1e-9)
@@ -168,7 +170,7 @@
 
 
 def _play_many(scenario: Scenario, seeds: range, jobs: int, console: Console) -> list[Outcome]:
-    """Play seeds, and print how many failed, by rule."""
+    """Play the seeds and print how many failed, by rule."""
     began = perf_counter()
     outcomes = _search_with_progress(scenario, seeds, jobs, console)
     failed = _failed_outcomes(outcomes)
@@ -187,7 +189,7 @@
 
 
 def _search_with_progress(scenario: Scenario, seeds: range, jobs: int, console: Console) -> list[Outcome]:
-    """Play seeds beside a progress bar."""
+    """Play the seeds with a progress bar."""
     columns = (
         TextColumn("{task.description}"),
         BarColumn(),
@@ -217,7 +219,7 @@
 
 
 def _print_failure(scenario: Scenario, outcome: Outcome) -> None:
-    """The rule, the seed, and the last events of the request concerned."""
+    """Print the seed, the broken rules, and the last events of the first request concerned."""
     drawn = written_out(scenario, outcome.seed)
     print(f"seed {outcome.seed} fails: {told(drawn)}")
     if outcome.fault:
--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -1,9 +1,9 @@
-"""Compiles what every request passes through, by mypyc: `python -m holdgw.native`, which `build` does.
+"""Compiles the modules on the request path with mypyc: `python -m holdgw.native`, run by deployments' builds.
 
-The result is a whole copy of the package in `.native/`, with an extension module beside each compiled source.
-Whatever starts a router puts that folder before the sources (PYTHONPATH), so where there is no compiler, and
-the folder is absent, the sources run as they are. Nothing compiled lies among the sources: an edit there is
-never shadowed by what was compiled before it. The copy carries a digest of all it was made from.
+The result is a copy of the whole package in `.native/`, with an extension module beside each compiled source.
+Commands that start a router put this folder before the sources in PYTHONPATH, so the sources run uncompiled
+where there is no compiler and the folder is absent. No compiled module lies among the sources, where it would
+shadow later edits of its source. The copy holds a digest of everything that it was compiled from.
 """
 
 from __future__ import annotations
@@ -72,17 +72,18 @@
     "router/timer_wheel.py",
     "wire/resp.py",
 )
-"""Compiled as one group, in which calls and fields need no look-up; they import each other mostly.
+"""Compiled as one group, in which calls and field accesses need no lookup, as most import each other.
 
-What msgspec encodes or decodes must not be compiled (`policy/endpoints.py`, `policy/handover_state.py`): of
-an annotation like dict[str, EndpointHandover] mypyc keeps the dict alone, and msgspec returns plain dicts.
+Classes that msgspec encodes or decodes must not be compiled (`policy/endpoints.py`,
+`policy/handover_state.py`): mypyc reduces an annotation such as dict[str, EndpointHandover] to dict, and
+msgspec then returns plain dicts.
 """
-COMPILE_TIMEOUT_S = 900.0  # a compile takes 40 s; a build may take 20 minutes
-MAX_ERROR_CHARACTERS = 600  # characters of the compiler's words that are shown
+COMPILE_TIMEOUT_S = 900.0  # a compilation takes 40 s; a deployment's build may take 20 minutes
+MAX_ERROR_CHARACTERS = 600  # of the compiler's output in an error message
 
 
 class NativeError(Exception):
-    """The modules can't be compiled here; the text says why."""
+    """The modules can't be compiled; the text gives the reason."""
 
 
 def _sources(root: Path) -> Iterator[Path]:
@@ -92,20 +93,20 @@
 
 
 def digest(root: Path) -> str:
-    """What the copy depends on: every source's path and text, the Python and the compiler."""
+    """Return a digest of what the copy depends on: the sources' paths and texts, Python and the compiler."""
     try:
         compiler = version("mypy")
     except PackageNotFoundError:
         compiler = "none"
-    told = hashlib.blake2b(f"{sys.version} {compiler} {MODULES}".encode(), digest_size=16)
+    digester = hashlib.blake2b(f"{sys.version} {compiler} {MODULES}".encode(), digest_size=16)
     for path in _sources(root):
         text = path.read_bytes()
-        told.update(f"\0{path.relative_to(root)}\0{len(text)}\0".encode() + text)
-    return told.hexdigest()
+        digester.update(f"\0{path.relative_to(root)}\0{len(text)}\0".encode() + text)
+    return digester.hexdigest()
 
 
 def digest_of_copy(root: Path) -> str:
-    """The digest of what the compiled copy there was made from; empty where there is none."""
+    """The digest that the compiled copy under `root` holds; empty if there is no copy."""
     try:
         return (root / COPY_FOLDER / DIGEST_FILE).read_text()
     except OSError:
@@ -113,31 +114,31 @@
 
 
 def build(root: Path) -> bool:
-    """Make the compiled copy of `root`/holdgw anew, unless it is fresh; returns whether it was made.
+    """Rebuild the compiled copy of `root`/holdgw unless it is up to date; returns whether it was rebuilt.
 
-    Raises NativeError, and leaves no copy then: an old one would run in place of newer sources.
+    Raises NativeError, and leaves no copy then, as an outdated copy would run in place of newer sources.
     """
-    wanted = digest(root)
-    if digest_of_copy(root) == wanted:
+    current = digest(root)
+    if digest_of_copy(root) == current:
         return False
     shutil.rmtree(root / COPY_FOLDER, ignore_errors=True)
-    # An interrupted build would leave half a copy, so the copy gets its name only once it is complete. Of two
-    # builds at once the later one finds the name taken.
+    # An interrupted build must not leave an incomplete copy, so the copy is renamed to its final name once it
+    # is complete. Of two concurrent builds, the later one finds that name taken.
     with tempfile.TemporaryDirectory(dir=root, prefix=f"{COPY_FOLDER}-") as name:
-        made = Path(name) / "copy"
+        copy = Path(name) / "copy"
         for path in _sources(root):
-            target = made / path.relative_to(root)
+            target = copy / path.relative_to(root)
             target.parent.mkdir(parents=True, exist_ok=True)
             shutil.copyfile(path, target)
-        _compile(made)
-        shutil.rmtree(made / "build", ignore_errors=True)
-        shutil.rmtree(made / ".mypy_cache", ignore_errors=True)
-        compileall.compile_dir(made, quiet=2, stripdir=str(made))
-        (made / DIGEST_FILE).write_text(wanted)
+        _compile(copy)
+        shutil.rmtree(copy / "build", ignore_errors=True)
+        shutil.rmtree(copy / ".mypy_cache", ignore_errors=True)
+        compileall.compile_dir(copy, quiet=2, stripdir=str(copy))
+        (copy / DIGEST_FILE).write_text(current)
         try:
-            made.rename(root / COPY_FOLDER)
+            copy.rename(root / COPY_FOLDER)
         except OSError:
-            if digest_of_copy(root) != wanted:
+            if digest_of_copy(root) != current:
                 raise
     return True
 
@@ -146,7 +147,7 @@
     command = [sys.executable, "-m", "mypyc", "--strict", *(f"holdgw/{name}" for name in MODULES)]
     environment = {**os.environ, "MYPYPATH": "", "PYTHONPATH": ""}
     try:
-        ran = subprocess.run(
+        completed = subprocess.run(
             command,
             cwd=folder,
             env=environment,
@@ -156,19 +157,21 @@
             check=False,
         )
     except subprocess.TimeoutExpired:
-        raise NativeError(f"mypyc took more than {COMPILE_TIMEOUT_S:.0f} s") from None
-    if ran.returncode:
-        told = [line for line in ran.stdout.decode(errors="replace").splitlines() if "rror" in line]
-        raise NativeError(f"mypyc ended with {ran.returncode}: {' / '.join(told)[-MAX_ERROR_CHARACTERS:]}")
+        raise NativeError(f"mypyc took longer than {COMPILE_TIMEOUT_S:.0f} s") from None
+    if completed.returncode:
+        errors = [line for line in completed.stdout.decode(errors="replace").splitlines() if "rror" in line]
+        raise NativeError(
+            f"mypyc ended with {completed.returncode}: {' / '.join(errors)[-MAX_ERROR_CHARACTERS:]}"
+        )
     suffixes = (".so", ".pyd")
     for name in MODULES:
         stem = folder / "holdgw" / name.removesuffix(".py")
         if not any(path.suffix in suffixes for path in stem.parent.glob(f"{stem.name}.*")):
-            raise NativeError(f"mypyc made nothing of {name}")
+            raise NativeError(f"mypyc produced no extension module for {name}")
 
 
 def main() -> int:
-    """Build; returns 1 where it can't be done, with one line that says why."""
+    """Build the compiled copy; returns 1, after printing one line with the reason, if that fails."""
     root = Path(__file__).resolve().parent.parent
     try:
         build(root)
