--- a/holdgw/cli/rehearse.py
+++ b/holdgw/cli/rehearse.py
@@ -33,9 +33,7 @@
 def rehearse(
     file: Annotated[str, typer.Argument(help="A scenario file, or the name of a shipped one.")],
     seed: Annotated[int | None, typer.Option(help="Draw the schedule from another seed.")] = None,
-    seconds: Annotated[
-        float | None, typer.Option("--for", help="End the run after this many seconds.")
-    ] = None,
+    seconds: Annotated[float | None, typer.Option("--for", help="End the run after N seconds.")] = None,
     json: Annotated[Path | None, typer.Option(help="Write the report to this file.")] = None,
     html: Annotated[Path | None, typer.Option(help="Write a page with plots to this file.")] = None,
     deploy: Annotated[Path, typer.Option(help="The deploy file that names `run`.")] = Path(
--- a/holdgw/cli/simulate.py
+++ b/holdgw/cli/simulate.py
@@ -47,7 +47,7 @@
     Path | None,
     typer.Option("--shrink", help="Find the smallest scenario that fails alike; write it to this file."),
 ]
-Seconds = Annotated[float | None, typer.Option("--for", help="End the run after this many seconds.")]
+Seconds = Annotated[float | None, typer.Option("--for", help="End the run after N seconds.")]
 Json = Annotated[Path | None, typer.Option(help="Write each seed's outcome to this file.")]
 
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line's errors: one plain line, exit code 2."""
+"""Errors of the command line: one line, exit code 2."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 import pytest
 
 
-def holdgw(*words: str, **env: str) -> subprocess.CompletedProcess[str]:
+def run_holdgw(*arguments: str, **env: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "holdgw", *words], capture_output=True, text=True, env=env, timeout=60
+        [sys.executable, "-m", "holdgw", *arguments], capture_output=True, text=True, env=env, timeout=60
     )
 
 
-def one_line(done: subprocess.CompletedProcess[str]) -> str:
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1
-    return done.stderr
+def error_line(completed: subprocess.CompletedProcess[str]) -> str:
+    assert completed.returncode == 2
+    assert completed.stderr.count("\n") == 1
+    return completed.stderr
 
 
-def test_run_without_a_configuration_says_so() -> None:
-    assert "LB_CONFIG is not set" in one_line(holdgw("run"))
+def test_run_without_a_configuration_names_the_missing_variable() -> None:
+    assert "LB_CONFIG is not set" in error_line(run_holdgw("run"))
 
 
 @pytest.mark.parametrize(
@@ -37,10 +37,10 @@
 def test_a_bad_configuration_is_named_with_its_file_and_field(tmp_path: Path, text: str, part: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(text)
-    line = one_line(holdgw("run", LB_CONFIG=str(path)))
+    line = error_line(run_holdgw("run", LB_CONFIG=str(path)))
     assert str(path) in line
     assert part in line
 
 
-def test_a_word_that_is_no_command_is_one_line() -> None:
-    assert "frobnicate" in one_line(holdgw("frobnicate"))
+def test_an_unknown_command_is_reported_in_one_line() -> None:
+    assert "frobnicate" in error_line(run_holdgw("frobnicate"))
--- a/tests/cores/test_worker_pool.py
+++ b/tests/cores/test_worker_pool.py
@@ -1,4 +1,4 @@
-"""The supervisor's decisions, the shared table and the endpoint updates, without sockets."""
+"""The worker pool, the shared table, and the split and assembly of endpoint updates, without sockets."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 
 def serving_pool(workers: int) -> tuple[WorkerPool, list[WorkerProcess]]:
     pool = WorkerPool(workers, ("a",))
-    members = [pool.process_started(place, 0.0) for place in range(workers)]
-    for member in members:
-        assert pool.process_serving(member) is None
-    return pool, members
+    processes = [pool.process_started(index, 0.0) for index in range(workers)]
+    for process in processes:
+        assert pool.process_serving(process) is None
+    return pool, processes
 
 
-def test_each_client_goes_to_the_worker_with_the_fewest_those_on_their_way_counted() -> None:
+def test_each_client_goes_to_the_worker_with_the_fewest_clients_unaccepted_ones_included() -> None:
     pool, (first, second, third) = serving_pool(3)
     pool.apply_report(first, 5, 0, {})
     assert [pool.assign_client(1.0) for _ in range(4)] == [second, third, second, third]
@@ -53,12 +53,12 @@
 
 
 def test_clients_that_a_worker_accepted_since_its_report_still_count() -> None:
-    # Found on a loaded machine: of six clients two were dealt to one worker, and four to the other.
+    # On a loaded machine, two of six clients were assigned to one worker and four to the other.
     pool, (first, second) = serving_pool(2)
     assert [pool.assign_client(1.0) for _ in range(3)] == [first, second, first]
     pool.clients_accepted(first, 2, 1.0)
     pool.clients_accepted(second, 1, 1.0)
-    pool.apply_report(first, 2, 0, {})  # the other's account is still to come
+    pool.apply_report(first, 2, 0, {})  # the other worker's report is still to come
     assert [pool.assign_client(1.0) for _ in range(2)] == [second, first]
 
 
@@ -73,38 +73,38 @@
     assert [pool.assign_client(1.0), pool.assign_client(1.0)] == [first, second]
     pool.clients_accepted(second, 1, 1.01)
     pool.apply_report(second, 40, 0, {})
-    assert pool.assign_client(1.09) is first  # no sign yet that it is stuck
+    assert pool.assign_client(1.09) is first  # not unresponsive yet
     assert pool.assign_client(1.2) is second
     pool.clients_accepted(second, 2, 1.21)
-    pool.clients_accepted(first, 1, 1.3)  # it goes on
+    pool.clients_accepted(first, 1, 1.3)  # responsive again
     assert pool.assign_client(1.35) is first
     assert pool.assign_client(1.5) is second
     pool.clients_accepted(first, 3, 1.6)
     assert pool.assign_client(9.0) is first
     second.unanswered_since = first.unanswered_since = 1.0
-    assert pool.assign_client(9.0) is first  # all are stuck: it waits for one of them
+    assert pool.assign_client(9.0) is first  # all are unresponsive: the client waits for one of them
 
 
 def test_a_dead_worker_is_restarted_at_once_and_one_that_keeps_failing_with_backoff() -> None:
     pool, (first, _) = serving_pool(2)
     assert pool.process_ended(first, 100.0) == 0.0
-    waits: list[float] = []
+    delays: list[float] = []
     for i in range(9):
-        member = pool.process_started(0, 200.0 + i)
-        waits.append(pool.process_ended(member, 200.1 + i) or 0.0)
-    assert waits[:4] == [0.1, 0.2, 0.4, 0.8]
-    assert waits[-1] == MAX_BACKOFF_S
-    steady = pool.process_started(0, 300.0)
-    pool.process_serving(steady)
-    assert pool.process_ended(steady, 400.0) == 0.0
+        process = pool.process_started(0, 200.0 + i)
+        delays.append(pool.process_ended(process, 200.1 + i) or 0.0)
+    assert delays[:4] == [0.1, 0.2, 0.4, 0.8]
+    assert delays[-1] == MAX_BACKOFF_S
+    stable = pool.process_started(0, 300.0)
+    pool.process_serving(stable)
+    assert pool.process_ended(stable, 400.0) == 0.0
 
 
 def test_a_worker_that_was_starting_when_all_were_to_be_replaced_is_replaced_too() -> None:
-    # Found on a loaded machine: it counted as its own successor, and stayed at the old version for good.
+    # On a loaded machine, such a worker counted as its own replacement and kept running the old version.
     pool = WorkerPool(1, ())
     old = pool.process_started(0, 1.0)
     assert pool.begin_replacement(1.5)
-    assert pool.next_to_replace() is None  # not while it starts
+    assert pool.next_to_replace() is None  # not while a process is starting
     pool.process_serving(old)
     assert not pool.finish_replacement()
     assert pool.next_to_replace() == 0
@@ -147,23 +147,23 @@
 STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("demand"), st.integers(0, 5), st.floats(0, 1000)),
-        st.tuples(st.just("hear"), st.integers(0, 5), st.just(0.0)),
-        st.tuples(st.just("beat"), st.just(0), st.just(0.0)),
-        st.tuples(st.just("die"), st.integers(0, 5), st.just(0.0)),
+        st.tuples(st.just("receive"), st.integers(0, 5), st.just(0.0)),
+        st.tuples(st.just("rebalance"), st.just(0), st.just(0.0)),
+        st.tuples(st.just("end"), st.integers(0, 5), st.just(0.0)),
         st.tuples(st.just("start"), st.integers(0, 5), st.just(0.0)),
     ),
     max_size=60,
 )
 
 
-class Led:
-    """A worker as it is: it goes by shares some time after it was told, in order."""
+class SimulatedWorker:
+    """A worker that reads and applies the shares sent to it in order, some time later."""
 
-    def __init__(self, member: WorkerProcess) -> None:
-        self.member = member
+    def __init__(self, process: WorkerProcess) -> None:
+        self.process = process
         self.share = 0.0
         self.number = 0
-        self.told: list[tuple[int, float]] = []
+        self.unread: list[tuple[int, float]] = []
 
 
 @settings(max_examples=200)
@@ -171,56 +171,59 @@
 def test_limit_shares_in_use_never_sum_to_more_than_the_limit(
     steps: list[tuple[str, int, float]], workers: int
 ) -> None:
-    pool, members = serving_pool(workers)
-    alive = [Led(member) for member in members]
-
-    def beat() -> None:
-        for member, shares in pool.rebalance_shares().items():
-            one = next(one for one in alive if one.member is member)
-            one.told.append(
-                (member.shares_number, shares.get("a", one.share if not one.told else one.told[-1][1]))
+    pool, processes = serving_pool(workers)
+    running = [SimulatedWorker(process) for process in processes]
+
+    def rebalance() -> None:
+        for process, shares in pool.rebalance_shares().items():
+            worker = next(worker for worker in running if worker.process is process)
+            worker.unread.append(
+                (
+                    process.shares_number,
+                    shares.get("a", worker.share if not worker.unread else worker.unread[-1][1]),
+                )
             )
 
     for kind, number, amount in steps:
-        one = alive[number % len(alive)]
+        worker = running[number % len(running)]
         if kind == "demand":
-            pool.apply_report(one.member, 0, one.number, {"a": amount})
-        elif kind == "hear" and one.told:
-            one.number, one.share = one.told.pop(0)
-            pool.apply_report(one.member, 0, one.number, one.member.demands)
-        elif kind == "beat":
-            beat()
-        elif kind == "die" and len(alive) > 1:
-            alive.remove(one)
-            pool.process_ended(one.member, 1.0)
+            pool.apply_report(worker.process, 0, worker.number, {"a": amount})
+        elif kind == "receive" and worker.unread:
+            worker.number, worker.share = worker.unread.pop(0)
+            pool.apply_report(worker.process, 0, worker.number, worker.process.demands)
+        elif kind == "rebalance":
+            rebalance()
+        elif kind == "end" and len(running) > 1:
+            running.remove(worker)
+            pool.process_ended(worker.process, 1.0)
         elif kind == "start":
-            place = number % workers
-            before = pool.process_serving(new := pool.process_started(place, 2.0))
-            assert before is None or before.state is WorkerState.DRAINING
-            alive.append(Led(new))
-        assert sum(one.share for one in alive) <= 1.0 + 1e-6
-    for _ in range(30):  # all hear: what is owed by demand is given in the end
-        beat()
-        for one in alive:
-            while one.told:
-                one.number, one.share = one.told.pop(0)
-            pool.apply_report(one.member, 0, one.number, one.member.demands)
-    wanted = pool.target_shares()
-    for one in alive:
-        if one.member in wanted:
-            assert one.share >= wanted[one.member]["a"] - 0.05 * workers
+            index = number % workers
+            replaced = pool.process_serving(started := pool.process_started(index, 2.0))
+            assert replaced is None or replaced.state is WorkerState.DRAINING
+            running.append(SimulatedWorker(started))
+        assert sum(worker.share for worker in running) <= 1.0 + 1e-6
+    for _ in range(30):  # once all workers have read their messages, the shares match the demand
+        rebalance()
+        for worker in running:
+            while worker.unread:
+                worker.number, worker.share = worker.unread.pop(0)
+            pool.apply_report(worker.process, 0, worker.number, worker.process.demands)
+    targets = pool.target_shares()
+    for worker in running:
+        if worker.process in targets:
+            assert worker.share >= targets[worker.process]["a"] - 0.05 * workers
         else:
-            assert one.share <= 0.021
+            assert worker.share <= 0.021
 
 
 def test_limit_shares_follow_demand_and_leave_each_worker_an_even_part() -> None:
     pool, (first, second) = serving_pool(2)
     pool.apply_report(first, 0, 0, {"a": 90.0})
     pool.apply_report(second, 0, 0, {"a": 10.0})
-    told = pool.rebalance_shares()
-    assert told[first]["a"] == pytest.approx(0.8)
-    assert told[second]["a"] == pytest.approx(0.2)
-    assert min(share for shares in told.values() for share in shares.values()) > MIN_SHARE
+    shares = pool.rebalance_shares()
+    assert shares[first]["a"] == pytest.approx(0.8)
+    assert shares[second]["a"] == pytest.approx(0.2)
+    assert min(share for by_tenant in shares.values() for share in by_tenant.values()) > MIN_SHARE
 
 
 @pytest.mark.parametrize(
@@ -252,9 +255,9 @@
 def test_an_id_of_one_worker_is_found_by_the_others_and_by_its_replacement() -> None:
     descriptor = shared_table.create(2)
 
-    def inserted(place: int, *names: str) -> list[str]:
+    def inserted(index: int, *names: str) -> list[str]:
         done = subprocess.run(
-            [sys.executable, "-c", INSERTS, str(descriptor), str(place), *names],
+            [sys.executable, "-c", INSERTS, str(descriptor), str(index), *names],
             env={"PYTHONPATH": str(ROOT), "PYTHONHASHSEED": "77"},
             pass_fds=[descriptor],
             capture_output=True,
@@ -279,13 +282,15 @@
 def test_an_endpoint_update_of_any_length_is_applied_completely_or_not_at_all(
     count: int, kind: UpdateKind
 ) -> None:
-    servers = tuple(Endpoint(f"n{i}") for i in range(count))
-    news = EndpointUpdate(7, EndpointsChanged(kind, servers), {s.id: ("127.0.0.1", 1) for s in servers})
+    endpoints = tuple(Endpoint(f"n{i}") for i in range(count))
+    update = EndpointUpdate(
+        7, EndpointsChanged(kind, endpoints), {endpoint.id: ("127.0.0.1", 1) for endpoint in endpoints}
+    )
     assembler = UpdateAssembler()
-    sent = [
+    parts = [
         msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=EndpointUpdatePart)
-        for part in split_update(news)
+        for part in split_update(update)
     ]
-    taken = [assembler.add(part) for part in sent]
-    assert taken[:-1] == [None] * (len(sent) - 1)
-    assert taken[-1] == news
+    results = [assembler.add(part) for part in parts]
+    assert results[:-1] == [None] * (len(parts) - 1)
+    assert results[-1] == update
--- a/tests/operation/test_admin_endpoint.py
+++ b/tests/operation/test_admin_endpoint.py
@@ -1,4 +1,4 @@
-"""The admin endpoint over sockets, alone and of a router."""
+"""The admin endpoint over sockets, on its own and in a router."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class RecordingOperations:
-    """What the admin endpoint calls, for tests of it alone."""
+    """Operations that record the calls of an admin endpoint."""
 
     def __init__(self) -> None:
-        self.ready, self.out = True, list[str]()
+        self.ready, self.overridden = True, list[str]()
 
     def can_serve(self) -> bool:
         return self.ready
@@ -47,14 +47,14 @@
             raise RuntimeError(endpoint_id)
         if endpoint_id != "a":
             raise UnknownEndpointError(endpoint_id)
-        self.out.append(endpoint_id)
+        self.overridden.append(endpoint_id)
 
     def exit_maintenance(self, endpoint_id: str) -> None:
-        self.out.remove(endpoint_id)
+        self.overridden.remove(endpoint_id)
 
 
 @pytest.mark.parametrize(
-    ("asked", "status"),
+    ("data", "status"),
     [
         (get("/status"), 200),
         (get("/status/metrics?x=1"), 200),
@@ -72,11 +72,11 @@
         (b"GET /status HTTP/1.1\r\n" + b"A: b\r\n" * 4000, 400),
     ],
 )
-def test_each_call_has_its_answer_and_a_close(asked: bytes, status: int) -> None:
+def test_each_call_is_answered_and_its_connection_closed(data: bytes, status: int) -> None:
     async def test() -> None:
         endpoint = admin_endpoint.AdminEndpoint(asyncio.get_running_loop(), RecordingOperations())
         address = await endpoint.listen(("127.0.0.1", 0))
-        answer = await call(address, asked)
+        answer = await call(address, data)
         assert answer.startswith(b"HTTP/1.1 %d " % status)
         assert b"\r\nConnection: close\r\n" in answer
         endpoint.close()
@@ -84,17 +84,19 @@
     run(test)
 
 
-def test_callers_that_never_finish_a_call_keep_no_other_caller_out() -> None:
+def test_callers_that_never_finish_a_call_do_not_keep_others_out() -> None:
     async def test() -> None:
         endpoint = admin_endpoint.AdminEndpoint(asyncio.get_running_loop(), RecordingOperations())
         address = await endpoint.listen(("127.0.0.1", 0))
-        stuck = [await asyncio.open_connection(*address) for _ in range(3 * admin_endpoint.MAX_CONNECTIONS)]
-        for _, writer in stuck:
+        unfinished = [
+            await asyncio.open_connection(*address) for _ in range(3 * admin_endpoint.MAX_CONNECTIONS)
+        ]
+        for _, writer in unfinished:
             writer.write(b"PUT /maintenance/enter HTTP/1.1\r\n")
         assert (await call(address, get("/status"))).startswith(b"HTTP/1.1 200")
         assert endpoint.connection_count <= admin_endpoint.MAX_CONNECTIONS
-        assert await asyncio.wait_for(stuck[0][0].read(), LIMIT_S) == b""
-        for _, writer in stuck:
+        assert await asyncio.wait_for(unfinished[0][0].read(), LIMIT_S) == b""
+        for _, writer in unfinished:
             writer.close()
         endpoint.close()
 
@@ -114,30 +116,30 @@
         program = Program(config(tmp_path, agent.port))
         program.discovery.start()
         address = await program.clients.listen(("127.0.0.1", 0))
-        ops = await program.admin_endpoint.listen(("127.0.0.1", 0))
+        admin_address = await program.admin_endpoint.listen(("127.0.0.1", 0))
         await asyncio.wait_for(agent.watched.wait(), LIMIT_S)
-        asked = 0
+        request_count = 0
 
         async def ask(times: int) -> list[int]:
-            nonlocal asked
+            nonlocal request_count
             before = [len(cache.seen) for cache in caches]
             reader, writer = await asyncio.open_connection(*address)
             for _ in range(times):
-                asked += 1
-                writer.write(read(f"r{asked}", f"key{asked}"))
+                request_count += 1
+                writer.write(read(f"r{request_count}", f"key{request_count}"))
                 assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
             writer.close()
             return [len(cache.seen) - n for cache, n in zip(caches, before, strict=True)]
 
         assert all(await ask(60))
-        assert (await call(ops, put("/maintenance/enter", "s0"))).startswith(b"HTTP/1.1 200")
+        assert (await call(admin_address, put("/maintenance/enter", "s0"))).startswith(b"HTTP/1.1 200")
         assert await ask(60) == [0, 60]
-        metrics = await call(ops, get("/status/metrics"))
+        metrics = await call(admin_address, get("/status/metrics"))
         assert b"\nlb_discovered 2\n" in metrics
         assert b"\nlb_ejected 1\n" in metrics
         assert b'{service="read",disposition="succeeded"} 120\n' in metrics
         assert b"\nlb_forwards 120\n" in metrics
-        assert (await call(ops, put("/maintenance/exit", "s0"))).startswith(b"HTTP/1.1 200")
+        assert (await call(admin_address, put("/maintenance/exit", "s0"))).startswith(b"HTTP/1.1 200")
         assert all(await ask(60))
         program.admin_endpoint.close()
         program.clients.close()
@@ -151,7 +153,7 @@
     run(test)
 
 
-def test_clients_are_served_on_a_socket_that_was_passed_and_it_outlives_the_router(tmp_path: Path) -> None:
+def test_clients_are_served_on_a_passed_socket_that_outlives_the_router(tmp_path: Path) -> None:
     async def test() -> None:
         listener = socket.create_server(("127.0.0.1", 0), backlog=16)
         agent = Agent([])
@@ -168,8 +170,8 @@
         writer.close()
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.wait_for(serving, LIMIT_S)
-        afterwards = socket.create_connection(listener.getsockname(), LIMIT_S)  # it still listens
-        afterwards.close()
+        later_client = socket.create_connection(listener.getsockname(), LIMIT_S)  # the socket still listens
+        later_client.close()
         listener.close()
         agent.stop()
 
@@ -178,12 +180,12 @@
 
 def test_a_passed_descriptor_that_is_not_listening_ends_the_start(tmp_path: Path) -> None:
     async def test() -> None:
-        ours, theirs = socket.socketpair()
+        sock, peer = socket.socketpair()
         config(tmp_path, 9)
-        environ = {"LB_CONFIG": str(tmp_path / "config.json"), "LB_PASSED_SOCKET": str(os.dup(ours.fileno()))}
+        environ = {"LB_CONFIG": str(tmp_path / "config.json"), "LB_PASSED_SOCKET": str(os.dup(sock.fileno()))}
         with pytest.raises(OSError, match="listens to nobody"):
             await Program(load_config(environ)).run()
-        ours.close()
-        theirs.close()
+        sock.close()
+        peer.close()
 
     run(test)
--- a/tests/operation/test_message_compatibility.py
+++ b/tests/operation/test_message_compatibility.py
@@ -1,7 +1,7 @@
-"""Messages between processes of one router keep their bytes: the other process may be of an earlier version.
+"""Messages between processes of one router keep their encoding: the other process may be an earlier version.
 
-A takeover runs two versions side by side. Were a field or a tag encoded under another name, the other process
-would not understand the message, and close the link or take a default for what it was sent.
+Two versions run side by side during a takeover. If a field or a tag were encoded under another name, the
+other process would close the link on a malformed message, or use a default in place of the value sent.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     UpdateKind,
 )
 
-# As an earlier version encoded them.
+# The messages as an earlier version encoded them.
 HANDOVER_PART = bytes.fromhex(
     "82a474797065a96b6e6f776c65646765a66c6561726e7487a77365727665727381a763616368652d3186a663"
     "68616e6365cb3fe0000000000000a4646f776ec3a57368617265cb3fe8000000000000a3626164cb3fd00000"
--- a/tests/operation/test_takeover.py
+++ b/tests/operation/test_takeover.py
@@ -1,4 +1,4 @@
-"""A new process takes over from the old one: real processes on a passed socket, and the link alone."""
+"""Takeover by a new process: real processes on a passed socket, and the link on its own."""
 
 from __future__ import annotations
 
@@ -34,38 +34,38 @@
 
 
 class Process:
-    """One process of the router, and the address of its admin endpoint."""
+    """A process of the router, and the address of its admin endpoint."""
 
-    def __init__(self, process: asyncio.subprocess.Process, ops: tuple[str, int]) -> None:
-        self.process, self.ops = process, ops
+    def __init__(self, process: asyncio.subprocess.Process, admin_address: tuple[str, int]) -> None:
+        self.process, self.admin_address = process, admin_address
 
-    async def serving(self) -> None:
-        """Wait until the admin endpoint says that it can serve."""
-        await until_serving(self.ops, self.process)
+    async def wait_until_serving(self) -> None:
+        """Wait until the admin endpoint reports that the process can serve."""
+        await until_serving(self.admin_address, self.process)
 
-    async def ask(self, data: bytes) -> bytes:
-        return await call(self.ops, data)
+    async def call_admin(self, data: bytes) -> bytes:
+        return await call(self.admin_address, data)
 
-    async def ended(self) -> int:
+    async def wait_for_end(self) -> int:
         return await asyncio.wait_for(self.process.wait(), LIMIT_S)
 
 
-class Stage:
-    """A listening socket held for the router, two caches and discovery; caches wait while held back."""
+class RouterProcesses:
+    """A router's processes on one listening socket, discovery, and two cache servers that can be paused."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.go = asyncio.Event()
-        self.go.set()
-        self.held = socket.create_server(("127.0.0.1", 0), backlog=64)
+        self.answering = asyncio.Event()
+        self.answering.set()
+        self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.caches = [Cache(self._answer), Cache(self._answer)]
         self.processes: list[Process] = []
 
     async def _answer(self, _: list[bytes]) -> bytes:
-        await self.go.wait()
+        await self.answering.wait()
         return HIT
 
-    async def begin(self) -> None:
+    async def start_nodes(self) -> None:
         for cache in self.caches:
             await cache.start()
         self.agent = Agent([entry(f"s{i}", cache.port) for i, cache in enumerate(self.caches)])
@@ -83,226 +83,226 @@
             )
         )
 
-    async def start(self) -> Process:
-        ops = unused_address()
+    async def start_process(self) -> Process:
+        admin_address = unused_address()
         environ = {
             "LB_CONFIG": str(self.folder / "config.json"),
-            "LB_OPS": "{}:{}".format(*ops),
-            "LB_PASSED_SOCKET": str(self.held.fileno()),
+            "LB_OPS": "{}:{}".format(*admin_address),
+            "LB_PASSED_SOCKET": str(self.listener.fileno()),
             "TMPDIR": str(self.folder),
         }
         started = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "holdgw.router", env=environ, cwd=ROOT, pass_fds=[self.held.fileno()]
+            sys.executable, "-m", "holdgw.router", env=environ, cwd=ROOT, pass_fds=[self.listener.fileno()]
         )
-        process = Process(started, ops)
+        process = Process(started, admin_address)
         self.processes.append(process)
-        await asyncio.wait_for(process.serving(), LIMIT_S)
+        await asyncio.wait_for(process.wait_until_serving(), LIMIT_S)
         return process
 
-    async def dial(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        return await asyncio.open_connection(*self.held.getsockname())
+    async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        return await asyncio.open_connection(*self.listener.getsockname())
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
         for process in self.processes:
             if process.process.returncode is None:
                 process.process.kill()
-            await process.ended()
+            await process.wait_for_end()
         self.agent.stop()
         for cache in self.caches:
             cache.stop()
-        self.held.close()
+        self.listener.close()
 
 
 @contextlib.asynccontextmanager
-async def stage(folder: Path) -> AsyncIterator[Stage]:
-    play = Stage(folder)
-    await play.begin()
+async def router_processes(folder: Path) -> AsyncIterator[RouterProcesses]:
+    router = RouterProcesses(folder)
+    await router.start_nodes()
     try:
-        yield play
+        yield router
     finally:
-        await play.end()
+        await router.stop()
 
 
-async def served(reader: asyncio.StreamReader) -> None:
+async def expect_value(reader: asyncio.StreamReader) -> None:
     assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
 
 
 def test_clients_see_no_close_when_a_new_process_takes_over(tmp_path: Path) -> None:
-    """A new version is started and the old process gets SIGTERM while clients have idle, half-sent,
-    waiting and pipelined commands. Without the handover each would see a close. The old process answers
-    what it has taken, and passes each connection on.
+    """A new version is started, and the old process gets SIGTERM while clients are idle or have partly sent,
+    waiting or pipelined commands. The old process answers the requests that it has and hands every connection
+    over. Without the handover each client would see its connection closed.
     """
 
     async def test() -> None:
-        async with stage(tmp_path) as play:
-            old = await play.start()
-            idle, amid, waiting, piped = [await play.dial() for _ in range(4)]
-            for number, (reader, writer) in enumerate((idle, amid, waiting, piped)):
+        async with router_processes(tmp_path) as router:
+            old = await router.start_process()
+            idle, partial, waiting, pipelined = [await router.connect() for _ in range(4)]
+            for number, (reader, writer) in enumerate((idle, partial, waiting, pipelined)):
                 writer.write(read(f"first{number}", f"k{number}"))
-                await served(reader)
-            new = await play.start()
-            play.go.clear()
+                await expect_value(reader)
+            new = await router.start_process()
+            router.answering.clear()
             half = read("amid", "k1")
-            amid[1].write(half[:30])
+            partial[1].write(half[:30])
             waiting[1].write(read("waiting", "k2", 4000))
-            piped[1].write(read("piped0", "k3", 4000) + read("piped1", "k4", 4000))
-            before = sum(len(cache.seen) for cache in play.caches)
-            while sum(len(cache.seen) for cache in play.caches) < before + 3 - 1:
+            pipelined[1].write(read("piped0", "k3", 4000) + read("piped1", "k4", 4000))
+            before = sum(len(cache.seen) for cache in router.caches)
+            while sum(len(cache.seen) for cache in router.caches) < before + 3 - 1:
                 await asyncio.sleep(0.01)
             old.process.send_signal(signal.SIGTERM)
-            idle[1].write(read("idle", "k0", 4000))  # at whichever process it is by now
-            amid[1].write(half[30:])
-            late = await play.dial()
+            idle[1].write(read("idle", "k0", 4000))  # to the process that has the connection by now
+            partial[1].write(half[30:])
+            late = await router.connect()
             late[1].write(read("late", "k5", 4000))
-            play.go.set()
-            for reader, _ in (idle, amid, waiting, late, piped, piped):
-                await served(reader)
-            assert await old.ended() == 0
-            for number, (reader, writer) in enumerate((idle, amid, waiting, piped)):
+            router.answering.set()
+            for reader, _ in (idle, partial, waiting, late, pipelined, pipelined):
+                await expect_value(reader)
+            assert await old.wait_for_end() == 0
+            for number, (reader, writer) in enumerate((idle, partial, waiting, pipelined)):
                 writer.write(read(f"last{number}", f"k{number}"))
-                await served(reader)
+                await expect_value(reader)
                 writer.close()
-            assert b'disposition="succeeded"} ' in await new.ask(get("/status/metrics"))
+            assert b'disposition="succeeded"} ' in await new.call_admin(get("/status/metrics"))
 
     run(test)
 
 
 def test_overrides_hold_at_both_processes_and_after_the_takeover(tmp_path: Path) -> None:
     async def test() -> None:
-        async with stage(tmp_path) as play:
-            old = await play.start()
-            assert (await old.ask(put("/maintenance/enter", "s0"))).startswith(b"HTTP/1.1 200")
-            new = await play.start()
-            assert b"\nlb_ejected 1\n" in await new.ask(get("/status/metrics"))
-            assert (await old.ask(put("/maintenance/enter", "s1"))).startswith(b"HTTP/1.1 200")
-            while b"\nlb_ejected 2\n" not in await new.ask(get("/status/metrics")):
+        async with router_processes(tmp_path) as router:
+            old = await router.start_process()
+            assert (await old.call_admin(put("/maintenance/enter", "s0"))).startswith(b"HTTP/1.1 200")
+            new = await router.start_process()
+            assert b"\nlb_ejected 1\n" in await new.call_admin(get("/status/metrics"))
+            assert (await old.call_admin(put("/maintenance/enter", "s1"))).startswith(b"HTTP/1.1 200")
+            while b"\nlb_ejected 2\n" not in await new.call_admin(get("/status/metrics")):
                 await asyncio.sleep(0.01)
-            assert (await new.ask(put("/maintenance/exit", "s0"))).startswith(b"HTTP/1.1 200")
-            while b"\nlb_ejected 1\n" not in await old.ask(get("/status/metrics")):
+            assert (await new.call_admin(put("/maintenance/exit", "s0"))).startswith(b"HTTP/1.1 200")
+            while b"\nlb_ejected 1\n" not in await old.call_admin(get("/status/metrics")):
                 await asyncio.sleep(0.01)
             old.process.send_signal(signal.SIGTERM)
-            assert await old.ended() == 0
-            reader, writer = await play.dial()
+            assert await old.wait_for_end() == 0
+            reader, writer = await router.connect()
             for number in range(20):
                 writer.write(read(f"r{number}", f"k{number}"))
-                await served(reader)
-            assert [len(cache.seen) for cache in play.caches] == [20, 0]
+                await expect_value(reader)
+            assert [len(cache.seen) for cache in router.caches] == [20, 0]
             writer.close()
 
     run(test)
 
 
 def test_a_new_process_that_dies_does_not_disturb_the_old_one(tmp_path: Path) -> None:
-    """The new process is killed before it has taken over. Its link is closed; the old process serves on,
-    and a third process can take over.
+    """The new process is killed before it takes over. Its link is closed, the old process keeps serving, and
+    a third process can take over.
     """
 
     async def test() -> None:
-        async with stage(tmp_path) as play:
-            old = await play.start()
-            reader, writer = await play.dial()
+        async with router_processes(tmp_path) as router:
+            old = await router.start_process()
+            reader, writer = await router.connect()
             writer.write(read("a"))
-            await served(reader)
-            new = await play.start()
+            await expect_value(reader)
+            new = await router.start_process()
             new.process.kill()
-            await new.ended()
+            await new.wait_for_end()
             writer.write(read("b"))
-            await served(reader)
-            fresh = await play.dial()
+            await expect_value(reader)
+            fresh = await router.connect()
             fresh[1].write(read("c"))
-            await served(fresh[0])
-            third = await play.start()  # a path that a dead process left behind is no hindrance
+            await expect_value(fresh[0])
+            third = await router.start_process()  # in spite of the path left behind by the dead process
             old.process.send_signal(signal.SIGTERM)
-            assert await old.ended() == 0
+            assert await old.wait_for_end() == 0
             assert third.process.returncode is None
-            later = await play.dial()
+            later = await router.connect()
             later[1].write(read("d"))
-            await served(later[0])
+            await expect_value(later[0])
 
     run(test)
 
 
 def test_without_a_new_process_connections_are_closed_as_at_any_restart(tmp_path: Path) -> None:
-    """No new process is there at SIGTERM. Connections are closed between requests, and the socket's path
-    is removed.
+    """There is no new process at SIGTERM. Connections are closed between requests, and the socket's path is
+    removed.
     """
 
     async def test() -> None:
-        async with stage(tmp_path) as play:
-            old = await play.start()
-            reader, writer = await play.dial()
+        async with router_processes(tmp_path) as router:
+            old = await router.start_process()
+            reader, writer = await router.connect()
             writer.write(command(b"PING"))
             assert await asyncio.wait_for(reader.readline(), LIMIT_S) == b"+PONG\r\n"
             old.process.send_signal(signal.SIGTERM)
             assert await asyncio.wait_for(reader.read(), LIMIT_S) == b""
-            assert await old.ended() == 0
+            assert await old.wait_for_end() == 0
             assert not (tmp_path / "holdgw.link").exists()
 
     run(test)
 
 
-# The link alone
+# The link on its own
 
 
-class Ends:
-    """Both ends of a link, and what came of it."""
+class LinkEnds:
+    """Both ends of a link, and the messages received at the local one."""
 
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self.here, self.there = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        self.there.setblocking(False)
+        self.local, self.remote = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        self.remote.setblocking(False)
         self.received: list[tuple[Message, int | None]] = []
         self.closed = asyncio.Event()
-        self.link = ProcessLink(loop, self.here, decode, self._receive, lambda _: self.closed.set())
+        self.link = ProcessLink(loop, self.local, decode, self._receive, lambda _: self.closed.set())
 
     def _receive(self, _: ProcessLink[Message], message: Message, descriptor: int | None) -> None:
         self.received.append((message, descriptor))
 
 
-def descriptors() -> int:
+def open_descriptor_count() -> int:
     return len(os.listdir("/proc/self/fd"))
 
 
 @pytest.mark.parametrize("data", [b"noise", b"\x80", b"\x81\xa4type\xa7unknown"])
 def test_a_message_that_cannot_be_decoded_closes_the_link_and_its_descriptor(data: bytes) -> None:
-    """The other process sends bytes that are no message, with a descriptor. The link is closed, and so is
-    the descriptor: it would otherwise leak, and its client wait for ever.
+    """The other process sends a malformed message with a descriptor. The link and the descriptor are closed:
+    the descriptor would otherwise leak, and its client wait for ever.
     """
 
     async def test() -> None:
-        ends = Ends()
-        before = descriptors()
+        ends = LinkEnds()
+        before = open_descriptor_count()
         with open(os.devnull) as passed:
-            socket.send_fds(ends.there, [data], [passed.fileno()])
+            socket.send_fds(ends.remote, [data], [passed.fileno()])
         await asyncio.wait_for(ends.closed.wait(), LIMIT_S)
         assert not ends.received
-        assert descriptors() == before - 1  # the link's own
-        ends.there.close()
+        assert open_descriptor_count() == before - 1  # the link's own socket is closed
+        ends.remote.close()
 
     run(test)
 
 
 def test_connections_that_the_other_process_never_reads_are_closed_with_the_link() -> None:
-    """The other process reads nothing, so that messages and their descriptors queue up here. When the link
-    is closed all of them are closed with it.
+    """The other process reads nothing, so messages and their descriptors queue up in this process. When the
+    link is closed, all queued descriptors are closed with it.
     """
 
     async def test() -> None:
-        ends = Ends()
-        before = descriptors()
+        ends = LinkEnds()
+        before = open_descriptor_count()
         for _ in range(200):
             passed = os.open(os.devnull, os.O_RDONLY)
             ends.link.send(ClientHandover(b"x" * 4096, True, 0.0), passed)
         assert not ends.link.sent
         ends.link.close()
-        ends.there.close()
-        assert descriptors() <= before - 2
+        ends.remote.close()
+        assert open_descriptor_count() <= before - 2
 
     run(test)
 
 
-class RecordingOwner:
-    """A process that has one override and some usage under its name, and ignores what others send."""
+class StubOwner:
+    """A process with an override and tenant usage under its own name, which ignores messages of others."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -333,7 +333,7 @@
         states: dict[str, list[HandoverState]] = {name: [] for name in "abc"}
         changed = asyncio.Event()
 
-        class Owner(RecordingOwner):
+        class Owner(StubOwner):
             def apply_override(self, change: OverrideChanged) -> None:
                 overrides[self.name].append(change.endpoint_id)
                 changed.set()
@@ -363,25 +363,25 @@
 def test_an_old_process_that_does_not_answer_is_given_up_after_the_timeout(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The old process accepts the link and says nothing. The new one waits for HELLO_TIMEOUT_S, and then
-    starts without knowing the overrides.
+    """The old process accepts the link and sends nothing. The new process waits for HELLO_TIMEOUT_S, and
+    then starts without the overrides.
     """
     monkeypatch.setattr("holdgw.operation.takeover.HELLO_TIMEOUT_S", 0.05)
 
     async def test() -> None:
-        stuck = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        stuck.bind(str(tmp_path / "holdgw.link"))
-        stuck.listen()
-        process = Takeover(asyncio.get_running_loop(), RecordingOwner("new"))
+        unresponsive = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+        unresponsive.bind(str(tmp_path / "holdgw.link"))
+        unresponsive.listen()
+        process = Takeover(asyncio.get_running_loop(), StubOwner("new"))
         await process.begin(tmp_path)
         assert process.linked
         assert process.new_process is None
-        assert msg(stuck) == Hello(1)
+        assert receive_hello(unresponsive) == Hello(1)
         process.close()
-        stuck.close()
+        unresponsive.close()
 
-    def msg(stuck: socket.socket) -> Message:
-        peer, _ = stuck.accept()
+    def receive_hello(unresponsive: socket.socket) -> Message:
+        peer, _ = unresponsive.accept()
         with peer:
             return msgspec.msgpack.decode(peer.recv(1000), type=Message)
 
@@ -393,7 +393,7 @@
 
 def test_a_new_process_restores_the_handover_state_of_the_old_one() -> None:
     old = started(settings(), fleet(3))
-    # An origin that answers badly has led to low limits, and a dead endpoint to its ejection.
+    # Errors of the origin have lowered the limits, and a dead endpoint is ejected.
     for number in range(40):
         now = number * 100 * MS
         send = only_send(old.handle(request(f"r{number}", now, key=f"k{number}"), now))
@@ -418,7 +418,7 @@
 
 
 def test_handover_state_that_comes_late_is_restored_too(tmp_path: Path) -> None:
-    # Found on reading: parts that came once there was an endpoint list were kept, and never restored.
+    # Parts that arrived after the endpoint list used to be queued and never restored.
     async def test() -> None:
         program = Program(config(tmp_path, 9))
         early, late = (HandoverState(tenant_usage={name: 2.0}) for name in ("early", "late"))
@@ -452,7 +452,7 @@
         slot_popularity=dict.fromkeys(range(8192), 1.0),
         tenant_usage={f"tenant-{i}": 1.0 for i in range(3)},
     )
-    cut = list(split_handover(state))
-    assert max(len(msgspec.msgpack.encode(HandoverPart(part))) for part in cut) < MAX_MESSAGE_BYTES
-    assert sum(len(part.endpoints) for part in cut) == 5000
-    assert sum(len(part.slot_popularity) for part in cut) == 8192
+    parts = list(split_handover(state))
+    assert max(len(msgspec.msgpack.encode(HandoverPart(part))) for part in parts) < MAX_MESSAGE_BYTES
+    assert sum(len(part.endpoints) for part in parts) == 5000
+    assert sum(len(part.slot_popularity) for part in parts) == 8192
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -1,4 +1,4 @@
-"""The compiled copy: made of the sources as they are or not at all, and the same router to the byte."""
+"""The compiled copy: built from the current sources or absent, and equal to them in behaviour."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 LIMIT_S = 300.0
 
-DIGESTS = """
+PRINT_DIGESTS = """
 import sys
 import holdgw.router.dispatcher
 from holdgw.harness.scenario import load_scenario
@@ -24,7 +24,7 @@
 for name, seed in (("storm", 3), ("storm", 7), ("release-morning", 2)):
     print(simulate(load_scenario(name).cut(6.0), seed).digest)
 """
-BY_SOCKETS = (
+REPEATED_TESTS = (
     "policy/test_endpoint_subscription",
     "policy/test_fetch_coalescing",
     "policy/test_origin_concurrency",
@@ -46,9 +46,9 @@
     return ROOT / native.COPY_FOLDER
 
 
-def in_a_process(code: str, *path: Path, words: tuple[str, ...] = ()) -> str:
-    done = subprocess.run(
-        [sys.executable, "-P", "-c", code, *words],
+def run_python(code: str, *path: Path, arguments: tuple[str, ...] = ()) -> str:
+    completed = subprocess.run(
+        [sys.executable, "-P", "-c", code, *arguments],
         env={**os.environ, "PYTHONPATH": os.pathsep.join(map(str, path)), "PYTHONHASHSEED": "0"},
         cwd=ROOT,
         capture_output=True,
@@ -56,39 +56,39 @@
         timeout=LIMIT_S,
         check=False,
     )
-    assert done.returncode == 0, done.stdout[-3000:] + done.stderr[-3000:]
-    return done.stdout
+    assert completed.returncode == 0, completed.stdout[-3000:] + completed.stderr[-3000:]
+    return completed.stdout
 
 
 @pytest.mark.xdist_group("compiled")
-def test_simulated_days_are_the_same_to_the_byte_compiled_and_not(compiled: Path) -> None:
+def test_simulation_digests_are_the_same_with_and_without_compilation(compiled: Path) -> None:
     with ThreadPoolExecutor() as pool:
-        runs = [pool.submit(in_a_process, DIGESTS, *path) for path in ((ROOT,), (compiled, ROOT))]
-    as_sources, as_compiled = (run.result().split() for run in runs)
-    assert as_sources[0].endswith(".py")
-    assert not as_compiled[0].endswith(".py")
-    assert as_compiled[0].startswith(str(compiled))
-    assert as_sources[1:] == as_compiled[1:]
-    assert len(set(as_sources[1:])) == 3
+        runs = [pool.submit(run_python, PRINT_DIGESTS, *path) for path in ((ROOT,), (compiled, ROOT))]
+    from_sources, from_compiled = (run.result().split() for run in runs)
+    assert from_sources[0].endswith(".py")
+    assert not from_compiled[0].endswith(".py")
+    assert from_compiled[0].startswith(str(compiled))
+    assert from_sources[1:] == from_compiled[1:]
+    assert len(set(from_sources[1:])) == 3
 
 
 @pytest.mark.xdist_group("compiled")
-def test_what_holds_of_the_sources_holds_of_what_is_compiled(compiled: Path) -> None:
-    code = "import sys, holdgw, pytest; sys.exit(pytest.main(sys.argv[1:]))"  # first: pytest changes the path
-    words = ("-q", "-p", "no:cacheprovider", "-m", "not sources_only", "--tb=native")
+def test_tests_of_the_sources_pass_on_the_compiled_copy(compiled: Path) -> None:
+    code = "import sys, holdgw, pytest; sys.exit(pytest.main(sys.argv[1:]))"  # pytest changes the path
+    arguments = ("-q", "-p", "no:cacheprovider", "-m", "not sources_only", "--tb=native")
 
-    def play(files: tuple[str, ...]) -> str:
-        return in_a_process(code, compiled, ROOT, words=(*words, *files))
+    def run_tests(files: tuple[str, ...]) -> str:
+        return run_python(code, compiled, ROOT, arguments=(*arguments, *files))
 
-    files = [f"tests/{name}.py" for name in BY_SOCKETS]
+    files = [f"tests/{name}.py" for name in REPEATED_TESTS]
     halves = tuple(files[0::2]), tuple(files[1::2])
     with ThreadPoolExecutor(len(halves)) as pool:
-        for told in pool.map(play, halves):
-            assert " passed" in told
+        for output in pool.map(run_tests, halves):
+            assert " passed" in output
 
 
 def small_project(folder: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
-    """A package with one module to compile."""
+    """Create a package with one module to compile."""
     (folder / "holdgw").mkdir()
     (folder / "holdgw/__init__.py").write_text("")
     (folder / "holdgw/one.py").write_text("def one() -> int:\n    return 1\n")
@@ -96,31 +96,31 @@
     return folder
 
 
-def told_by(folder: Path) -> str:
-    return in_a_process(
+def run_project(folder: Path) -> str:
+    return run_python(
         "import holdgw.one as m; print(m.one(), m.__file__)", folder / native.COPY_FOLDER, folder
     )
 
 
-def test_a_copy_is_made_once_and_anew_when_a_source_changes(
+def test_a_copy_is_built_once_and_rebuilt_when_a_source_changes(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     project = small_project(tmp_path, monkeypatch)
     assert native.build(project)
     assert not native.build(project)
-    first = told_by(project)
+    first = run_project(project)
     assert first.startswith("1 ")
     assert not first.strip().endswith(".py")
     (project / "holdgw/one.py").write_text("def one() -> int:\n    return 2\n")
     assert native.digest_of_copy(project) != native.digest(project)
     assert native.build(project)
-    assert told_by(project).startswith("2 ")
+    assert run_project(project).startswith("2 ")
     assert [path.name for path in project.iterdir() if path.name.startswith(native.COPY_FOLDER)] == [
         native.COPY_FOLDER
     ]
 
 
-def test_what_does_not_compile_leaves_no_copy_and_the_sources_run(
+def test_a_failed_compilation_leaves_no_copy_and_the_sources_run(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     project = small_project(tmp_path, monkeypatch)
@@ -129,4 +129,4 @@
     with pytest.raises(native.NativeError, match=r"one\.py:2"):
         native.build(project)
     assert [path.name for path in project.iterdir()] == ["holdgw"]
-    assert told_by(project).split()[0] == "three"
+    assert run_project(project).split()[0] == "three"
