--- a/holdgw/cores/messages.py
+++ b/holdgw/cores/messages.py
@@ -45,7 +45,7 @@
 
 
 class ClientsAccepted(msgspec.Struct, tag="took", rename={"accepted": "dealt"}, frozen=True):
-    """Confirms that the worker owns the connections sent so far; nothing is read of the last one yet."""
+    """Confirms how many of the connections sent the worker owns; it has read nothing of the last one yet."""
 
     accepted: int
     """The number of connections since the worker's start."""
--- a/holdgw/operation/process_link.py
+++ b/holdgw/operation/process_link.py
@@ -20,7 +20,7 @@
 
 from holdgw.policy import HandoverState
 
-MAX_PENDING_COMMAND_BYTES = 32 << 10  # with more, a connection stays until its command is complete
+MAX_PENDING_COMMAND_BYTES = 32 << 10  # with more, a connection stays until the command is complete
 MAX_MESSAGE_BYTES = MAX_PENDING_COMMAND_BYTES + (64 << 10)  # other messages hold thousands of ids
 MAX_PART_ITEMS = 500  # endpoints, slots or calls in a message, each up to some 110 bytes
 MAX_UNSENT_MESSAGES = 4096  # beyond this the other process counts as unresponsive
--- a/holdgw/operation/takeover.py
+++ b/holdgw/operation/takeover.py
@@ -110,7 +110,7 @@
     async def begin(self, folder: Path) -> None:
         """Connect to the old process in this folder, if there is one, and then listen there for a new one.
 
-        Errors are only logged: without a link, an upgrade is a restart that closes clients' connections.
+        Logs errors instead of raising them: without a link, an upgrade is a restart that closes connections.
         """
         path = folder / SOCKET_NAME
         try:
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -433,14 +433,14 @@
     async def test() -> None:
         async with running_router(tmp_path, 3) as router:
             await router.wait_until_serving()
-            stuck = router.worker_pids()[1]
-            os.kill(stuck, signal.SIGSTOP)
+            stopped = router.worker_pids()[1]
+            os.kill(stopped, signal.SIGSTOP)
             try:
                 first = [await router.connect() for _ in range(3)]  # one of them is assigned to it
                 await asyncio.sleep(0.3)
                 await router.connect_clients(20, "a")  # none of these is assigned to it
             finally:
-                os.kill(stuck, signal.SIGCONT)
+                os.kill(stopped, signal.SIGCONT)
             for i, connection in enumerate(first):
                 await request_value(connection, f"b{i}")
 
