--- a/holdgw/cli/simulate.py
+++ b/holdgw/cli/simulate.py
@@ -1,4 +1,4 @@
-"""`holdgw simulate`: a scenario in simulated time, one seed or many."""
+"""`holdgw simulate`: a scenario in simulated time, with one seed or many."""
 
 from __future__ import annotations
 
@@ -15,7 +15,13 @@
 from rich.console import Console
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeRemainingColumn
 
-from holdgw.cli.common import BROKEN, FAILED, INTERRUPTED, UsageError, require_parent_folder
+from holdgw.cli.common import (
+    EXIT_FAILED,
+    EXIT_INTERRUPTED,
+    EXIT_RULE_BROKEN,
+    UsageError,
+    require_parent_folder,
+)
 from holdgw.harness.scenario import Scenario, load_scenario
 from holdgw.simulation.fleet_run import Outcome
 from holdgw.simulation.random_faults import told, written_out
@@ -31,16 +37,18 @@
 
 
 File = Annotated[str, typer.Argument(help="A scenario file, or the name of a shipped one.")]
-Seed = Annotated[int | None, typer.Option(help="One seed; the file's own where none is given.")]
-Seeds = Annotated[str | None, typer.Option(help="Many seeds, as A..B, both ends played.")]
-Jobs = Annotated[int, typer.Option(help="Play so many seeds at a time, each on a core.")]
-TraceTo = Annotated[Path | None, typer.Option(help="Write every event of the one seed there (JSON lines).")]
+Seed = Annotated[int | None, typer.Option(help="One seed; default: the seed in the file.")]
+Seeds = Annotated[str | None, typer.Option(help="Many seeds, as A..B, both included.")]
+Jobs = Annotated[int, typer.Option(help="Play this many seeds at a time, each on a core.")]
+TraceTo = Annotated[
+    Path | None, typer.Option(help="Write every event of the seed to this file (JSON lines).")
+]
 ShrinkTo = Annotated[
     Path | None,
-    typer.Option("--shrink", help="Look for the least scenario that still fails alike, and write it there."),
+    typer.Option("--shrink", help="Find the smallest scenario that fails alike; write it to this file."),
 ]
-Seconds = Annotated[float | None, typer.Option("--for", help="End the run after so many seconds.")]
-Json = Annotated[Path | None, typer.Option(help="Write what came of each seed there.")]
+Seconds = Annotated[float | None, typer.Option("--for", help="End the run after N seconds.")]
+Json = Annotated[Path | None, typer.Option(help="Write each seed's outcome to this file.")]
 
 
 def simulate(
@@ -55,8 +63,8 @@
 ) -> None:
     """Play a scenario in simulated time: the same code on a seeded loop and network, repeatable to the byte.
 
-    Exit code 0: rules and invariants were kept; 1: one was broken; 2: something given can't be used; 4: a run
-    could not go on (a spin, a hang, a leak of the real world).
+    Exit code 0: rules and invariants were kept; 1: one was broken; 2: an argument or file is invalid; 4: a
+    run could not continue (an endless loop, a hang, or a use of real time, randomness or threads).
     """
     scenario = _load(file, seconds)
     if not 1 <= jobs <= MAX_JOBS:
@@ -72,15 +80,15 @@
             outcomes = _play_many(scenario, chosen, jobs, console)
     except KeyboardInterrupt:
         console.print("interrupted")
-        raise typer.Exit(INTERRUPTED) from None
+        raise typer.Exit(EXIT_INTERRUPTED) from None
     if json is not None:
-        json.write_bytes(orjson.dumps([_row(one) for one in outcomes], option=orjson.OPT_INDENT_2))
-    failed = _failed(outcomes)
+        json.write_bytes(orjson.dumps([_outcome_row(one) for one in outcomes], option=orjson.OPT_INDENT_2))
+    failed = _failed_outcomes(outcomes)
     if failed and shrink_to is not None:
         _shrink(scenario, failed[0], shrink_to, console)
     if any(one.fault for one in failed):
-        raise typer.Exit(FAILED)
-    raise typer.Exit(BROKEN if failed else 0)
+        raise typer.Exit(EXIT_FAILED)
+    raise typer.Exit(EXIT_RULE_BROKEN if failed else 0)
 
 
 def _load(file: str, seconds: float | None) -> Scenario:
@@ -94,21 +102,21 @@
 
 def _chosen_seeds(scenario: Scenario, seed: int | None, seeds: str | None, trace: Path | None) -> range:
     if seeds is None:
-        one = scenario.seed if seed is None else seed
-        return range(one, one + 1)
+        single = scenario.seed if seed is None else seed
+        return range(single, single + 1)
     if seed is not None:
         raise UsageError("--seed and --seeds: give one of them")
     if trace is not None:
         raise UsageError("--trace: needs one seed; give --seed")
-    return _range(seeds)
+    return _parse_seed_range(seeds)
 
 
-def _failed(outcomes: list[Outcome]) -> list[Outcome]:
-    """The runs that failed, in order of their seeds."""
+def _failed_outcomes(outcomes: list[Outcome]) -> list[Outcome]:
+    """The outcomes of failed runs, in order of their seeds."""
     return sorted((one for one in outcomes if one.failed), key=lambda one: one.seed)
 
 
-def _range(text: str) -> range:
+def _parse_seed_range(text: str) -> range:
     first, dots, last = text.partition("..")
     try:
         if not dots:
@@ -123,7 +131,7 @@
     return found
 
 
-def _row(outcome: Outcome) -> dict[str, object]:
+def _outcome_row(outcome: Outcome) -> dict[str, object]:
     return {
         "seed": outcome.seed,
         "digest": outcome.digest,
@@ -145,9 +153,9 @@
 
 
 def _play_one(scenario: Scenario, seed: int, trace: Path | None) -> Outcome:
-    """Play one seed, and print what came of it."""
+    """Play one seed and print its outcome."""
     began = perf_counter()
-    outcome = _traced(scenario, seed, trace)
+    outcome = _play_with_trace(scenario, seed, trace)
     speed = outcome.seconds / max(perf_counter() - began, 1e-9)
     print(
         f"{scenario.name}, seed {outcome.seed}: {outcome.events} events in {outcome.seconds:.1f} s of "
@@ -155,17 +163,17 @@
         f"{outcome.served}; digest {outcome.digest}"
     )
     if outcome.failed:
-        _explain(scenario, outcome)
+        _print_failure(scenario, outcome)
     else:
         print("rules and invariants: kept")
     return outcome
 
 
 def _play_many(scenario: Scenario, seeds: range, jobs: int, console: Console) -> list[Outcome]:
-    """Play seeds, and print how many failed, by rule."""
+    """Play the seeds and print how many failed, by rule."""
     began = perf_counter()
-    outcomes = _searched(scenario, seeds, jobs, console)
-    failed = _failed(outcomes)
+    outcomes = _search_with_progress(scenario, seeds, jobs, console)
+    failed = _failed_outcomes(outcomes)
     took_s = perf_counter() - began
     print(
         f"{scenario.name}, seeds {seeds[0]}..{seeds[-1]}: {len(outcomes)} played in {took_s:.1f} s "
@@ -176,12 +184,12 @@
         rest = " ..." if len(shown) > MAX_SEEDS_SHOWN else ""
         print(f"  {rule}: {number}, seeds {' '.join(islice(shown, MAX_SEEDS_SHOWN))}{rest}")
     if failed:
-        _explain(scenario, failed[0])
+        _print_failure(scenario, failed[0])
     return outcomes
 
 
-def _searched(scenario: Scenario, seeds: range, jobs: int, console: Console) -> list[Outcome]:
-    """Play seeds beside a progress bar."""
+def _search_with_progress(scenario: Scenario, seeds: range, jobs: int, console: Console) -> list[Outcome]:
+    """Play the seeds with a progress bar."""
     columns = (
         TextColumn("{task.description}"),
         BarColumn(),
@@ -203,15 +211,15 @@
     return played
 
 
-def _traced(scenario: Scenario, seed: int, trace: Path | None) -> Outcome:
+def _play_with_trace(scenario: Scenario, seed: int, trace: Path | None) -> Outcome:
     if trace is None:
         return play_seed(scenario, seed)
     with trace.open("wb") as file:
         return play_seed(scenario, seed, Trace(TraceFile(file, START_NS)))
 
 
-def _explain(scenario: Scenario, outcome: Outcome) -> None:
-    """The rule, the seed, and the last events of the request concerned."""
+def _print_failure(scenario: Scenario, outcome: Outcome) -> None:
+    """Print the seed, the broken rules, and the last events of the first request concerned."""
     drawn = written_out(scenario, outcome.seed)
     print(f"seed {outcome.seed} fails: {told(drawn)}")
     if outcome.fault:
--- a/tests/policy/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -150,8 +150,8 @@
     log = FleetLog(1.0)
     for router, at in (("n0", 100.1), ("n1", 100.6), ("n1", 101.7)):
         counters = IntervalCounters()
-        counters.count_attempt("s-1", "ok", fresh=True, late=False, fetched=None)
-        counters.count_attempt("origin", "ok", fresh=False, late=True, fetched="left-pad")
+        counters.count_attempt("s-1", "ok", first_on_connection=True, late=False, fetched_key=None)
+        counters.count_attempt("origin", "ok", first_on_connection=False, late=True, fetched_key="left-pad")
         counters.add_growth("dials", 3)
         log.read(router, f"12:00 n0 INFO {counters.log_line(at, {'shy': 1.0})}\nsomething else\ntally {{}}\n")
     first, second = (log.intervals[at] for at in sorted(log.intervals))
@@ -183,9 +183,11 @@
 
 def test_interval_counters_count_client_requests_and_attempts_by_purpose() -> None:
     counters = IntervalCounters()
-    counters.count_client_request(again=False, hasty=False)
-    counters.count_client_request(again=True, hasty=True)
-    counters.count_attempt("s-1", "timeout", fresh=True, late=False, fetched=None, why="next")
+    counters.count_client_request(is_retry=False, tight_deadline=False)
+    counters.count_client_request(is_retry=True, tight_deadline=True)
+    counters.count_attempt(
+        "s-1", "timeout", first_on_connection=True, late=False, fetched_key=None, purpose="next"
+    )
     counts = orjson.loads(counters.log_line(1.0, {}).removeprefix("tally "))["counts"]
     assert counts == {"tries": 1, "tries again, hasty": 1, "why next.timeout": 1, "cache.timeout.fresh": 1}
 
