--- a/holdgw/operation/takeover.py
+++ b/holdgw/operation/takeover.py
@@ -117,7 +117,7 @@
             await self._connect(path)
             self._listen(path)
         except OSError as error:
-            log.warning("takeover: unavailable error=%s", error)
+            log.warning("takeover: not possible error=%s", error)
 
     async def _connect(self, path: Path) -> None:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -136,7 +136,7 @@
             await asyncio.wait_for(self._old_process_answered.wait(), HELLO_TIMEOUT_S)
         except TimeoutError:
             log.error(
-                "takeover: the old process does not answer, starting without it timeout_s=%g", HELLO_TIMEOUT_S
+                "takeover: no answer of the old process, starting without it timeout_s=%g", HELLO_TIMEOUT_S
             )
 
     def _listen(self, path: Path) -> None:
--- a/holdgw/peers/gossip.py
+++ b/holdgw/peers/gossip.py
@@ -179,7 +179,7 @@
         for change in self.membership.changes():
             if max(change.before, change.after) > MemberState.SUSPECTED:
                 state = change.after.name.lower()
-                log.info("peers: member state changed router=%d state=%s", change.number, state)
+                log.info("peers: member changed router=%d state=%s", change.number, state)
 
     def _report(self, now: int) -> None:
         """Gossip a load report to FANOUT random peers, and give the owner a new snapshot."""
