--- a/bench/cold_budget.py
+++ b/bench/cold_budget.py
@@ -135,7 +135,7 @@
             for tenth in range(TENTHS):
                 at_ns = int((BEGIN_S + TENTH_S * tenth) * NS_PER_S)
                 self._agenda.at(at_ns, partial(self._restart_tenth, tenth))
-        self._agenda.run_out()
+        self._agenda.run_all()
         return self._worst()
 
     def _restart_tenth(self, tenth: int) -> None:
--- a/holdgw/simulation/event_queue.py
+++ b/holdgw/simulation/event_queue.py
@@ -19,7 +19,7 @@
         """Do something at a time."""
         heappush(self._heap, (when, next(self._order), act))
 
-    def run_out(self) -> None:
+    def run_all(self) -> None:
         """Let time pass until nothing is left to do."""
         while self._heap:
             self._next()
--- a/holdgw/simulation/loop.py
+++ b/holdgw/simulation/loop.py
@@ -193,7 +193,9 @@
     ) -> tuple[asyncio.DatagramTransport, asyncio.DatagramProtocol]:
         """A datagram socket, bound or connected or both."""
         _none_of(others)
-        return await self.process.network.datagrams(self.process, protocol_factory, local_addr, remote_addr)
+        return await self.process.network.open_datagram_socket(
+            self.process, protocol_factory, local_addr, remote_addr
+        )
 
     async def getaddrinfo(self, host: Any, port: Any, **_: Any) -> NoReturn:
         """There are no names here."""
--- a/holdgw/simulation/network.py
+++ b/holdgw/simulation/network.py
@@ -358,7 +358,7 @@
 
     # UDP
 
-    async def datagrams(
+    async def open_datagram_socket(
         self,
         process: Process,
         factory: Callable[[], asyncio.DatagramProtocol],
--- a/tests/router/test_lines.py
+++ b/tests/router/test_lines.py
@@ -294,7 +294,9 @@
 
     async def speaker(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
         ip = process.host.ips[0]
-        end, _ = await process.network.datagrams(process, lambda: Ear(process.name), (ip, PEER_PORT), None)
+        end, _ = await process.network.open_datagram_socket(
+            process, lambda: Ear(process.name), (ip, PEER_PORT), None
+        )
         while process.name == "router00":
             await asyncio.sleep(0.1)
             end.sendto(f"{theatre.clock()}".encode(), theatre.peers["router00"].all)
