--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -23,7 +23,7 @@
 TICK_NS = 100_000_000
 REPORT_TICKS = round(REPORT_INTERVAL_S * NS_PER_S / TICK_NS)
 APPLY_TICKS = round(APPLY_AFTER_S * NS_PER_S / TICK_NS)
-GONE_AFTER = 8 * NS_PER_S  # as long as membership takes to learn of a death among some hundred
+DEATH_DETECTION_NS = 8 * NS_PER_S  # as long as membership takes to learn of a death among some hundred
 
 
 @dataclass(slots=True)
@@ -109,19 +109,19 @@
         member = self.members[number]
         member.halted = True
 
-        def go_on() -> None:
+        def resume() -> None:
             member.halted = False
             unread, member.unread = member.unread, []
             for data, source in unread:
                 self._receive(member, data, source)
 
-        self.at(self.now + int(seconds * NS_PER_S), go_on)
+        self.at(self.now + int(seconds * NS_PER_S), resume)
 
     # What membership would tell, alike at all
 
     def is_present(self, number: int) -> bool:
         """Whether a member is held present: it lives, or is not known to be dead yet."""
-        return number in self.members or self.now - self.dead_since.get(number, self.now) < GONE_AFTER
+        return number in self.members or self.now - self.dead_since.get(number, self.now) < DEATH_DETECTION_NS
 
     def present(self) -> list[int]:
         """Members that are held present."""
--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -25,26 +25,29 @@
 from holdgw.router.platform import Platform
 from holdgw.simulation.fleet_run import RouterMain, SimulatedRouter
 from holdgw.simulation.process import Process
-from holdgw.simulation.transports import Listener, TcpEnd, has_left
+from holdgw.simulation.transports import Listener, TcpTransport, peer_closed
 from holdgw.simulation.world import NS_PER_MS, NS_PER_S
 
-HARM_NS = (400 * NS_PER_MS, 2500 * NS_PER_MS)  # between one trouble of a router's workers and the next
-HELD_UP_NS = (50 * NS_PER_MS, 1500 * NS_PER_MS)
-START_NS = (80 * NS_PER_MS, 400 * NS_PER_MS)  # until a process that was started runs our code
+WORKER_FAULT_INTERVAL_NS = (
+    400 * NS_PER_MS,
+    2500 * NS_PER_MS,
+)  # between one trouble of a router's workers and the next
+WORKER_STOP_NS = (50 * NS_PER_MS, 1500 * NS_PER_MS)
+WORKER_START_NS = (80 * NS_PER_MS, 400 * NS_PER_MS)  # until a process that was started runs our code
 
 
-class Descriptors:
+class DescriptorTable:
     """The kernel's table of connections by descriptor, for the processes of a host."""
 
     def __init__(self) -> None:
-        self._ends: dict[int, TcpEnd] = {}
+        self._ends: dict[int, TcpTransport] = {}
         self._next = 1000
 
-    def open(self, end: TcpEnd) -> int:
+    def open(self, end: TcpTransport) -> int:
         """A new descriptor of a connection, whichever others it has."""
         self._next += 1
         self._ends[self._next] = end
-        end.copies += 1
+        end.extra_descriptors += 1
         return self._next
 
     def duplicate(self, descriptor: int) -> int:
@@ -53,9 +56,9 @@
 
     def close_descriptor(self, descriptor: int) -> None:
         """Close a descriptor; the connection is closed with its last one."""
-        self._ends.pop(descriptor).copy_dropped()
+        self._ends.pop(descriptor).drop_extra_descriptor()
 
-    def end_of(self, descriptor: int) -> TcpEnd:
+    def connection(self, descriptor: int) -> TcpTransport:
         """The connection."""
         return self._ends[descriptor]
 
@@ -63,7 +66,7 @@
         return len(self._ends)
 
 
-class _SupervisorDescriptors:
+class _SupervisorConnections:
     """The connections that a supervisor holds by descriptor; the kernel closes them with its process."""
 
     def __init__(self, supervisor: Supervisor) -> None:
@@ -77,7 +80,7 @@
 class SimulatedLink:
     """One end of a link between two processes: what is sent is there at once, and read when it runs."""
 
-    def __init__(self, process: Process, descriptors: Descriptors) -> None:
+    def __init__(self, process: Process, descriptors: DescriptorTable) -> None:
         self.process, self._descriptors = process, descriptors
         self._handlers: LinkHandlers | None = None  # None: its process has not opened it yet
         self._inbox: deque[tuple[bytes, int | None]] = deque()
@@ -102,9 +105,9 @@
             if descriptor is not None:
                 self._descriptors.close_descriptor(descriptor)
             return
-        peer.arrives(encode(message), descriptor)
+        peer.receive(encode(message), descriptor)
 
-    def arrives(self, data: bytes, descriptor: int | None) -> None:
+    def receive(self, data: bytes, descriptor: int | None) -> None:
         """A message is there."""
         self._inbox.append((data, descriptor))
         if len(self._inbox) == 1:
@@ -147,18 +150,18 @@
                 peer.process.world.soon(peer.process, peer.read)
 
 
-class _AcceptedConnection(asyncio.Protocol):
+class _HandoverProtocol(asyncio.Protocol):
     """Has an accepted connection for as long as it takes to pass it on."""
 
-    def __init__(self, descriptors: Descriptors, on_connection: Callable[[int], None]) -> None:
+    def __init__(self, descriptors: DescriptorTable, on_connection: Callable[[int], None]) -> None:
         self._descriptors = descriptors
         self._on_connection = on_connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Pass it on unread."""
-        end = cast(TcpEnd, transport)
+        end = cast(TcpTransport, transport)
         descriptor = self._descriptors.open(end)
-        end.let_go()
+        end.detach_process()
         self._on_connection(descriptor)
 
 
@@ -177,28 +180,28 @@
         self._listener.close()
 
 
-class _Running:
+class _WorkerProcess:
     """A worker's process as its supervisor has it."""
 
-    def __init__(self, process: Process, parent: Process, over: Callable[[Process], None]) -> None:
+    def __init__(self, process: Process, parent: Process, on_exit: Callable[[Process], None]) -> None:
         self.process = process
         self._ended: asyncio.Future[int] = parent.loop.create_future()
-        self._parent, self._over = parent, over
+        self._parent, self._on_exit = parent, on_exit
         process.on_exit = self._exited
 
     def _exited(self, process: Process) -> None:
-        self._over(process)
+        self._on_exit(process)
         if self._parent.alive:
             self._parent.world.soon(self._parent, self._tell)
 
     def _tell(self) -> None:
         if not self._ended.done():
-            self._ended.set_result(self.process.code or 0)
+            self._ended.set_result(self.process.exit_code or 0)
 
     @property
     def returncode(self) -> int | None:
         """None while it runs."""
-        return None if self.process.alive else self.process.code
+        return None if self.process.alive else self.process.exit_code
 
     async def wait(self) -> int:
         """Wait for its end."""
@@ -208,7 +211,7 @@
         """Send it a signal."""
         if not self.process.alive:
             raise ProcessLookupError
-        self.process.tell(signal.Signals(number))
+        self.process.send_signal(signal.Signals(number))
 
 
 class _SimulatedWorkerHostSystem:
@@ -234,9 +237,9 @@
         self, clients: ClientListener, handover: ClientHandover | None, descriptor: int, late_ns: int
     ) -> None:
         """Serve a client's connection."""
-        end = self._descriptors.end_of(descriptor)
+        end = self._descriptors.connection(descriptor)
         self._process.take_descriptor(end)
-        end.taken(self._process, cast(Any, ClientConnection(clients, handover, late_ns)))
+        end.transfer_to(self._process, cast(Any, ClientConnection(clients, handover, late_ns)))
         self._descriptors.close_descriptor(descriptor)
 
 
@@ -245,10 +248,10 @@
 
     def __init__(self, router: SimulatedRouter, process: Process, config: Config) -> None:
         self.router, self.process, self.config = router, process, config
-        self.descriptors = Descriptors()
+        self.descriptors = DescriptorTable()
         self.memory = bytearray()
         self.workers: list[Process] = []
-        self._random = random.Random(f"{router.theatre.day.seed}/{router.name}/{router.starts}/cores")
+        self._random = random.Random(f"{router.fleet.day.seed}/{router.name}/{router.starts}/cores")
 
     def create_table(self, workers: int) -> shared_table.SharedTable:
         """Create the shared memory."""
@@ -259,7 +262,7 @@
         """Listen for clients."""
         listener = self.process.network.listen(
             self.process,
-            lambda: _AcceptedConnection(self.descriptors, on_connection),
+            lambda: _HandoverProtocol(self.descriptors, on_connection),
             config.listen_address,
             LISTEN_BACKLOG,
         )
@@ -267,33 +270,31 @@
 
     async def start_worker(
         self, index: int, workers: int, environ: Mapping[str, str], handlers: LinkHandlers
-    ) -> tuple[_Running, ProcessLink[Any]]:
+    ) -> tuple[_WorkerProcess, ProcessLink[Any]]:
         """Start a worker process and link to it."""
-        theatre, parent = self.router.theatre, self.process
+        fleet, parent = self.router.fleet, self.process
         name = f"{self.router.name}.{index}"
-        child = Process(
-            theatre.world, theatre.network, parent.host, name, 0, False, self.config.max_descriptors
-        )
+        child = Process(fleet.world, fleet.network, parent.host, name, 0, False, self.config.max_descriptors)
         child.share_clock(parent)
         here, there = SimulatedLink(parent, self.descriptors), SimulatedLink(child, self.descriptors)
         here.peer, there.peer = there, here
 
         async def main() -> int:
-            await asyncio.sleep(self._random.randint(*START_NS) / NS_PER_S)
+            await asyncio.sleep(self._random.randint(*WORKER_START_NS) / NS_PER_S)
             try:
                 config = load_config(environ, read=self.router.read)
             except ConfigError as error:
                 child.faults.append(str(error))
                 return 2
             platform = Platform(
-                child.monotonic_ns, child.unix_ns, environ, self.router.read, peer_closed=has_left
+                child.monotonic_ns, child.unix_ns, environ, self.router.read, peer_closed=peer_closed
             )
             host_system = _SimulatedWorkerHostSystem(child, self, there)
             await Worker(config, WorkerSlot(index, workers, -1, -1), host_system, platform).run()
             return 0
 
         child.on_signal(signal.SIGHUP, lambda: None)
-        running = _Running(child, parent, self._exited)
+        running = _WorkerProcess(child, parent, self._exited)
         self.workers.append(child)
         child.start(main())
         return running, here.begin(handlers)
@@ -301,7 +302,7 @@
     def _exited(self, process: Process) -> None:
         self.workers.remove(process)
         for text in process.faults:
-            self.router.theatre.watch.broke("fault", f"{process.name}: {text}")
+            self.router.fleet.invariants.report_violation("fault", f"{process.name}: {text}")
 
     def duplicate(self, descriptor: int) -> int:
         """Another descriptor of the same connection."""
@@ -316,17 +317,22 @@
 
     # Troubles of workers
 
-    def harm_soon(self, supervisor: Supervisor) -> None:
+    def schedule_worker_fault(self, supervisor: Supervisor) -> None:
         """Kill, hold up or replace workers now and then, for as long as the supervisor lives."""
         world = self.process.world
-        world.at(world.now + self._random.randint(*HARM_NS), None, self._harm, (supervisor,))
+        world.at(
+            world.now + self._random.randint(*WORKER_FAULT_INTERVAL_NS),
+            None,
+            self._inject_worker_fault,
+            (supervisor,),
+        )
 
-    def _harm(self, supervisor: Supervisor) -> None:
+    def _inject_worker_fault(self, supervisor: Supervisor) -> None:
         if not self.process.alive or supervisor.pool.ending:
             return
-        self.harm_soon(supervisor)
-        theatre = self.router.theatre
-        if theatre.clock() < theatre.begun or not self.workers or not self.process.running:
+        self.schedule_worker_fault(supervisor)
+        fleet = self.router.fleet
+        if fleet.clock() < fleet.begun or not self.workers or not self.process.running:
             return
         chosen = self.workers[self._random.randrange(len(self.workers))]
         kind = self._random.choice(("kill", "kill", "stop", "replace"))
@@ -335,31 +341,36 @@
             member
             for member, one in supervisor.workers.items()
             if member.state is WorkerState.SERVING
-            and cast(_Running, one.process).process is not chosen
-            and cast(_Running, one.process).process.running
+            and cast(_WorkerProcess, one.process).process is not chosen
+            and cast(_WorkerProcess, one.process).process.running
         ]
         if kind == "kill" and chosen.running and others:
             # Danger to the judgement: what a killed process held is its client's to ask for again.
-            for held in list(chosen.open):
-                if isinstance(held, TcpEnd) and held is held.connection.server:
-                    theatre.sever(held.connection)
-            chosen.tell(signal.SIGKILL)
+            for held in list(chosen.open_descriptors):
+                if isinstance(held, TcpTransport) and held is held.connection.server:
+                    fleet.mark_severed(held.connection)
+            chosen.send_signal(signal.SIGKILL)
         elif kind == "stop" and chosen.running:
             chosen.stop()
             world = self.process.world
-            until = self._random.randint(*HELD_UP_NS)
-            now = theatre.clock()
-            theatre.history.stops.append((self.router.name, now, now + until / NS_PER_S))
-            world.at(world.now + until, None, chosen.go_on)
+            until = self._random.randint(*WORKER_STOP_NS)
+            now = fleet.clock()
+            fleet.history.stops.append((self.router.name, now, now + until / NS_PER_S))
+            world.at(world.now + until, None, chosen.resume)
         elif kind == "replace":
-            self.process.tell(signal.SIGUSR2)
+            self.process.send_signal(signal.SIGUSR2)
 
 
-def on_cores(workers: int, harm: bool = True) -> RouterMain:
-    """Routers as `python -m holdgw.cores` runs them; `harm`: their workers have troubles of their own."""
+def multi_process_router(workers: int, inject_faults: bool = True) -> RouterMain:
+    """Return the main of a router with so many workers, as `python -m holdgw.cores` runs it.
+
+    With `inject_faults`, its workers are killed, stopped and replaced during the run.
+    """
 
     async def main(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
-        platform = Platform(process.monotonic_ns, process.unix_ns, environ, router.read, peer_closed=has_left)
+        platform = Platform(
+            process.monotonic_ns, process.unix_ns, environ, router.read, peer_closed=peer_closed
+        )
         try:
             config = load_config(environ, read=router.read)
             host_system = SimulatedHostSystem(router, process, config)
@@ -367,18 +378,18 @@
         except (ConfigError, InsufficientResourcesError) as error:
             process.faults.append(str(error))
             return 2
-        held = _SupervisorDescriptors(supervisor)
-        process.open[held] = None
-        if harm:
-            host_system.harm_soon(supervisor)
+        held = _SupervisorConnections(supervisor)
+        process.open_descriptors[held] = None
+        if inject_faults:
+            host_system.schedule_worker_fault(supervisor)
         try:
             await supervisor.run()
         except OSError as error:
             process.faults.append(str(error))
             return 1
-        process.open.pop(held, None)
+        process.open_descriptors.pop(held, None)
         if len(host_system.descriptors):
-            router.theatre.watch.broke(
+            router.fleet.invariants.report_violation(
                 "left_over",
                 f"{router.name} ended with {len(host_system.descriptors)} connections in its hands",
             )
--- a/holdgw/simulation/determinism_guard.py
+++ b/holdgw/simulation/determinism_guard.py
@@ -19,7 +19,7 @@
 
 from holdgw.simulation.world import World
 
-WATCHED: tuple[tuple[Any, str], ...] = (
+FORBIDDEN_CALLS: tuple[tuple[Any, str], ...] = (
     *((time, name) for name in ("time", "time_ns", "monotonic", "monotonic_ns", "perf_counter", "sleep")),
     *(
         (random, name)
@@ -33,7 +33,7 @@
 )
 
 
-class LeakError(BaseException):
+class NondeterminismError(BaseException):
     """The real world leaked into a run. No `except Exception` of the program under test may swallow it."""
 
 
@@ -42,31 +42,31 @@
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self._kept: list[tuple[Any, str, Any]] = []
+        self._originals: list[tuple[Any, str, Any]] = []
 
     def __enter__(self) -> DeterminismGuard:
         """Begin to watch."""
-        for owner, name in WATCHED:
-            kept = getattr(owner, name)
-            self._kept.append((owner, name, kept))
-            setattr(owner, name, self._watching(f"{getattr(owner, '__name__', owner)}.{name}", kept))
+        for owner, name in FORBIDDEN_CALLS:
+            original = getattr(owner, name)
+            self._originals.append((owner, name, original))
+            setattr(owner, name, self._guarded(f"{getattr(owner, '__name__', owner)}.{name}", original))
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         """Stop watching."""
-        for owner, name, kept in reversed(self._kept):
-            setattr(owner, name, kept)
-        self._kept.clear()
+        for owner, name, original in reversed(self._originals):
+            setattr(owner, name, original)
+        self._originals.clear()
 
-    def _watching(self, name: str, kept: Callable[..., Any]) -> Callable[..., Any]:
-        def watched(*args: Any, **kwargs: Any) -> Any:
+    def _guarded(self, name: str, original: Callable[..., Any]) -> Callable[..., Any]:
+        def guarded(*args: Any, **kwargs: Any) -> Any:
             caller = sys._getframe(1).f_globals.get("__name__", "")
             if caller.startswith("holdgw."):
-                error = LeakError(f"{caller} called {name} in a simulated run")
+                error = NondeterminismError(f"{caller} called {name} in a simulated run")
                 self._world.fail(error)
                 raise error
-            return kept(*args, **kwargs)
+            return original(*args, **kwargs)
 
-        return watched
+        return guarded
--- a/holdgw/simulation/disk.py
+++ b/holdgw/simulation/disk.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class _Write:
-    at: int
+    offset: int
     data: bytes
 
 
@@ -31,14 +31,14 @@
 
 
 def _apply(content: bytearray, write: _Write) -> None:
-    if write.at < 0:
+    if write.offset < 0:
         length = int.from_bytes(write.data, "big")
         del content[length:]
         content.extend(bytes(length - len(content)))
         return
-    if write.at > len(content):
-        content.extend(bytes(write.at - len(content)))
-    content[write.at : write.at + len(write.data)] = write.data
+    if write.offset > len(content):
+        content.extend(bytes(write.offset - len(content)))
+    content[write.offset : write.offset + len(write.data)] = write.data
 
 
 class Disk:
@@ -47,7 +47,9 @@
     def __init__(self) -> None:
         self._files: dict[str, _File] = {}
         self._names_synced: dict[str, _File] = {}
-        self._steps: list[dict[str, _File]] = []  # the folder after each change of a name since its last sync
+        self._name_history: list[
+            dict[str, _File]
+        ] = []  # the folder after each change of a name since its last sync
 
     def names(self) -> list[str]:
         """All paths, in order."""
@@ -66,21 +68,21 @@
             raise FileNotFoundError(2, "No such file or directory", path)
         return self._files[path]
 
-    def _named(self) -> None:
-        self._steps.append(dict(self._files))
+    def _record_names(self) -> None:
+        self._name_history.append(dict(self._files))
 
     def create(self, path: str) -> None:
         """An empty file, if there is none yet."""
         if path not in self._files:
             self._files[path] = _File()
-            self._named()
+            self._record_names()
 
-    def write(self, path: str, at: int, data: bytes) -> None:
+    def write(self, path: str, offset: int, data: bytes) -> None:
         """Write bytes at a place; raises FileNotFoundError."""
-        if at < 0:
+        if offset < 0:
             raise OSError(22, "Invalid argument", path)
         file = self._file(path)
-        write = _Write(at, bytes(data))
+        write = _Write(offset, bytes(data))
         _apply(file.content, write)
         file.writes.append(write)
 
@@ -104,40 +106,40 @@
     def sync_folder(self) -> None:
         """All names as they are now are safe."""
         self._names_synced = dict(self._files)
-        self._steps.clear()
+        self._name_history.clear()
 
     def replace(self, old: str, new: str) -> None:
         """Rename, over what has the name now; raises FileNotFoundError."""
         self._files[new] = self._file(old)
         if old != new:
             del self._files[old]
-        self._named()
+        self._record_names()
 
     def remove(self, path: str) -> None:
         """Take the name away; raises FileNotFoundError."""
         self._file(path)
         del self._files[path]
-        self._named()
+        self._record_names()
 
     def crash(self, rng: random.Random) -> None:
         """The machine died."""
-        kept = rng.randint(0, len(self._steps))
-        self._files = dict(self._steps[kept - 1]) if kept else dict(self._names_synced)
+        kept = rng.randint(0, len(self._name_history))
+        self._files = dict(self._name_history[kept - 1]) if kept else dict(self._names_synced)
         for file in {id(one): one for one in self._files.values()}.values():
             content = bytearray(file.synced)
             for write in file.writes:
                 fate = rng.random()
                 if fate < 1 / 3:
                     _apply(content, write)
-                elif fate < 2 / 3 and write.at >= 0 and len(write.data) > 1:
+                elif fate < 2 / 3 and write.offset >= 0 and len(write.data) > 1:
                     # Torn where a sector of the disk ends, or, within one sector, anywhere: a drive that
                     # writes 512 bytes whole does so only if they lie in one of its sectors.
                     end = rng.randrange(1, len(write.data))
                     if len(write.data) > SECTOR:
-                        end -= (write.at + end) % SECTOR
+                        end -= (write.offset + end) % SECTOR
                     if end > 0:
-                        _apply(content, _Write(write.at, write.data[:end]))
+                        _apply(content, _Write(write.offset, write.data[:end]))
             file.content, file.synced = content, bytes(content)
             file.writes.clear()
         self._names_synced = dict(self._files)
-        self._steps.clear()
+        self._name_history.clear()
--- a/holdgw/simulation/event_queue.py
+++ b/holdgw/simulation/event_queue.py
@@ -15,9 +15,9 @@
         self._heap: list[tuple[int, int, Callable[[], None]]] = []
         self._order = count()
 
-    def at(self, when: int, act: Callable[[], None]) -> None:
+    def at(self, when: int, callback: Callable[[], None]) -> None:
         """Do something at a time."""
-        heappush(self._heap, (when, next(self._order), act))
+        heappush(self._heap, (when, next(self._order), callback))
 
     def run_all(self) -> None:
         """Let time pass until nothing is left to do."""
@@ -31,5 +31,5 @@
         self.now = until
 
     def _next(self) -> None:
-        self.now, _, act = heappop(self._heap)
-        act()
+        self.now, _, callback = heappop(self._heap)
+        callback()
--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class Queue:
+class SimulatedServer:
     """A cache server: one request after the other; `claimed_load` stands in for a report that is not true."""
 
     entry: Endpoint
@@ -100,7 +100,9 @@
             gossip_allowed=peers,
         )
         self.servers = {
-            f"10.1.{i // 250}.{i % 250}:1": Queue(Endpoint(f"10.1.{i // 250}.{i % 250}:1", kind="c"), service)
+            f"10.1.{i // 250}.{i % 250}:1": SimulatedServer(
+                Endpoint(f"10.1.{i // 250}.{i % 250}:1", kind="c"), service
+            )
             for i in range(servers)
         }
         self._service = service
@@ -124,9 +126,9 @@
         self.count: Counter[str] = Counter()
         self.late_by_second: dict[int, int] = defaultdict(int)  # late or refused, by second
         for one in self.routers:
-            self._list(one, UpdateKind.FULL)
+            self._send_list(one, UpdateKind.FULL)
             self.at(int(self.random.random() * REPORT_NS), lambda one=one: self._report(one))  # type: ignore[misc]
-        self._next_ask()
+        self._schedule_request()
 
     def run(self, until_s: float) -> None:
         """Let time pass until this second."""
@@ -134,7 +136,7 @@
 
     # Lists, freezes
 
-    def _list(self, one: SimulatedPolicy, kind: UpdateKind) -> None:
+    def _send_list(self, one: SimulatedPolicy, kind: UpdateKind) -> None:
         def told() -> None:
             entries = tuple(self.servers[name].entry for name in self.listed)
             one.load_view.set_servers(self.listed)
@@ -147,12 +149,12 @@
         for name in names:
             if name not in self.servers:
                 entry = Endpoint(name, kind="c", state=EndpointState.READY, started_ns=self.now)
-                self.servers[name] = Queue(entry, self._service)
+                self.servers[name] = SimulatedServer(entry, self._service)
         self.listed = list(names)
         for one in self.routers:
             self.at(
                 self.now + int(self.random.random() * within),
-                lambda one=one: self._list(one, UpdateKind.FULL),  # type: ignore[misc]
+                lambda one=one: self._send_list(one, UpdateKind.FULL),  # type: ignore[misc]
             )
 
     def freeze(self, numbers: Sequence[int], seconds: float) -> None:
@@ -176,16 +178,16 @@
 
     # Requests
 
-    def _next_ask(self) -> None:
-        self.at(self.now + int(self.random.expovariate(self.rate) * NS_PER_S), self._ask)
+    def _schedule_request(self) -> None:
+        self.at(self.now + int(self.random.expovariate(self.rate) * NS_PER_S), self._request)
 
-    def _ask(self) -> None:
-        self._next_ask()
+    def _request(self) -> None:
+        self._schedule_request()
         one = self.random.choices(self.routers, [one.weight for one in self.routers])[0]
-        lot, key = self.random.random(), ""
+        draw, key = self.random.random(), ""
         for name, share in self.hot.items():
-            lot -= share
-            if lot < 0:
+            draw -= share
+            if draw < 0:
                 key = name
                 break
         if not key:
@@ -204,19 +206,19 @@
     def _act(self, one: SimulatedPolicy, actions: Sequence[object]) -> None:
         for action in actions:
             if isinstance(action, SendAttempt):
-                self._sent(one, action)
+                self._send_attempt(one, action)
             elif hasattr(action, "request"):
                 self.count["refused" if isinstance(action, Reject) else "failed"] += 1
                 self.late_by_second[self.now // NS_PER_S] += 1
                 self._open.pop(action.request, None)
 
-    def _sent(self, one: SimulatedPolicy, send: SendAttempt) -> None:
+    def _send_attempt(self, one: SimulatedPolicy, send: SendAttempt) -> None:
         _, key, begun, attempt = self._open[send.request_id]
         self._open[send.request_id] = one, key, begun, attempt + 1
         server = self.servers.get(send.endpoint_id)
         if server is None:
             self.count["fetches"] += 1
-            self._ends(one, send, self.now + FETCH_NS, Outcome.OK, None)
+            self._end_attempt(one, send, self.now + FETCH_NS, Outcome.OK, None)
             return
         server.arrivals.append(self.now)
         start = max(self.now, server.free_at)
@@ -226,10 +228,15 @@
         if not hit:
             self.count["misses"] += 1
             self._missed[send.request_id] = send.endpoint_id
-        self._ends(one, send, end, Outcome.OK if hit else Outcome.MISS, server)
+        self._end_attempt(one, send, end, Outcome.OK if hit else Outcome.MISS, server)
 
-    def _ends(
-        self, one: SimulatedPolicy, send: SendAttempt, end: int, outcome: Outcome, server: Queue | None
+    def _end_attempt(
+        self,
+        one: SimulatedPolicy,
+        send: SendAttempt,
+        end: int,
+        outcome: Outcome,
+        server: SimulatedServer | None,
     ) -> None:
         sent, attempt = self.now, self._open[send.request_id][3]
 
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -40,22 +40,22 @@
 from holdgw.router.config import ConfigError, load_config
 from holdgw.router.platform import Platform
 from holdgw.router.program import Program
-from holdgw.simulation.determinism_guard import DeterminismGuard, LeakError
+from holdgw.simulation.determinism_guard import DeterminismGuard, NondeterminismError
 from holdgw.simulation.disk import Disk
-from holdgw.simulation.invariants import Watch
-from holdgw.simulation.network import Connection, Cut, Host, Network, Weather
+from holdgw.simulation.invariants import InvariantChecker
+from holdgw.simulation.network import Connection, Cut, Host, LinkConditions, Network
 from holdgw.simulation.process import Process
 from holdgw.simulation.trace import Trace
-from holdgw.simulation.transports import TcpEnd, has_left
+from holdgw.simulation.transports import TcpTransport, peer_closed
 from holdgw.simulation.world import NS_PER_S, SpinError, World
 from holdgw.wire.address import Address, format_address
 
 LISTEN_PORT = 6380
 OPS_PORT = 6381
 PEER_PORT = 7946
-NEWS_NS = 300_000  # until nodes hear of the package store
-FALLEN_S = 0.1  # until the stage hears of a fallen node
-KILL_WITHIN = 400  # a killed router dies within so many of its callbacks, at any await
+STORE_NEWS_DELAY_NS = 300_000  # until nodes hear of the package store
+CRASH_NOTICE_S = 0.1  # until the stage hears of a fallen node
+MAX_CALLBACKS_TO_KILL = 400  # a killed router dies within so many of its callbacks, at any await
 NS_PER_MS = 1_000_000
 CLIENTS, DISCOVERY = "clients", "discovery"
 
@@ -91,7 +91,7 @@
 RouterMain = Callable[["SimulatedRouter", Process, dict[str, str]], Coroutine[Any, Any, int]]
 
 
-class Logs(logging.Handler):
+class TraceLogHandler(logging.Handler):
     """What routers log goes into the trace, under the process that logged it, while this is entered."""
 
     def __init__(self, world: World) -> None:
@@ -105,32 +105,32 @@
         name = process.name if process is not None else "world"
         self._world.trace.add(self._world.now, name, "log", record.getMessage())
 
-    def __enter__(self) -> Logs:
+    def __enter__(self) -> TraceLogHandler:
         """Take the place of other handlers."""
-        self._kept = (self._logger.handlers, self._logger.propagate, self._logger.level)
+        self._saved_state = (self._logger.handlers, self._logger.propagate, self._logger.level)
         self._logger.handlers, self._logger.propagate = [self], False
         self._logger.setLevel(logging.INFO)
         return self
 
     def __exit__(self, *_: object) -> None:
         """Give it back."""
-        self._logger.handlers, self._logger.propagate = self._kept[:2]
-        self._logger.setLevel(self._kept[2])
+        self._logger.handlers, self._logger.propagate = self._saved_state[:2]
+        self._logger.setLevel(self._saved_state[2])
 
 
 class SimulatedPart:
     """A part of the emulator in a process of its own, as the time line sees it."""
 
-    def __init__(self, theatre: SimulatedFleet, process: Process, make: Callable[[], Part]) -> None:
-        self.theatre, self.process, self._make = theatre, process, make
+    def __init__(self, fleet: SimulatedFleet, process: Process, make: Callable[[], Part]) -> None:
+        self.fleet, self.process, self._make_part = fleet, process, make
         self.part: Part | None = None
 
     def start(self) -> asyncio.Future[Any]:
         """Start it; the future is what it tells of itself."""
-        told = self.theatre.stage.loop.create_future()
+        told = self.fleet.stage.loop.create_future()
 
         async def main() -> int:
-            self.part = self._make()
+            self.part = self._make_part()
             told.set_result(await self.part.start())
             return int(await self.process.loop.create_future())
 
@@ -139,8 +139,8 @@
 
     def ask(self, verb: str, target: str = "", args: dict[str, Any] | None = None) -> asyncio.Future[Any]:
         """Have it do something."""
-        future = self.theatre.stage.loop.create_future()
-        self.theatre.world.soon(self.process, self._do, (verb, target, args or {}, future))
+        future = self.fleet.stage.loop.create_future()
+        self.fleet.world.soon(self.process, self._do, (verb, target, args or {}, future))
         return future
 
     def _do(self, verb: str, target: str, args: dict[str, Any], future: asyncio.Future[Any]) -> None:
@@ -159,9 +159,9 @@
 
     def send(self, message: Message) -> None:
         """Send it a message."""
-        self.theatre.world.soon(self.process, self._took, (message,))
+        self.fleet.world.soon(self.process, self._receive, (message,))
 
-    def _took(self, message: Message) -> None:
+    def _receive(self, message: Message) -> None:
         part = self.part
         assert part is not None
         if isinstance(message, Places):
@@ -174,30 +174,30 @@
             part.close()
 
 
-class _Outlet:
+class _PartChannel:
     """The parts' way to the stage."""
 
-    def __init__(self, theatre: SimulatedFleet) -> None:
-        self._theatre = theatre
+    def __init__(self, fleet: SimulatedFleet) -> None:
+        self._fleet = fleet
 
     def send(self, message: Message) -> None:
         """News of the package store goes to all nodes; all else is for the eye."""
         if isinstance(message, Stored | Voided):
-            self._theatre.tell_nodes(message)
+            self._fleet.tell_nodes(message)
 
 
-class _Seen(Part):
+class _SimulatedPart(Part):
     """A part that hands on at once what it saw, over lines that the network plays."""
 
-    theatre: SimulatedFleet
+    fleet: SimulatedFleet
 
     def saw(self, record: Record) -> None:
         """Keep a record."""
-        self.theatre.saw(record)
+        self.fleet.saw(record)
 
     def host(self, name: str, zone: str) -> listeners.Host:
         """One listener for each zone, as on the machine; delays are the network's."""
-        ip = self.theatre.ips[name]
+        ip = self.fleet.ips[name]
         return listeners.Host(ip, dict.fromkeys(self.setup.scenario.fleet.zones, 0.0))
 
     @cached_property
@@ -207,49 +207,49 @@
         return {name: zone_of_router(scenario, name) for name in router_names(scenario.fleet)}
 
 
-class _Nodes(_Seen, NodesPart):
+class _Nodes(_SimulatedPart, NodesPart):
     pass
 
 
-class _Clients(_Seen, ClientsPart):
+class _Clients(_SimulatedPart, ClientsPart):
     async def start(self) -> None:
         """The day is drawn already."""
-        self.take_up(self.theatre.day)
+        self.take_up(self.fleet.day)
 
 
 class _Discovery(DiscoveryServer):
     """Tells of what a router was told once the bytes are there."""
 
-    theatre: SimulatedFleet
+    fleet: SimulatedFleet
 
     def told(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
         """Remember what was written once it comes: a cut line holds it back."""
-        written, comes = self.theatre.list_comes.get(connection.router, (0.0, 0.0))
+        written, comes = self.fleet.list_arrivals.get(connection.router, (0.0, 0.0))
         if written == self._clock():
-            self.loop.call_later(comes - written, self._come, connection, whole, entries)
+            self.loop.call_later(comes - written, self._record_arrival, connection, whole, entries)
         else:
             self.loop.call_soon(super().told, connection, whole, entries)
 
-    def _come(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
+    def _record_arrival(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
         # What comes on a connection that its router has closed meanwhile tells nobody anything.
-        if not cast(TcpEnd, connection.transport).peer.shut:
+        if not cast(TcpTransport, connection.transport).peer.socket_closed:
             super().told(connection, whole, entries)
 
 
-class _Hub(_Seen, HubPart):
+class _Hub(_SimulatedPart, HubPart):
     def make_discovery(self, model: DiscoveryModel, routers: list[str], call_s: float) -> DiscoveryServer:
         """On a host of its own."""
-        ip = self.theatre.ips[DISCOVERY]
+        ip = self.fleet.ips[DISCOVERY]
         made = _Discovery(model, routers, self._where, self, self.clock, ip, call_s)
-        made.theatre = self.theatre
+        made.fleet = self.fleet
         return made
 
 
 class SimulatedRouter:
     """One router and its lives, as the time line sees it."""
 
-    def __init__(self, theatre: SimulatedFleet, name: str, host: Host, main: RouterMain) -> None:
-        self.theatre, self.name, self.host = theatre, name, host
+    def __init__(self, fleet: SimulatedFleet, name: str, host: Host, main: RouterMain) -> None:
+        self.fleet, self.name, self.host = fleet, name, host
         self.address: Address = (host.ips[0], LISTEN_PORT)
         self.ops: Address = (host.ips[0], OPS_PORT)
         self.starts = 0
@@ -260,7 +260,7 @@
         self._files: dict[str, bytes] = {}
         self._main = main
         self._ended: asyncio.Event | None = None
-        self._random = random.Random(f"{theatre.day.seed}/{name}")
+        self._random = random.Random(f"{fleet.day.seed}/{name}")
 
     def configure(self, told: dict[str, Any]) -> None:
         """Write its configuration."""
@@ -278,15 +278,15 @@
         if self.process is not None and self.process.alive and self.process.kill_after is not None:
             self.process.kill()
         if self.host.silent:
-            self.theatre.network.boot(self.host)
+            self.fleet.network.boot(self.host)
         self.starts += 1
-        theatre, scenario = self.theatre, self.theatre.day.scenario
+        fleet, scenario = self.fleet, self.fleet.day.scenario
         drift = round(
-            between(unit(theatre.day.seed, "drift", self.name, self.starts), (-1.0, 1.0))
+            between(unit(fleet.day.seed, "drift", self.name, self.starts), (-1.0, 1.0))
             * scenario.simulation.drift_ppm
         )
         process = Process(
-            theatre.world, theatre.network, self.host, self.name, drift, False, scenario.router.sockets
+            fleet.world, fleet.network, self.host, self.name, drift, False, scenario.router.sockets
         )
         process.on_signal(signal.SIGHUP, lambda: None)  # as `main` has it until the loop takes it over
         process.on_exit = self._exited
@@ -297,25 +297,25 @@
             "LB_DISCOVERY": format_address(discovery),
             "LB_CONFIG": f"/{self.name}.json",
         }
-        self.lives.append(ProcessLifetime(self.name, theatre.clock()))
+        self.lives.append(ProcessLifetime(self.name, fleet.clock()))
         process.start(self._main(self, process, environ))
-        theatre.watch.began(self.name, process)
+        fleet.invariants.process_started(self.name, process)
 
     def _exited(self, process: Process) -> None:
         life = self.lives[-1]
-        now = self.theatre.clock()
+        now = self.fleet.clock()
         if life.wanted == "KILL":
             life = replace(life, told_to_end=now)  # when it really died
-        self.lives[-1] = replace(life, exited=now, code=process.code)
-        self.theatre.watch.ended(self.name, process, life.wanted)
+        self.lives[-1] = replace(life, exited=now, code=process.exit_code)
+        self.fleet.invariants.process_ended(self.name, process, life.wanted)
         if self._ended is not None:
-            self.theatre.world.soon(self.theatre.stage, self._ended.set)
+            self.fleet.world.soon(self.fleet.stage, self._ended.set)
 
     async def ready(self) -> bool:
         """Wait until it answers PING with PONG; False: it ended, or did not in time."""
-        if not await until_ready(self.address, lambda: self.running, self.theatre.clock):
+        if not await until_ready(self.address, lambda: self.running, self.fleet.clock):
             return False
-        self.lives[-1] = replace(self.lives[-1], ready=self.theatre.clock())
+        self.lives[-1] = replace(self.lives[-1], ready=self.fleet.clock())
         return True
 
     @property
@@ -330,19 +330,19 @@
         assert self.process is not None
         life = self.lives[-1]
         if number is signal.SIGKILL:
-            self.lives[-1] = replace(life, told_to_end=self.theatre.clock(), wanted=life.wanted or "KILL")
-            self.process.kill(after=self._random.randint(1, KILL_WITHIN))
+            self.lives[-1] = replace(life, told_to_end=self.fleet.clock(), wanted=life.wanted or "KILL")
+            self.process.kill(after=self._random.randint(1, MAX_CALLBACKS_TO_KILL))
             return
         if number is signal.SIGTERM:
-            self.lives[-1] = replace(life, told_to_end=self.theatre.clock(), wanted="TERM")
-        self.process.tell(number)
+            self.lives[-1] = replace(life, told_to_end=self.fleet.clock(), wanted="TERM")
+        self.process.send_signal(number)
 
     def lose(self) -> None:
         """Its machine is gone without a word, with its disk."""
-        self.theatre.network.vanish(self.host)
+        self.fleet.network.power_off(self.host)
         self.host.disk = Disk()
         self._files.clear()
-        self.lives[-1] = replace(self.lives[-1], told_to_end=self.theatre.clock(), wanted="KILL")
+        self.lives[-1] = replace(self.lives[-1], told_to_end=self.fleet.clock(), wanted="KILL")
         assert self.process is not None
         self.process.kill()
 
@@ -361,9 +361,9 @@
         return self.process.faults[-1] if self.process is not None and self.process.faults else ""
 
 
-async def real_router(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
+async def single_process_router(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
     """The router as `python -m holdgw.router` runs it, on the process's own clocks, files and loop."""
-    platform = Platform(process.monotonic_ns, process.unix_ns, environ, router.read, peer_closed=has_left)
+    platform = Platform(process.monotonic_ns, process.unix_ns, environ, router.read, peer_closed=peer_closed)
     try:
         config = load_config(environ, read=router.read)
     except ConfigError as error:
@@ -386,27 +386,31 @@
     routers: dict[str, SimulatedRouter]
     hub: SimulatedPart
 
-    def __init__(self, day: Schedule, trace: Trace | None = None, main: RouterMain = real_router) -> None:
+    def __init__(
+        self, day: Schedule, trace: Trace | None = None, main: RouterMain = single_process_router
+    ) -> None:
         self.world = World(day.seed, trace)
         super().__init__(day, self._seconds)
-        self.network = Network(self.world, self._line)
-        self.network.on_cut = self.sever
-        self.network.on_held = self._held_back
-        self.network.on_wrote_behind_end = self._wrote_behind_end
+        self.network = Network(self.world, self._link_delay)
+        self.network.on_cut = self.mark_severed
+        self.network.on_segment_delayed = self._record_delayed_segment
+        self.network.on_write_after_eof = self._report_write_after_eof
         self.history = History()
-        self.watch = Watch(self.world, self)
+        self.invariants = InvariantChecker(self.world, self)
         self.ips: dict[str, str] = {}
         self.hosts: dict[str, Host] = {}
         self.failure = ""
-        self._names: dict[Host, list[str]] = {}  # of nodes that came to the same address one after the other
-        self._weathers: dict[int, dict[str, Any]] = {}
+        self._nodes_by_host: dict[
+            Host, list[str]
+        ] = {}  # of nodes that came to the same address one after the other
+        self._active_conditions: dict[int, dict[str, Any]] = {}
         self._cuts: dict[int, Cut] = {}
-        self.list_comes: dict[str, tuple[float, float]] = {}
+        self.list_arrivals: dict[str, tuple[float, float]] = {}
         """When discovery last wrote to a router what a cut line held back, and when that comes there."""
         scenario = day.scenario
-        self._host("stage", "", "10.0.0.1").sheltered = True
-        self._host(CLIENTS, "", "10.0.0.2").steady = True
-        self._host(DISCOVERY, scenario.fleet.zones[0], "10.0.0.3").sheltered = True
+        self._host("stage", "", "10.0.0.1").fault_free = True
+        self._host(CLIENTS, "", "10.0.0.2").lossless = True
+        self._host(DISCOVERY, scenario.fleet.zones[0], "10.0.0.3").fault_free = True
         self._host(ORIGIN, zone_of_server(scenario, ORIGIN), "10.0.0.4")
         self.stage = Process(self.world, self.network, self.hosts["stage"], "stage")
         self.routers = {}
@@ -434,7 +438,7 @@
         self.hosts[name] = self.network.host(name, zone, ip)
         return self.hosts[name]
 
-    def _line(self, a: Host, b: Host) -> tuple[int, int]:
+    def _link_delay(self, a: Host, b: Host) -> tuple[int, int]:
         """The least delay and the jitter between two hosts: as the scenario has it, the same both ways."""
         fleet = self.day.scenario.fleet
         if "" in (a.zone, b.zone) or (
@@ -453,41 +457,43 @@
         """Keep what was seen."""
         self.history.add(record)
         if isinstance(record, Fallen):
-            self.world.soon(self.stage, self.spawn, (self._fell(record.server),))
+            self.world.soon(self.stage, self.spawn, (self._remove_crashed_server(record.server),))
 
-    async def _fell(self, server: str) -> None:
-        await asyncio.sleep(FALLEN_S)
+    async def _remove_crashed_server(self, server: str) -> None:
+        await asyncio.sleep(CRASH_NOTICE_S)
         await self.list_state("removed", server)
 
     def tell_nodes(self, message: Stored | Voided) -> None:
         """The package store's news goes to all nodes."""
-        self.world.at(self.world.now + NEWS_NS, None, self._nodes_hear, (message,))
+        self.world.at(self.world.now + STORE_NEWS_DELAY_NS, None, self._deliver_to_nodes, (message,))
 
-    def _nodes_hear(self, message: Stored | Voided) -> None:
+    def _deliver_to_nodes(self, message: Stored | Voided) -> None:
         for part in self._all_nodes:
             part.received(message)
 
-    def sever(self, connection: Connection) -> None:
+    def mark_severed(self, connection: Connection) -> None:
         """What the client has open there is not held against the router."""
         protocol = connection.client.get_protocol()
         if isinstance(protocol, ClientConnection) and protocol.attempt is not None:
             self.history.severed.add(protocol.attempt.id)
 
-    def _wrote_behind_end(self, end: TcpEnd) -> None:
+    def _report_write_after_eof(self, end: TcpTransport) -> None:
         if end.host.name in self.routers:
-            self.watch.broke("half_closed", f"{end.host.name} wrote on a connection that its peer has ended")
+            self.invariants.report_violation(
+                "half_closed", f"{end.host.name} wrote on a connection that its peer has ended"
+            )
 
-    def _held_back(self, a: Host, b: Host, sent: int, comes: int) -> None:
+    def _record_delayed_segment(self, a: Host, b: Host, sent: int, comes: int) -> None:
         if a.name == DISCOVERY:
-            self.list_comes[b.name] = self.clock(), comes / NS_PER_S
-        for name in self._names.get(b, (b.name,)):
+            self.list_arrivals[b.name] = self.clock(), comes / NS_PER_S
+        for name in self._nodes_by_host.get(b, (b.name,)):
             self.history.held[name, comes / NS_PER_S] = sent / NS_PER_S
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Do something beside all else; a fault in it ends the day."""
-        self.stage.loop.create_task(work).add_done_callback(self._work_over)
+        self.stage.loop.create_task(work).add_done_callback(self._check_result)
 
-    def _work_over(self, task: asyncio.Task[None]) -> None:
+    def _check_result(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (error := task.exception()) is not None:
             self.fail(f"{type(error).__name__}: {error}")
 
@@ -506,26 +512,26 @@
         collecting = gc.isenabled()
         gc.disable()
         try:
-            with DeterminismGuard(self.world), Logs(self.world):
+            with DeterminismGuard(self.world), TraceLogHandler(self.world):
                 self.world.run(until)
-        except (SpinError, LeakError) as error:
+        except (SpinError, NondeterminismError) as error:
             self.failure = str(error)
         finally:
             if collecting:
                 gc.enable()
         for text in self.stage.faults:
             self.failure = self.failure or text
-        outcome = self._judged((self.world.now - before) / NS_PER_S)
+        outcome = self._judge((self.world.now - before) / NS_PER_S)
         self.world.end()
         return outcome
 
-    def _judged(self, seconds: float) -> Outcome:
+    def _judge(self, seconds: float) -> Outcome:
         scenario, history = self.day.scenario, self.history
         for name, router in self.routers.items():
             history.lives += router.lives
-            self.watch.tell_faults(name)
+            self.invariants.report_process_faults(name)
         broken = [] if self.failure else judge_run(self.day, history)
-        broken = sorted([*broken, *self.watch.broken], key=lambda one: one.at)
+        broken = sorted([*broken, *self.invariants.broken], key=lambda one: one.at)
         played = RunResult(self.day, history, self.begun, scenario.length_s)
         return Outcome(
             self.day.seed,
@@ -542,14 +548,14 @@
         )
 
     def _part(
-        self, name: str, host: Host, kind: type[_Seen], index: int = 0, count: int = 1
+        self, name: str, host: Host, kind: type[_SimulatedPart], index: int = 0, count: int = 1
     ) -> SimulatedPart:
         process = Process(self.world, self.network, host, name)
         setup = Setup("", index, count, name, self.day.scenario, self.day.seed, host.ips[0])
 
         def make() -> Part:
-            part = kind(_Outlet(self), setup, self._seconds, lambda: process.unix_ns() / NS_PER_S)
-            part.theatre = self
+            part = kind(_PartChannel(self), setup, self._seconds, lambda: process.unix_ns() / NS_PER_S)
+            part.fleet = self
             if isinstance(part, _Nodes):
                 self._all_nodes.append(part)
             return part
@@ -567,24 +573,24 @@
             return 1
         self.open_front()
         self.begin()
-        self.watch.begin()
+        self.invariants.record_baselines()
         await self.until_over()
-        await self._grow_quiet()
+        await self._quiesce()
         await self.until_ended()
         for worker in (*self.client_workers, *self.node_workers, self.hub):
             worker.send(Finish())
         await asyncio.sleep(0.01)
         return 0
 
-    async def _grow_quiet(self) -> None:
+    async def _quiesce(self) -> None:
         """End what is still wrong, have the clients leave, and look at what routers still hold."""
         self.network.cuts.clear()
-        self.network.weather = Weather()
+        self.network.conditions = LinkConditions()
         self.end_troubles()
         for worker in self.client_workers:
             worker.send(Finish())
         await asyncio.sleep(self.longest + self.day.scenario.simulation.quiet_s)
-        self.watch.quiet()
+        self.invariants.check_quiet()
 
     async def _start_parts(self, scenario: Scenario) -> None:
         names = node_names(scenario.fleet)
@@ -598,7 +604,7 @@
             for name, places in addresses.items():
                 self.add_place(name, places)
         hub = self._part("hub", self.hosts[ORIGIN], _Hub)
-        hub.process.homes.append(self.hosts[DISCOVERY])
+        hub.process.listen_hosts.append(self.hosts[DISCOVERY])
         self.hub = hub
         for name, (ip, port) in (await hub.start()).items():
             self.discovery[name] = (ip, port)
@@ -612,7 +618,7 @@
         if instead:
             host = self.hosts[instead]
             self.ips[name], self.hosts[name] = self.ips[instead], host
-            self._names.setdefault(host, [host.name]).append(name)
+            self._nodes_by_host.setdefault(host, [host.name]).append(name)
             return self.home[instead]
         scenario = self.day.scenario
         number = int(name[4:])
@@ -650,47 +656,49 @@
             for name in args["routers"]:
                 self.history.add(Deaf(name, now, now + args["seconds"]))
         elif verb == "vanish":
-            network.vanish(self.hosts[args["node"]])
+            network.power_off(self.hosts[args["node"]])
             await self.home[args["node"]].ask("kill", args["node"])
         elif verb == "noticed":
             await self.list_state("removed", args["node"])
         elif verb == "return":
             host = self.hosts[args["node"]]
             network.boot(host)
-            if self._names.get(host, [args["node"]])[-1] != args["node"]:
+            if self._nodes_by_host.get(host, [args["node"]])[-1] != args["node"]:
                 return  # another node has its address by now
             await self.home[args["node"]].ask("start", args["node"])
             await self.list_state("up", args["node"])
         elif verb == "cut":
-            self._cuts[args["name"]] = Cut(args["share"], tuple(args["phases"]), self._hits(args["lines"]))
+            self._cuts[args["name"]] = Cut(
+                args["share"], tuple(args["phases"]), self._link_matcher(args["lines"])
+            )
             network.cuts = list(self._cuts.values())
         elif verb == "uncut":
             self._cuts.pop(args["name"], None)
             network.cuts = list(self._cuts.values())
         elif verb == "weather":
-            self._weather(args)
+            self._set_conditions(args)
         elif verb == "clock":
             process = self.routers[args["router"]].process
             if process is not None:
-                process.jump(int(args["by_s"] * NS_PER_S))
+                process.step_wall_clock(int(args["by_s"] * NS_PER_S))
 
-    def _weather(self, args: dict[str, Any]) -> None:
+    def _set_conditions(self, args: dict[str, Any]) -> None:
         """The worst of all that is on now."""
         if len(args) > 1:
-            self._weathers[args["name"]] = args
+            self._active_conditions[args["name"]] = args
         else:
-            self._weathers.pop(args["name"], None)
-        weather = Weather()
-        for one in self._weathers.values():
-            weather.loss = max(weather.loss, one["loss"])
-            weather.chop = max(weather.chop, one["chop"])
-            weather.slow_ns = max(weather.slow_ns, int(one["slow_ms"] * NS_PER_MS))
+            self._active_conditions.pop(args["name"], None)
+        conditions = LinkConditions()
+        for one in self._active_conditions.values():
+            conditions.loss = max(conditions.loss, one["loss"])
+            conditions.chop = max(conditions.chop, one["chop"])
+            conditions.extra_delay_ns = max(conditions.extra_delay_ns, int(one["slow_ms"] * NS_PER_MS))
             if one["window_kb"]:
-                weather.window = min(weather.window, one["window_kb"] << 10)
-        self.network.weather = weather
+                conditions.window = min(conditions.window, one["window_kb"] << 10)
+        self.network.conditions = conditions
 
-    def _hits(self, lines: str) -> Callable[[Host, Host], bool]:
-        def hits(a: Host, b: Host) -> bool:
+    def _link_matcher(self, lines: str) -> Callable[[Host, Host], bool]:
+        def matches(a: Host, b: Host) -> bool:
             names = (a.name, b.name)
             if CLIENTS in names:
                 return lines in ("clients", "all")
@@ -698,11 +706,11 @@
                 return lines in ("store", "servers", "all")
             return lines in ("nodes", "servers", "all")
 
-        return hits
+        return matches
 
 
 def simulate(
-    scenario: Scenario, seed: int, trace: Trace | None = None, main: RouterMain = real_router
+    scenario: Scenario, seed: int, trace: Trace | None = None, main: RouterMain = single_process_router
 ) -> Outcome:
     """Play one seed of a scenario whose troubles are all drawn."""
     return SimulatedFleet(draw_schedule(scenario, seed), trace, main).play()
--- a/holdgw/simulation/loop.py
+++ b/holdgw/simulation/loop.py
@@ -24,8 +24,8 @@
 class ProcessLoop(asyncio.AbstractEventLoop):
     """The loop of one simulated process."""
 
-    def __init__(self, process: Process, fine: bool = False) -> None:
-        self.process, self._fine = process, fine
+    def __init__(self, process: Process, fine_timers: bool = False) -> None:
+        self.process, self._fine_timers = process, fine_timers
         self._world = process.world
         self._handler: Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None = None
         self.tasks: dict[asyncio.Task[Any], None] = {}
@@ -34,7 +34,7 @@
 
     def time(self) -> float:
         """Seconds of the process's monotonic clock, cut to milliseconds as libuv's cached time is."""
-        if self._fine:
+        if self._fine_timers:
             return self.process.monotonic_ns() / NS_PER_S
         return self.process.monotonic_ns() // NS_PER_MS / 1000
 
@@ -55,7 +55,7 @@
     ) -> Handle:
         """Call after `delay` seconds, rounded to milliseconds where timers are not fine."""
         process = self.process
-        if self._fine:
+        if self._fine_timers:
             if delay <= 0:
                 return self.call_soon(callback, *args, context=context)
             local = process.monotonic_ns() + math.ceil(delay * NS_PER_S)
@@ -107,10 +107,10 @@
         # A task that nothing references is collected at a time that no seed decides, and a task of a dead
         # process would then run its `finally` blocks. Kept here, it lives as long as its process.
         self.tasks[task] = None
-        task.add_done_callback(self._task_over)
+        task.add_done_callback(self._forget_task)
         return task
 
-    def _task_over(self, task: asyncio.Task[Any]) -> None:
+    def _forget_task(self, task: asyncio.Task[Any]) -> None:
         self.tasks.pop(task, None)
 
     # Faults
@@ -127,13 +127,13 @@
 
     def default_exception_handler(self, context: dict[str, Any]) -> None:
         """Tell of it in the trace."""
-        self._world.trace.add(self._world.now, self.process.name, "fault", _text(context))
+        self._world.trace.add(self._world.now, self.process.name, "fault", _describe_fault(context))
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
         """Keep a fault with the process, and tell of it."""
-        if not self.process.alive or self._world.over:
+        if not self.process.alive or self._world.ended:
             return
-        self.process.faults.append(_text(context))
+        self.process.faults.append(_describe_fault(context))
         if self._handler is None:
             self.default_exception_handler(context)
         else:
@@ -160,10 +160,10 @@
         port: int,
         *,
         local_addr: tuple[str, int] | None = None,
-        **others: Any,
+        **options: Any,
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
         """Connect to a literal address."""
-        _none_of(others)
+        _reject_options(options)
         return await self.process.network.connect(self.process, protocol_factory, (host, port), local_addr)
 
     async def create_server(  # type: ignore[override]
@@ -175,10 +175,10 @@
         backlog: int = 100,
         start_serving: bool = True,
         reuse_address: bool | None = None,
-        **others: Any,
+        **options: Any,
     ) -> asyncio.AbstractServer:
         """Listen at a literal address of the process's host; port 0 takes a free one."""
-        _none_of(others)
+        _reject_options(options)
         server = self.process.network.listen(self.process, protocol_factory, (host, port), backlog)
         if start_serving:
             await server.start_serving()
@@ -189,10 +189,10 @@
         protocol_factory: Callable[[], asyncio.DatagramProtocol],
         local_addr: tuple[str, int] | None = None,
         remote_addr: tuple[str, int] | None = None,
-        **others: Any,
+        **options: Any,
     ) -> tuple[asyncio.DatagramTransport, asyncio.DatagramProtocol]:
         """A datagram socket, bound or connected or both."""
-        _none_of(others)
+        _reject_options(options)
         return await self.process.network.open_datagram_socket(
             self.process, protocol_factory, local_addr, remote_addr
         )
@@ -209,12 +209,12 @@
         """Nothing is kept of them."""
 
 
-def _text(context: dict[str, Any]) -> str:
+def _describe_fault(context: dict[str, Any]) -> str:
     error = context.get("exception")
     return f"{context.get('message')}: {type(error).__name__}: {error}"
 
 
-def _none_of(others: dict[str, Any]) -> None:
-    odd = [name for name, value in others.items() if value]
-    if odd:
-        raise NotImplementedError(f"the simulation has no {', '.join(odd)}")
+def _reject_options(options: dict[str, Any]) -> None:
+    unsupported = [name for name, value in options.items() if value]
+    if unsupported:
+        raise NotImplementedError(f"the simulation has no {', '.join(unsupported)}")
--- a/holdgw/simulation/membership_tier.py
+++ b/holdgw/simulation/membership_tier.py
@@ -86,9 +86,9 @@
         self.at(self.now + TICK_NS, lambda: self._tick(number, member))
         if number not in self.stopped:
             self._send(number, member.tick(self.now))
-            self._look(number, member)
+            self._report_changes(number, member)
 
-    def _look(self, number: int, member: Membership) -> None:
+    def _report_changes(self, number: int, member: Membership) -> None:
         for change in member.changes():
             self.on_change(number, change.number, change.after)
 
@@ -116,7 +116,7 @@
         except datagram.DecodeError:
             return
         self._send(number, member.receive(message, self.now))
-        self._look(number, member)
+        self._report_changes(number, member)
 
     def run(self, seconds: float) -> None:
         """Go on for so long."""
--- a/holdgw/simulation/process.py
+++ b/holdgw/simulation/process.py
@@ -16,12 +16,12 @@
 
 UNIX_START_NS = 1_700_000_000 * NS_PER_S
 PPM = 1_000_000
-BOOT_NS = 3_600 * NS_PER_S  # clocks of processes begin anywhere within it
+MAX_UPTIME_NS = 3_600 * NS_PER_S  # clocks of processes begin anywhere within it
 OWN_DESCRIPTORS = 3
 
 
 @dataclass(slots=True)
-class Left:
+class Leftovers:
     """What a process still had when it ended."""
 
     tasks: list[asyncio.Task[Any]]
@@ -41,70 +41,70 @@
         host: Host,
         name: str,
         drift_ppm: int = 0,
-        fine: bool = True,
-        descriptors: int = 1 << 30,
+        fine_timers: bool = True,
+        max_descriptors: int = 1 << 30,
     ) -> None:
         self.world, self.network, self.host, self.name = world, network, host, name
-        self.homes = [host]
+        self.listen_hosts = [host]
         """Hosts on whose addresses it may listen: its own, and those it plays in one process."""
         self.alive, self.stopped = True, False
-        self.code: int | None = None
+        self.exit_code: int | None = None
         self.on_exit: Callable[[Process], None] = lambda _: None
         self.kill_after: int | None = None  # so many of its callbacks are still run
-        self.descriptors = descriptors
-        self.open: dict[Any, None] = {}  # transports and listeners that hold a descriptor
-        self.most_open = 0
+        self.max_descriptors = max_descriptors
+        self.open_descriptors: dict[Any, None] = {}  # transports and listeners that hold a descriptor
+        self.peak_descriptors = 0
         self.main: asyncio.Task[int] | None = None
-        self.left: Left | None = None
+        self.leftovers: Leftovers | None = None
         self.faults: list[str] = []
         """Faults in callbacks that nobody in the process took care of."""
         self._drift = drift_ppm
-        self._began = world.now
-        self._base = world.random.randrange(BOOT_NS)
-        self._jump = 0
-        self._missed: list[Handle] = []
+        self._started_at = world.now
+        self._initial_local_time = world.random.randrange(MAX_UPTIME_NS)
+        self._wall_clock_offset = 0
+        self._deferred: list[Handle] = []
         self._handlers: dict[int, Callable[[], object]] = {}
         # Whatever else the abstract loop names raises NotImplementedError, as it should here.
-        self.loop = ProcessLoop(self, fine)  # type: ignore[abstract]
+        self.loop = ProcessLoop(self, fine_timers)  # type: ignore[abstract]
         world.processes.append(self)
 
     # Clocks
 
-    def local(self, at: int) -> int:
+    def local_time(self, at: int) -> int:
         """The process's monotonic clock, nanoseconds, at a time of the world."""
-        passed = at - self._began
-        return self._base + passed + passed * self._drift // PPM
+        passed = at - self._started_at
+        return self._initial_local_time + passed + passed * self._drift // PPM
 
     def world_time(self, local: int) -> int:
         """The first time of the world at which the process's monotonic clock shows `local`."""
-        passed = local - self._base
+        passed = local - self._initial_local_time
         if not self._drift:
-            return self._began + passed
-        at = self._began + passed * PPM // (PPM + self._drift)
-        while self.local(at) < local:
+            return self._started_at + passed
+        at = self._started_at + passed * PPM // (PPM + self._drift)
+        while self.local_time(at) < local:
             at += 1
         return at
 
     def monotonic_ns(self) -> int:
         """The process's monotonic clock."""
-        return self.local(self.world.now)
+        return self.local_time(self.world.now)
 
     def unix_ns(self) -> int:
         """The process's wall clock: it may be set."""
-        return UNIX_START_NS + self.world.now + self._jump
+        return UNIX_START_NS + self.world.now + self._wall_clock_offset
 
-    def jump(self, nanoseconds: int) -> None:
+    def step_wall_clock(self, nanoseconds: int) -> None:
         """The wall clock is set so much forward or back."""
-        self._jump += nanoseconds
+        self._wall_clock_offset += nanoseconds
         self.world.trace.add(self.world.now, self.name, "clock", str(nanoseconds))
 
     def share_clock(self, other: Process) -> None:
         """Have another's clocks: a machine has one of each."""
-        self._drift, self._began, self._base, self._jump = (
+        self._drift, self._started_at, self._initial_local_time, self._wall_clock_offset = (
             other._drift,
-            other._began,
-            other._base,
-            other._jump,
+            other._started_at,
+            other._initial_local_time,
+            other._wall_clock_offset,
         )
 
     # Life
@@ -129,26 +129,26 @@
         else:
             self._end(main.result())
 
-    def missed(self, handle: Handle) -> None:
+    def defer(self, handle: Handle) -> None:
         """A call that came while it was stopped is made when it goes on; the dead get none."""
         if self.alive:
-            self._missed.append(handle)
+            self._deferred.append(handle)
 
     def stop(self) -> None:
         """Stand still, as by SIGSTOP: the kernel goes on for it."""
         self.stopped = True
         self.world.trace.add(self.world.now, self.name, "stop")
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Run again."""
         if not self.stopped:
             return
         self.stopped = False
         self.world.trace.add(self.world.now, self.name, "continue")
-        missed, self._missed = self._missed, []
-        for handle in missed:
+        deferred, self._deferred = self._deferred, []
+        for handle in deferred:
             if not handle.cancelled():
-                self.world.put(handle)
+                self.world.requeue(handle)
 
     def kill(self, after: int = 0) -> None:
         """Die, as by SIGKILL; with `after`, so many callbacks on, at whatever await it has come to."""
@@ -157,7 +157,7 @@
         else:
             self._end(-signal.SIGKILL)
 
-    def one_step_nearer_to_its_death(self) -> None:
+    def count_down_to_kill(self) -> None:
         """One more callback was run."""
         assert self.kill_after is not None
         self.kill_after -= 1
@@ -167,18 +167,18 @@
     def _end(self, code: int) -> None:
         if not self.alive:
             return
-        self.alive, self.code = False, code
+        self.alive, self.exit_code = False, code
         self.kill_after = None
-        self._missed.clear()
-        self.left = Left(
+        self._deferred.clear()
+        self.leftovers = Leftovers(
             [task for task in self.loop.tasks if not task.done()],
-            list(self.open),
+            list(self.open_descriptors),
             self.world.pending(self),
         )
         self.world.trace.add(self.world.now, self.name, "exit", str(code))
-        for held in list(self.open):
+        for held in list(self.open_descriptors):
             held.process_died()
-        self.open.clear()
+        self.open_descriptors.clear()
         self.on_exit(self)
 
     # Signals
@@ -191,7 +191,7 @@
         """It does so no longer; returns whether it had."""
         return self._handlers.pop(number, None) is not None
 
-    def tell(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send it a signal."""
         if not self.alive:
             return
@@ -201,21 +201,21 @@
         elif number is signal.SIGSTOP:
             self.stop()
         elif number is signal.SIGCONT:
-            self.go_on()
+            self.resume()
         elif number in self._handlers:
             self.world.soon(self, self._handlers[number])
         else:
             self._end(-number)
 
-    # Descriptors
+    # DescriptorTable
 
     def take_descriptor(self, holder: Any) -> None:
         """Hold one more descriptor; raises OSError where it may not."""
-        if len(self.open) + OWN_DESCRIPTORS >= self.descriptors:
+        if len(self.open_descriptors) + OWN_DESCRIPTORS >= self.max_descriptors:
             raise OSError(24, "Too many open files")
-        self.open[holder] = None
-        self.most_open = max(self.most_open, len(self.open))
+        self.open_descriptors[holder] = None
+        self.peak_descriptors = max(self.peak_descriptors, len(self.open_descriptors))
 
     def free_descriptor(self, holder: Any) -> None:
         """One descriptor less."""
-        self.open.pop(holder, None)
+        self.open_descriptors.pop(holder, None)
--- a/holdgw/simulation/random_faults.py
+++ b/holdgw/simulation/random_faults.py
@@ -11,19 +11,19 @@
 from holdgw.harness.fault_types import KINDS, PHASES, Trouble, kind_of
 from holdgw.harness.scenario import Scenario, Storm, node_names
 
-FIRST, LAST = 0.05, 0.8  # of the day, between which a storm's troubles begin
-MOST_NODES_SHARE = 0.25
+FIRST_START, LAST_START = 0.05, 0.8  # of the day, between which a storm's troubles begin
+MAX_NODES_SHARE = 0.25
 
 Draw = Callable[[random.Random, Scenario], dict[str, Any]]
 
 
-def _some(rng: random.Random, scenario: Scenario) -> tuple[str, ...]:
+def _random_nodes(rng: random.Random, scenario: Scenario) -> tuple[str, ...]:
     names = node_names(scenario.fleet)
-    most = max(1, int(len(names) * MOST_NODES_SHARE))
+    most = max(1, int(len(names) * MAX_NODES_SHARE))
     return tuple(sorted(rng.sample(names, rng.randint(1, most))))
 
 
-def _routers(rng: random.Random, scenario: Scenario) -> int:
+def _router_count(rng: random.Random, scenario: Scenario) -> int:
     return rng.randint(1, max(1, scenario.fleet.routers // 2))
 
 
@@ -31,23 +31,23 @@
     return round(rng.uniform(low, high), 3)
 
 
-def _spoilt(rng: random.Random, scenario: Scenario) -> dict[str, Any]:
+def _reply_fault(rng: random.Random, scenario: Scenario) -> dict[str, Any]:
     return {
         "seconds": _seconds(rng, 0.5, 6),
         "share": round(rng.uniform(0.01, 0.2), 3),
-        "nodes": rng.choice(("all", _some(rng, scenario))),
+        "nodes": rng.choice(("all", _random_nodes(rng, scenario))),
         "store": rng.random() < 0.5,
     }
 
 
 DRAWS: dict[str, Draw] = {
-    "pause": lambda r, s: {"seconds": _seconds(r, 0.3, 4), "nodes": _some(r, s)},
-    "kill": lambda r, s: {"nodes": _some(r, s)},
-    "restart": lambda r, s: {"nodes": _some(r, s), "down_s": _seconds(r, 0.1, 3)},
+    "pause": lambda r, s: {"seconds": _seconds(r, 0.3, 4), "nodes": _random_nodes(r, s)},
+    "kill": lambda r, s: {"nodes": _random_nodes(r, s)},
+    "restart": lambda r, s: {"nodes": _random_nodes(r, s), "down_s": _seconds(r, 0.1, 3)},
     "replace": lambda r, s: {
-        "nodes": _some(r, s), "down_s": _seconds(r, 0.1, 2), "same_address": r.random() < 0.5
+        "nodes": _random_nodes(r, s), "down_s": _seconds(r, 0.1, 2), "same_address": r.random() < 0.5
     },
-    "drain": lambda r, s: {"nodes": _some(r, s), "seconds": _seconds(r, 1, 6)},
+    "drain": lambda r, s: {"nodes": _random_nodes(r, s), "seconds": _seconds(r, 1, 6)},
     "cold_start": lambda r, s: {"nodes": r.randint(1, 3)},
     "flush": lambda r, s: {"share": round(r.uniform(0.2, 1), 2)},
     "scan": lambda r, s: {"seconds": _seconds(r, 1, 6), "share": round(r.uniform(0.05, 0.6), 2)},
@@ -59,25 +59,25 @@
     },
     "origin_slow": lambda r, s: {"seconds": _seconds(r, 0.5, 6), "factor": round(r.uniform(1.5, 6), 2)},
     "origin_down": lambda r, s: {"seconds": _seconds(r, 0.2, 3)},
-    "reset": _spoilt,
-    "garble": _spoilt,
-    "silence": _spoilt,
+    "reset": _reply_fault,
+    "garble": _reply_fault,
+    "silence": _reply_fault,
     "discovery_late": lambda r, s: {"seconds": _seconds(r, 1, 6), "extra_s": _seconds(r, 0.5, 3)},
-    "discovery_stale": lambda r, s: {"seconds": _seconds(r, 0.5, 4), "routers": _routers(r, s)},
+    "discovery_stale": lambda r, s: {"seconds": _seconds(r, 0.5, 4), "routers": _router_count(r, s)},
     "discovery_down": lambda r, s: {"seconds": _seconds(r, 0.5, 4)},
-    "by_hand": lambda r, s: {"seconds": _seconds(r, 1, 5), "nodes": _some(r, s)},
+    "by_hand": lambda r, s: {"seconds": _seconds(r, 1, 5), "nodes": _random_nodes(r, s)},
     "router_restart": lambda r, s: {
-        "routers": _routers(r, s), "signal": r.choice(("TERM", "KILL")), "gap_s": _seconds(r, 0, 1)
+        "routers": _router_count(r, s), "signal": r.choice(("TERM", "KILL")), "gap_s": _seconds(r, 0, 1)
     },
-    "router_reload": lambda r, s: {"routers": _routers(r, s)},
+    "router_reload": lambda r, s: {"routers": _router_count(r, s)},
     "partition": lambda r, s: {
         "seconds": _seconds(r, 0.1, 3),
-        "nodes": _some(r, s),
-        "routers": r.choice((0, _routers(r, s))),
+        "nodes": _random_nodes(r, s),
+        "routers": r.choice((0, _router_count(r, s))),
         "way": r.choice(("both", "to", "from")),
         "store": r.random() < 0.4,
     },
-    "vanish": lambda r, s: {"seconds": _seconds(r, 3, 6), "nodes": _some(r, s)},
+    "vanish": lambda r, s: {"seconds": _seconds(r, 3, 6), "nodes": _random_nodes(r, s)},
     "cut": lambda r, s: {
         "seconds": _seconds(r, 0.5, 5),
         "share": round(r.uniform(0.005, 0.15), 3),
@@ -91,14 +91,14 @@
         "slow_ms": r.choice((0.0, round(r.uniform(1, 40), 1))),
         "window_kb": r.choice((0, 1, 8)),
     },
-    "router_stop": lambda r, s: {"seconds": _seconds(r, 0.01, 0.3), "routers": _routers(r, s)},
-    "clock_jump": lambda r, s: {"by_s": _seconds(r, -3600, 3600), "routers": _routers(r, s)},
-    "freeze": lambda r, s: {"seconds": _seconds(r, 0.3, 5), "routers": _routers(r, s)},
+    "router_stop": lambda r, s: {"seconds": _seconds(r, 0.01, 0.3), "routers": _router_count(r, s)},
+    "clock_jump": lambda r, s: {"by_s": _seconds(r, -3600, 3600), "routers": _router_count(r, s)},
+    "freeze": lambda r, s: {"seconds": _seconds(r, 0.3, 5), "routers": _router_count(r, s)},
     "slow": lambda r, s: {
-        "seconds": _seconds(r, 1, 5), "routers": _routers(r, s), "run_ms": r.randint(10, 60)
+        "seconds": _seconds(r, 1, 5), "routers": _router_count(r, s), "run_ms": r.randint(10, 60)
     },
     "machine_loss": lambda r, s: {
-        "routers": _routers(r, s), "down_s": r.choice((0.0, _seconds(r, 0.5, 5)))
+        "routers": _router_count(r, s), "down_s": r.choice((0.0, _seconds(r, 0.5, 5)))
     },
     "zone_loss": lambda r, s: {"seconds": _seconds(r, 2, 6), "zone": r.choice(s.fleet.zones)},
     "hot_key": lambda r, s: {
@@ -112,21 +112,23 @@
         "bytes_per_s": r.choice((0.0, 2000.0)),
     },
     "false_report": lambda r, s: {
-        "seconds": _seconds(r, 1, 8), "nodes": _some(r, s), "says": r.choice(("idle", "full", "still"))
+        "seconds": _seconds(r, 1, 8),
+        "nodes": _random_nodes(r, s),
+        "says": r.choice(("idle", "full", "still"))
     },
     "isolate": lambda r, s: {
         "kind": "partition",
         "seconds": _seconds(r, 0.5, 8),
-        "nodes": r.choice(((), _some(r, s))),
-        "routers": _routers(r, s),
+        "nodes": r.choice(((), _random_nodes(r, s))),
+        "routers": _router_count(r, s),
         "way": r.choice(("both", "to", "from")),
         "discovery": r.random() < 0.5,
-        "peers": r.choice((0, _routers(r, s))),
+        "peers": r.choice((0, _router_count(r, s))),
     },
 }  # fmt: skip
 
 
-ASKED_FOR = (
+OPT_IN_KINDS = (
     "by_hand", "freeze", "slow", "machine_loss", "zone_loss", "lossy_peers", "isolate", "hot_key",
     "false_report",
 )  # fmt: skip
@@ -136,7 +138,9 @@
 def draw_storm(scenario: Scenario, seed: int) -> Scenario:
     """The scenario with its seed, with the storm's troubles drawn and each told which draw is its own."""
     rng = random.Random(f"{seed}/storm")
-    kinds = scenario.storm.kinds or tuple(kind for kind in KINDS if kind in DRAWS and kind not in ASKED_FOR)
+    kinds = scenario.storm.kinds or tuple(
+        kind for kind in KINDS if kind in DRAWS and kind not in OPT_IN_KINDS
+    )
     fixed = [
         msgspec.structs.replace(trouble, draw=i if trouble.draw < 0 else trouble.draw)
         for i, trouble in enumerate(scenario.trouble)
@@ -144,7 +148,7 @@
     drawn = []
     for i in range(rng.randint(*scenario.storm.count)):
         kind = rng.choice(kinds)
-        at = round(scenario.length_s * rng.uniform(FIRST, LAST), 3)
+        at = round(scenario.length_s * rng.uniform(FIRST_START, LAST_START), 3)
         table = {"kind": kind, "at": at, "draw": 1000 + i, **DRAWS[kind](rng, scenario)}
         drawn.append(msgspec.convert(table, Trouble, strict=False))
     every = sorted([*fixed, *drawn], key=lambda trouble: trouble.at)
--- a/holdgw/simulation/shrink.py
+++ b/holdgw/simulation/shrink.py
@@ -15,7 +15,7 @@
 
 MARGIN_S = 0.5  # of the day, kept beyond what broke
 
-Try = Callable[[Scenario], Outcome]
+Replay = Callable[[Scenario], Outcome]
 
 
 def _fewer_troubles(scenario: Scenario) -> Iterator[Scenario]:
@@ -40,7 +40,7 @@
             yield scenario.cut(length)
 
 
-def _lighter(scenario: Scenario) -> Iterator[Scenario]:
+def _smaller_load_and_fleet(scenario: Scenario) -> Iterator[Scenario]:
     """Fewer requests and a smaller fleet."""
     for share in (0.25, 0.5, 0.75):
         load = msgspec.structs.replace(scenario.load, rate=round(scenario.load.rate * share, 1))
@@ -69,41 +69,56 @@
 def shrink(
     scenario: Scenario,
     outcome: Outcome,
-    again: Try,
-    told: Callable[[Scenario, int], None] = lambda _scenario, _runs: None,
-    most_runs: int = 200,
+    replay: Replay,
+    on_progress: Callable[[Scenario, int], None] = lambda _scenario, _runs: None,
+    max_runs: int = 200,
 ) -> tuple[Scenario, Outcome]:
-    """The least scenario found for which `again` breaks the same rule first; `told` hears of each step."""
+    """Find the smallest scenario for which `replay` breaks the same rule first.
+
+    `on_progress` is called after each smaller scenario that still fails, with that scenario and the number of
+    runs so far.
+    """
     runs, wanted = 0, outcome.first
     progress = True
-    while progress and runs < most_runs:
+    while progress and runs < max_runs:
         progress = False
-        for candidates in (_fewer_troubles(scenario), _shorter(scenario, outcome), _lighter(scenario)):
+        for candidates in (
+            _fewer_troubles(scenario),
+            _shorter(scenario, outcome),
+            _smaller_load_and_fleet(scenario),
+        ):
             for smaller in candidates:
-                if runs >= most_runs:
+                if runs >= max_runs:
                     break
                 if not _valid(smaller):
                     continue
                 runs += 1
-                found = again(smaller)
+                found = replay(smaller)
                 if found.first == wanted:
                     scenario, outcome, progress = smaller, found, True
-                    told(scenario, runs)
+                    on_progress(scenario, runs)
                     break
     return scenario, outcome
 
 
-def _differences(value: Any, usual: Any) -> Any:
-    if isinstance(value, dict) and isinstance(usual, dict):
-        found = {name: _differences(one, usual.get(name)) for name, one in value.items()}
+def _differences(value: Any, defaults: Any) -> Any:
+    if isinstance(value, dict) and isinstance(defaults, dict):
+        found = {name: _differences(one, defaults.get(name)) for name, one in value.items()}
         return {name: one for name, one in found.items() if one is not None} or None
-    return None if value == usual else value
+    return None if value == defaults else value
 
 
 def as_toml(scenario: Scenario) -> str:
-    """The scenario as a file that plays the same; what is as usual is left out."""
-    told = msgspec.to_builtins(scenario)
-    usual = msgspec.to_builtins(Scenario(name=scenario.name, length_s=scenario.length_s, load=scenario.load))
-    always = {"name": told["name"], "length_s": told["length_s"], "seed": told["seed"], "load": told["load"]}
-    rest = {name: _differences(value, usual[name]) for name, value in told.items() if name not in always}
+    """The scenario as a file that plays the same; what is as defaults is left out."""
+    values = msgspec.to_builtins(scenario)
+    defaults = msgspec.to_builtins(
+        Scenario(name=scenario.name, length_s=scenario.length_s, load=scenario.load)
+    )
+    always = {
+        "name": values["name"],
+        "length_s": values["length_s"],
+        "seed": values["seed"],
+        "load": values["load"],
+    }
+    rest = {name: _differences(value, defaults[name]) for name, value in values.items() if name not in always}
     return tomli_w.dumps({**always, **{name: value for name, value in rest.items() if value is not None}})
--- a/holdgw/simulation/trace.py
+++ b/holdgw/simulation/trace.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-FLUSH = 512  # events that are put into the digest at a time
+FLUSH_EVENTS = 512  # events that are put into the digest at a time
 
 
 class Trace:
@@ -27,7 +27,7 @@
         self._lines.append(f"{at} {who} {what} {about} {len(data)}")
         if data:
             self._hash.update(data)
-        if len(self._lines) >= FLUSH:
+        if len(self._lines) >= FLUSH_EVENTS:
             self._flush()
         if self.keep is not None:
             self.keep({"at": at, "who": who, "what": what, "about": about, "data": data})
@@ -43,23 +43,23 @@
 
 
 class TraceFile:
-    """Writes events as JSON lines. Bytes are shown as text, odd ones escaped, at most so many."""
+    """Writes events as JSON lines. Bytes are max_data_bytes as text, odd ones escaped, at most so many."""
 
-    def __init__(self, file: IO[bytes], begun: int, shown: int = 400) -> None:
-        self._file, self._begun, self._shown = file, begun, shown
+    def __init__(self, file: IO[bytes], start_ns: int, max_data_bytes: int = 400) -> None:
+        self._file, self._start_ns, self._max_data_bytes = file, start_ns, max_data_bytes
 
     def __call__(self, event: dict[str, Any]) -> None:
-        """Write one event; `s` is seconds from `begun`, nanoseconds of the world."""
+        """Write one event; `s` is seconds from `start_ns`, nanoseconds of the world."""
         data = event["data"]
         line = {
-            "s": round((event["at"] - self._begun) / 1e9, 6),
+            "s": round((event["at"] - self._start_ns) / 1e9, 6),
             "who": event["who"],
             "what": event["what"],
             "about": event["about"],
         }
         if data:
             line["bytes"] = len(data)
-            line["data"] = readable(data, self._shown)
+            line["data"] = readable(data, self._max_data_bytes)
         self._file.write(orjson.dumps(line) + b"\n")
 
 
--- a/holdgw/simulation/transports.py
+++ b/holdgw/simulation/transports.py
@@ -20,20 +20,20 @@
     from holdgw.simulation.network import Address, Connection, Host, Network
     from holdgw.simulation.process import Process
 
-HIGH_WATER = 64 << 10  # of a transport's own buffer, before writing is paused
-ACCEPT_AGAIN_NS = 100_000_000  # until a process without a free descriptor tries again
-SEGMENT = 1448  # bytes of one segment on an Ethernet
-MOST_HELD = 64
-SLOW_NS = 30_000_000  # a segment that takes longer than this was held back
-HELD_NS = 100_000_000  # a segment that comes later than this waits to be sent again
-PHASES_OF = {"request": ("request", "behind", "vanish"), "answer": ("answer", "behind", "end", "vanish")}
-PIECES_NS = 300_000  # between one piece of a segment and the next, at most
-READ_MOST = 256 << 10  # bytes that uvloop reads at a time
-
-
-def has_left(transport: Any) -> bool:
+HIGH_WATER_BYTES = 64 << 10  # of a transport's own buffer, before writing is paused
+ACCEPT_RETRY_NS = 100_000_000  # until a process without a free descriptor tries again
+SEGMENT_BYTES = 1448  # bytes of one segment on an Ethernet
+MAX_TRACKED_SEGMENTS = 64
+DELAYED_SEGMENT_NS = 30_000_000  # a segment that takes longer than this was held back
+RETRANSMITTED_SEGMENT_NS = 100_000_000  # a segment that comes later than this waits to be sent again
+CUT_PHASES = {"request": ("request", "behind", "vanish"), "answer": ("answer", "behind", "end", "vanish")}
+MAX_PIECE_GAP_NS = 300_000  # between one piece of a segment and the next, at most
+MAX_READ_BYTES = 256 << 10  # bytes that uvloop reads at a time
+
+
+def peer_closed(transport: Any) -> bool:
     """What `router.platform` asks the kernel, of a simulated transport."""
-    return isinstance(transport, TcpEnd) and transport.left
+    return isinstance(transport, TcpTransport) and transport.peer_closed
 
 
 class Socket:
@@ -68,7 +68,7 @@
         return -1
 
 
-class TcpEnd(asyncio.Transport):
+class TcpTransport(asyncio.Transport):
     """One end of a connection. `process` None: nobody has accepted it yet."""
 
     def __init__(
@@ -79,32 +79,34 @@
         address: Address,
         remote: Address,
         protocol: asyncio.BaseProtocol | None,
-        up: asyncio.Future[None] | None,
+        connect_waiter: asyncio.Future[None] | None,
     ) -> None:
         self.network, self.process, self.host = network, process, host
         self.address, self.remote = address, remote
         self.socket = Socket(address, remote)
         self._world: World = network.world
         self._protocol = cast("asyncio.Protocol | None", protocol)
-        self._up = up
-        self._is_up = False
+        self._connect_waiter = connect_waiter
+        self._established = False
         # The program's half
         self._buffer = bytearray()  # what the kernel has not taken
-        self._high, self._low = HIGH_WATER, HIGH_WATER // 4
+        self._high, self._low = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
         self._writing_paused = self._reading_paused = False
-        self._closing = self._eof = self._conn_lost = self._lost_told = False
+        self._closing = self._eof = self._conn_lost = self._connection_lost_called = False
         # The kernel's half
-        self.shut = False  # closed, or never to come up
-        self._owner = 0  # how often it went from one process to another
-        self.copies = 0  # descriptors beside the process's own: in another's hands, or on their way
+        self.socket_closed = False  # closed, or never to come up
+        self._owner_generation = 0  # how often it went from one process to another
+        self.extra_descriptors = (
+            0  # descriptors beside the process's own: in another's hands, or on their way
+        )
         self._unacked = 0  # sent, and not read by the other side's program
-        self._last = 0  # when the last of what was sent comes in
+        self._last_arrival = 0  # when the last of what was sent comes in
         self._received: deque[bytes] = deque()
-        self._fin_came = self._eof_told = self._fin_sent = self._reset_came = False
+        self._fin_received = self._eof_delivered = self._fin_sent = self._reset_received = False
         self._written_at = 0  # the last write of the program
-        self._on_its_way: deque[Handle] = deque(maxlen=MOST_HELD)  # segments, the latest
+        self._segments_in_transit: deque[Handle] = deque(maxlen=MAX_TRACKED_SEGMENTS)  # segments, the latest
 
-    def join(self, connection: Connection, peer: TcpEnd, label: str) -> None:
+    def attach(self, connection: Connection, peer: TcpTransport, label: str) -> None:
         """Know the connection and the other end."""
         self.connection, self.peer, self.label = connection, peer, label
 
@@ -146,7 +148,7 @@
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         """As asyncio has it."""
         if high is None:
-            high = HIGH_WATER if low is None else 4 * low
+            high = HIGH_WATER_BYTES if low is None else 4 * low
         if low is None:
             low = high // 4
         if not high >= low >= 0:
@@ -166,12 +168,12 @@
         """Send; what the kernel does not take waits here."""
         if self._eof:
             raise RuntimeError("Cannot call write() after write_eof()")
-        if not data or self._conn_lost or self._lost_told:
+        if not data or self._conn_lost or self._connection_lost_called:
             return
         self._written_at = self._world.now
-        if self._eof_told:
-            self.network.on_wrote_behind_end(self)
-        if self._reset_came:
+        if self._eof_delivered:
+            self.network.on_write_after_eof(self)
+        if self._reset_received:
             # The kernel tells of it at the next write, also where nothing is being read.
             self._conn_lost = True
             self._world.soon(self.process, self._fatal, (BrokenPipeError(32, "Broken pipe"),))
@@ -210,37 +212,39 @@
         self._closing = True
         if not self._buffer:
             self._conn_lost = True
-            self._world.soon(self.process, self._told_lost, (None, self._owner))
+            self._world.soon(self.process, self._call_connection_lost, (None, self._owner_generation))
 
     def abort(self) -> None:
         """Close at once."""
         self._force_close(None)
 
     def _force_close(self, error: Exception | None) -> None:
-        if self._lost_told or (self._closing and self._conn_lost):
+        if self._connection_lost_called or (self._closing and self._conn_lost):
             return
         self._buffer.clear()
         self._closing = self._conn_lost = True
-        self._world.soon(self.process, self._told_lost, (error, self._owner))
+        self._world.soon(self.process, self._call_connection_lost, (error, self._owner_generation))
 
     def _fatal(self, error: Exception) -> None:
-        if self._lost_told:
+        if self._connection_lost_called:
             return
-        if self._closing and self._conn_lost and not self._buffer and not self._reset_came:
+        if self._closing and self._conn_lost and not self._buffer and not self._reset_received:
             return
         self._buffer.clear()
         self._closing = self._conn_lost = True
-        self._told_lost(error)
+        self._call_connection_lost(error)
 
-    def _told_lost(self, error: Exception | None, owner: int | None = None) -> None:
-        if self._lost_told or (owner is not None and owner != self._owner):
+    def _call_connection_lost(self, error: Exception | None, owner_generation: int | None = None) -> None:
+        if self._connection_lost_called or (
+            owner_generation is not None and owner_generation != self._owner_generation
+        ):
             return
-        self._lost_told = True
+        self._connection_lost_called = True
         try:
             if self._protocol is not None:
                 self._protocol.connection_lost(error)
         finally:
-            self._shut()
+            self._close_socket()
 
     def _pause_or_resume(self) -> None:
         size = len(self._buffer)
@@ -257,24 +261,24 @@
         """Give the protocol what the kernel holds."""
         while self._received and not self._reading_paused and not self._closing:
             data = self._received.popleft()
-            while self._received and len(data) + len(self._received[0]) <= READ_MOST:
+            while self._received and len(data) + len(self._received[0]) <= MAX_READ_BYTES:
                 data += self._received.popleft()
-            if not self._give(data):
+            if not self._deliver(data):
                 return
         if self._reading_paused or self._closing:
             return
-        if self._reset_came:
-            self._fatal(was_reset())
-        elif self._fin_came and not self._eof_told:
-            self._eof_told = True
+        if self._reset_received:
+            self._fatal(reset_error())
+        elif self._fin_received and not self._eof_delivered:
+            self._eof_delivered = True
             assert self._protocol is not None
             if self._protocol.eof_received():
                 self._reading_paused = True  # as uvloop does: nothing more can come
             else:
                 self.close()
 
-    def _give(self, data: bytes) -> bool:
-        self._was_read(len(data))
+    def _deliver(self, data: bytes) -> bool:
+        self._release_window(len(data))
         assert self._protocol is not None
         try:
             self._protocol.data_received(data)
@@ -290,9 +294,9 @@
         return True
 
     @property
-    def left(self) -> bool:
+    def peer_closed(self) -> bool:
         """Whether the other side has closed or reset the connection, as poll(2) tells it."""
-        return self._fin_came or self._reset_came
+        return self._fin_received or self._reset_received
 
     # The kernel's half: sending
 
@@ -301,85 +305,85 @@
         self._unacked += len(data)
         if self.host.silent:
             return
-        if self.connection.vanished:
+        if self.connection.black_holed:
             network.on_cut(self.connection)
             return
-        at = max(network.arrival(self.host, peer.host), self._last)
-        if at - self._written_at > SLOW_NS:
-            network.on_held(self.host, peer.host, self._written_at, at)
+        at = max(network.arrival(self.host, peer.host), self._last_arrival)
+        if at - self._written_at > DELAYED_SEGMENT_NS:
+            network.on_segment_delayed(self.host, peer.host, self._written_at, at)
         if network.cuts:
             kind = "request" if self is self.connection.client else "answer"
-            cut = network.cut_of(self.host, peer.host, PHASES_OF[kind])
+            cut = network.choose_cut_phase(self.host, peer.host, CUT_PHASES[kind])
             if cut == "vanish":
-                network.swallow(self.connection)
+                network.black_hole(self.connection)
                 return
             if cut == "end":
                 network.on_cut(self.connection)
                 self._world.soon(self.process, self.close)
             elif cut:
                 if cut == kind:
-                    data = data[: network.part_of(len(data))]
+                    data = data[: network.random_offset(len(data))]
                 if data:
-                    self._world.at(at, None, peer.data_comes, (data,))
-                self._last = at
-                self._world.at(at, None, network.break_off, (self.connection,))
+                    self._world.at(at, None, peer.receive_data, (data,))
+                self._last_arrival = at
+                self._world.at(at, None, network.break_connection, (self.connection,))
                 return
-        if network.weather.chop:
-            for piece in network.pieces(data):
-                at += network.part_of(PIECES_NS)
-                self._world.at(at, None, peer.data_comes, (piece,))
-            if at - self._written_at > SLOW_NS:
-                network.on_held(self.host, peer.host, self._written_at, at)
+        if network.conditions.chop:
+            for piece in network.split_segment(data):
+                at += network.random_offset(MAX_PIECE_GAP_NS)
+                self._world.at(at, None, peer.receive_data, (piece,))
+            if at - self._written_at > DELAYED_SEGMENT_NS:
+                network.on_segment_delayed(self.host, peer.host, self._written_at, at)
         else:
-            sent = self._world.at(at, None, peer.data_comes, (data,))
-            if at - self._world.now > HELD_NS:
-                self._on_its_way.append(sent)
-        self._last = at
+            scheduled = self._world.at(at, None, peer.receive_data, (data,))
+            if at - self._world.now > RETRANSMITTED_SEGMENT_NS:
+                self._segments_in_transit.append(scheduled)
+        self._last_arrival = at
 
-    def first_at(self, at: int) -> None:
+    def set_earliest_arrival(self, at: int) -> None:
         """Nothing that is sent comes in before that: the other side does not know of the connection yet."""
-        self._last = at
+        self._last_arrival = at
 
     def _send_fin(self) -> None:
-        if self._fin_sent or not self._is_up:
+        if self._fin_sent or not self._established:
             return
         self._fin_sent = True
-        at = max(self.network.arrival(self.host, self.peer.host), self._last)
-        self._last = at
-        self._world.at(at, None, self.peer.fin_comes)
+        at = max(self.network.arrival(self.host, self.peer.host), self._last_arrival)
+        self._last_arrival = at
+        self._world.at(at, None, self.peer.receive_fin)
 
     def _send_reset(self) -> None:
         # A kernel that resets sends nothing again: what the line has held back so far never comes.
         soonest = self._world.now + 2 * self.network.delay(self.host, self.peer.host)
-        for held in self._on_its_way:
+        for held in self._segments_in_transit:
             if held.due > soonest:
                 held.cancel()
-                self._last = self._world.now
-        self._on_its_way.clear()
+                self._last_arrival = self._world.now
+        self._segments_in_transit.clear()
         if self.network.is_blocked(self.host, self.peer.host):
             return  # a reset is never sent again, either
-        at = max(self.network.arrival(self.host, self.peer.host), self._last)
-        self._last = at
-        self._world.at(at, None, self.peer.reset_comes)
+        at = max(self.network.arrival(self.host, self.peer.host), self._last_arrival)
+        self._last_arrival = at
+        self._world.at(at, None, self.peer.receive_reset)
 
-    def _was_read(self, size: int) -> None:
+    def _release_window(self, size: int) -> None:
         peer = self.peer
         peer._unacked -= size
-        if peer._buffer and not peer.shut:
+        if peer._buffer and not peer.socket_closed:
             at = self.network.arrival(self.host, peer.host)
-            self._world.at(at, None, peer.room_comes)
+            self._world.at(at, None, peer.window_opened)
 
-    def room_comes(self) -> None:
+    def window_opened(self) -> None:
         """The other side has read: the kernel takes more."""
-        if self.shut or self._reset_came or self.host.silent or self.connection.vanished:
+        if self.socket_closed or self._reset_received or self.host.silent or self.connection.black_holed:
             return
-        self._world.soon(self.process, self._push)
+        self._world.soon(self.process, self._flush_buffer)
 
-    def _push(self) -> None:
+    def _flush_buffer(self) -> None:
         room = self.connection.window - self._unacked
-        if self._lost_told or not self._buffer:
+        if self._connection_lost_called or not self._buffer:
             return
-        if room < min(len(self._buffer), SEGMENT, self.connection.window // 2):
+        if room < min(len(self._buffer), SEGMENT_BYTES, self.connection.window // 2):
             return  # RFC 9293, 3.8.6.2: a kernel does not send crumbs; more room comes with the next reading
         data = bytes(self._buffer[:room])
         del self._buffer[:room]
@@ -390,71 +394,71 @@
                 self._send_fin()
             if self._closing and not self._conn_lost:
                 self._conn_lost = True
-                self._world.soon(self.process, self._told_lost, (None, self._owner))
+                self._world.soon(self.process, self._call_connection_lost, (None, self._owner_generation))
 
     # The kernel's half: what comes in
 
-    def _deaf(self) -> bool:
-        return self.host.silent or self.connection.vanished
+    def _ignores_input(self) -> bool:
+        return self.host.silent or self.connection.black_holed
 
-    def data_comes(self, data: bytes) -> None:
+    def receive_data(self, data: bytes) -> None:
         """A segment comes in."""
-        if self._deaf():
+        if self._ignores_input():
             return
-        if self.shut:
+        if self.socket_closed:
             # Nobody is there to read it: RFC 9293, 3.10.7.1.
             self._send_reset()
             return
-        if self._reset_came:
+        if self._reset_received:
             return
         process = self.process
         self._world.trace.add(
             self._world.now, process.name if process is not None else self.host.name, "data", self.label, data
         )
         self._received.append(data)
-        if process is None or self._reading_paused or self._closing or not self._is_up:
+        if process is None or self._reading_paused or self._closing or not self._established:
             return
         if process.running:
             self._world.call(process, self._read)
         elif len(self._received) == 1:
             self._world.soon(process, self._read)
 
-    def fin_comes(self) -> None:
+    def receive_fin(self) -> None:
         """The other side sends no more."""
-        if self._deaf() or self.shut or self._reset_came:
+        if self._ignores_input() or self.socket_closed or self._reset_received:
             return
-        self._fin_came = True
-        if self.process is not None and self._is_up and not self._reading_paused and not self._closing:
+        self._fin_received = True
+        if self.process is not None and self._established and not self._reading_paused and not self._closing:
             self._world.soon(self.process, self._read)
 
-    def reset_comes(self) -> None:
+    def receive_reset(self) -> None:
         """The connection is broken: what was held unread is lost, and what is sent goes nowhere."""
-        if self._deaf() or self.shut or self._reset_came:
+        if self._ignores_input() or self.socket_closed or self._reset_received:
             return
-        self._reset_came = True
+        self._reset_received = True
         self._received.clear()
         self._world.trace.add(self._world.now, self.host.name, "reset", self.label)
         if self.process is None:
-            if not self.copies:
-                self._shut()
-        elif self._up is not None and not self._is_up:
-            self.refused()
+            if not self.extra_descriptors:
+                self._close_socket()
+        elif self._connect_waiter is not None and not self._established:
+            self.connection_refused()
         elif self._closing:
             # Waiting to send the rest, which can't be sent any more.
-            self._world.soon(self.process, self._fatal, (was_reset(),))
+            self._world.soon(self.process, self._fatal, (reset_error(),))
         elif not self._reading_paused:
             self._world.soon(self.process, self._read)
 
     # Beginning and end
 
-    def came_up(self) -> None:
+    def set_established(self) -> None:
         """The client's side is up: its protocol is told, and then whoever waits for the connection."""
-        self._is_up = True
-        self._world.soon(self.process, self._made)
+        self._established = True
+        self._world.soon(self.process, self._call_connection_made)
 
-    def _made(self) -> None:
-        up, self._up = self._up, None
-        if self.shut:
+    def _call_connection_made(self) -> None:
+        up, self._connect_waiter = self._connect_waiter, None
+        if self.socket_closed:
             return
         assert self._protocol is not None
         self._protocol.connection_made(self)
@@ -462,88 +466,88 @@
             up.set_result(None)
         if self._protocol is None:
             return  # it was given on to another process
-        if self._received or self._fin_came or self._reset_came:
+        if self._received or self._fin_received or self._reset_received:
             self._world.soon(self.process, self._read)
 
-    def accepted(self, process: Process, protocol: asyncio.BaseProtocol) -> None:
+    def attach_process(self, process: Process, protocol: asyncio.BaseProtocol) -> None:
         """A server's process has taken the connection."""
         self.process, self._protocol = process, cast(asyncio.Protocol, protocol)
-        self._is_up = True
-        self._made()
+        self._established = True
+        self._call_connection_made()
 
-    def let_go(self) -> None:
+    def detach_process(self) -> None:
         """The process has it no longer, and others do: what comes waits with the kernel."""
         if self.process is not None:
             self.process.free_descriptor(self)
         self.process = self._protocol = None
-        self._owner += 1
-        self._closing = self._conn_lost = self._lost_told = self._reading_paused = False
+        self._owner_generation += 1
+        self._closing = self._conn_lost = self._connection_lost_called = self._reading_paused = False
 
-    def taken(self, process: Process, protocol: asyncio.BaseProtocol) -> None:
+    def transfer_to(self, process: Process, protocol: asyncio.BaseProtocol) -> None:
         """Another process has it from now on."""
         if self.process is not None:
-            self.let_go()  # the one before has not heard yet that its own descriptor is closed
-        self.accepted(process, protocol)
+            self.detach_process()  # the one before has not heard yet that its own descriptor is closed
+        self.attach_process(process, protocol)
 
-    def copy_dropped(self) -> None:
+    def drop_extra_descriptor(self) -> None:
         """One descriptor beside the process's own is closed; the last one of all closes the connection."""
-        self.copies -= 1
-        if not self.copies and self.process is None:
-            self._shut()
+        self.extra_descriptors -= 1
+        if not self.extra_descriptors and self.process is None:
+            self._close_socket()
 
-    def refused(self) -> None:
+    def connection_refused(self) -> None:
         """Nobody listens there."""
-        if self.shut or self._up is None:
+        if self.socket_closed or self._connect_waiter is None:
             return
-        up, self._up = self._up, None
-        self._shut()
-        self._world.soon(self.process, _refuse, (up, self.remote))
+        up, self._connect_waiter = self._connect_waiter, None
+        self._close_socket()
+        self._world.soon(self.process, _fail_connect, (up, self.remote))
 
-    def given_up(self) -> None:
+    def cancel_connect(self) -> None:
         """Whoever wanted the connection wants it no longer."""
-        if not self._lost_told and not self.shut:
-            self._closing = self._conn_lost = self._lost_told = True
-            self._shut()
+        if not self._connection_lost_called and not self.socket_closed:
+            self._closing = self._conn_lost = self._connection_lost_called = True
+            self._close_socket()
 
-    def forgotten(self) -> None:
+    def reset_after_reboot(self) -> None:
         """This end's machine was away and knows nothing of the connection: it answers with a reset."""
-        if not self.shut:
-            self.shut = True
-        if self.peer._unacked and not self.peer.shut:
+        if not self.socket_closed:
+            self.socket_closed = True
+        if self.peer._unacked and not self.peer.socket_closed:
             self._send_reset()
 
     def process_died(self) -> None:
         """The kernel closes what the process held."""
         self._buffer.clear()
-        self._lost_told = True
-        self._shut()
+        self._connection_lost_called = True
+        self._close_socket()
 
-    def _shut(self) -> None:
+    def _close_socket(self) -> None:
         """The kernel closes it: with a reset if something was left unread, else in good order."""
-        if self.shut:
+        if self.socket_closed:
             return
-        if self.copies:
-            self.let_go()
+        if self.extra_descriptors:
+            self.detach_process()
             return
-        self.shut = True
+        self.socket_closed = True
         if self.process is not None:
             self.process.free_descriptor(self)
-        if not self.host.silent and not self._reset_came:
+        if not self.host.silent and not self._reset_received:
             if self.socket.resets or self._received:
                 self._send_reset()
-            elif self._is_up:
+            elif self._established:
                 self._send_fin()
         self._received.clear()
-        if self.peer.shut:
-            self.network.over(self.connection)
+        if self.peer.socket_closed:
+            self.network.forget_connection(self.connection)
 
 
-def was_reset() -> ConnectionResetError:
+def reset_error() -> ConnectionResetError:
     """What a read from a connection that was reset fails with."""
     return ConnectionResetError(104, "Connection reset by peer")
 
 
-def _refuse(up: asyncio.Future[None], remote: Address) -> None:
+def _fail_connect(up: asyncio.Future[None], remote: Address) -> None:
     if not up.done():
         up.set_exception(ConnectionRefusedError(111, f"Connect call failed {remote}"))
 
@@ -562,7 +566,7 @@
         self.network, self.process, self.address = network, process, address
         self._socket = Socket(address)
         self._factory, self._backlog = factory, backlog
-        self._expected: dict[Connection, None] = {}
+        self._pending: dict[Connection, None] = {}
         self._open = True
         self._closed: list[asyncio.Future[None]] = []
 
@@ -574,42 +578,42 @@
     @property
     def is_full(self) -> bool:
         """Whether the kernel holds as many connections as it may that nobody has accepted."""
-        return len(self._expected) >= self._backlog
+        return len(self._pending) >= self._backlog
 
-    def expect(self, connection: Connection) -> None:
+    def add_pending(self, connection: Connection) -> None:
         """A connection is coming up."""
-        self._expected[connection] = None
+        self._pending[connection] = None
 
-    def unexpect(self, connection: Connection) -> None:
+    def remove_pending(self, connection: Connection) -> None:
         """It will not."""
-        self._expected.pop(connection, None)
+        self._pending.pop(connection, None)
 
-    def arrived(self, connection: Connection) -> None:
+    def connection_established(self, connection: Connection) -> None:
         """It is up: the process is to accept it."""
         if not self._open:
-            if connection in self._expected:
-                self.unexpect(connection)
+            if connection in self._pending:
+                self.remove_pending(connection)
             return
         self.network.world.soon(self.process, self._accept, (connection,))
 
     def _accept(self, connection: Connection) -> None:
         end = connection.server
-        if not self._open or connection not in self._expected:
+        if not self._open or connection not in self._pending:
             return
-        if end._reset_came or end.shut:
-            self.unexpect(connection)
+        if end._reset_received or end.socket_closed:
+            self.remove_pending(connection)
             return
         try:
             self.process.take_descriptor(end)
         except OSError:
             # The kernel keeps it; the process looks again when it looks again.
             self.network.world.at(
-                self.network.world.now + ACCEPT_AGAIN_NS, self.process, self._accept, (connection,)
+                self.network.world.now + ACCEPT_RETRY_NS, self.process, self._accept, (connection,)
             )
             return
-        self.unexpect(connection)
+        self.remove_pending(connection)
         self.network.world.trace.add(self.network.world.now, self.process.name, "accept", connection.label)
-        end.accepted(self.process, self._factory())
+        end.attach_process(self.process, self._factory())
 
     def get_loop(self) -> asyncio.AbstractEventLoop:
         """The process's loop."""
@@ -636,11 +640,11 @@
         self._open = False
         self.network.unlisten(self)
         self.process.free_descriptor(self)
-        expected, self._expected = self._expected, {}
-        for connection in expected:
+        pending, self._pending = self._pending, {}
+        for connection in pending:
             if not self.process.host.silent:
                 connection.server.socket.resets = True
-            connection.server._shut()
+            connection.server._close_socket()
         for waiter in self._closed:
             if not waiter.done():
                 waiter.set_result(None)
@@ -658,7 +662,7 @@
             await waiter
 
 
-class DatagramEnd(asyncio.DatagramTransport):
+class UdpTransport(asyncio.DatagramTransport):
     """A datagram socket."""
 
     def __init__(
@@ -699,12 +703,12 @@
         if not self._closing and data:
             self.network.send_datagram(self, bytes(data), (to[0], to[1]))
 
-    def came(self, data: bytes, sender: Address) -> None:
+    def receive_datagram(self, data: bytes, sender: Address) -> None:
         """One datagram has come."""
         if not self._closing and (self.remote is None or self.remote == sender):
             self._protocol.datagram_received(data, sender)
 
-    def was_refused(self) -> None:
+    def receive_port_unreachable(self) -> None:
         """Nobody has the port that something was sent to; only a connected socket is told."""
         if not self._closing and self.remote is not None:
             self._protocol.error_received(ConnectionRefusedError(111, "Connection refused"))
--- a/holdgw/simulation/world.py
+++ b/holdgw/simulation/world.py
@@ -1,7 +1,8 @@
-"""The order of everything that happens: what is ready now, and what is due later; time passes only between.
+"""Simulated time and the queue of all calls of a run.
 
-One heap for all processes and the network. Two events of one instant keep the order in which they were asked
-for, so a run depends on nothing but its seed (FoundationDB's simulation and TigerBeetle's VOPR work so).
+Calls that are ready run first; time advances only when none is left, to the time of the next scheduled call.
+One heap serves all processes and the network. Calls of one instant run in the order in which they were
+scheduled, so a run depends on nothing but its seed, as in FoundationDB's simulation and TigerBeetle's VOPR.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
 START_NS = 1_000 * NS_PER_S
-MOST_AT_ONCE = 100_000  # callbacks of one instant, beyond which it is a spin
-LOOKED_AT = 1_000  # of them, the last ones, to name who spins
+MAX_CALLBACKS_PER_INSTANT = 100_000  # callbacks of one instant, beyond which it is a spin
+SPIN_SAMPLE_SIZE = 1_000  # of them, the last ones, to name who spins
 
 
 class SpinError(Exception):
-    """Callbacks follow each other without time passing; the text names the busiest."""
+    """Callbacks follow each other without time passing; the text names the recent."""
 
 
 class Handle(asyncio.TimerHandle):
@@ -63,10 +64,12 @@
 
     def when(self) -> float:
         """On its process's own clock, seconds."""
-        return self.process.local(self.due) / NS_PER_S if self.process is not None else self.due / NS_PER_S
+        return (
+            self.process.local_time(self.due) / NS_PER_S if self.process is not None else self.due / NS_PER_S
+        )
 
     def __repr__(self) -> str:
-        return f"<{'cancelled ' * self._cancelled}{name_of(self._callback)} due {self.due}>"
+        return f"<{'cancelled ' * self._cancelled}{callback_name(self._callback)} due {self.due}>"
 
     def __hash__(self) -> int:
         return id(self)
@@ -75,7 +78,7 @@
         return self is other
 
 
-def name_of(callback: Callable[..., object] | None) -> str:
+def callback_name(callback: Callable[..., object] | None) -> str:
     """What a callback is called; a task's step by its coroutine."""
     owner = getattr(callback, "__self__", None)
     if isinstance(owner, asyncio.Task):
@@ -98,11 +101,11 @@
         self.current: Process | None = None
         self.callbacks = 0
         self.failure: BaseException | None = None
-        self.over = False
+        self.ended = False
         """Nothing is made of what comes now: the run is being taken down."""
         self._ready: deque[Handle] = deque()
-        self._later: list[tuple[int, int, Handle]] = []
-        self._order = 0
+        self._scheduled: list[tuple[int, int, Handle]] = []
+        self._sequence = 0
         self._running = False
 
     @property
@@ -132,17 +135,17 @@
     ) -> Handle:
         """Call when the world's clock shows `due`."""
         handle = Handle(process, callback, args, context, due)
-        self._order += 1
-        heapq.heappush(self._later, (max(due, self.now), self._order, handle))
+        self._sequence += 1
+        heapq.heappush(self._scheduled, (max(due, self.now), self._sequence, handle))
         return handle
 
-    def put(self, handle: Handle) -> None:
+    def requeue(self, handle: Handle) -> None:
         """Make a call that had been put off, behind what is ready already."""
         self._ready.append(handle)
 
     def pending(self, process: Process) -> list[Handle]:
         """Calls that a process is still to be given, in no order."""
-        calls = (*self._ready, *(handle for _, _, handle in self._later))
+        calls = (*self._ready, *(handle for _, _, handle in self._scheduled))
         return [call for call in calls if call.process is process and not call._cancelled]
 
     def enter(self, process: Process | None) -> None:
@@ -161,14 +164,14 @@
             raise
         except BaseException as error:
             process.loop.call_exception_handler(
-                {"message": f"fault in {name_of(callback)}", "exception": error}
+                {"message": f"fault in {callback_name(callback)}", "exception": error}
             )
         finally:
             self.enter(before)
 
     def end(self) -> None:
         """The run is over: what was left of its tasks is forgotten without a word."""
-        self.over = True
+        self.ended = True
         for process in self.processes:
             process.alive = False
             for task in process.loop.tasks:
@@ -177,7 +180,7 @@
                 with contextlib.suppress(Exception):
                     task.get_coro().close()
         self._ready.clear()
-        self._later.clear()
+        self._scheduled.clear()
 
     def stop(self) -> None:
         """Let `run` return before it goes on to the next call."""
@@ -196,44 +199,44 @@
         if events._get_running_loop() is not None:
             raise RuntimeError("a world can't run inside a running loop")
         self._running = True
-        ready, later = self._ready, self._later
-        at_once = 0
-        busiest: deque[str] = deque(maxlen=LOOKED_AT)
+        ready, scheduled = self._ready, self._scheduled
+        in_this_instant = 0
+        recent: deque[str] = deque(maxlen=SPIN_SAMPLE_SIZE)
         try:
             while self._running:
                 if ready:
                     handle = ready.popleft()
-                    at_once += 1
-                    if at_once > MOST_AT_ONCE - LOOKED_AT:
-                        busiest.append(name_of(handle._callback))
-                        if at_once > MOST_AT_ONCE:
-                            raise self._spin(busiest)
-                elif later:
-                    due, _, handle = later[0]
+                    in_this_instant += 1
+                    if in_this_instant > MAX_CALLBACKS_PER_INSTANT - SPIN_SAMPLE_SIZE:
+                        recent.append(callback_name(handle._callback))
+                        if in_this_instant > MAX_CALLBACKS_PER_INSTANT:
+                            raise self._spin_error(recent)
+                elif scheduled:
+                    due, _, handle = scheduled[0]
                     if until is not None and due > until:
                         self.now = until
                         break
-                    heapq.heappop(later)
+                    heapq.heappop(scheduled)
                     if handle._cancelled:
                         continue
                     if due > self.now:
                         self.now = due
-                        at_once = 0
+                        in_this_instant = 0
                 else:
                     break
                 if not handle._cancelled:
-                    self._make(handle)
+                    self._run_handle(handle)
         finally:
             self.enter(None)
             self._running = False
         if self.failure is not None:
             raise self.failure
 
-    def _make(self, handle: Handle) -> None:
+    def _run_handle(self, handle: Handle) -> None:
         process = handle.process
         if process is not None:
             if not process.running:
-                process.missed(handle)
+                process.defer(handle)
                 return
             if self.current is not process:
                 self.current = process
@@ -255,12 +258,14 @@
             if process is None:
                 raise
             process.loop.call_exception_handler(
-                {"message": f"fault in {name_of(callback)}", "exception": error}
+                {"message": f"fault in {callback_name(callback)}", "exception": error}
             )
         if process is not None and process.kill_after is not None:
-            process.one_step_nearer_to_its_death()
-
-    def _spin(self, busiest: deque[str]) -> SpinError:
-        names = Counter(busiest).most_common(3)
-        told = ", ".join(f"{name} ({count} of the last {len(busiest)})" for name, count in names)
-        return SpinError(f"a spin at {self.seconds:.6f} s: {MOST_AT_ONCE} callbacks in one instant: {told}")
+            process.count_down_to_kill()
+
+    def _spin_error(self, recent: deque[str]) -> SpinError:
+        names = Counter(recent).most_common(3)
+        listing = ", ".join(f"{name} ({count} of the last {len(recent)})" for name, count in names)
+        return SpinError(
+            f"a spin at {self.seconds:.6f} s: {MAX_CALLBACKS_PER_INSTANT} callbacks in one instant: {listing}"
+        )
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from holdgw.simulation import world as worlds
-from holdgw.simulation.determinism_guard import DeterminismGuard, LeakError
+from holdgw.simulation.determinism_guard import DeterminismGuard, NondeterminismError
 from holdgw.simulation.disk import Disk
 from holdgw.simulation.network import Cut, Network
 from holdgw.simulation.process import Process
@@ -103,7 +103,7 @@
     fixture.client.start(main())
     fixture.run(4000)
     assert seen == [0.0, pytest.approx(3600)]
-    assert fixture.client.code == 7
+    assert fixture.client.exit_code == 7
 
 
 def test_clocks_of_processes_drift_and_wall_clocks_jump() -> None:
@@ -113,8 +113,8 @@
     unix = fast.unix_ns()
     due = fast.world_time(begun + 10 * NS_PER_S)
     assert 9.98 * NS_PER_S < due - START_NS < 10 * NS_PER_S
-    assert fast.local(due) >= begun + 10 * NS_PER_S > fast.local(due - 1)
-    fast.jump(-3600 * NS_PER_S)
+    assert fast.local_time(due) >= begun + 10 * NS_PER_S > fast.local_time(due - 1)
+    fast.step_wall_clock(-3600 * NS_PER_S)
     assert fast.unix_ns() == unix - 3600 * NS_PER_S
     assert fast.monotonic_ns() == begun
 
@@ -146,7 +146,7 @@
 
 
 def test_many_callbacks_of_one_instant_are_no_spin(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(worlds, "MOST_AT_ONCE", 2_000)
+    monkeypatch.setattr(worlds, "MAX_CALLBACKS_PER_INSTANT", 2_000)
     fixture = Fixture()
 
     async def main() -> int:
@@ -157,7 +157,7 @@
         return 0
 
     fixture.play(main())
-    assert fixture.client.code == 0
+    assert fixture.client.exit_code == 0
 
 
 def test_what_can_not_be_simulated_says_so() -> None:
@@ -181,7 +181,10 @@
     scope = {"__name__": "holdgw.router.planted", "time": time}
     exec("async def main():\n    return int(time.monotonic())", scope)
     fixture.client.start(scope["main"]())  # type: ignore[operator]
-    with DeterminismGuard(fixture.world), pytest.raises(LeakError, match=r"planted called time\.monotonic"):
+    with (
+        DeterminismGuard(fixture.world),
+        pytest.raises(NondeterminismError, match=r"planted called time\.monotonic"),
+    ):
         fixture.run()
     assert time.monotonic() > 0  # it watches no longer
 
@@ -198,11 +201,11 @@
         return int(await asyncio.get_running_loop().create_future())
 
     fixture.client.start(main())
-    fixture.at(1, lambda: fixture.client.tell(signal.SIGHUP))
-    fixture.at(2, lambda: fixture.client.tell(signal.SIGTERM))
+    fixture.at(1, lambda: fixture.client.send_signal(signal.SIGHUP))
+    fixture.at(2, lambda: fixture.client.send_signal(signal.SIGTERM))
     fixture.run()
     assert heard == ["HUP"]
-    assert fixture.client.code == -signal.SIGTERM
+    assert fixture.client.exit_code == -signal.SIGTERM
 
 
 def test_a_process_can_die_at_any_await_and_runs_nothing_afterwards() -> None:
@@ -237,13 +240,13 @@
         client = await dial()
         client.transport.write(b"early")
         await asyncio.sleep(1)
-        fixture.server.tell(signal.SIGSTOP)
+        fixture.server.send_signal(signal.SIGSTOP)
         client.transport.write(b" late")
         second = await asyncio.wait_for(dial(), 1)  # the kernel takes it
         await asyncio.sleep(1)
         assert len(made) == 1
         assert made[0].data == b"early"
-        fixture.server.tell(signal.SIGCONT)
+        fixture.server.send_signal(signal.SIGCONT)
         await asyncio.sleep(0.1)
         assert made[0].data == b"early late"
         assert len(made) == 2
@@ -270,12 +273,12 @@
     fixture.play(main(), listening(made))
     assert clients[0].lost == "NoneType"
     assert made[0].lost == ""  # the dead are told nothing
-    assert not fixture.server.open
+    assert not fixture.server.open_descriptors
 
 
 def test_a_process_at_its_limit_gets_no_descriptor() -> None:
     fixture = Fixture()
-    small = Process(fixture.world, fixture.network, fixture.here, "small", descriptors=5)
+    small = Process(fixture.world, fixture.network, fixture.here, "small", max_descriptors=5)
 
     async def main() -> int:
         kept = [await dial(), await dial()]
@@ -290,7 +293,7 @@
     small.start(main())
     fixture.run()
     assert small.faults == []
-    assert small.code == 0
+    assert small.exit_code == 0
 
 
 # Lines
@@ -325,7 +328,7 @@
     async def main() -> int:
         client = await dial()
         await asyncio.sleep(0.1)
-        fixture.network.vanish(fixture.there)
+        fixture.network.power_off(fixture.there)
         fixture.server.kill()
         client.transport.write(b"anybody?")
         await asyncio.sleep(60)
@@ -366,8 +369,8 @@
 
 def test_segments_are_chopped_slow_and_sent_again_but_never_lost_or_out_of_order() -> None:
     fixture = Fixture(seed=5)
-    weather = fixture.network.weather
-    weather.chop, weather.loss, weather.slow_ns, weather.window = 1.0, 0.2, 40 * MS, 512
+    conditions = fixture.network.conditions
+    conditions.chop, conditions.loss, conditions.extra_delay_ns, conditions.window = 1.0, 0.2, 40 * MS, 512
     made: list[Kept] = []
     sent = random.Random(1).randbytes(20_000)
 
@@ -386,8 +389,8 @@
 
 def test_datagrams_are_lost_doubled_and_late() -> None:
     fixture = Fixture()
-    weather = fixture.network.weather
-    weather.drop, weather.double, weather.late = 0.2, 0.2, 0.3
+    conditions = fixture.network.conditions
+    conditions.datagram_loss, conditions.datagram_duplication, conditions.datagram_reordering = 0.2, 0.2, 0.3
     got: list[bytes] = []
 
     class Datagrams(asyncio.DatagramProtocol):
@@ -431,7 +434,7 @@
         await asyncio.sleep(0.5)
         assert first.done()
         assert not second.done()
-        fixture.server.go_on()
+        fixture.server.resume()
         await asyncio.sleep(3)
         assert second.done()
         return 0
--- a/tests/simulation/test_simulation_conformance.py
+++ b/tests/simulation/test_simulation_conformance.py
@@ -417,7 +417,7 @@
 def on_the_simulated_loop(scene: Callable[[], Awaitable[Any]]) -> Any:
     world = World(1)
     network = Network(world, lambda _a, _b: (100_000, 0))
-    process = Process(world, network, network.host("here", "z", IP), "scene", fine=False)
+    process = Process(world, network, network.host("here", "z", IP), "scene", fine_timers=False)
     found: list[Any] = []
 
     async def main() -> int:
--- a/tests/simulation/test_simulation_play.py
+++ b/tests/simulation/test_simulation_play.py
@@ -24,12 +24,12 @@
     RouterMain,
     SimulatedFleet,
     SimulatedRouter,
-    real_router,
     simulate,
+    single_process_router,
 )
 from holdgw.simulation.network import Host
 from holdgw.simulation.process import Process
-from holdgw.simulation.random_faults import ASKED_FOR, DRAWS, draw_storm
+from holdgw.simulation.random_faults import DRAWS, OPT_IN_KINDS, draw_storm
 from holdgw.simulation.search import last_events, play_seed, search
 from holdgw.simulation.shrink import as_toml, shrink
 
@@ -197,7 +197,7 @@
         listen(number, (lambda: process._end(9)) if number == signal.SIGHUP else callback)  # type: ignore[arg-type]
 
     process.on_signal = on_signal  # type: ignore[method-assign]
-    return await real_router(router, process, environ)
+    return await single_process_router(router, process, environ)
 
 
 MANY = """
@@ -230,7 +230,7 @@
     outcome = again(scenario)
     assert outcome.first == "lost"
     assert "ended by itself with code 9" in outcome.broken[0].text
-    least, found = shrink(scenario, outcome, again, most_runs=60)
+    least, found = shrink(scenario, outcome, again, max_runs=60)
     assert [type(one).__name__ for one in least.trouble] == ["RouterReload"]
     assert least.length_s < 2.0
     assert least.load.rate < scenario.load.rate
@@ -253,8 +253,10 @@
         scenario = draw_storm(load_scenario("mixed-storm"), seed)
         drawn |= {str(type(one).__struct_config__.tag) for one in scenario.trouble}
         assert read_scenario(as_toml(scenario), "x.toml") == scenario
-    assert drawn == set(DRAWS) - set(ASKED_FOR) == set(KINDS) - {"emulator_stall", *ASKED_FOR}
-    named = msgspec.structs.replace(load_scenario("mixed-storm"), storm=Storm(count=(9, 9), kinds=ASKED_FOR))
+    assert drawn == set(DRAWS) - set(OPT_IN_KINDS) == set(KINDS) - {"emulator_stall", *OPT_IN_KINDS}
+    named = msgspec.structs.replace(
+        load_scenario("mixed-storm"), storm=Storm(count=(9, 9), kinds=OPT_IN_KINDS)
+    )
     for seed in range(20):
         scenario = draw_storm(named, seed)
         assert read_scenario(as_toml(scenario), "x.toml") == scenario
@@ -273,15 +275,15 @@
 
 def test_a_vanished_node_is_left_by_its_routers_and_comes_back_cold() -> None:
     text = '[[trouble]]\nkind = "vanish"\nat = 0.5\nseconds = 3.0\nnodes = ["node001"]\nnotice_s = 1.0\n'
-    theatre = SimulatedFleet(draw_schedule(tiny(text, length=6.0), 1))
-    outcome = theatre.play()
+    fleet = SimulatedFleet(draw_schedule(tiny(text, length=6.0), 1))
+    outcome = fleet.play()
     assert not outcome.failed
-    at = [one.at - outcome.begun for one in theatre.history.attempts if one.server == "node001"]
+    at = [one.at - outcome.begun for one in fleet.history.attempts if one.server == "node001"]
     assert any(one < 0.5 for one in at)
     assert not any(0.52 < one < 3.5 for one in at)
     assert any(one > 3.6 for one in at)
-    assert isinstance(theatre.hosts["node001"], Host)
-    assert theatre.hosts["node001"].epoch == 1
+    assert isinstance(fleet.hosts["node001"], Host)
+    assert fleet.hosts["node001"].boot_count == 1
 
 
 def test_after_a_stall_the_module_answers_what_is_due_and_not_the_sweep() -> None:
