--- a/holdgw/simulation/transports.py
+++ b/holdgw/simulation/transports.py
@@ -1,8 +1,9 @@
-"""Transports as asyncio defines them, over the simulated network, in the manner of uvloop on Linux.
+"""asyncio transports over the simulated network, with the behaviour of uvloop on Linux.
 
-Each end has two halves: the program's (the transport's methods, and calls into its protocol, which are made
-only while its process runs) and the kernel's (what arrives, what is held unread, resets, what is closed).
-The kernel's goes on while the process stands still, and outlives it while the other side needs an answer.
+Each end of a connection has two halves. The program's half is the transport's methods and the calls into its
+protocol, which are made only while its process runs. The kernel's half receives segments, holds unread data,
+and handles resets and closed sockets; it works on while the process is stopped, and after the process's death
+for as long as the other end needs an answer.
 """
 
 from __future__ import annotations
@@ -20,56 +21,56 @@
     from holdgw.simulation.network import Address, Connection, Host, Network
     from holdgw.simulation.process import Process
 
-HIGH_WATER_BYTES = 64 << 10  # of a transport's own buffer, before writing is paused
-ACCEPT_RETRY_NS = 100_000_000  # until a process without a free descriptor tries again
-SEGMENT_BYTES = 1448  # bytes of one segment on an Ethernet
-MAX_TRACKED_SEGMENTS = 64
-DELAYED_SEGMENT_NS = 30_000_000  # a segment that takes longer than this was held back
-RETRANSMITTED_SEGMENT_NS = 100_000_000  # a segment that comes later than this waits to be sent again
+HIGH_WATER_BYTES = 64 << 10  # a transport pauses writing above this size of its own buffer
+ACCEPT_RETRY_NS = 100_000_000  # a process without a free descriptor retries accept after this time
+SEGMENT_BYTES = 1448  # payload of one TCP segment on an Ethernet
+MAX_TRACKED_SEGMENTS = 64  # segments in transit that a reset can still cancel
+DELAYED_SEGMENT_NS = 30_000_000  # a segment that takes longer is reported as delayed by the network
+RETRANSMITTED_SEGMENT_NS = 100_000_000  # a segment that takes longer is waiting for its retransmission
 CUT_PHASES = {"request": ("request", "behind", "vanish"), "answer": ("answer", "behind", "end", "vanish")}
-MAX_PIECE_GAP_NS = 300_000  # between one piece of a segment and the next, at most
-MAX_READ_BYTES = 256 << 10  # bytes that uvloop reads at a time
+MAX_PIECE_GAP_NS = 300_000  # between two pieces of a split segment
+MAX_READ_BYTES = 256 << 10  # uvloop reads this much at a time
 
 
 def peer_closed(transport: Any) -> bool:
-    """What `router.platform` asks the kernel, of a simulated transport."""
+    """Whether the peer has closed or reset the connection; replaces the kernel call of `router.platform`."""
     return isinstance(transport, TcpTransport) and transport.peer_closed
 
 
 class Socket:
-    """As much of a socket as programs look at."""
+    """The subset of the socket interface that the programs under test use."""
 
     def __init__(self, name: Address, peer: Address | None = None) -> None:
         self._name, self._peer = name, peer
-        self.resets = False  # closing it is a reset
+        self.resets = False  # whether closing the socket sends a reset
 
     def getsockname(self) -> Address:
-        """Its own address."""
+        """Return the local address."""
         return self._name
 
     def getpeername(self) -> Address:
-        """The other side's; raises OSError where there is none."""
+        """Return the peer's address; raises OSError (ENOTCONN) where there is no peer."""
         if self._peer is None:
             raise OSError(107, "Transport endpoint is not connected")
         return self._peer
 
     def setsockopt(self, level: int, option: int, value: int | bytes) -> None:
-        """Lingering for 0 s makes the close a reset (socket(7)); nothing else changes anything here."""
+        """Apply SO_LINGER: with 0 s, closing sends a reset (socket(7)). Other options have no effect."""
         if (level, option) == (socket.SOL_SOCKET, socket.SO_LINGER) and isinstance(value, bytes):
             on, seconds = struct.unpack("ii", value)
             self.resets = bool(on) and seconds == 0
 
     def getsockopt(self, level: int, option: int, size: int = 0) -> bytes:
-        """Tells nothing (ENOPROTOOPT)."""
+        """Raise OSError (ENOPROTOOPT): no option can be read."""
         raise OSError(92, "Protocol not available")
 
     def fileno(self) -> int:
-        """None: there is no descriptor of this machine."""
+        """Return -1: a simulated socket has no descriptor of the operating system."""
         return -1
 
 
 class TcpTransport(asyncio.Transport):
-    """One end of a connection. `process` None: nobody has accepted it yet."""
+    """One end of a TCP connection. Its `process` is None until a process accepts the connection."""
 
     def __init__(
         self,
@@ -89,56 +90,54 @@
         self._connect_waiter = connect_waiter
         self._established = False
         # The program's half
-        self._buffer = bytearray()  # what the kernel has not taken
+        self._buffer = bytearray()  # written data that the kernel has not accepted
         self._high, self._low = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
         self._writing_paused = self._reading_paused = False
         self._closing = self._eof = self._conn_lost = self._connection_lost_called = False
         # The kernel's half
-        self.socket_closed = False  # closed, or never to come up
-        self._owner_generation = 0  # how often it went from one process to another
-        self.extra_descriptors = (
-            0  # descriptors beside the process's own: in another's hands, or on their way
-        )
-        self._unacked = 0  # sent, and not read by the other side's program
-        self._last_arrival = 0  # when the last of what was sent comes in
+        self.socket_closed = False  # closed in the kernel, or never to be established
+        self._owner_generation = 0  # number of transfers from one process to another
+        self.extra_descriptors = 0  # beside the process's own: held by another process, or being passed
+        self._unacked = 0  # bytes sent that the peer's program has not read
+        self._last_arrival = 0  # when the last segment sent so far arrives
         self._received: deque[bytes] = deque()
         self._fin_received = self._eof_delivered = self._fin_sent = self._reset_received = False
-        self._written_at = 0  # the last write of the program
-        self._segments_in_transit: deque[Handle] = deque(maxlen=MAX_TRACKED_SEGMENTS)  # segments, the latest
+        self._written_at = 0  # when the program last wrote
+        self._segments_in_transit: deque[Handle] = deque(maxlen=MAX_TRACKED_SEGMENTS)  # the latest ones
 
     def attach(self, connection: Connection, peer: TcpTransport, label: str) -> None:
-        """Know the connection and the other end."""
+        """Attach this end to its connection and to the other end."""
         self.connection, self.peer, self.label = connection, peer, label
 
     # The program's half: asyncio.Transport
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """The socket and its addresses."""
+        """Return the socket, or the local or the peer's address."""
         return {"socket": self.socket, "sockname": self.address, "peername": self.remote}.get(name, default)
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Another protocol from now on."""
+        """Replace the protocol."""
         self._protocol = cast(asyncio.Protocol, protocol)
 
     def get_protocol(self) -> asyncio.BaseProtocol:
-        """The protocol."""
+        """Return the protocol."""
         assert self._protocol is not None
         return self._protocol
 
     def is_closing(self) -> bool:
-        """Whether it is closed or about to be."""
+        """Whether the transport is closed or closing."""
         return self._closing
 
     def is_reading(self) -> bool:
-        """Whether the protocol is given what comes."""
+        """Whether received data is passed to the protocol."""
         return not self._reading_paused and not self._closing
 
     def pause_reading(self) -> None:
-        """What comes stays with the kernel."""
+        """Leave received data with the kernel."""
         self._reading_paused = True
 
     def resume_reading(self) -> None:
-        """The protocol is given what comes."""
+        """Pass received data to the protocol again."""
         if not self._reading_paused or self._closing:
             self._reading_paused = False
             return
@@ -146,7 +145,7 @@
         self._world.soon(self.process, self._read)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """As asyncio has it."""
+        """Set the limits of flow control, in bytes, with asyncio's defaults and checks."""
         if high is None:
             high = HIGH_WATER_BYTES if low is None else 4 * low
         if low is None:
@@ -157,15 +156,15 @@
         self._pause_or_resume()
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the kernel has not taken."""
+        """Return the number of bytes that the kernel has not accepted."""
         return len(self._buffer)
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        """Low and high."""
+        """Return the low and the high limit."""
         return self._low, self._high
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send; what the kernel does not take waits here."""
+        """Send data; what the kernel does not accept waits in the transport's buffer."""
         if self._eof:
             raise RuntimeError("Cannot call write() after write_eof()")
         if not data or self._conn_lost or self._connection_lost_called:
@@ -174,7 +173,7 @@
         if self._eof_delivered:
             self.network.on_write_after_eof(self)
         if self._reset_received:
-            # The kernel tells of it at the next write, also where nothing is being read.
+            # The kernel reports a reset at the next write, also while reading is paused.
             self._conn_lost = True
             self._world.soon(self.process, self._fatal, (BrokenPipeError(32, "Broken pipe"),))
             return
@@ -194,11 +193,11 @@
         self._pause_or_resume()
 
     def can_write_eof(self) -> bool:
-        """Always."""
+        """Return True: a TCP connection can be half-closed."""
         return True
 
     def write_eof(self) -> None:
-        """Send no more, once all is sent; reading goes on."""
+        """Close the sending direction once the buffer is sent; reading continues."""
         if self._eof or self._closing:
             return
         self._eof = True
@@ -206,7 +205,7 @@
             self._send_fin()
 
     def close(self) -> None:
-        """Close once all is sent; nothing more is read."""
+        """Stop reading, and close once the buffer is sent."""
         if self._closing:
             return
         self._closing = True
@@ -215,7 +214,7 @@
             self._world.soon(self.process, self._call_connection_lost, (None, self._owner_generation))
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once and drop the buffer."""
         self._force_close(None)
 
     def _force_close(self, error: Exception | None) -> None:
@@ -258,7 +257,7 @@
                 self._protocol.resume_writing()
 
     def _read(self) -> None:
-        """Give the protocol what the kernel holds."""
+        """Pass the data that the kernel holds to the protocol, then the end of the stream or a reset."""
         while self._received and not self._reading_paused and not self._closing:
             data = self._received.popleft()
             while self._received and len(data) + len(self._received[0]) <= MAX_READ_BYTES:
@@ -273,7 +272,7 @@
             self._eof_delivered = True
             assert self._protocol is not None
             if self._protocol.eof_received():
-                self._reading_paused = True  # as uvloop does: nothing more can come
+                self._reading_paused = True  # as uvloop does after the end of the stream
             else:
                 self.close()
 
@@ -295,7 +294,7 @@
 
     @property
     def peer_closed(self) -> bool:
-        """Whether the other side has closed or reset the connection, as poll(2) tells it."""
+        """Whether the other side has closed or reset the connection, as poll(2) reports it."""
         return self._fin_received or self._reset_received
 
     # The kernel's half: sending
@@ -341,7 +340,7 @@
         self._last_arrival = at
 
     def set_earliest_arrival(self, at: int) -> None:
-        """Nothing that is sent comes in before that: the other side does not know of the connection yet."""
+        """Set the time before which no segment arrives: the other side does not know the connection yet."""
         self._last_arrival = at
 
     def _send_fin(self) -> None:
@@ -353,7 +352,7 @@
         self._world.at(at, None, self.peer.receive_fin)
 
     def _send_reset(self) -> None:
-        # A kernel that resets sends nothing again: what the line has held back so far never comes.
+        # After a reset the kernel retransmits nothing: segments that still wait for it never arrive.
         soonest = self._world.now + 2 * self.network.delay(self.host, self.peer.host)
         for held in self._segments_in_transit:
             if held.due > soonest:
@@ -361,7 +360,7 @@
                 self._last_arrival = self._world.now
         self._segments_in_transit.clear()
         if self.network.is_blocked(self.host, self.peer.host):
-            return  # a reset is never sent again, either
+            return  # a reset is not retransmitted, either
         at = max(self.network.arrival(self.host, self.peer.host), self._last_arrival)
         self._last_arrival = at
         self._world.at(at, None, self.peer.receive_reset)
@@ -374,7 +373,7 @@
             self._world.at(at, None, peer.window_opened)
 
     def window_opened(self) -> None:
-        """The other side has read: the kernel takes more."""
+        """Accept more data from the buffer: the other side has read some."""
         if self.socket_closed or self._reset_received or self.host.silent or self.connection.black_holed:
             return
         self._world.soon(self.process, self._flush_buffer)
@@ -384,7 +383,7 @@
         if self._connection_lost_called or not self._buffer:
             return
         if room < min(len(self._buffer), SEGMENT_BYTES, self.connection.window // 2):
-            return  # RFC 9293, 3.8.6.2: a kernel does not send crumbs; more room comes with the next reading
+            return  # RFC 9293, 3.8.6.2: a kernel sends no tiny segments; the next read opens the window
         data = bytes(self._buffer[:room])
         del self._buffer[:room]
         self._send(data)
@@ -402,11 +401,11 @@
         return self.host.silent or self.connection.black_holed
 
     def receive_data(self, data: bytes) -> None:
-        """A segment comes in."""
+        """Receive a segment."""
         if self._ignores_input():
             return
         if self.socket_closed:
-            # Nobody is there to read it: RFC 9293, 3.10.7.1.
+            # No socket exists any more to read the segment: RFC 9293, 3.10.7.1.
             self._send_reset()
             return
         if self._reset_received:
@@ -424,7 +423,7 @@
             self._world.soon(process, self._read)
 
     def receive_fin(self) -> None:
-        """The other side sends no more."""
+        """Receive a FIN: the other side sends no more data."""
         if self._ignores_input() or self.socket_closed or self._reset_received:
             return
         self._fin_received = True
@@ -432,7 +431,7 @@
             self._world.soon(self.process, self._read)
 
     def receive_reset(self) -> None:
-        """The connection is broken: what was held unread is lost, and what is sent goes nowhere."""
+        """Receive a reset: unread data is dropped, and writing fails from now on."""
         if self._ignores_input() or self.socket_closed or self._reset_received:
             return
         self._reset_received = True
@@ -444,15 +443,15 @@
         elif self._connect_waiter is not None and not self._established:
             self.connection_refused()
         elif self._closing:
-            # Waiting to send the rest, which can't be sent any more.
+            # The transport waited for the rest of its buffer to be sent, which is no longer possible.
             self._world.soon(self.process, self._fatal, (reset_error(),))
         elif not self._reading_paused:
             self._world.soon(self.process, self._read)
 
-    # Beginning and end
+    # Establishing, transferring and closing
 
     def set_established(self) -> None:
-        """The client's side is up: its protocol is told, and then whoever waits for the connection."""
+        """Mark the client's end as established: its protocol is called, then the connect call returns."""
         self._established = True
         self._world.soon(self.process, self._call_connection_made)
 
@@ -465,18 +464,18 @@
         if up is not None and not up.done():
             up.set_result(None)
         if self._protocol is None:
-            return  # it was given on to another process
+            return  # connection_made has passed the connection to another process
         if self._received or self._fin_received or self._reset_received:
             self._world.soon(self.process, self._read)
 
     def attach_process(self, process: Process, protocol: asyncio.BaseProtocol) -> None:
-        """A server's process has taken the connection."""
+        """Attach the connection to a server's process that has accepted it."""
         self.process, self._protocol = process, cast(asyncio.Protocol, protocol)
         self._established = True
         self._call_connection_made()
 
     def detach_process(self) -> None:
-        """The process has it no longer, and others do: what comes waits with the kernel."""
+        """Detach the process while other descriptors stay open; received data waits in the kernel."""
         if self.process is not None:
             self.process.free_descriptor(self)
         self.process = self._protocol = None
@@ -484,19 +483,19 @@
         self._closing = self._conn_lost = self._connection_lost_called = self._reading_paused = False
 
     def transfer_to(self, process: Process, protocol: asyncio.BaseProtocol) -> None:
-        """Another process has it from now on."""
+        """Attach the connection to another process."""
         if self.process is not None:
-            self.detach_process()  # the one before has not heard yet that its own descriptor is closed
+            self.detach_process()  # the previous process has not run the close of its own descriptor yet
         self.attach_process(process, protocol)
 
     def drop_extra_descriptor(self) -> None:
-        """One descriptor beside the process's own is closed; the last one of all closes the connection."""
+        """Close one descriptor beside the process's own; closing the last of all closes the connection."""
         self.extra_descriptors -= 1
         if not self.extra_descriptors and self.process is None:
             self._close_socket()
 
     def connection_refused(self) -> None:
-        """Nobody listens there."""
+        """Fail the connect call: no socket listens at the address."""
         if self.socket_closed or self._connect_waiter is None:
             return
         up, self._connect_waiter = self._connect_waiter, None
@@ -504,26 +503,26 @@
         self._world.soon(self.process, _fail_connect, (up, self.remote))
 
     def cancel_connect(self) -> None:
-        """Whoever wanted the connection wants it no longer."""
+        """Close the socket of a connect call that was cancelled."""
         if not self._connection_lost_called and not self.socket_closed:
             self._closing = self._conn_lost = self._connection_lost_called = True
             self._close_socket()
 
     def reset_after_reboot(self) -> None:
-        """This end's machine was away and knows nothing of the connection: it answers with a reset."""
+        """Forget the connection after the host's reboot, and answer data of the other end with a reset."""
         if not self.socket_closed:
             self.socket_closed = True
         if self.peer._unacked and not self.peer.socket_closed:
             self._send_reset()
 
     def process_died(self) -> None:
-        """The kernel closes what the process held."""
+        """Close the socket: the kernel closes what a dead process held."""
         self._buffer.clear()
         self._connection_lost_called = True
         self._close_socket()
 
     def _close_socket(self) -> None:
-        """The kernel closes it: with a reset if something was left unread, else in good order."""
+        """Close the socket in the kernel: with a reset if data was left unread, else with a FIN."""
         if self.socket_closed:
             return
         if self.extra_descriptors:
@@ -543,7 +542,7 @@
 
 
 def reset_error() -> ConnectionResetError:
-    """What a read from a connection that was reset fails with."""
+    """Return the error that reading from a reset connection raises."""
     return ConnectionResetError(104, "Connection reset by peer")
 
 
@@ -553,7 +552,7 @@
 
 
 class Listener(asyncio.AbstractServer):
-    """A listening socket, and the server that accepts from it."""
+    """A listening socket and the asyncio server that accepts from it."""
 
     def __init__(
         self,
@@ -572,24 +571,24 @@
 
     @property
     def sockets(self) -> tuple[Socket, ...]:
-        """The listening socket, while it is open."""
+        """The listening socket while it is open, else empty."""
         return (self._socket,) if self._open else ()
 
     @property
     def is_full(self) -> bool:
-        """Whether the kernel holds as many connections as it may that nobody has accepted."""
+        """Whether the backlog is full of connections that no process has accepted."""
         return len(self._pending) >= self._backlog
 
     def add_pending(self, connection: Connection) -> None:
-        """A connection is coming up."""
+        """Add a connection that is being established to the backlog."""
         self._pending[connection] = None
 
     def remove_pending(self, connection: Connection) -> None:
-        """It will not."""
+        """Take a connection out of the backlog."""
         self._pending.pop(connection, None)
 
     def connection_established(self, connection: Connection) -> None:
-        """It is up: the process is to accept it."""
+        """Have the process accept a connection that is established."""
         if not self._open:
             if connection in self._pending:
                 self.remove_pending(connection)
@@ -606,7 +605,7 @@
         try:
             self.process.take_descriptor(end)
         except OSError:
-            # The kernel keeps it; the process looks again when it looks again.
+            # The connection stays in the backlog until the process tries again.
             self.network.world.at(
                 self.network.world.now + ACCEPT_RETRY_NS, self.process, self._accept, (connection,)
             )
@@ -616,25 +615,25 @@
         end.attach_process(self.process, self._factory())
 
     def get_loop(self) -> asyncio.AbstractEventLoop:
-        """The process's loop."""
+        """Return the process's event loop."""
         return self.process.loop
 
     def is_serving(self) -> bool:
-        """Whether it listens."""
+        """Whether the socket listens."""
         return self._open
 
     async def start_serving(self) -> None:
-        """It does already."""
+        """Do nothing: the socket listens from its creation on."""
 
     async def serve_forever(self) -> None:
-        """Until it is cancelled."""
+        """Wait until the task is cancelled, then close."""
         try:
             await self.process.loop.create_future()
         finally:
             self.close()
 
     def close(self) -> None:
-        """Refuse from now on; those that nobody has accepted are reset."""
+        """Stop listening; connections that no process has accepted are reset."""
         if not self._open:
             return
         self._open = False
@@ -650,12 +649,12 @@
                 waiter.set_result(None)
 
     def process_died(self) -> None:
-        """The kernel closes it."""
+        """Close the socket, as the kernel does."""
         self._closed.clear()
         self.close()
 
     async def wait_closed(self) -> None:
-        """Until it is closed."""
+        """Wait until the socket is closed."""
         if self._open:
             waiter = self.process.loop.create_future()
             self._closed.append(waiter)
@@ -663,7 +662,7 @@
 
 
 class UdpTransport(asyncio.DatagramTransport):
-    """A datagram socket."""
+    """The transport of a UDP socket, bound to a local address and, with `remote`, connected."""
 
     def __init__(
         self,
@@ -678,23 +677,23 @@
         self.socket = Socket(address, remote)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """The socket and its addresses."""
+        """Return the socket, or the local or the peer's address."""
         return {"socket": self.socket, "sockname": self.address, "peername": self.remote}.get(name, default)
 
     def get_protocol(self) -> asyncio.BaseProtocol:
-        """The protocol."""
+        """Return the protocol."""
         return self._protocol
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Another protocol from now on."""
+        """Replace the protocol."""
         self._protocol = cast(asyncio.DatagramProtocol, protocol)
 
     def is_closing(self) -> bool:
-        """Whether it is closed."""
+        """Whether the socket is closed."""
         return self._closing
 
     def sendto(self, data: bytes | bytearray | memoryview, addr: Any = None) -> None:
-        """Send one datagram."""
+        """Send one datagram; raises ValueError without an address, or with another than the connected one."""
         to = addr or self.remote
         if to is None:
             raise ValueError("no address to send to")
@@ -704,17 +703,17 @@
             self.network.send_datagram(self, bytes(data), (to[0], to[1]))
 
     def receive_datagram(self, data: bytes, sender: Address) -> None:
-        """One datagram has come."""
+        """Pass a received datagram to the protocol."""
         if not self._closing and (self.remote is None or self.remote == sender):
             self._protocol.datagram_received(data, sender)
 
     def receive_port_unreachable(self) -> None:
-        """Nobody has the port that something was sent to; only a connected socket is told."""
+        """Report that the destination port is closed; only a connected socket learns of it."""
         if not self._closing and self.remote is not None:
             self._protocol.error_received(ConnectionRefusedError(111, "Connection refused"))
 
     def close(self) -> None:
-        """Close."""
+        """Close the socket."""
         if self._closing:
             return
         self._closing = True
@@ -723,10 +722,10 @@
         self.network.world.soon(self.process, self._protocol.connection_lost, (None,))
 
     def abort(self) -> None:
-        """Close."""
+        """Close the socket."""
         self.close()
 
     def process_died(self) -> None:
-        """The kernel closes it."""
+        """Close the socket, as the kernel does."""
         self._closing = True
         self.network.unbind(self)
