--- a/holdgw/simulation/loop.py
+++ b/holdgw/simulation/loop.py
@@ -1,9 +1,9 @@
-"""asyncio's interface to the simulated world: one loop a process, on the process's own clock.
+"""asyncio's event loop over simulated time: one loop per process, on the process's own clock.
 
-A router's timers are rounded as uvloop rounds them (a whole number of milliseconds, counted from a clock that
-is itself cut to milliseconds), so that code which relies on finer ones fails here as it would there; the
-emulator's are fine. What needs a real machine (threads, subprocesses, name look-ups, files as sockets, TLS)
-raises NotImplementedError.
+A router's timers are rounded as uvloop rounds them (to whole milliseconds, counted from a clock that is
+itself truncated to milliseconds), so that code which relies on a finer resolution fails here as it would
+there; the emulator's timers are exact. Features that need a real machine (threads, subprocesses, name
+resolution, existing sockets, TLS) raise NotImplementedError.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ProcessLoop(asyncio.AbstractEventLoop):
-    """The loop of one simulated process."""
+    """The event loop of one simulated process."""
 
     def __init__(self, process: Process, fine_timers: bool = False) -> None:
         self.process, self._fine_timers = process, fine_timers
@@ -33,7 +33,7 @@
     # Time and calls
 
     def time(self) -> float:
-        """Seconds of the process's monotonic clock, cut to milliseconds as libuv's cached time is."""
+        """Return the monotonic clock in seconds, truncated to milliseconds like libuv's cached time."""
         if self._fine_timers:
             return self.process.monotonic_ns() / NS_PER_S
         return self.process.monotonic_ns() // NS_PER_MS / 1000
@@ -41,19 +41,19 @@
     def call_soon(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> Handle:
-        """Call behind what is ready already."""
+        """Schedule a call after those that are ready already."""
         return self._world.soon(self.process, callback, args, context or contextvars.copy_context())
 
     def call_soon_threadsafe(  # type: ignore[override]
         self, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> Handle:
-        """The same: there are no threads."""
+        """Schedule a call like `call_soon`: there are no threads."""
         return self.call_soon(callback, *args, context=context)
 
     def call_later(  # type: ignore[override]
         self, delay: float, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> Handle:
-        """Call after `delay` seconds, rounded to milliseconds where timers are not fine."""
+        """Schedule a call after `delay` seconds, rounded to milliseconds unless timers are fine."""
         process = self.process
         if self._fine_timers:
             if delay <= 0:
@@ -71,11 +71,11 @@
     def call_at(  # type: ignore[override]
         self, when: float, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> Handle:
-        """Call when the loop's clock shows `when`."""
+        """Schedule a call for the time `when` of the loop's clock."""
         return self.call_later(when - self.time(), callback, *args, context=context)
 
     def is_running(self) -> bool:
-        """Whether the process's code runs just now."""
+        """Whether the process's code is running now."""
         return self._world.current is self.process
 
     def is_closed(self) -> bool:
@@ -83,16 +83,16 @@
         return not self.process.alive
 
     def get_debug(self) -> bool:
-        """Never."""
+        """Return False: there is no debug mode."""
         return False
 
     def set_debug(self, enabled: bool) -> None:
-        """Nothing changes."""
+        """Do nothing: there is no debug mode."""
 
     # Tasks and futures
 
     def create_future(self) -> asyncio.Future[Any]:
-        """A future of this loop."""
+        """Create a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(
@@ -102,10 +102,10 @@
         name: str | None = None,
         context: Context | None = None,
     ) -> asyncio.Task[Any]:
-        """A task of this process; it is known until it is over."""
+        """Create a task of this process, and keep a reference to it until it is done."""
         task: asyncio.Task[Any] = asyncio.Task(coro, loop=self, name=name, context=context)
-        # A task that nothing references is collected at a time that no seed decides, and a task of a dead
-        # process would then run its `finally` blocks. Kept here, it lives as long as its process.
+        # The garbage collector frees an unreferenced task at a time that the seed does not determine, and a
+        # task of a dead process would then run its `finally` blocks. This reference prevents it.
         self.tasks[task] = None
         task.add_done_callback(self._forget_task)
         return task
@@ -118,19 +118,19 @@
     def set_exception_handler(
         self, handler: Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None
     ) -> None:
-        """Who is told of faults in callbacks."""
+        """Set the handler of exceptions in callbacks."""
         self._handler = handler
 
     def get_exception_handler(self) -> Callable[[asyncio.AbstractEventLoop, dict[str, Any]], object] | None:
-        """Who is told."""
+        """Return the handler of exceptions in callbacks."""
         return self._handler
 
     def default_exception_handler(self, context: dict[str, Any]) -> None:
-        """Tell of it in the trace."""
+        """Record the exception in the trace."""
         self._world.trace.add(self._world.now, self.process.name, "fault", _describe_fault(context))
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Keep a fault with the process, and tell of it."""
+        """Record the exception with the process, and call the handler."""
         if not self.process.alive or self._world.ended:
             return
         self.process.faults.append(_describe_fault(context))
@@ -144,11 +144,11 @@
     def add_signal_handler(  # type: ignore[override]
         self, sig: int, callback: Callable[..., object], *args: Any
     ) -> None:
-        """The process takes this signal."""
+        """Set the process's handler of a signal."""
         self.process.on_signal(sig, lambda: callback(*args))
 
     def remove_signal_handler(self, sig: int) -> bool:
-        """It does so no longer."""
+        """Remove the process's handler of a signal; returns whether there was one."""
         return self.process.off_signal(sig)
 
     # Network
@@ -162,7 +162,7 @@
         local_addr: tuple[str, int] | None = None,
         **options: Any,
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Connect to a literal address."""
+        """Connect to a literal IP address."""
         _reject_options(options)
         return await self.process.network.connect(self.process, protocol_factory, (host, port), local_addr)
 
@@ -177,7 +177,7 @@
         reuse_address: bool | None = None,
         **options: Any,
     ) -> asyncio.AbstractServer:
-        """Listen at a literal address of the process's host; port 0 takes a free one."""
+        """Listen on a literal IP address of the process's host; port 0 chooses a free port."""
         _reject_options(options)
         server = self.process.network.listen(self.process, protocol_factory, (host, port), backlog)
         if start_serving:
@@ -191,22 +191,22 @@
         remote_addr: tuple[str, int] | None = None,
         **options: Any,
     ) -> tuple[asyncio.DatagramTransport, asyncio.DatagramProtocol]:
-        """A datagram socket, bound or connected or both."""
+        """Open a datagram socket, bound or connected or both."""
         _reject_options(options)
         return await self.process.network.open_datagram_socket(
             self.process, protocol_factory, local_addr, remote_addr
         )
 
     async def getaddrinfo(self, host: Any, port: Any, **_: Any) -> NoReturn:
-        """There are no names here."""
-        raise NotImplementedError("the simulation knows literal addresses only")
+        """Raise NotImplementedError: there is no name resolution."""
+        raise NotImplementedError("the simulation supports literal addresses only")
 
     def run_in_executor(self, executor: Any, func: Any, *args: Any) -> NoReturn:  # type: ignore[override]
-        """There are no threads here: when one ran would not hang on the seed."""
+        """Raise NotImplementedError: the seed could not determine when a thread runs."""
         raise NotImplementedError("threads can't be simulated")
 
     async def shutdown_asyncgens(self) -> None:
-        """Nothing is kept of them."""
+        """Do nothing: asynchronous generators are not tracked."""
 
 
 def _describe_fault(context: dict[str, Any]) -> str:
@@ -217,4 +217,4 @@
 def _reject_options(options: dict[str, Any]) -> None:
     unsupported = [name for name, value in options.items() if value]
     if unsupported:
-        raise NotImplementedError(f"the simulation has no {', '.join(unsupported)}")
+        raise NotImplementedError(f"the simulation does not support {', '.join(unsupported)}")
--- a/holdgw/simulation/process.py
+++ b/holdgw/simulation/process.py
@@ -1,4 +1,4 @@
-"""A simulated process: its loop, its clocks, its signals, its descriptors, and its end."""
+"""A simulated process: its event loop, clocks, signals, descriptors and exit."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 UNIX_START_NS = 1_700_000_000 * NS_PER_S
 PPM = 1_000_000
-MAX_UPTIME_NS = 3_600 * NS_PER_S  # clocks of processes begin anywhere within it
+MAX_UPTIME_NS = 3_600 * NS_PER_S  # monotonic clocks of processes start at a random value below
 OWN_DESCRIPTORS = 3
 
 
 @dataclass(slots=True)
 class Leftovers:
-    """What a process still had when it ended."""
+    """The resources that a process still held when it exited."""
 
     tasks: list[asyncio.Task[Any]]
     descriptors: list[Any]
@@ -30,8 +30,11 @@
 
 
 class Process:
-    """A program on a host. `drift_ppm`: how much its clocks are too fast; `fine`: its timers are finer than
-    uvloop's; `descriptors`: most it may hold.
+    """A program on a host.
+
+    `drift_ppm` is the rate error of its monotonic clock, in parts per million, positive for a fast clock. With
+    `fine_timers`, its timers have a finer resolution than uvloop's milliseconds. `max_descriptors` limits the
+    descriptors that it holds.
     """
 
     def __init__(
@@ -46,37 +49,37 @@
     ) -> None:
         self.world, self.network, self.host, self.name = world, network, host, name
         self.listen_hosts = [host]
-        """Hosts on whose addresses it may listen: its own, and those it plays in one process."""
+        """Hosts on whose addresses the process may listen: its own, and others whose servers it runs."""
         self.alive, self.stopped = True, False
         self.exit_code: int | None = None
         self.on_exit: Callable[[Process], None] = lambda _: None
-        self.kill_after: int | None = None  # so many of its callbacks are still run
+        self.kill_after: int | None = None  # callbacks that still run before the process is killed
         self.max_descriptors = max_descriptors
-        self.open_descriptors: dict[Any, None] = {}  # transports and listeners that hold a descriptor
+        self.open_descriptors: dict[Any, None] = {}  # the holders: transports, listeners and links
         self.peak_descriptors = 0
         self.main: asyncio.Task[int] | None = None
         self.leftovers: Leftovers | None = None
         self.faults: list[str] = []
-        """Faults in callbacks that nobody in the process took care of."""
+        """Errors that the process did not handle, as text: in callbacks, its main coroutine or its start."""
         self._drift = drift_ppm
         self._started_at = world.now
         self._initial_local_time = world.random.randrange(MAX_UPTIME_NS)
         self._wall_clock_offset = 0
         self._deferred: list[Handle] = []
         self._handlers: dict[int, Callable[[], object]] = {}
-        # Whatever else the abstract loop names raises NotImplementedError, as it should here.
+        # Methods of the abstract loop that ProcessLoop lacks raise NotImplementedError, as intended.
         self.loop = ProcessLoop(self, fine_timers)  # type: ignore[abstract]
         world.processes.append(self)
 
     # Clocks
 
     def local_time(self, at: int) -> int:
-        """The process's monotonic clock, nanoseconds, at a time of the world."""
+        """Return the process's monotonic clock at a simulated time, both in nanoseconds."""
         passed = at - self._started_at
         return self._initial_local_time + passed + passed * self._drift // PPM
 
     def world_time(self, local: int) -> int:
-        """The first time of the world at which the process's monotonic clock shows `local`."""
+        """Return the first simulated time at which the process's monotonic clock shows `local`."""
         passed = local - self._initial_local_time
         if not self._drift:
             return self._started_at + passed
@@ -86,20 +89,20 @@
         return at
 
     def monotonic_ns(self) -> int:
-        """The process's monotonic clock."""
+        """Return the process's monotonic clock, in nanoseconds."""
         return self.local_time(self.world.now)
 
     def unix_ns(self) -> int:
-        """The process's wall clock: it may be set."""
+        """Return the process's wall clock, in nanoseconds since 1970; a fault may set it."""
         return UNIX_START_NS + self.world.now + self._wall_clock_offset
 
     def step_wall_clock(self, nanoseconds: int) -> None:
-        """The wall clock is set so much forward or back."""
+        """Set the wall clock forward or, with a negative value, back."""
         self._wall_clock_offset += nanoseconds
         self.world.trace.add(self.world.now, self.name, "clock", str(nanoseconds))
 
     def share_clock(self, other: Process) -> None:
-        """Have another's clocks: a machine has one of each."""
+        """Use the clocks of another process of the same machine."""
         self._drift, self._started_at, self._initial_local_time, self._wall_clock_offset = (
             other._drift,
             other._started_at,
@@ -107,15 +110,15 @@
             other._wall_clock_offset,
         )
 
-    # Life
+    # Running and exiting
 
     @property
     def running(self) -> bool:
-        """Whether its code runs: it lives, and is not stopped."""
+        """Whether the process is alive and not stopped."""
         return self.alive and not self.stopped
 
     def start(self, main: Coroutine[Any, Any, int]) -> None:
-        """Run a program; its result is the exit code."""
+        """Run a program's main coroutine; its result is the exit code."""
         self.world.trace.add(self.world.now, self.name, "start")
         self.main = self.loop.create_task(main)
         self.main.add_done_callback(self._main_over)
@@ -130,17 +133,17 @@
             self._end(main.result())
 
     def defer(self, handle: Handle) -> None:
-        """A call that came while it was stopped is made when it goes on; the dead get none."""
+        """Keep a call that is due while the process is stopped until it resumes; a dead process gets none."""
         if self.alive:
             self._deferred.append(handle)
 
     def stop(self) -> None:
-        """Stand still, as by SIGSTOP: the kernel goes on for it."""
+        """Stop running, as by SIGSTOP; the kernel's half of its connections works on."""
         self.stopped = True
         self.world.trace.add(self.world.now, self.name, "stop")
 
     def resume(self) -> None:
-        """Run again."""
+        """Run again, as by SIGCONT."""
         if not self.stopped:
             return
         self.stopped = False
@@ -151,14 +154,14 @@
                 self.world.requeue(handle)
 
     def kill(self, after: int = 0) -> None:
-        """Die, as by SIGKILL; with `after`, so many callbacks on, at whatever await it has come to."""
+        """Exit, as by SIGKILL: at once, or after `after` more callbacks, at whichever await that hits."""
         if after:
             self.kill_after = after
         else:
             self._end(-signal.SIGKILL)
 
     def count_down_to_kill(self) -> None:
-        """One more callback was run."""
+        """Count a callback that ran, and exit after the last one that `kill` allowed."""
         assert self.kill_after is not None
         self.kill_after -= 1
         if self.kill_after <= 0:
@@ -184,15 +187,15 @@
     # Signals
 
     def on_signal(self, number: int, callback: Callable[[], object]) -> None:
-        """The process takes this signal itself."""
+        """Set the handler of a signal."""
         self._handlers[number] = callback
 
     def off_signal(self, number: int) -> bool:
-        """It does so no longer; returns whether it had."""
+        """Remove the handler of a signal; returns whether there was one."""
         return self._handlers.pop(number, None) is not None
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send it a signal."""
+        """Send the process a signal; without a handler it ends the process."""
         if not self.alive:
             return
         self.world.trace.add(self.world.now, self.name, "signal", number.name)
@@ -210,12 +213,12 @@
     # DescriptorTable
 
     def take_descriptor(self, holder: Any) -> None:
-        """Hold one more descriptor; raises OSError where it may not."""
+        """Open a descriptor for its holder; raises OSError (EMFILE) at the limit."""
         if len(self.open_descriptors) + OWN_DESCRIPTORS >= self.max_descriptors:
             raise OSError(24, "Too many open files")
         self.open_descriptors[holder] = None
         self.peak_descriptors = max(self.peak_descriptors, len(self.open_descriptors))
 
     def free_descriptor(self, holder: Any) -> None:
-        """One descriptor less."""
+        """Close the descriptor of a holder."""
         self.open_descriptors.pop(holder, None)
--- a/holdgw/simulation/world.py
+++ b/holdgw/simulation/world.py
@@ -25,16 +25,16 @@
 NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
 START_NS = 1_000 * NS_PER_S
-MAX_CALLBACKS_PER_INSTANT = 100_000  # callbacks of one instant, beyond which it is a spin
-SPIN_SAMPLE_SIZE = 1_000  # of them, the last ones, to name who spins
+MAX_CALLBACKS_PER_INSTANT = 100_000  # more without time advancing count as a spin
+SPIN_SAMPLE_SIZE = 1_000  # the last callbacks of a spin, counted to name the busiest
 
 
 class SpinError(Exception):
-    """Callbacks follow each other without time passing; the text names the recent."""
+    """Callbacks schedule each other without time advancing; the message names the most frequent ones."""
 
 
 class Handle(asyncio.TimerHandle):
-    """A call that is to be made in a process, or, where `process` is None, by the world itself."""
+    """A scheduled call into a process or, where `process` is None, into the simulation itself."""
 
     __slots__ = ("due", "process")
 
@@ -53,17 +53,17 @@
         self._cancelled = False
 
     def cancel(self) -> None:
-        """Never make the call."""
+        """Cancel the call."""
         self._cancelled = True
-        # The heap keeps a cancelled entry until its time; what it would have called need not be kept so long.
+        # The heap keeps a cancelled entry until it is due; its callback and arguments are released now.
         self._callback = self._args = None
 
     def cancelled(self) -> bool:
-        """Whether it was cancelled."""
+        """Whether the call was cancelled."""
         return self._cancelled
 
     def when(self) -> float:
-        """On its process's own clock, seconds."""
+        """Return the due time in seconds, on the clock of its process if it has one."""
         return (
             self.process.local_time(self.due) / NS_PER_S if self.process is not None else self.due / NS_PER_S
         )
@@ -79,7 +79,7 @@
 
 
 def callback_name(callback: Callable[..., object] | None) -> str:
-    """What a callback is called; a task's step by its coroutine."""
+    """Return a callback's qualified name for messages; a step of a task is named after its coroutine."""
     owner = getattr(callback, "__self__", None)
     if isinstance(owner, asyncio.Task):
         coroutine = owner.get_coro()
@@ -91,7 +91,7 @@
 
 
 class World:
-    """Time, chance, and the queue of what happens."""
+    """The clock, the random source and the queue of calls of one simulated run."""
 
     def __init__(self, seed: int, trace: Trace | None = None) -> None:
         self.seed, self.now = seed, START_NS
@@ -102,7 +102,7 @@
         self.callbacks = 0
         self.failure: BaseException | None = None
         self.ended = False
-        """Nothing is made of what comes now: the run is being taken down."""
+        """True while the run is taken down: faults that still occur are ignored."""
         self._ready: deque[Handle] = deque()
         self._scheduled: list[tuple[int, int, Handle]] = []
         self._sequence = 0
@@ -110,7 +110,7 @@
 
     @property
     def seconds(self) -> float:
-        """The world's time in seconds."""
+        """The simulated time in seconds."""
         return self.now / NS_PER_S
 
     def soon(
@@ -120,7 +120,7 @@
         args: tuple[Any, ...] = (),
         context: Context | None = None,
     ) -> Handle:
-        """Call at this instant, behind what is ready already."""
+        """Schedule a call at this instant, after the calls that are ready already."""
         handle = Handle(process, callback, args, context, self.now)
         self._ready.append(handle)
         return handle
@@ -133,29 +133,29 @@
         args: tuple[Any, ...] = (),
         context: Context | None = None,
     ) -> Handle:
-        """Call when the world's clock shows `due`."""
+        """Schedule a call at the simulated time `due`, in nanoseconds."""
         handle = Handle(process, callback, args, context, due)
         self._sequence += 1
         heapq.heappush(self._scheduled, (max(due, self.now), self._sequence, handle))
         return handle
 
     def requeue(self, handle: Handle) -> None:
-        """Make a call that had been put off, behind what is ready already."""
+        """Schedule a deferred call at this instant, after the calls that are ready already."""
         self._ready.append(handle)
 
     def pending(self, process: Process) -> list[Handle]:
-        """Calls that a process is still to be given, in no order."""
+        """Return the calls scheduled for a process, in no particular order."""
         calls = (*self._ready, *(handle for _, _, handle in self._scheduled))
         return [call for call in calls if call.process is process and not call._cancelled]
 
     def enter(self, process: Process | None) -> None:
-        """From here on this process is the one whose code runs."""
+        """Make a process the current one, and its loop the running loop of asyncio."""
         if self.current is not process:
             self.current = process
             events._set_running_loop(process.loop if process is not None else None)
 
     def call(self, process: Process, callback: Callable[..., object], *args: Any) -> None:
-        """Call into a process from the world; a fault there is that process's own."""
+        """Call into a process at once; an exception goes to that process's exception handler."""
         before = self.current
         self.enter(process)
         try:
@@ -170,31 +170,32 @@
             self.enter(before)
 
     def end(self) -> None:
-        """The run is over: what was left of its tasks is forgotten without a word."""
+        """Take down the run, and drop all tasks and calls that are left without a warning."""
         self.ended = True
         for process in self.processes:
             process.alive = False
             for task in process.loop.tasks:
                 task._log_destroy_pending = False  # type: ignore[attr-defined]
-                # What it would still do to end itself in good order goes to a loop that takes nothing in.
+                # `finally` blocks run here, but their process is dead and all that they schedule is dropped.
                 with contextlib.suppress(Exception):
                     task.get_coro().close()
         self._ready.clear()
         self._scheduled.clear()
 
     def stop(self) -> None:
-        """Let `run` return before it goes on to the next call."""
+        """Have `run` return before the next call."""
         self._running = False
 
     def fail(self, error: BaseException) -> None:
-        """The run can't go on: `run` raises this."""
+        """End the run with an error, which `run` raises; the first one counts."""
         if self.failure is None:
             self.failure = error
         self._running = False
 
     def run(self, until: int | None = None) -> None:
-        """Go on until nothing is left to do, `until` is reached, or `stop` is called. Raises SpinError, and
-        what `fail` was given.
+        """Run until no call is left, the time `until` (ns) is reached, or `stop` is called.
+
+        Raises SpinError, and the error given to `fail`.
         """
         if events._get_running_loop() is not None:
             raise RuntimeError("a world can't run inside a running loop")
