--- a/holdgw/simulation/network.py
+++ b/holdgw/simulation/network.py
@@ -1,8 +1,8 @@
-"""Hosts, the lines between them, and what goes wrong on those: decided by the world's seed.
+"""The simulated network: hosts, TCP and UDP between them, and network faults drawn from the seed.
 
-What a line does to a connection: delay with jitter, segments that are sent again after a loss, partitions
-(also one way) that hold bytes back until they heal, and cuts in every phase. Faults start and end by calls; a
-line that no fault is on costs no draw but its jitter.
+A link between two hosts has a delay with jitter, retransmits lost segments, holds bytes back during a
+partition (also of one direction) until it heals, and breaks connections in any phase. Faults start and end
+by calls; a link without a fault consumes no random number except for its jitter.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
 
 Address = tuple[str, int]
 
-FIRST_EPHEMERAL_PORT = 32_768  # ports from here on are given out where none is asked for
+FIRST_EPHEMERAL_PORT = 32_768  # of the range for sockets that ask for no port
 LAST_EPHEMERAL_PORT = 60_999
-WINDOW_BYTES = 256 << 10  # bytes that the kernels of both sides hold of one direction
-RETRANSMISSION_TIMEOUT_NS = 200_000_000  # Linux's least retransmission time-out
-SYN_RETRANSMISSION_TIMEOUT_NS = 1_000_000_000  # its first one for a connection that is not up
-LOOPBACK_DELAY_NS = 20_000  # within a host
+WINDOW_BYTES = 256 << 10  # that the kernels of both ends buffer in one direction
+RETRANSMISSION_TIMEOUT_NS = 200_000_000  # Linux's minimum
+SYN_RETRANSMISSION_TIMEOUT_NS = 1_000_000_000  # Linux's first, of a connection that is not established
+LOOPBACK_DELAY_NS = 20_000  # between two processes of a host
 
 
 @dataclass(eq=False, slots=True)
 class Host:
-    """A machine. `silent`: it takes and sends nothing, and nobody is told; `boot_count` counts its boots."""
+    """A machine. While `silent`, it neither receives nor sends anything; `boot_count` counts its reboots."""
 
     name: str
     zone: str
@@ -39,20 +39,20 @@
     silent: bool = False
     boot_count: int = 0
     fault_free: bool = False
-    """Its lines know nothing but delay."""
+    """Its links have delays but no faults."""
     lossless: bool = False
-    """Its lines lose nothing, and are no slower than usual; they may be cut."""
+    """Its links have no loss and no extra delay, but connections on them may be cut."""
     disk: Disk = field(default_factory=Disk)
 
     @property
     def ignores_conditions(self) -> bool:
-        """Whether the conditions leaves its lines alone."""
+        """Whether the link conditions have no effect on its links."""
         return self.fault_free or self.lossless
 
 
 @dataclass(eq=False, slots=True)
 class Cut:
-    """A share of what is sent on matching lines breaks its connection, in one of troubles.PHASES."""
+    """A fault: a share of the segments on matching links break their connection, in one of PHASES."""
 
     share: float
     phases: tuple[str, ...]
@@ -61,31 +61,31 @@
 
 @dataclass(slots=True)
 class LinkConditions:
-    """What befalls lines at the moment, beside cuts and partitions."""
+    """The faults that are active on links, except cuts and partitions."""
 
     loss: float = 0.0
-    """Share of segments that come only when they are sent again."""
+    """Share of segments that arrive only after a retransmission."""
     chop: float = 0.0
-    """Share of segments that come in pieces."""
+    """Share of segments that arrive in pieces."""
     extra_delay_ns: int = 0
-    """Added to every delay, drawn up to it."""
+    """Maximum of a random time added to every delay, nanoseconds."""
     window: int = WINDOW_BYTES
-    """Of connections made from now on."""
+    """Window of new connections, bytes."""
     datagram_loss: float = 0.0
-    """Share of open_datagram_socket lost."""
+    """Share of datagrams that are lost."""
     datagram_duplication: float = 0.0
     datagram_reordering: float = 0.0
-    """Share of open_datagram_socket that come up to `late_ns` later."""
+    """Share of datagrams that arrive up to `reordering_ns` later."""
     reordering_ns: int = 50_000_000
 
 
 LinkDelay = Callable[[Host, Host], tuple[int, int]]
-"""The least one-way delay between two hosts and its jitter, nanoseconds."""
+"""Returns the minimum one-way delay between two hosts and its jitter, nanoseconds."""
 
 
 @dataclass(eq=False, slots=True)
 class Connection:
-    """One TCP connection: both ends, and whether the line has swallowed it."""
+    """One TCP connection: both its ends, and whether the network drops all its segments."""
 
     number: int
     client: TcpTransport
@@ -97,7 +97,7 @@
 
 
 class Network:
-    """All hosts and what lies between them."""
+    """All hosts and the network between them."""
 
     def __init__(self, world: World, link_delay: LinkDelay) -> None:
         self.world = world
@@ -105,15 +105,15 @@
         self.cuts: list[Cut] = []
         self.connections: dict[Connection, None] = {}
         self.on_cut: Callable[[Connection], None] = lambda _: None
-        """Told of a connection that the network broke, before its ends are, or that it swallows things on."""
+        """Called with a connection before the network breaks it, and when the network drops its data."""
         self.on_write_after_eof: Callable[[TcpTransport], None] = lambda _: None
-        """Told of an end that writes though its program was told that the other side has ended."""
+        """Called with an end that writes after its program was told of the peer's end of stream."""
         self.on_segment_delayed: Callable[[Host, Host, int, int], None] = lambda _a, _b, _sent, _comes: None
-        """Told of a segment that the network held back: from, to, when it was written and when it comes."""
+        """Called for a delayed segment with sender, receiver, and the times of writing and of arrival."""
         self.peers: RelayModel | None = None
         """The links between routers that exchange datagrams; where it is set, it carries all datagrams."""
         self.groups: dict[Address, list[Address]] = {}
-        """Addresses at which several are reached."""
+        """Multicast addresses with their members."""
         self._link_delay = link_delay
         self._link_delays: dict[tuple[Host, Host], tuple[int, int]] = {}
         self._hosts: dict[str, Host] = {}
@@ -125,7 +125,7 @@
         self._random = random.Random(f"{world.seed}/network")
 
     def host(self, name: str, zone: str, *ips: str) -> Host:
-        """A new machine."""
+        """Add a machine; raises ValueError if an address is taken."""
         host = Host(name, zone, ips)
         for ip in ips:
             if ip in self._hosts:
@@ -133,10 +133,10 @@
             self._hosts[ip] = host
         return host
 
-    # Lines
+    # Links
 
     def delay(self, a: Host, b: Host) -> int:
-        """How long something takes from one host to the other, if it were sent now."""
+        """Draw the one-way delay of a segment sent now, in nanoseconds."""
         if a is b:
             return LOOPBACK_DELAY_NS
         link_delay = self._link_delays.get((a, b))
@@ -150,7 +150,7 @@
         return taken
 
     def arrival(self, a: Host, b: Host, retransmission_timeout_ns: int = RETRANSMISSION_TIMEOUT_NS) -> int:
-        """When a segment sent now comes in, with what is lost being sent again until it comes."""
+        """Draw when a segment sent now arrives, with retransmissions until it gets through."""
         at = self.world.now + self.delay(a, b)
         if a is b:
             return at
@@ -161,17 +161,17 @@
         if self._blocked:
             until = self._blocked.get((a, b), 0)
             if until > self.world.now:
-                # TCP's next try after the line is back; the tries lie ever further apart.
+                # The first retransmission after the partition; exponential backoff has spaced them apart.
                 gap = max((until - self.world.now) // 2, retransmission_timeout_ns)
                 at = max(at, until + int(self._random.random() * gap))
         return at
 
     def is_blocked(self, a: Host, b: Host) -> bool:
-        """Whether a partition lies between them."""
+        """Whether a partition blocks segments from one host to the other."""
         return self._blocked.get((a, b), 0) > self.world.now
 
     def block(self, a: Iterable[Host], b: Iterable[Host], seconds: float, both: bool = True) -> None:
-        """Nothing comes from `a` to `b` for so long, nor back if `both`; TCP's bytes come afterwards."""
+        """Block all from `a` to `b`, and back if `both`, for some seconds; TCP's bytes arrive afterwards."""
         until = self.world.now + int(seconds * NS_PER_S)
         others = list(b)
         for one in a:
@@ -183,15 +183,17 @@
                     self._blocked[other, one] = max(self._blocked.get((other, one), 0), until)
 
     def power_off(self, host: Host) -> None:
-        """A machine is gone without a word: whoever waits for it is told nothing. Its processes are whoever
-        started them's to kill, now or at the boot.
+        """Make a machine silent: its peers get no FIN and no reset.
+
+        Killing its processes, now or at the boot, is up to the caller.
         """
         host.silent = True
         self.world.trace.add(self.world.now, host.name, "vanish")
 
     def boot(self, host: Host) -> None:
-        """The machine is back, with what its disk kept; it knows nothing of its connections, and says so to
-        whoever sends on them.
+        """Boot the machine after a power loss, with what its disk kept.
+
+        It has lost its connections, and answers segments on them with a reset.
         """
         host.disk.crash(self._random)
         host.silent = False
@@ -204,7 +206,7 @@
     # Cuts
 
     def choose_cut_phase(self, a: Host, b: Host, phases: Iterable[str]) -> str:
-        """The phase in which something that is sent now breaks its connection; empty: it does not."""
+        """Draw the phase in which a segment sent now breaks its connection; empty if it does not."""
         if a.fault_free or b.fault_free:
             return ""
         for cut in self.cuts:
@@ -215,11 +217,11 @@
         return ""
 
     def random_offset(self, size: int) -> int:
-        """A place within a segment."""
+        """Draw an offset within a segment."""
         return self._random.randrange(size) if size else 0
 
     def split_segment(self, data: bytes) -> list[bytes]:
-        """A segment as it comes: whole, or cut anywhere."""
+        """Return a segment whole or split at random offsets."""
         if not self.conditions.chop or len(data) < 2 or self._random.random() >= self.conditions.chop:
             return [data]
         places = sorted({self._random.randrange(1, len(data)) for _ in range(self._random.randint(1, 4))})
@@ -228,7 +230,7 @@
     # TCP
 
     def free_port(self, host: Host, ip: str) -> int:
-        """A port that nothing listens on."""
+        """Return a port that no socket uses."""
         port = self._ports.get(host, FIRST_EPHEMERAL_PORT)
         while (ip, port) in self._listeners or (ip, port) in self._endpoints:
             port = port + 1 if port < LAST_EPHEMERAL_PORT else FIRST_EPHEMERAL_PORT
@@ -242,7 +244,7 @@
         address: Address,
         backlog: int,
     ) -> Listener:
-        """Listen there; raises OSError as the kernel does."""
+        """Open a listening socket; raises OSError as the kernel does."""
         ip, port = address
         if all(ip not in host.ips for host in process.listen_hosts):
             raise OSError(99, f"could not bind on {address}: not an address of {process.host.name}")
@@ -257,12 +259,12 @@
         return listener
 
     def unlisten(self, listener: Listener) -> None:
-        """The address is free again."""
+        """Release the address of a listening socket."""
         if self._listeners.get(listener.address) is listener:
             del self._listeners[listener.address]
 
     def listener(self, address: Address) -> Listener | None:
-        """Who listens there."""
+        """Return the socket that listens on an address."""
         return self._listeners.get(address)
 
     async def connect(
@@ -272,7 +274,7 @@
         remote: Address,
         local: Address | None,
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
-        """Connect; raises OSError as the kernel does, and waits for as long as nobody answers."""
+        """Connect; raises OSError as the kernel does, and waits without limit for a silent host."""
         other = self._hosts.get(remote[0])
         if other is None:
             raise OSError(113, f"no route to host {remote[0]}")
@@ -306,7 +308,7 @@
         self.world.at(at, None, self._receive_syn, (connection,))
 
     def _receive_syn(self, connection: Connection) -> None:
-        """The SYN comes in."""
+        """Receive a SYN: refuse it, drop it or answer it."""
         client, server = connection.client, connection.server
         if client.socket_closed or server.host.silent:
             return
@@ -316,7 +318,7 @@
             self.world.at(at, None, client.connection_refused)
             return
         if listener.is_full:
-            # The kernel drops what there is no room for; the other side knocks again.
+            # The kernel drops a SYN that the backlog has no room for; the client sends it again.
             self.world.at(self.world.now + SYN_RETRANSMISSION_TIMEOUT_NS, None, self._send_syn, (connection,))
             return
         listener.add_pending(connection)
@@ -325,7 +327,7 @@
         self.world.at(at, None, self._receive_syn_ack, (connection, listener, cut))
 
     def _receive_syn_ack(self, connection: Connection, listener: Listener, cut: str) -> None:
-        """The SYN's answer comes in: the client's side is up, and the server's as soon as it hears."""
+        """Receive the SYN-ACK: the client's end is established, and the server's once the ACK arrives."""
         client, server = connection.client, connection.server
         if client.socket_closed or client.host.silent:
             listener.remove_pending(connection)
@@ -338,7 +340,7 @@
             self.break_connection(connection)
 
     def break_connection(self, connection: Connection) -> None:
-        """The line breaks a connection now: both ends get a reset."""
+        """Break a connection: both ends get a reset."""
         if connection not in self.connections:
             return
         self.world.trace.add(self.world.now, "network", "cut", connection.label)
@@ -347,13 +349,13 @@
             end.receive_reset()
 
     def black_hole(self, connection: Connection) -> None:
-        """From now on the line takes everything on a connection and hands nothing on."""
+        """Drop all segments of a connection from now on."""
         self.world.trace.add(self.world.now, "network", "swallow", connection.label)
         self.on_cut(connection)
         connection.black_holed = True
 
     def forget_connection(self, connection: Connection) -> None:
-        """Both ends are closed."""
+        """Remove a connection whose ends are both closed."""
         self.connections.pop(connection, None)
 
     # UDP
@@ -365,7 +367,7 @@
         local: Address | None,
         remote: Address | None,
     ) -> tuple[asyncio.DatagramTransport, asyncio.DatagramProtocol]:
-        """A datagram socket."""
+        """Open a datagram socket; raises OSError as the kernel does."""
         ip, port = local or (process.host.ips[0], 0)
         if ip not in process.host.ips:
             raise OSError(99, f"cannot assign requested address {ip}")
@@ -377,19 +379,19 @@
         process.take_descriptor(end)
         self._endpoints[ip, port] = end
         self.world.soon(process, protocol.connection_made, (end,))
-        # As with real loops, it is usable only once the protocol knows its transport.
+        # As with real loops, the call returns only after connection_made.
         ready = process.loop.create_future()
         self.world.soon(process, ready.set_result, (None,))
         await ready
         return end, protocol
 
     def unbind(self, end: UdpTransport) -> None:
-        """The address is free again."""
+        """Release the address of a datagram socket."""
         if self._endpoints.get(end.address) is end:
             del self._endpoints[end.address]
 
     def send_datagram(self, end: UdpTransport, data: bytes, remote: Address) -> None:
-        """A datagram on its way: it may be lost, come twice, or late."""
+        """Send a datagram, which may be lost, duplicated or delayed; a group's members all get one."""
         if remote in self.groups:
             for one in self.groups[remote]:
                 if one != end.address:
@@ -421,7 +423,7 @@
         end = self._endpoints.get(remote)
         if end is None:
             if sender.remote is None:
-                return  # only a connected socket is told
+                return  # only a connected socket learns that the port is closed
             at = self.world.now + self.delay(host, sender.process.host)
             self.world.at(at, sender.process, sender.receive_port_unreachable)
             return
