--- a/holdgw/simulation/determinism_guard.py
+++ b/holdgw/simulation/determinism_guard.py
@@ -1,8 +1,8 @@
-"""Sees the real world leak into a run: code of ours that asks the machine for time, chance or a thread.
+"""Detects nondeterminism in a run: code that asks the machine for time, random numbers or a thread.
 
-While a world runs, the functions below raise where a module of this package calls them. What was taken hold
-of before (a default argument, a name imported from its module) is not seen here but by the digest: two runs
-of one seed, in two processes, must have the same.
+While a run is guarded, the functions below raise if a module of this package calls them. A reference taken
+earlier (a default argument, a name imported from its module) is not detected here but by the digest, which
+must be the same for two runs of one seed in two processes.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
 
 
 class NondeterminismError(BaseException):
-    """The real world leaked into a run. No `except Exception` of the program under test may swallow it."""
+    """Code under test called a forbidden function; a BaseException that no `except Exception` can hide."""
 
 
 class DeterminismGuard:
-    """Watches while it is entered; one at a time in a process."""
+    """Replaces the forbidden functions while it is entered; at most one may be active in a process."""
 
     def __init__(self, world: World) -> None:
         self._world = world
         self._originals: list[tuple[Any, str, Any]] = []
 
     def __enter__(self) -> DeterminismGuard:
-        """Begin to watch."""
+        """Replace the functions."""
         for owner, name in FORBIDDEN_CALLS:
             original = getattr(owner, name)
             self._originals.append((owner, name, original))
@@ -55,7 +55,7 @@
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Stop watching."""
+        """Restore the functions."""
         for owner, name, original in reversed(self._originals):
             setattr(owner, name, original)
         self._originals.clear()
--- a/holdgw/simulation/disk.py
+++ b/holdgw/simulation/disk.py
@@ -1,9 +1,9 @@
-"""A host's disk: what was synced survives a crash of the host; what was not is kept, lost, or torn.
+"""A host's disk: synced data survives a crash of the host; unsynced writes are kept, lost or torn.
 
-The death of a process loses nothing, as the kernel still has what was written. When the machine dies, each
-write since the file's last sync is kept, lost or torn at a sector, by itself and whatever the order (Pillai
-et al., "All File Systems Are Not Created Equal", OSDI 2014, table 1). Names (created, replaced, removed)
-since the last sync of the folder survive up to some point in their order.
+The death of a process loses nothing, as the kernel still holds its writes. In a crash of the machine, each
+write since the file's last sync is kept, lost or torn at a sector, independently of the others and of their
+order (Pillai et al., "All File Systems Are Not Created Equal", OSDI 2014, table 1). Changes of names
+(created, replaced, removed) since the last sync of the directory survive up to a random point in their order.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import random
 from dataclasses import dataclass, field
 
-SECTOR = 512  # bytes that are written whole or not at all
+SECTOR = 512  # bytes that a drive writes atomically
 
 
 @dataclass(slots=True)
@@ -23,11 +23,11 @@
 @dataclass(slots=True)
 class _File:
     content: bytearray = field(default_factory=bytearray)
-    """As processes see it."""
+    """The content as processes see it."""
     synced: bytes = b""
-    """As it was at its last sync."""
+    """The content at the last sync."""
     writes: list[_Write] = field(default_factory=list)
-    """Since then; a write at -1 cuts the file to the length in its data."""
+    """Writes since the last sync; one at offset -1 truncates the file to the length encoded in its data."""
 
 
 def _apply(content: bytearray, write: _Write) -> None:
@@ -42,7 +42,7 @@
 
 
 class Disk:
-    """Files by path, in one folder. Errors are those of the real calls."""
+    """Files by path, in one directory. Errors are those of the system calls."""
 
     def __init__(self) -> None:
         self._files: dict[str, _File] = {}
@@ -52,15 +52,15 @@
         ] = []  # the folder after each change of a name since its last sync
 
     def names(self) -> list[str]:
-        """All paths, in order."""
+        """Return all paths, sorted."""
         return sorted(self._files)
 
     def read(self, path: str) -> bytes:
-        """The content; raises FileNotFoundError."""
+        """Return the content; raises FileNotFoundError."""
         return bytes(self._file(path).content)
 
     def size(self, path: str) -> int:
-        """Bytes of it; raises FileNotFoundError."""
+        """Return the size in bytes; raises FileNotFoundError."""
         return len(self._file(path).content)
 
     def _file(self, path: str) -> _File:
@@ -72,13 +72,13 @@
         self._name_history.append(dict(self._files))
 
     def create(self, path: str) -> None:
-        """An empty file, if there is none yet."""
+        """Create an empty file unless the path exists."""
         if path not in self._files:
             self._files[path] = _File()
             self._record_names()
 
     def write(self, path: str, offset: int, data: bytes) -> None:
-        """Write bytes at a place; raises FileNotFoundError."""
+        """Write bytes at an offset; raises FileNotFoundError, and OSError (EINVAL) for a negative offset."""
         if offset < 0:
             raise OSError(22, "Invalid argument", path)
         file = self._file(path)
@@ -87,42 +87,42 @@
         file.writes.append(write)
 
     def append(self, path: str, data: bytes) -> None:
-        """Write bytes at the end; raises FileNotFoundError."""
+        """Append bytes; raises FileNotFoundError."""
         self.write(path, self.size(path), data)
 
     def truncate(self, path: str, length: int) -> None:
-        """Cut or stretch to a length; raises FileNotFoundError."""
+        """Shorten or extend the file to a length; raises FileNotFoundError."""
         file = self._file(path)
         write = _Write(-1, length.to_bytes(8, "big"))
         _apply(file.content, write)
         file.writes.append(write)
 
     def sync(self, path: str) -> None:
-        """What is in the file now is safe; its name is so only with the folder. Raises FileNotFoundError."""
+        """Sync the content of a file, but not its name (`sync_folder`). Raises FileNotFoundError."""
         file = self._file(path)
         file.synced = bytes(file.content)
         file.writes.clear()
 
     def sync_folder(self) -> None:
-        """All names as they are now are safe."""
+        """Sync the names in the directory."""
         self._names_synced = dict(self._files)
         self._name_history.clear()
 
     def replace(self, old: str, new: str) -> None:
-        """Rename, over what has the name now; raises FileNotFoundError."""
+        """Rename a file and replace one that has the new name; raises FileNotFoundError."""
         self._files[new] = self._file(old)
         if old != new:
             del self._files[old]
         self._record_names()
 
     def remove(self, path: str) -> None:
-        """Take the name away; raises FileNotFoundError."""
+        """Remove a name; raises FileNotFoundError."""
         self._file(path)
         del self._files[path]
         self._record_names()
 
     def crash(self, rng: random.Random) -> None:
-        """The machine died."""
+        """Apply a crash of the machine: keep, lose or tear each unsynced change."""
         kept = rng.randint(0, len(self._name_history))
         self._files = dict(self._name_history[kept - 1]) if kept else dict(self._names_synced)
         for file in {id(one): one for one in self._files.values()}.values():
@@ -132,8 +132,8 @@
                 if fate < 1 / 3:
                     _apply(content, write)
                 elif fate < 2 / 3 and write.offset >= 0 and len(write.data) > 1:
-                    # Torn where a sector of the disk ends, or, within one sector, anywhere: a drive that
-                    # writes 512 bytes whole does so only if they lie in one of its sectors.
+                    # A write is torn at the end of a sector or, if it is no longer than one, at any byte: a
+                    # drive writes 512 bytes atomically only if they lie within one of its sectors.
                     end = rng.randrange(1, len(write.data))
                     if len(write.data) > SECTOR:
                         end -= (write.offset + end) % SECTOR
--- a/holdgw/simulation/event_queue.py
+++ b/holdgw/simulation/event_queue.py
@@ -1,4 +1,4 @@
-"""What is to be done at which simulated time, in order, for models that have no event loop."""
+"""A queue of callbacks in simulated time, for models without an event loop."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EventQueue:
-    """Acts by their times, nanoseconds; those of one time in the order in which they were asked for."""
+    """Runs callbacks in the order of their times, in nanoseconds; those of one time in insertion order."""
 
     def __init__(self) -> None:
         self.now = 0
@@ -16,16 +16,16 @@
         self._order = count()
 
     def at(self, when: int, callback: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule a callback at a time."""
         heappush(self._heap, (when, next(self._order), callback))
 
     def run_all(self) -> None:
-        """Let time pass until nothing is left to do."""
+        """Run callbacks until none is left."""
         while self._heap:
             self._next()
 
     def run_until(self, until: int) -> None:
-        """Let time pass."""
+        """Run the callbacks due until `until`, and set the time to it."""
         while self._heap and self._heap[0][0] <= until:
             self._next()
         self.now = until
--- a/holdgw/simulation/process.py
+++ b/holdgw/simulation/process.py
@@ -33,8 +33,8 @@
     """A program on a host.
 
     `drift_ppm` is the rate error of its monotonic clock in parts per million, positive for a fast clock.
-    With `fine_timers`, its timers have a finer resolution than uvloop's milliseconds. `max_descriptors` limits
-    the descriptors that it holds.
+    With `fine_timers`, its timers have a finer resolution than uvloop's milliseconds. `max_descriptors`
+    limits the descriptors that it holds.
     """
 
     def __init__(
