--- a/holdgw/simulation/invariants.py
+++ b/holdgw/simulation/invariants.py
@@ -23,8 +23,8 @@
     from holdgw.simulation.fleet_run import SimulatedFleet
 
 CHECK_INTERVAL_NS = 250 * NS_PER_MS
-OWN_SOCKETS = 3  # descriptors that are neither a client's nor a server's: two doors, and discovery's call
-TIMER_TOLERANCE = 2
+OWN_SOCKETS = 3  # of a router itself: two listeners (clients, admin endpoint) and the discovery connection
+TIMER_TOLERANCE = 2  # timers that a quiet router may have beyond its baseline
 TABLES_EMPTY_WHEN_QUIET = (
     "callers",
     "adopting",
@@ -40,12 +40,12 @@
     "waiting",
     "starved",
 )
-"""Tables that hold nothing once nobody asks."""
+"""Tables of a router that must be empty when it has no requests."""
 
 
 @dataclass(slots=True)
 class ResourceCounts:
-    """What a quiet router holds."""
+    """The timers and tasks that a router holds."""
 
     timers: int
     tasks: int
@@ -56,7 +56,7 @@
 
 
 class InvariantChecker:
-    """Looks at all routers now and then."""
+    """Checks all routers periodically during a run, when the load has ended, and at a router's exit."""
 
     def __init__(self, world: World, fleet: SimulatedFleet) -> None:
         self._world, self._fleet = world, fleet
@@ -66,23 +66,23 @@
         self._reported: set[tuple[str, str]] = set()
 
     def report_violation(self, what: str, text: str) -> None:
-        """An invariant is broken; each is told of once a router."""
+        """Record a violated invariant; the same text is recorded once."""
         if (what, text) not in self._reported:
             self._reported.add((what, text))
             self.broken.append(Broken(what, self._world.seconds, (), text))
 
     def process_started(self, name: str, process: Process) -> None:
-        """A router's process has started."""
+        """Register a router's new process."""
         self._lives.setdefault(name, []).append(process)
 
     def report_process_faults(self, name: str) -> None:
-        """Faults in callbacks of each of a router's lives break an invariant, too."""
+        """Report the unhandled errors of each process of a router as violations."""
         for life, process in enumerate(self._lives.get(name, ()), 1):
             for text in process.faults:
                 self.report_violation("fault", f"{name} (life {life}): {text}")
 
     def record_baselines(self) -> None:
-        """The day begins: what routers hold now is their baseline."""
+        """Record what routers hold before the load begins, and start the periodic checks."""
         for name, router in self._fleet.routers.items():
             if router.process is not None:
                 self._baselines[name] = self._count_resources(router.process)
@@ -99,9 +99,9 @@
                 continue
             tables, config = program.tables(), program.config
             if tables["requests_unanswered_late"] and not self._resumed_recently(name):
-                self.report_violation("overdue", f"{name}: a request stands unanswered past its deadline")
+                self.report_violation("overdue", f"{name}: a request is unanswered past its deadline")
             if tables["requests_out_late"] and not self._resumed_recently(name):
-                self.report_violation("overdue", f"{name}: an attempt is out past its request's deadline")
+                self.report_violation("overdue", f"{name}: an attempt is open past its request's deadline")
             others = max(config.max_descriptors - OWN_DESCRIPTORS, 8)
             for_clients = int(others * CLIENT_DESCRIPTOR_FRACTION)
             bounds = {
@@ -130,7 +130,7 @@
         return any(router == name and now - until < CHECK_INTERVAL_NS / 1e9 for router, _, until in stops)
 
     def check_quiet(self) -> None:
-        """All is over and has been for a while."""
+        """Check that routers released their resources; called some time after the load has ended."""
         for name, router in self._fleet.routers.items():
             program, process = router.program, router.process
             if program is None or process is None or not process.running:
@@ -139,10 +139,10 @@
             for table in TABLES_EMPTY_WHEN_QUIET:
                 if tables[table]:
                     self.report_violation(
-                        "left_over", f"{name}: {table} still holds {tables[table]} when all is quiet"
+                        "left_over", f"{name}: {table} still holds {tables[table]} after the load has ended"
                     )
             known = tables["clients"] + tables["descriptors_counted"] + OWN_SOCKETS
-            known += program.peers is not None  # its one socket
+            known += program.peers is not None  # the socket for other routers
             if len(process.open_descriptors) > known:
                 text = (
                     f"{name}: {len(process.open_descriptors)} descriptors are open, "
@@ -157,16 +157,17 @@
                     sorted({callback_name(call._callback) for call in self._world.pending(process)})
                 )
                 self.report_violation(
-                    "left_over", f"{name}: {now.timers} timers, {baseline.timers} before the day: {names}"
+                    "left_over",
+                    f"{name}: {now.timers} timers, {baseline.timers} before the load began: {names}",
                 )
             if now.tasks > baseline.tasks:
                 names = _names(process.loop.tasks)
                 self.report_violation(
-                    "left_over", f"{name}: {now.tasks} tasks, {baseline.tasks} before the day: {names}"
+                    "left_over", f"{name}: {now.tasks} tasks, {baseline.tasks} before the load began: {names}"
                 )
 
     def process_ended(self, name: str, process: Process, wanted: str) -> None:
-        """A router's process has ended."""
+        """Check that a router left nothing behind if it ended by a graceful shutdown."""
         leftovers = process.leftovers
         if wanted != "TERM" or process.exit_code != 0 or leftovers is None:
             return
