--- a/holdgw/simulation/random_faults.py
+++ b/holdgw/simulation/random_faults.py
@@ -1,4 +1,7 @@
-"""Storms: troubles of every kind, drawn by the seed and written out so that each can be dropped; pure."""
+"""Storms: faults of all kinds, drawn from the seed into a scenario's list, so that each can be left out.
+
+The module has no side effects.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,8 @@
 from holdgw.harness.fault_types import KINDS, PHASES, Trouble, kind_of
 from holdgw.harness.scenario import Scenario, Storm, node_names
 
-FIRST_START, LAST_START = 0.05, 0.8  # of the day, between which a storm's troubles begin
-MAX_NODES_SHARE = 0.25
+FIRST_START, LAST_START = 0.05, 0.8  # a storm's faults start between these shares of the schedule
+MAX_NODES_SHARE = 0.25  # of the cache servers, that one fault affects
 
 Draw = Callable[[random.Random, Scenario], dict[str, Any]]
 
@@ -132,18 +135,21 @@
     "by_hand", "freeze", "slow", "machine_loss", "zone_loss", "lossy_peers", "isolate", "hot_key",
     "false_report",
 )  # fmt: skip
-"""Drawn only in storms that name them: each kind more would change what every seed of the others draws."""
+"""Drawn only in storms that name them: a new default kind would change the faults of every known seed."""
 
 
 def draw_storm(scenario: Scenario, seed: int) -> Scenario:
-    """The scenario with its seed, with the storm's troubles drawn and each told which draw is its own."""
+    """Return the scenario with the storm's faults drawn from the seed.
+
+    Each fault gets a number for its own random draws, so that removing one changes no other.
+    """
     rng = random.Random(f"{seed}/storm")
     kinds = scenario.storm.kinds or tuple(
         kind for kind in KINDS if kind in DRAWS and kind not in OPT_IN_KINDS
     )
     fixed = [
-        msgspec.structs.replace(trouble, draw=i if trouble.draw < 0 else trouble.draw)
-        for i, trouble in enumerate(scenario.trouble)
+        msgspec.structs.replace(fault, draw=i if fault.draw < 0 else fault.draw)
+        for i, fault in enumerate(scenario.trouble)
     ]
     drawn = []
     for i in range(rng.randint(*scenario.storm.count)):
@@ -151,10 +157,10 @@
         at = round(scenario.length_s * rng.uniform(FIRST_START, LAST_START), 3)
         table = {"kind": kind, "at": at, "draw": 1000 + i, **DRAWS[kind](rng, scenario)}
         drawn.append(msgspec.convert(table, Trouble, strict=False))
-    every = sorted([*fixed, *drawn], key=lambda trouble: trouble.at)
+    every = sorted([*fixed, *drawn], key=lambda fault: fault.at)
     return msgspec.structs.replace(scenario, seed=seed, storm=Storm(), trouble=tuple(every))
 
 
 def describe_faults(scenario: Scenario) -> str:
-    """The troubles in a few words."""
-    return ", ".join(f"{kind_of(trouble)} at {trouble.at:g}" for trouble in scenario.trouble)
+    """Return the kinds and start times of the faults, for a message."""
+    return ", ".join(f"{kind_of(fault)} at {fault.at:g}" for fault in scenario.trouble)
--- a/holdgw/simulation/search.py
+++ b/holdgw/simulation/search.py
@@ -1,4 +1,4 @@
-"""Goes through seeds, on several cores, and tells of each that fails."""
+"""Runs a scenario with many seeds on several cores, and reports the outcome of each."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 from holdgw.simulation.random_faults import draw_storm
 from holdgw.simulation.trace import Trace, readable
 
-HANG_TIMEOUT_S = 300.0  # of real time, after which a run that does not come back is given up
+HANG_TIMEOUT_S = 300.0  # real time after which a run is aborted
 LAST_EVENTS = 25
-QUEUED_SEEDS_PER_JOB = 2  # seeds handed running beyond those being played, for each core
+QUEUED_SEEDS_PER_JOB = 2  # submitted at a time, including the one that runs
 
 
 class HangError(BaseException):
-    """A callback did not come back; the text says where it was."""
+    """A callback did not return in time; the message names the line where it was."""
 
 
 def _raise_hang(_: int, frame: FrameType | None) -> None:
     where = "?"
     if frame is not None:
         where = f"{frame.f_globals.get('__name__', '?')}:{frame.f_lineno} in {frame.f_code.co_name}"
-    raise HangError(f"did not come back within {HANG_TIMEOUT_S:g} s of real time, at {where}")
+    raise HangError(f"did not return within {HANG_TIMEOUT_S:g} s of real time, at {where}")
 
 
 def play_seed(
     scenario: Scenario, seed: int, trace: Trace | None = None, limit_s: float = HANG_TIMEOUT_S
 ) -> Outcome:
-    """One seed, with its storm drawn; a run that hangs in one callback is a fault of that seed."""
+    """Run one seed, with its storm drawn; a callback that does not return in `limit_s` is the run's fault."""
     previous: Any = signal.signal(signal.SIGALRM, _raise_hang)
     signal.setitimer(signal.ITIMER_REAL, limit_s)
     try:
@@ -52,17 +52,17 @@
 
 def _play_without_result(scenario: Scenario, seed: int) -> Outcome:
     outcome = play_seed(scenario, seed)
-    outcome.played = None  # hundreds of kilobytes that nobody looks at
+    outcome.played = None  # hundreds of kilobytes that no caller needs
     return outcome
 
 
 def search(scenario: Scenario, seeds: Iterable[int], jobs: int) -> Generator[Outcome, None, None]:
-    """Play seeds on so many cores; outcomes come as they are ready. Closing the generator ends it all."""
+    """Run seeds on `jobs` cores and yield outcomes as they finish; closing the generator ends all runs."""
     if jobs == 1:
         for seed in seeds:
             yield _play_without_result(scenario, seed)
         return
-    # Fresh interpreters: a forked one would carry this one's memory, threads and open files along.
+    # Processes are spawned: forked ones would inherit this process's memory, threads and open files.
     pool = ProcessPoolExecutor(jobs, mp_context=multiprocessing.get_context("spawn"))
     remaining = iter(seeds)
     running: set[Future[Outcome]] = set()
@@ -84,7 +84,7 @@
 
 
 def last_events(scenario: Scenario, seed: int, request: str, max_events: int = LAST_EVENTS) -> list[str]:
-    """Play a seed again, and tell of the last things that happened to one request."""
+    """Run a seed again, and return the last `max_events` events of one request as lines of text."""
     found: list[dict[str, Any]] = []
     name = request.encode()
 
--- a/holdgw/simulation/shrink.py
+++ b/holdgw/simulation/shrink.py
@@ -1,4 +1,4 @@
-"""Looks for the least scenario that still fails alike: fewer troubles, a shorter day, a smaller fleet."""
+"""Shrinks a failing scenario while it fails alike: fewer faults, a shorter schedule, a smaller fleet."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from holdgw.harness.scenario import Scenario, ScenarioError, read_scenario
 from holdgw.simulation.fleet_run import Outcome
 
-MARGIN_S = 0.5  # of the day, kept beyond what broke
+MARGIN_S = 0.5  # of the schedule, kept after the violation
 
 Replay = Callable[[Scenario], Outcome]
 
 
-def _fewer_troubles(scenario: Scenario) -> Iterator[Scenario]:
-    """Halves first, then one by one (delta debugging: Zeller and Hildebrandt, 2002)."""
+def _fewer_faults(scenario: Scenario) -> Iterator[Scenario]:
+    """Leave out halves of the faults, then ever smaller parts (delta debugging: Zeller, Hildebrandt, 2002)."""
     count = len(scenario.trouble)
     size = count
     while size >= 1:
@@ -31,7 +31,7 @@
 
 
 def _shorter(scenario: Scenario, outcome: Outcome) -> Iterator[Scenario]:
-    """End the day behind what broke; else somewhat earlier."""
+    """End the schedule shortly after the first violation, then at half and at four fifths of its length."""
     ends = [max(one.at - outcome.begun, 0.0) + MARGIN_S for one in outcome.broken[:1]]
     ends += [scenario.length_s / 2, scenario.length_s * 0.8]
     for end in ends:
@@ -41,7 +41,7 @@
 
 
 def _smaller_load_and_fleet(scenario: Scenario) -> Iterator[Scenario]:
-    """Fewer requests and a smaller fleet."""
+    """Reduce the request rate or the fleet, or leave out the emulator's prelude."""
     for share in (0.25, 0.5, 0.75):
         load = msgspec.structs.replace(scenario.load, rate=round(scenario.load.rate * share, 1))
         if load.rate >= 1:
@@ -50,7 +50,7 @@
     for nodes, routers in ((fleet.nodes // 2, fleet.routers), (fleet.nodes, fleet.routers - 1)):
         if nodes >= 1 and routers >= 1:
             small = msgspec.structs.replace(fleet, nodes=nodes, routers=routers)
-            with contextlib.suppress(ValueError):  # a trouble names more than such a fleet has
+            with contextlib.suppress(ValueError):  # a fault names more than this fleet has
                 yield msgspec.structs.replace(scenario, fleet=small)
     if scenario.emulator.prelude_s:
         emulator = msgspec.structs.replace(scenario.emulator, prelude_s=0.0)
@@ -58,7 +58,7 @@
 
 
 def _valid(scenario: Scenario) -> bool:
-    """Whether a file could say so: a smaller fleet may lack nodes that a trouble names."""
+    """Whether a file with this scenario loads: a smaller fleet may lack servers that a fault names."""
     try:
         read_scenario(as_toml(scenario), "shrunk")
     except ScenarioError:
@@ -83,7 +83,7 @@
     while progress and runs < max_runs:
         progress = False
         for candidates in (
-            _fewer_troubles(scenario),
+            _fewer_faults(scenario),
             _shorter(scenario, outcome),
             _smaller_load_and_fleet(scenario),
         ):
@@ -109,7 +109,7 @@
 
 
 def as_toml(scenario: Scenario) -> str:
-    """The scenario as a file that plays the same; what is as defaults is left out."""
+    """Return the scenario as a TOML file that replays it; settings at their defaults are left out."""
     values = msgspec.to_builtins(scenario)
     defaults = msgspec.to_builtins(
         Scenario(name=scenario.name, length_s=scenario.length_s, load=scenario.load)
