--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -1,7 +1,7 @@
-"""A router on several simulated cores: its supervisor and workers run unchanged, each a process of its own.
+"""A router with several worker processes in simulated time: the supervisor and the workers run unchanged.
 
-What they take from the machine is made here: links between processes, descriptors that go from one to
-another, processes that are started, shared memory. Workers are killed, held up and replaced amid the day.
+This module simulates what they need of the operating system: links between processes, passing of
+descriptors, starting of processes, and shared memory. Workers are killed, stopped and replaced during a run.
 """
 
 from __future__ import annotations
@@ -28,38 +28,35 @@
 from holdgw.simulation.transports import Listener, TcpTransport, peer_closed
 from holdgw.simulation.world import NS_PER_MS, NS_PER_S
 
-WORKER_FAULT_INTERVAL_NS = (
-    400 * NS_PER_MS,
-    2500 * NS_PER_MS,
-)  # between one trouble of a router's workers and the next
+WORKER_FAULT_INTERVAL_NS = (400 * NS_PER_MS, 2500 * NS_PER_MS)  # between faults of a router's workers
 WORKER_STOP_NS = (50 * NS_PER_MS, 1500 * NS_PER_MS)
-WORKER_START_NS = (80 * NS_PER_MS, 400 * NS_PER_MS)  # until a process that was started runs our code
+WORKER_START_NS = (80 * NS_PER_MS, 400 * NS_PER_MS)  # until a started process runs the program
 
 
 class DescriptorTable:
-    """The kernel's table of connections by descriptor, for the processes of a host."""
+    """The kernel's table of connections by descriptor, for a router's processes."""
 
     def __init__(self) -> None:
         self._ends: dict[int, TcpTransport] = {}
         self._next = 1000
 
     def open(self, end: TcpTransport) -> int:
-        """A new descriptor of a connection, whichever others it has."""
+        """Open one more descriptor of a connection."""
         self._next += 1
         self._ends[self._next] = end
         end.extra_descriptors += 1
         return self._next
 
     def duplicate(self, descriptor: int) -> int:
-        """Another descriptor of the same connection."""
+        """Open another descriptor of the same connection."""
         return self.open(self._ends[descriptor])
 
     def close_descriptor(self, descriptor: int) -> None:
-        """Close a descriptor; the connection is closed with its last one."""
+        """Close a descriptor; closing the last one closes the connection."""
         self._ends.pop(descriptor).drop_extra_descriptor()
 
     def connection(self, descriptor: int) -> TcpTransport:
-        """The connection."""
+        """Return the connection of a descriptor."""
         return self._ends[descriptor]
 
     def __len__(self) -> int:
@@ -73,33 +70,33 @@
         self._supervisor = supervisor
 
     def process_died(self) -> None:
-        """Close them: a copy left open would keep a connection open that its worker has closed."""
+        """Close them: a duplicate left open would keep a connection open that its worker has closed."""
         self._supervisor.close_all_clients()
 
 
 class SimulatedLink:
-    """One end of a link between two processes: what is sent is there at once, and read when it runs."""
+    """One end of a link between two processes; messages arrive at once and are read when the process runs."""
 
     def __init__(self, process: Process, descriptors: DescriptorTable) -> None:
         self.process, self._descriptors = process, descriptors
-        self._handlers: LinkHandlers | None = None  # None: its process has not opened it yet
+        self._handlers: LinkHandlers | None = None  # None until the process opens the link
         self._inbox: deque[tuple[bytes, int | None]] = deque()
         self.peer: SimulatedLink | None = None
         self.open, self.ready, self.sent = True, False, True
         process.take_descriptor(self)
 
     def begin(self, handlers: LinkHandlers) -> ProcessLink[Any]:
-        """Read from now on, and what has arrived already."""
+        """Open the link: read messages from now on, with those that have arrived already."""
         self._handlers = handlers
         self.process.world.soon(self.process, self.read)
         return self.as_process_link()
 
     def as_process_link(self) -> ProcessLink[Any]:
-        """This link under the type that it stands for."""
+        """Return this link under the type that it replaces."""
         return cast("ProcessLink[Any]", self)
 
     def send(self, message: object, descriptor: int | None = None) -> None:
-        """Send in order; the descriptor is the other side's from here on."""
+        """Send a message; the ownership of the descriptor passes to the other process."""
         peer = self.peer
         if not self.open or peer is None or not peer.open:
             if descriptor is not None:
@@ -108,13 +105,13 @@
         peer.receive(encode(message), descriptor)
 
     def receive(self, data: bytes, descriptor: int | None) -> None:
-        """A message is there."""
+        """Receive a message."""
         self._inbox.append((data, descriptor))
         if len(self._inbox) == 1:
             self.process.world.soon(self.process, self.read)
 
     def read(self) -> None:
-        """Read all that has arrived."""
+        """Handle all messages that have arrived."""
         if self._handlers is None:
             return
         while self.open and self._inbox:
@@ -125,7 +122,7 @@
             self.close()
 
     def close(self) -> None:
-        """End the link."""
+        """Close the link."""
         if self.open:
             self._end()
             self.process.free_descriptor(self)
@@ -133,7 +130,7 @@
                 self._handlers.on_closed(self.as_process_link())
 
     def process_died(self) -> None:
-        """The kernel closes it."""
+        """Close the link, as the kernel does."""
         if self.open:
             self._end()
 
@@ -151,14 +148,14 @@
 
 
 class _HandoverProtocol(asyncio.Protocol):
-    """Has an accepted connection for as long as it takes to pass it on."""
+    """Passes an accepted connection on to a worker without reading from it."""
 
     def __init__(self, descriptors: DescriptorTable, on_connection: Callable[[int], None]) -> None:
         self._descriptors = descriptors
         self._on_connection = on_connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Pass it on unread."""
+        """Open a descriptor for the connection and hand it over."""
         end = cast(TcpTransport, transport)
         descriptor = self._descriptors.open(end)
         end.detach_process()
@@ -166,14 +163,14 @@
 
 
 class _SimulatedAcceptor:
-    """The clients' listening socket. It always accepts: connections wait at the supervisor alone."""
+    """The clients' listening socket. It always accepts: connections wait only in the supervisor."""
 
     def __init__(self, listener: Listener) -> None:
         self._listener = listener
         self.address = listener.address
 
     def set_accepting(self, wanted: bool) -> None:
-        """Nothing to do."""
+        """Do nothing."""
 
     def close(self) -> None:
         """Stop listening."""
@@ -181,7 +178,7 @@
 
 
 class _WorkerProcess:
-    """A worker's process as its supervisor has it."""
+    """A worker's process as its supervisor sees it."""
 
     def __init__(self, process: Process, parent: Process, on_exit: Callable[[Process], None]) -> None:
         self.process = process
@@ -200,22 +197,22 @@
 
     @property
     def returncode(self) -> int | None:
-        """None while it runs."""
+        """The exit code; None while the process runs."""
         return None if self.process.alive else self.process.exit_code
 
     async def wait(self) -> int:
-        """Wait for its end."""
+        """Wait until the process exits, and return its exit code."""
         return await self._ended
 
     def send_signal(self, number: int) -> None:
-        """Send it a signal."""
+        """Send a signal; raises ProcessLookupError if the process has exited."""
         if not self.process.alive:
             raise ProcessLookupError
         self.process.send_signal(signal.Signals(number))
 
 
 class _SimulatedWorkerHostSystem:
-    """What a worker needs of the operating system."""
+    """The operating system's services that a worker uses."""
 
     def __init__(self, process: Process, host_system: SimulatedHostSystem, link: SimulatedLink) -> None:
         self._process = process
@@ -226,7 +223,7 @@
         self.close_descriptor = self._descriptors.close_descriptor
 
     def attach_table(self, slot: WorkerSlot) -> shared_table.SharedTable:
-        """The shared memory as this worker sees it."""
+        """Attach the shared table as this worker."""
         return shared_table.SharedTable(self._memory, slot.worker_count, slot.index)
 
     def open_link(self, handlers: LinkHandlers) -> ProcessLink[Any]:
@@ -236,7 +233,7 @@
     async def adopt_client(
         self, clients: ClientListener, handover: ClientHandover | None, descriptor: int, late_ns: int
     ) -> None:
-        """Serve a client's connection."""
+        """Serve a client's connection that another process passed on."""
         end = self._descriptors.connection(descriptor)
         self._process.take_descriptor(end)
         end.transfer_to(self._process, cast(Any, ClientConnection(clients, handover, late_ns)))
@@ -244,7 +241,7 @@
 
 
 class SimulatedHostSystem:
-    """What a supervisor needs of the operating system."""
+    """The operating system's services that a supervisor uses."""
 
     def __init__(self, router: SimulatedRouter, process: Process, config: Config) -> None:
         self.router, self.process, self.config = router, process, config
@@ -254,12 +251,12 @@
         self._random = random.Random(f"{router.fleet.day.seed}/{router.name}/{router.starts}/cores")
 
     def create_table(self, workers: int) -> shared_table.SharedTable:
-        """Create the shared memory."""
+        """Create the shared table."""
         self.memory = bytearray(shared_table.size_bytes(workers))
         return shared_table.SharedTable(self.memory, workers)
 
     def listen(self, config: Config, on_connection: Callable[[int], None]) -> Acceptor:
-        """Listen for clients."""
+        """Listen for clients' connections."""
         listener = self.process.network.listen(
             self.process,
             lambda: _HandoverProtocol(self.descriptors, on_connection),
@@ -271,7 +268,7 @@
     async def start_worker(
         self, index: int, workers: int, environ: Mapping[str, str], handlers: LinkHandlers
     ) -> tuple[_WorkerProcess, ProcessLink[Any]]:
-        """Start a worker process and link to it."""
+        """Start a worker process, with a link to it."""
         fleet, parent = self.router.fleet, self.process
         name = f"{self.router.name}.{index}"
         child = Process(fleet.world, fleet.network, parent.host, name, 0, False, self.config.max_descriptors)
@@ -305,7 +302,7 @@
             self.router.fleet.invariants.report_violation("fault", f"{process.name}: {text}")
 
     def duplicate(self, descriptor: int) -> int:
-        """Another descriptor of the same connection."""
+        """Open another descriptor of the same connection."""
         return self.descriptors.duplicate(descriptor)
 
     def close_descriptor(self, descriptor: int) -> None:
@@ -313,12 +310,12 @@
         self.descriptors.close_descriptor(descriptor)
 
     def close(self) -> None:
-        """Nothing is held that the process's end does not free."""
+        """Do nothing: the end of the process frees all resources."""
 
-    # Troubles of workers
+    # Faults of workers
 
     def schedule_worker_fault(self, supervisor: Supervisor) -> None:
-        """Kill, hold up or replace workers now and then, for as long as the supervisor lives."""
+        """Kill, stop or replace a worker after a random time, again and again until the supervisor ends."""
         world = self.process.world
         world.at(
             world.now + self._random.randint(*WORKER_FAULT_INTERVAL_NS),
@@ -336,7 +333,7 @@
             return
         chosen = self.workers[self._random.randrange(len(self.workers))]
         kind = self._random.choice(("kill", "kill", "stop", "replace"))
-        # The last one that serves is not killed: that is a killed router, which is a trouble of its own.
+        # The last serving worker is not killed: that would kill the router, which is a fault of its own kind.
         others = [
             member
             for member, one in supervisor.workers.items()
@@ -345,7 +342,7 @@
             and cast(_WorkerProcess, one.process).process.running
         ]
         if kind == "kill" and chosen.running and others:
-            # Danger to the judgement: what a killed process held is its client's to ask for again.
+            # The checker must not blame the router for the killed worker's requests: their clients retry.
             for held in list(chosen.open_descriptors):
                 if isinstance(held, TcpTransport) and held is held.connection.server:
                     fleet.mark_severed(held.connection)
@@ -391,7 +388,7 @@
         if len(host_system.descriptors):
             router.fleet.invariants.report_violation(
                 "left_over",
-                f"{router.name} ended with {len(host_system.descriptors)} connections in its hands",
+                f"{router.name} ended with {len(host_system.descriptors)} client connections still held",
             )
         return 0
 
--- a/holdgw/simulation/shrink.py
+++ b/holdgw/simulation/shrink.py
@@ -19,7 +19,7 @@
 
 
 def _fewer_faults(scenario: Scenario) -> Iterator[Scenario]:
-    """Leave out halves of the faults, then ever smaller parts (delta debugging: Zeller, Hildebrandt, 2002)."""
+    """Leave out halves of the faults, then smaller parts (delta debugging: Zeller and Hildebrandt, 2002)."""
     count = len(scenario.trouble)
     size = count
     while size >= 1:
