--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -1,8 +1,8 @@
-"""Plays a rehearsal's scenario in simulated time: its routers, stand-ins and clients, unchanged.
+"""Runs a scenario of the harness in simulated time, with unchanged routers, emulated endpoints and clients.
 
-Each router, mirror node, the package store with discovery, and the clients are processes of one world; the
-rehearsal's time line drives them from a process of its own. What was seen is judged by the rehearsal's
-checker, and the routers are looked into as it goes (`invariants`).
+Each router, each cache server, the origin with discovery, and the clients are processes of one simulated
+world. The harness's fault injection drives them from a process of its own, and its checker judges what they
+recorded. The invariants of the routers are checked during the run (`invariants`).
 """
 
 from __future__ import annotations
@@ -53,23 +53,23 @@
 LISTEN_PORT = 6380
 OPS_PORT = 6381
 PEER_PORT = 7946
-STORE_NEWS_DELAY_NS = 300_000  # until nodes hear of the package store
-CRASH_NOTICE_S = 0.1  # until the stage hears of a fallen node
-MAX_CALLBACKS_TO_KILL = 400  # a killed router dies within so many of its callbacks, at any await
+STORE_NEWS_DELAY_NS = 300_000  # until cache servers learn of a change in the origin
+CRASH_NOTICE_S = 0.1  # until discovery removes a crashed cache server
+MAX_CALLBACKS_TO_KILL = 400  # a killed router exits within this many callbacks, at any await
 NS_PER_MS = 1_000_000
 CLIENTS, DISCOVERY = "clients", "discovery"
 
 
 @dataclass(slots=True)
 class Outcome:
-    """How one seed went. `broken`: rules and invariants; `fault`: why the run could not go on."""
+    """The outcome of one seed: violated rules and invariants, and the fault that ended the run, if any."""
 
     seed: int
     digest: str = ""
     events: int = 0
     callbacks: int = 0
     seconds: float = 0.0
-    """Simulated, from the first process's start on."""
+    """Simulated time of the run, from the start of the first process."""
     broken: list[Broken] = field(default_factory=list)
     fault: str = ""
     asked: int = 0
@@ -79,12 +79,12 @@
 
     @property
     def failed(self) -> bool:
-        """Whether anything was broken."""
+        """Whether a rule or an invariant was violated or the run ended by a fault."""
         return bool(self.broken or self.fault)
 
     @property
     def first(self) -> str:
-        """What broke first, as one word: a rule, an invariant, or `fault`."""
+        """The name of the first violated rule or invariant, `fault`, or empty."""
         return "fault" if self.fault else self.broken[0].rule if self.broken else ""
 
 
@@ -92,7 +92,7 @@
 
 
 class TraceLogHandler(logging.Handler):
-    """What routers log goes into the trace, under the process that logged it, while this is entered."""
+    """Writes the routers' log into the trace, under the process that logged it, while it is entered."""
 
     def __init__(self, world: World) -> None:
         super().__init__()
@@ -100,45 +100,45 @@
         self._logger = logging.getLogger("holdgw")
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Take one record."""
+        """Add a record to the trace."""
         process = self._world.current
         name = process.name if process is not None else "world"
         self._world.trace.add(self._world.now, name, "log", record.getMessage())
 
     def __enter__(self) -> TraceLogHandler:
-        """Take the place of other handlers."""
+        """Replace the other handlers of the log."""
         self._saved_state = (self._logger.handlers, self._logger.propagate, self._logger.level)
         self._logger.handlers, self._logger.propagate = [self], False
         self._logger.setLevel(logging.INFO)
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Give it back."""
+        """Restore the other handlers."""
         self._logger.handlers, self._logger.propagate = self._saved_state[:2]
         self._logger.setLevel(self._saved_state[2])
 
 
 class SimulatedPart:
-    """A part of the emulator in a process of its own, as the time line sees it."""
+    """A part of the emulator in a process of its own, as the fault injection sees it."""
 
     def __init__(self, fleet: SimulatedFleet, process: Process, make: Callable[[], Part]) -> None:
         self.fleet, self.process, self._make_part = fleet, process, make
         self.part: Part | None = None
 
     def start(self) -> asyncio.Future[Any]:
-        """Start it; the future is what it tells of itself."""
-        told = self.fleet.stage.loop.create_future()
+        """Start the part; the future resolves to what its `start` returns."""
+        started = self.fleet.stage.loop.create_future()
 
         async def main() -> int:
             self.part = self._make_part()
-            told.set_result(await self.part.start())
+            started.set_result(await self.part.start())
             return int(await self.process.loop.create_future())
 
         self.process.start(main())
-        return told
+        return started
 
     def ask(self, verb: str, target: str = "", args: dict[str, Any] | None = None) -> asyncio.Future[Any]:
-        """Have it do something."""
+        """Have the part carry out a command; the future resolves to the command's result."""
         future = self.fleet.stage.loop.create_future()
         self.fleet.world.soon(self.process, self._do, (verb, target, args or {}, future))
         return future
@@ -158,7 +158,7 @@
         self.process.loop.create_task(self.part.do(verb, target, args)).add_done_callback(done)
 
     def send(self, message: Message) -> None:
-        """Send it a message."""
+        """Send the part a message."""
         self.fleet.world.soon(self.process, self._receive, (message,))
 
     def _receive(self, message: Message) -> None:
@@ -175,55 +175,55 @@
 
 
 class _PartChannel:
-    """The parts' way to the stage."""
+    """The channel from the parts to the harness."""
 
     def __init__(self, fleet: SimulatedFleet) -> None:
         self._fleet = fleet
 
     def send(self, message: Message) -> None:
-        """News of the package store goes to all nodes; all else is for the eye."""
+        """Pass changes of the origin on to all cache servers; drop other messages, which are for display."""
         if isinstance(message, Stored | Voided):
             self._fleet.tell_nodes(message)
 
 
-class _SimulatedPart(Part):
-    """A part that hands on at once what it saw, over lines that the network plays."""
+class _RecordingPart(Part):
+    """A part of the emulator whose records reach the history at once and whose links are simulated."""
 
     fleet: SimulatedFleet
 
     def saw(self, record: Record) -> None:
-        """Keep a record."""
+        """Add a record to the history."""
         self.fleet.saw(record)
 
     def host(self, name: str, zone: str) -> listeners.Host:
-        """One listener for each zone, as on the machine; delays are the network's."""
+        """Return the addresses of a server, one listener for each zone; the network adds the delays."""
         ip = self.fleet.ips[name]
         return listeners.Host(ip, dict.fromkeys(self.setup.scenario.fleet.zones, 0.0))
 
     @cached_property
     def line_of(self) -> dict[str, str]:
-        """Partitions are the network's: a router's line is its zone's."""
+        """The link of each router, by its zone: partitions are simulated by the network."""
         scenario = self.setup.scenario
         return {name: zone_of_router(scenario, name) for name in router_names(scenario.fleet)}
 
 
-class _Nodes(_SimulatedPart, NodesPart):
+class _Nodes(_RecordingPart, NodesPart):
     pass
 
 
-class _Clients(_SimulatedPart, ClientsPart):
+class _Clients(_RecordingPart, ClientsPart):
     async def start(self) -> None:
-        """The day is drawn already."""
+        """Take the schedule that is drawn already."""
         self.take_up(self.fleet.day)
 
 
 class _Discovery(DiscoveryServer):
-    """Tells of what a router was told once the bytes are there."""
+    """Records an update to a router when its bytes arrive, not when they are written."""
 
     fleet: SimulatedFleet
 
     def told(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
-        """Remember what was written once it comes: a cut line holds it back."""
+        """Record an update when it arrives: a partition delays its bytes."""
         written, comes = self.fleet.list_arrivals.get(connection.router, (0.0, 0.0))
         if written == self._clock():
             self.loop.call_later(comes - written, self._record_arrival, connection, whole, entries)
@@ -231,14 +231,14 @@
             self.loop.call_soon(super().told, connection, whole, entries)
 
     def _record_arrival(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
-        # What comes on a connection that its router has closed meanwhile tells nobody anything.
+        # The router has closed the connection before the update arrived, so it has not learnt of it.
         if not cast(TcpTransport, connection.transport).peer.socket_closed:
             super().told(connection, whole, entries)
 
 
-class _Hub(_SimulatedPart, HubPart):
+class _Hub(_RecordingPart, HubPart):
     def make_discovery(self, model: DiscoveryModel, routers: list[str], call_s: float) -> DiscoveryServer:
-        """On a host of its own."""
+        """Create discovery on a host of its own."""
         ip = self.fleet.ips[DISCOVERY]
         made = _Discovery(model, routers, self._where, self, self.clock, ip, call_s)
         made.fleet = self.fleet
@@ -246,7 +246,7 @@
 
 
 class SimulatedRouter:
-    """One router and its lives, as the time line sees it."""
+    """One router with all its processes, as the fault injection sees it."""
 
     def __init__(self, fleet: SimulatedFleet, name: str, host: Host, main: RouterMain) -> None:
         self.fleet, self.name, self.host = fleet, name, host
@@ -263,18 +263,18 @@
         self._random = random.Random(f"{fleet.day.seed}/{name}")
 
     def configure(self, told: dict[str, Any]) -> None:
-        """Write its configuration."""
+        """Write the router's configuration file."""
         self._files[f"/{self.name}.json"] = orjson.dumps(told)
 
     def read(self, path: str) -> bytes:
-        """Its files."""
+        """Return the content of one of the router's files; raises FileNotFoundError."""
         if path not in self._files:
             raise FileNotFoundError(2, "No such file or directory")
         return self._files[path]
 
     async def start(self, discovery: Address) -> None:
-        """Start a process."""
-        # A killed process dies some callbacks on, and one that does next to nothing may still not have.
+        """Start a process of the router."""
+        # A killed process exits after some of its callbacks; one that runs very few may still be alive.
         if self.process is not None and self.process.alive and self.process.kill_after is not None:
             self.process.kill()
         if self.host.silent:
@@ -288,7 +288,7 @@
         process = Process(
             fleet.world, fleet.network, self.host, self.name, drift, False, scenario.router.sockets
         )
-        process.on_signal(signal.SIGHUP, lambda: None)  # as `main` has it until the loop takes it over
+        process.on_signal(signal.SIGHUP, lambda: None)  # as the program does before its loop handles it
         process.on_exit = self._exited
         self.process, self.program, self._ended = process, None, asyncio.Event()
         environ = {
@@ -305,14 +305,14 @@
         life = self.lives[-1]
         now = self.fleet.clock()
         if life.wanted == "KILL":
-            life = replace(life, told_to_end=now)  # when it really died
+            life = replace(life, told_to_end=now)  # when the process really exited
         self.lives[-1] = replace(life, exited=now, code=process.exit_code)
         self.fleet.invariants.process_ended(self.name, process, life.wanted)
         if self._ended is not None:
             self.fleet.world.soon(self.fleet.stage, self._ended.set)
 
     async def ready(self) -> bool:
-        """Wait until it answers PING with PONG; False: it ended, or did not in time."""
+        """Wait until the router answers PING with PONG; False if it exits or does not answer in time."""
         if not await until_ready(self.address, lambda: self.running, self.fleet.clock):
             return False
         self.lives[-1] = replace(self.lives[-1], ready=self.fleet.clock())
@@ -320,11 +320,11 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process lives."""
+        """Whether the router's process is alive."""
         return self.process is not None and self.process.alive
 
     def tell(self, number: signal.Signals) -> None:
-        """Send a signal; its end by SIGTERM or SIGKILL is wanted then."""
+        """Send a signal, and record that an exit by SIGTERM or SIGKILL is expected."""
         if not self.running:
             return
         assert self.process is not None
@@ -338,7 +338,7 @@
         self.process.send_signal(number)
 
     def lose(self) -> None:
-        """Its machine is gone without a word, with its disk."""
+        """Make the router's machine silent for good, and lose its disk."""
         self.fleet.network.power_off(self.host)
         self.host.disk = Disk()
         self._files.clear()
@@ -347,7 +347,7 @@
         self.process.kill()
 
     async def ended(self, within: float) -> bool:
-        """Wait for its end; False: it still runs."""
+        """Wait for the exit of the router's process for `within` seconds; returns whether it has exited."""
         if self._ended is not None and self.running:
             try:
                 async with asyncio.timeout(within):
@@ -357,12 +357,12 @@
         return not self.running
 
     def last_words(self) -> str:
-        """The last fault of its process."""
+        """Return the last fault of the router's process."""
         return self.process.faults[-1] if self.process is not None and self.process.faults else ""
 
 
 async def single_process_router(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
-    """The router as `python -m holdgw.router` runs it, on the process's own clocks, files and loop."""
+    """Run a router as `python -m holdgw.router` does, on the simulated process's clocks, files and loop."""
     platform = Platform(process.monotonic_ns, process.unix_ns, environ, router.read, peer_closed=peer_closed)
     try:
         config = load_config(environ, read=router.read)
@@ -379,7 +379,7 @@
 
 
 class SimulatedFleet(FaultInjector):
-    """A day in simulated time."""
+    """A whole fleet in simulated time, with the schedule of one seed."""
 
     node_workers: list[SimulatedPart]
     client_workers: list[SimulatedPart]
@@ -400,13 +400,11 @@
         self.ips: dict[str, str] = {}
         self.hosts: dict[str, Host] = {}
         self.failure = ""
-        self._nodes_by_host: dict[
-            Host, list[str]
-        ] = {}  # of nodes that came to the same address one after the other
+        self._nodes_by_host: dict[Host, list[str]] = {}  # cache servers that used the same address in turn
         self._active_conditions: dict[int, dict[str, Any]] = {}
         self._cuts: dict[int, Cut] = {}
         self.list_arrivals: dict[str, tuple[float, float]] = {}
-        """When discovery last wrote to a router what a cut line held back, and when that comes there."""
+        """By router: when discovery last wrote a delayed segment, and when that segment arrives."""
         scenario = day.scenario
         self._host("stage", "", "10.0.0.1").fault_free = True
         self._host(CLIENTS, "", "10.0.0.2").lossless = True
@@ -426,7 +424,7 @@
         return self.world.now / NS_PER_S
 
     def _join_peers(self, scenario: Scenario) -> None:
-        """Every router is told of the others, and of one address for all of them."""
+        """Give every router the addresses of the others and one multicast address of all."""
         every = (self._host("tier", "", "10.0.0.5").ips[0], PEER_PORT)
         each = tuple((router.address[0], PEER_PORT) for router in self.routers.values())
         self.peers = {name: Peers(one, each, every) for name, one in zip(self.routers, each, strict=True)}
@@ -439,22 +437,22 @@
         return self.hosts[name]
 
     def _link_delay(self, a: Host, b: Host) -> tuple[int, int]:
-        """The least delay and the jitter between two hosts: as the scenario has it, the same both ways."""
+        """Return the scenario's minimum delay and jitter between two hosts, equal in both directions."""
         fleet = self.day.scenario.fleet
         if "" in (a.zone, b.zone) or (
             DISCOVERY in (a.name, b.name) and self.day.scenario.discovery.mode == "push"
         ):
-            least = 0.1  # the clients' line is not the fleet's, and an agent is on the router's own machine
+            least = 0.1  # clients are outside the fleet, and a discovery agent runs on the router's machine
         else:
             span = fleet.same_ms if a.zone == b.zone else fleet.cross_ms
             least = between(unit(self.day.seed, "line", *sorted((a.name, b.name))), span)
         least_ns = int(least * NS_PER_MS)
         return least_ns, int(least_ns * self.day.scenario.simulation.jitter)
 
-    # What parts tell
+    # Records and events of the parts
 
     def saw(self, record: Record) -> None:
-        """Keep what was seen."""
+        """Add a record to the history; a crashed cache server is removed from the endpoint list."""
         self.history.add(record)
         if isinstance(record, Fallen):
             self.world.soon(self.stage, self.spawn, (self._remove_crashed_server(record.server),))
@@ -464,7 +462,7 @@
         await self.list_state("removed", server)
 
     def tell_nodes(self, message: Stored | Voided) -> None:
-        """The package store's news goes to all nodes."""
+        """Pass a change of the origin on to all cache servers."""
         self.world.at(self.world.now + STORE_NEWS_DELAY_NS, None, self._deliver_to_nodes, (message,))
 
     def _deliver_to_nodes(self, message: Stored | Voided) -> None:
@@ -472,7 +470,7 @@
             part.received(message)
 
     def mark_severed(self, connection: Connection) -> None:
-        """What the client has open there is not held against the router."""
+        """Record that the open attempt on a broken connection must not be counted against the router."""
         protocol = connection.client.get_protocol()
         if isinstance(protocol, ClientConnection) and protocol.attempt is not None:
             self.history.severed.add(protocol.attempt.id)
@@ -490,7 +488,7 @@
             self.history.held[name, comes / NS_PER_S] = sent / NS_PER_S
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do something beside all else; a fault in it ends the day."""
+        """Run a coroutine in the background; an exception in it ends the run."""
         self.stage.loop.create_task(work).add_done_callback(self._check_result)
 
     def _check_result(self, task: asyncio.Task[None]) -> None:
@@ -498,14 +496,14 @@
             self.fail(f"{type(error).__name__}: {error}")
 
     def fail(self, text: str) -> None:
-        """The day can't be played on."""
+        """End the run with a fault; the first one counts."""
         self.failure = self.failure or text
         self.world.stop()
 
-    # The whole day
+    # The whole run
 
     def play(self, until: int | None = None) -> Outcome:
-        """Play the day, and judge it."""
+        """Run the schedule, and judge the result; `until` is a simulated time in nanoseconds."""
         self.stage.start(self._play())
         self.stage.on_exit = lambda _: self.world.stop()
         before = self.world.now
@@ -548,7 +546,7 @@
         )
 
     def _part(
-        self, name: str, host: Host, kind: type[_SimulatedPart], index: int = 0, count: int = 1
+        self, name: str, host: Host, kind: type[_RecordingPart], index: int = 0, count: int = 1
     ) -> SimulatedPart:
         process = Process(self.world, self.network, host, name)
         setup = Setup("", index, count, name, self.day.scenario, self.day.seed, host.ips[0])
@@ -583,7 +581,7 @@
         return 0
 
     async def _quiesce(self) -> None:
-        """End what is still wrong, have the clients leave, and look at what routers still hold."""
+        """End all faults, close the clients, wait, and check what the routers still hold."""
         self.network.cuts.clear()
         self.network.conditions = LinkConditions()
         self.end_troubles()
@@ -599,8 +597,8 @@
             worker = self._part(name, host, _Nodes, i, len(names))
             self.node_workers.append(worker)
             self.home[name] = worker
-        told = [await worker.start() for worker in self.node_workers]
-        for addresses in told:
+        started = [await worker.start() for worker in self.node_workers]
+        for addresses in started:
             for name, places in addresses.items():
                 self.add_place(name, places)
         hub = self._part("hub", self.hosts[ORIGIN], _Hub)
@@ -614,7 +612,7 @@
         await clients.start()
 
     async def home_of_new(self, name: str, instead: str) -> Worker:
-        """A process of its own, or the one whose address it takes."""
+        """Start a process for a new cache server, or return the one of the server whose address it takes."""
         if instead:
             host = self.hosts[instead]
             self.ips[name], self.hosts[name] = self.ips[instead], host
@@ -628,11 +626,11 @@
         self.node_workers.append(worker)
         return worker
 
-    # Troubles of the network and of processes
+    # Faults of the network and of processes
 
     async def carry_out(self, step: ScheduledFault) -> None:
-        """Do one thing to the fleet, or to what lies between."""
-        if step.verb != "stall":  # virtual time is never late
+        """Carry out one step of the schedule on the fleet or the network."""
+        if step.verb != "stall":  # simulated time has no event-loop lag
             await super().carry_out(step)
 
     async def _peers_trouble(self, verb: str, args: dict[str, Any]) -> None:
@@ -642,7 +640,7 @@
     async def _network_trouble(self, verb: str, args: dict[str, Any]) -> None:
         network = self.network
         if "node" in args and args["node"] not in self.hosts:
-            return  # a trouble chose a node whose own start lies later
+            return  # the fault chose a cache server that starts later
         if verb == "partition":
             routers = [self.hosts[name] for name in args["routers"]]
             servers = [self.hosts[name] for name in args["servers"] if name in self.hosts]
@@ -664,7 +662,7 @@
             host = self.hosts[args["node"]]
             network.boot(host)
             if self._nodes_by_host.get(host, [args["node"]])[-1] != args["node"]:
-                return  # another node has its address by now
+                return  # another cache server has taken the address
             await self.home[args["node"]].ask("start", args["node"])
             await self.list_state("up", args["node"])
         elif verb == "cut":
@@ -683,7 +681,7 @@
                 process.step_wall_clock(int(args["by_s"] * NS_PER_S))
 
     def _set_conditions(self, args: dict[str, Any]) -> None:
-        """The worst of all that is on now."""
+        """Start or end one fault, and set the link conditions to the worst of those that are active."""
         if len(args) > 1:
             self._active_conditions[args["name"]] = args
         else:
@@ -712,5 +710,5 @@
 def simulate(
     scenario: Scenario, seed: int, trace: Trace | None = None, main: RouterMain = single_process_router
 ) -> Outcome:
-    """Play one seed of a scenario whose troubles are all drawn."""
+    """Run one seed of a scenario whose storm is drawn already."""
     return SimulatedFleet(draw_schedule(scenario, seed), trace, main).play()
