--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -1,7 +1,8 @@
-"""Routers and aggregators that exchange load reports and views, over the relay's lines in simulated time.
+"""A model of routers and aggregators that exchange load reports and views, in simulated time.
 
-No sockets and no requests: each router is told by servers how long an answer takes there, which the caller
-knows, and what is looked at is what a router would hand to its decisions.
+It has no sockets and no requests. Each router samples response times that the caller sets for every server,
+and the result is the load snapshot that the router would pass to its routing policy. Datagrams take the
+delays and losses of the relay model.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 TICK_NS = 100_000_000
 REPORT_TICKS = round(REPORT_INTERVAL_S * NS_PER_S / TICK_NS)
 APPLY_TICKS = round(APPLY_AFTER_S * NS_PER_S / TICK_NS)
-DEATH_DETECTION_NS = 8 * NS_PER_S  # as long as membership takes to learn of a death among some hundred
+DEATH_DETECTION_NS = 8 * NS_PER_S  # what membership takes to detect a death among some hundred members
 
 
 @dataclass(slots=True)
 class SimulatedMember:
-    """One process: its exchange, and what came while it was halted."""
+    """One process with its exchange, and the datagrams that arrived while it was halted."""
 
     number: int
     exchange: AggregatedExchange
@@ -39,7 +40,12 @@
 
 
 class AggregatedTier(EventQueue):
-    """So many routers, then so many set-aside aggregators; `sites` of equal size, or as `site_of` says."""
+    """A tier of routers, numbered first, and of dedicated aggregators after them.
+
+    Members belong to `sites` sites of equal size, or to the sites that `site_of` returns. `servers` is the
+    number of cache servers, of which each router samples `samples_per_s` a second. `aggregating_routers` are
+    the routers that aggregate as well.
+    """
 
     def __init__(
         self,
@@ -62,13 +68,13 @@
         self.site_of = site_of or (lambda number: number % sites)
         self.samples_per_s = samples_per_s
         self.wait: Callable[[str, int], int] = lambda _server, _now: 20_000_000
-        """How long an answer takes at a server, ns, by the time."""
+        """Returns a server's response time at a time, both in nanoseconds."""
         self.slots: Callable[[int], list[int]] = lambda _number: [
             self.random.randrange(8192) for _ in range(20)
         ]
-        """The slots that a router is asked for in a second."""
+        """Returns the slots of the requests that a router gets in one second."""
         self.alter: Callable[[int, int, bytes], bytes | None] = lambda _number, _to, data: data
-        """What a false member makes of what it sends; None: nothing."""
+        """Alters a datagram that a faulty member sends, or drops it by returning None."""
         self.members: dict[int, SimulatedMember] = {}
         self.dead_since: dict[int, int] = {}
         self.bytes_sent: Counter[int] = Counter()
@@ -76,14 +82,14 @@
         self.starts: Counter[int] = Counter()
         self.snapshots: dict[int, LoadSnapshot] = {}
         self.on_snapshot: Callable[[int, LoadSnapshot], None] = lambda _number, _snapshot: None
-        """Told of each snapshot that a router hands to its decisions."""
+        """Called with each snapshot that a router passes to its routing policy."""
         for number in range(self.size):
             self.start(number)
 
     # Processes
 
     def start(self, number: int) -> None:
-        """A new process of this member; it knows nothing."""
+        """Start a new process of a member, without any state."""
         self.starts[number] += 1
         self.dead_since.pop(number, None)
         rng = random.Random(f"{self.seed}/{number}/{self.starts[number]}")
@@ -97,14 +103,16 @@
         self.at(self.now + rng.randrange(TICK_NS), lambda: self._tick(member))
 
     def kill(self, *numbers: int) -> None:
-        """Their processes are gone without a word."""
+        """Kill the processes of members; no other member is notified."""
         for number in numbers:
             self.members.pop(number, None)
             self.dead_since[number] = self.now
 
     def halt(self, number: int, seconds: float) -> None:
-        """Its process stands still, and then reads what came meanwhile, as its event loop does: before its
-        timer.
+        """Halt a member's process for some seconds.
+
+        When it resumes, it reads the datagrams that arrived meanwhile before its timer runs, as an event loop
+        does.
         """
         member = self.members[number]
         member.halted = True
@@ -117,18 +125,18 @@
 
         self.at(self.now + int(seconds * NS_PER_S), resume)
 
-    # What membership would tell, alike at all
+    # The membership, the same for all members
 
     def is_present(self, number: int) -> bool:
-        """Whether a member is held present: it lives, or is not known to be dead yet."""
+        """Whether a member counts as present: it is alive, or its death is not detected yet."""
         return number in self.members or self.now - self.dead_since.get(number, self.now) < DEATH_DETECTION_NS
 
     def present(self) -> list[int]:
-        """Members that are held present."""
+        """Return the members that count as present."""
         return [number for number in range(self.size) if self.is_present(number)]
 
     def zone_of(self, number: int) -> int:
-        """A member's site."""
+        """Return a member's site."""
         return self.site_of(number)
 
     # Time and datagrams
@@ -193,23 +201,23 @@
         self._send(member.number, out)
 
     def cut(self, a: Iterable[int], b: Iterable[int], seconds: float) -> None:
-        """Nothing comes through between these members, either way."""
+        """Block all datagrams between two groups of members for some seconds."""
         names = [[f"router{number:02d}" for number in side] for side in (a, b)]
         self.relay.block(names[0], names[1], self.now / NS_PER_S + seconds, True)
 
     def run(self, seconds: float) -> None:
-        """Go on for so long."""
+        """Run for some seconds of simulated time."""
         self.run_until(self.now + int(seconds * NS_PER_S))
 
-    # What is looked at
+    # Measurements
 
     def in_fallback(self) -> int:
-        """Routers in fallback."""
+        """Return the number of routers in fallback."""
         clients = [one.exchange.client for one in self.members.values()]
         return sum(client is not None and client.in_fallback for client in clients)
 
     def coverage(self) -> dict[int, int]:
-        """By router: the reporters that its views rest on."""
+        """Return, by router, the number of reporters in its views."""
         return {
             number: one.exchange.client.views.reporters(self.now)
             for number, one in self.members.items()
@@ -217,7 +225,7 @@
         }
 
     def oldest_ages(self) -> dict[int, int]:
-        """By router: the greatest age of a wait in its last snapshot, ns."""
+        """Return, by router, the greatest age of a response time in its last snapshot, in nanoseconds."""
         ages = defaultdict(int)
         for number, snapshot in self.snapshots.items():
             ages[number] = max((wait.age for wait in snapshot.waits.values()), default=0)
--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -1,7 +1,8 @@
-"""Decision modules alone, with what they tell one another: how load spreads, and whether they herd.
+"""A model of routing policies that share load reports, to measure how load spreads and whether they herd.
 
-No sockets, no wire: hundreds of modules ask servers that are queues, in simulated time. What routers and
-servers really do is `play` and the laboratory of processes; here single causes are told apart, seconds a run.
+It has no sockets and no wire format: hundreds of routing policies send requests to servers that are queues,
+in simulated time. `fleet_run` and the harness run complete routers and servers; this model isolates single
+causes, in runs that take seconds.
 """
 
 from __future__ import annotations
@@ -42,7 +43,7 @@
 
 @dataclass
 class SimulatedServer:
-    """A cache server: one request after the other; `claimed_load` stands in for a report that is not true."""
+    """A cache server that serves one request at a time; `claimed_load` replaces its true load report."""
 
     entry: Endpoint
     service: float
@@ -54,14 +55,14 @@
     arrivals: list[int] = field(default_factory=list)
 
     def report(self, now: int) -> tuple[float, float]:
-        """How long an answer took here lately, ms, and how many wait."""
+        """Return the recent response time in milliseconds and the number of waiting requests."""
         self.ends = [end for end in self.ends if end > now]
         return self.claimed_load or (self.recent_ms, float(len(self.ends)))
 
 
 @dataclass
 class SimulatedPolicy:
-    """A router: its module, and its load view where it has peers."""
+    """A router: its routing policy and, where it has peers, its load view."""
 
     number: int
     router: RoutingPolicy
@@ -71,7 +72,12 @@
 
 
 class Fleet(EventQueue):
-    """So many routers and servers under one load, drawn by the seed."""
+    """Routers and servers under one load, drawn from the seed.
+
+    `rate` is in requests per second. `delay` is that of a load report and `cold_time` the servers' warm-up
+    time, both in nanoseconds. `service` is a server's mean time per request in seconds, and `skew` the Zipf
+    exponent of the keys' popularity.
+    """
 
     def __init__(
         self,
@@ -112,40 +118,40 @@
         ]
         self.listed = list(self.servers)
         self.can_reach: Callable[[int, int], bool] = lambda _from, _to: True
-        self.hot: dict[str, float] = {}  # keys that get such a part of all reads besides
+        self.hot: dict[str, float] = {}  # keys with an extra share of all reads each
         self.falsify: Callable[[SimulatedPolicy, LoadReport], LoadReport] = lambda _one, report: report
-        """What a router sends in place of its true report."""
+        """Returns the load report that a router sends, given its true report."""
         self._keys = [f"key{i}" for i in range(keys)]
         self.random.shuffle(self._keys)
         self._popular = list(accumulate((i + 1) ** -skew for i in range(keys)))
         self._ids = count()
         self._open: dict[
             str, tuple[SimulatedPolicy, str, int, int]
-        ] = {}  # request: router, key, begun, attempt
-        self._missed: dict[str, str] = {}  # request: the server where it missed
+        ] = {}  # request: router, key, start time, attempt
+        self._missed: dict[str, str] = {}  # request: the server of its cache miss
         self.count: Counter[str] = Counter()
-        self.late_by_second: dict[int, int] = defaultdict(int)  # late or refused, by second
+        self.late_by_second: dict[int, int] = defaultdict(int)  # late, rejected or failed requests
         for one in self.routers:
             self._send_list(one, UpdateKind.FULL)
             self.at(int(self.random.random() * REPORT_NS), lambda one=one: self._report(one))  # type: ignore[misc]
         self._schedule_request()
 
     def run(self, until_s: float) -> None:
-        """Let time pass until this second."""
+        """Run until a second of simulated time."""
         self.run_until(int(until_s * NS_PER_S))
 
-    # Lists, freezes
+    # Endpoint lists and freezes
 
     def _send_list(self, one: SimulatedPolicy, kind: UpdateKind) -> None:
-        def told() -> None:
+        def apply() -> None:
             entries = tuple(self.servers[name].entry for name in self.listed)
             one.load_view.set_servers(self.listed)
             self._act(one, one.router.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now))
 
-        self._unless_frozen(one, told)
+        self._unless_frozen(one, apply)
 
     def set_listed(self, names: Sequence[str], within: int = 100_000_000) -> None:
-        """From now on these servers are listed; each router learns it within so many nanoseconds."""
+        """Change the listed servers; each router learns of it within `within` nanoseconds."""
         for name in names:
             if name not in self.servers:
                 entry = Endpoint(name, kind="c", state=EndpointState.READY, started_ns=self.now)
@@ -158,23 +164,23 @@
             )
 
     def freeze(self, numbers: Sequence[int], seconds: float) -> None:
-        """These routers stand still, and wake all at once with what came meanwhile."""
+        """Stop routers for some seconds; they all resume at once and handle what arrived meanwhile."""
         for number in numbers:
             self.routers[number].frozen = []
 
-        def wake() -> None:
+        def resume() -> None:
             for number in numbers:
                 held, self.routers[number].frozen = self.routers[number].frozen or [], None
-                for act in held:
-                    act()
+                for callback in held:
+                    callback()
 
-        self.at(self.now + int(seconds * NS_PER_S), wake)
+        self.at(self.now + int(seconds * NS_PER_S), resume)
 
-    def _unless_frozen(self, one: SimulatedPolicy, act: Callable[[], None]) -> None:
+    def _unless_frozen(self, one: SimulatedPolicy, callback: Callable[[], None]) -> None:
         if one.frozen is not None:
-            one.frozen.append(act)
+            one.frozen.append(callback)
         else:
-            act()
+            callback()
 
     # Requests
 
@@ -240,25 +246,25 @@
     ) -> None:
         sent, attempt = self.now, self._open[send.request_id][3]
 
-        def over() -> None:
-            self._unless_frozen(one, answered)
+        def receive_reply() -> None:
+            self._unless_frozen(one, handle_reply)
 
-        def answered() -> None:
+        def handle_reply() -> None:
             took = self.now - sent
             load = None
             if server is not None:
                 server.recent_ms += ((end - sent) / 1e6 - server.recent_ms) / 8
                 load = server.report(self.now)
-            known = self._open.get(send.request_id)
-            if known is not None and known[3] == attempt and outcome is Outcome.OK:
+            request = self._open.get(send.request_id)
+            if request is not None and request[3] == attempt and outcome is Outcome.OK:
                 self._open.pop(send.request_id)
                 self.count["served"] += 1
-                late = self.now - known[2] > AIM_NS
+                late = self.now - request[2] > AIM_NS
                 self.count["late"] += late
                 self.late_by_second[self.now // NS_PER_S] += late
                 missed = self._missed.pop(send.request_id, "")
                 if server is None and missed in self.servers:
-                    self.servers[missed].keys.add(known[1])
+                    self.servers[missed].keys.add(request[1])
             event = AttemptEnded(
                 send.request_id,
                 attempt,
@@ -270,7 +276,7 @@
             )
             self._act(one, one.router.handle(event, self.now))
 
-        self.at(end, over)
+        self.at(end, receive_reply)
 
     # Load reports
 
@@ -293,10 +299,10 @@
     def _receive(self, one: SimulatedPolicy, report: LoadReport) -> None:
         self._unless_frozen(one, lambda: one.load_view.receive(report, self.now))
 
-    # What is measured
+    # Measurements
 
     def spread(self, since_s: float, until_s: float) -> tuple[float, float]:
-        """The busiest and the idlest listed server's arrivals over the mean."""
+        """Return the most and the fewest arrivals of a listed server, each divided by the mean."""
         found = [
             sum(since_s * NS_PER_S <= at < until_s * NS_PER_S for at in self.servers[name].arrivals)
             for name in self.listed
@@ -305,7 +311,7 @@
         return max(found) / mean, min(found) / mean
 
     def herd(self, since_s: float, until_s: float, window: int = 100_000_000) -> float:
-        """Variance over mean of a server's arrivals by window, in the mean; a Poisson stream's is 1."""
+        """Return the mean over servers of the index of dispersion of arrivals per window (Poisson: 1)."""
         found = []
         first, last = int(since_s * NS_PER_S) // window, int(until_s * NS_PER_S) // window
         for name in self.listed:
--- a/holdgw/simulation/membership_tier.py
+++ b/holdgw/simulation/membership_tier.py
@@ -1,4 +1,4 @@
-"""A tier of memberships alone, over the relay's lines: thousands of routers in simulated time."""
+"""A model of membership alone, for thousands of routers in simulated time, over the relay model's links."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class MembershipTier(EventQueue):
-    """So many routers; `stopped` ones neither tick nor take anything, and read what came when they go on."""
+    """A tier of routers. A stopped one neither ticks nor receives, and reads what arrived when it resumes."""
 
     def __init__(
         self,
@@ -40,12 +40,12 @@
         self.sent: dict[int, int] = defaultdict(int)
         self.starts = 0
         self.on_change: Callable[[int, int, MemberState], None] = lambda _at, _number, _state: None
-        """Told of what a router holds another to be from now on."""
+        """Called with a router, another member, and the state that the router now assigns to that member."""
         for number in range(members):
             self.start(number)
 
     def start(self, number: int) -> None:
-        """A new process for this router: it knows nothing."""
+        """Start a new process of a router, without any state."""
         self.starts += 1
         seed = hash((self.seed, number, self.starts)) & 0x7FFFFFFF
         member = Membership(
@@ -54,27 +54,27 @@
         self.start_ticking(number, member)
 
     def start_ticking(self, number: int, member: Membership) -> None:
-        """This membership is the router's process from now on."""
+        """Make a membership the router's process, and schedule its ticks."""
         self.members[number] = member
         self.stopped.pop(number, None)
         self.at(self.now + int(self.random.random() * TICK_NS), lambda: self._tick(number, member))
 
     def kill(self, number: int) -> None:
-        """Its process is gone without a word."""
+        """Kill a router's process; no other router is notified."""
         self.members[number] = None
         self.stopped.pop(number, None)
 
     def stop(self, number: int) -> None:
-        """Its process stands still."""
+        """Stop a router's process."""
         self.stopped.setdefault(number, [])
 
     def resume(self, number: int) -> None:
-        """It goes on, with what came meanwhile still to be read."""
+        """Resume a router's process, which first reads the datagrams that arrived meanwhile."""
         for data in self.stopped.pop(number, []):
             self._receive(number, data)
 
     def leave(self, number: int) -> None:
-        """It ends in good order."""
+        """End a router's process by a graceful shutdown: it announces that it leaves."""
         member = self.members[number]
         if member is not None:
             self._send(number, member.leave())
@@ -97,7 +97,7 @@
             self.send(number, send.to, datagram.encode(send.message))
 
     def send(self, number: int, to: int, data: bytes) -> None:
-        """Send bytes from one router to another, whatever they are."""
+        """Send any bytes as a datagram from one router to another."""
         self.bytes[number] += len(data)
         self.sent[number] += 1
         names = (f"router{number:02d}", f"router{to:02d}")
@@ -119,5 +119,5 @@
         self._report_changes(number, member)
 
     def run(self, seconds: float) -> None:
-        """Go on for so long."""
+        """Run for some seconds of simulated time."""
         self.run_until(self.now + int(seconds * NS_PER_S))
