--- a/tests/simulation/test_aggregated_tier.py
+++ b/tests/simulation/test_aggregated_tier.py
@@ -1,6 +1,4 @@
-"""Routers and aggregators over lines in simulated time: sizes, sites, replacements, bytes, one that does
-both.
-"""
+"""The model of routers and aggregators: sizes, sites, replacements, bytes, and routers that aggregate."""
 
 from __future__ import annotations
 
@@ -14,9 +12,8 @@
 from holdgw.peers.load_report import LoadReport
 from holdgw.simulation.aggregated_tier import AggregatedTier
 
-MOST_BYTES = (
-    2000.0 - 430.0
-)  # a second, said and heard by a router: its bound, less what membership takes at 760
+# Sent and received by a router: its bound, less what membership uses at 760 routers.
+MAX_ROUTER_BYTES_PER_S = 2000.0 - 430.0
 
 
 def tier(routers: int, aggregators: int, seed: int = 1, **more: object) -> AggregatedTier:
@@ -24,17 +21,17 @@
     return AggregatedTier(routers, aggregators, seed, relay, **more)  # type: ignore[arg-type]
 
 
-def bytes_a_second(played: AggregatedTier, seconds: float) -> tuple[dict[int, float], dict[int, float]]:
-    said, heard = Counter(played.bytes_sent), Counter(played.bytes_received)
+def bytes_per_second(played: AggregatedTier, seconds: float) -> tuple[dict[int, float], dict[int, float]]:
+    sent, received = Counter(played.bytes_sent), Counter(played.bytes_received)
     played.run(seconds)
     return (
-        {n: (played.bytes_sent[n] - said[n]) / seconds for n in range(played.size)},
-        {n: (played.bytes_received[n] - heard[n]) / seconds for n in range(played.size)},
+        {n: (played.bytes_sent[n] - sent[n]) / seconds for n in range(played.size)},
+        {n: (played.bytes_received[n] - received[n]) / seconds for n in range(played.size)},
     )
 
 
 @pytest.mark.parametrize("routers", [1, 3])
-def test_a_tier_of_few_routers_has_its_views(routers: int) -> None:
+def test_small_tier_has_complete_views(routers: int) -> None:
     played = tier(routers, 2)
     played.run(8.0)
     assert played.coverage() == dict.fromkeys(range(routers), routers)
@@ -42,7 +39,7 @@
     assert all(len(one.waits) == 12 for one in played.snapshots.values())
 
 
-def test_a_router_that_aggregates_as_well_has_a_view_and_gives_one() -> None:
+def test_aggregating_router_has_a_view_and_serves_one() -> None:
     played = tier(12, 0, aggregating_routers=(2, 7))
     played.run(8.0)
     assert played.coverage() == dict.fromkeys(range(12), 12)
@@ -52,32 +49,32 @@
     assert played.in_fallback() == 0
 
 
-def test_one_site_of_many_routers_and_forty_of_one_all_have_their_views() -> None:
+def test_one_large_site_and_forty_sites_of_one_router_all_have_views() -> None:
     played = tier(160, 4, site_of=lambda number: 0 if number < 120 else number)
     played.run(8.0)
     assert min(played.coverage().values()) >= 0.9 * 160
     played.kill(*played.aggregators)
     played.run(8.0)
     assert played.in_fallback() == 160
-    heard = [one.load_view.routers for one in played.members.values()]
-    assert min(heard) >= 1  # also where a site has one router alone
+    received = [one.load_view.routers for one in played.members.values()]
+    assert min(received) >= 1  # also at a site with a single router
 
 
-def test_bytes_stay_within_their_bounds_in_calm_and_after_a_death_and_an_aggregators_are_linear() -> None:
+def test_bytes_of_routers_are_bounded_also_after_a_death_and_bytes_of_aggregators_are_linear() -> None:
     shares = []
     for routers in (50, 100):
         played = tier(routers, 4, servers=96, samples_per_s=96, sites=25)
         played.run(6.0)
-        said, heard = bytes_a_second(played, 6.0)
-        assert max(said[n] + heard[n] for n in played.routers) <= MOST_BYTES
-        shares.append(sum(said[n] for n in played.aggregators) / routers)
+        sent, received = bytes_per_second(played, 6.0)
+        assert max(sent[n] + received[n] for n in played.routers) <= MAX_ROUTER_BYTES_PER_S
+        shares.append(sum(sent[n] for n in played.aggregators) / routers)
         played.kill(played.aggregators[0])
-        said, heard = bytes_a_second(played, 4.0)
-        assert max(said[n] + heard[n] for n in played.routers) <= MOST_BYTES
+        sent, received = bytes_per_second(played, 4.0)
+        assert max(sent[n] + received[n] for n in played.routers) <= MAX_ROUTER_BYTES_PER_S
     assert shares[1] == pytest.approx(shares[0], rel=0.1)
 
 
-def test_a_third_of_the_routers_replaced_within_five_seconds_is_counted_once_and_all_are_covered() -> None:
+def test_a_third_of_routers_replaced_within_five_seconds_is_counted_once_and_all_are_covered() -> None:
     played = tier(60, 3)
     played.run(6.0)
     for number in range(0, 60, 3):
@@ -91,7 +88,7 @@
     assert played.in_fallback() == 0
 
 
-def test_a_load_report_of_the_version_before_is_taken_and_a_forged_or_unasked_one_is_not() -> None:
+def test_load_report_of_the_previous_version_is_accepted_and_a_forged_one_is_dropped() -> None:
     played = tier(4, 2)
     played.run(3.0)
     member = played.members[0]
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -1,4 +1,4 @@
-"""The simulated world by itself: time, spins, processes, lines and their troubles, disks."""
+"""The simulated world without a fleet: time, spins, processes, links and their faults, disks."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from holdgw.simulation import world as worlds
+from holdgw.simulation import world as world_module
 from holdgw.simulation.determinism_guard import DeterminismGuard, NondeterminismError
 from holdgw.simulation.disk import Disk
 from holdgw.simulation.network import Cut, Network
@@ -26,7 +26,7 @@
 
 
 class Fixture:
-    """Two hosts with a line of 5 ms between them, and a process on each."""
+    """Two hosts with a link of 5 ms between them, and a process on each."""
 
     def __init__(self, seed: int = 1) -> None:
         self.world = World(seed)
@@ -50,7 +50,7 @@
         assert self.client.faults == []
 
 
-class Kept(asyncio.Protocol):
+class RecordingProtocol(asyncio.Protocol):
     def __init__(self) -> None:
         self.data, self.lost, self.pieces = b"", "", 0
         self.transport: Any = None
@@ -66,9 +66,9 @@
         self.lost = type(exc).__name__
 
 
-def listening(made: list[Kept]) -> Coroutine[Any, Any, int]:
-    def make() -> Kept:
-        made.append(Kept())
+def listening(made: list[RecordingProtocol]) -> Coroutine[Any, Any, int]:
+    def make() -> RecordingProtocol:
+        made.append(RecordingProtocol())
         return made[-1]
 
     async def main() -> int:
@@ -78,8 +78,8 @@
     return main()
 
 
-async def dial() -> Kept:
-    _, protocol = await asyncio.get_running_loop().create_connection(Kept, *SERVER)
+async def dial() -> RecordingProtocol:
+    _, protocol = await asyncio.get_running_loop().create_connection(RecordingProtocol, *SERVER)
     return protocol
 
 
@@ -119,7 +119,7 @@
     assert fast.monotonic_ns() == begun
 
 
-def test_a_spin_ends_the_run_with_its_name() -> None:
+def test_spin_ends_the_run_and_names_the_callback() -> None:
     fixture = Fixture()
 
     async def main() -> int:
@@ -146,7 +146,7 @@
 
 
 def test_many_callbacks_of_one_instant_are_no_spin(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(worlds, "MAX_CALLBACKS_PER_INSTANT", 2_000)
+    monkeypatch.setattr(world_module, "MAX_CALLBACKS_PER_INSTANT", 2_000)
     fixture = Fixture()
 
     async def main() -> int:
@@ -160,7 +160,7 @@
     assert fixture.client.exit_code == 0
 
 
-def test_what_can_not_be_simulated_says_so() -> None:
+def test_unsupported_features_raise_not_implemented() -> None:
     fixture = Fixture()
 
     async def main() -> int:
@@ -170,13 +170,13 @@
         with pytest.raises(NotImplementedError, match="literal"):
             await loop.getaddrinfo("example.org", 80)
         with pytest.raises(NotImplementedError, match="ssl"):
-            await loop.create_connection(Kept, *SERVER, ssl=True)
+            await loop.create_connection(RecordingProtocol, *SERVER, ssl=True)
         return 0
 
     fixture.play(main())
 
 
-def test_code_of_ours_that_asks_the_machine_for_the_time_is_stopped() -> None:
+def test_reading_the_real_clock_in_program_code_ends_the_run() -> None:
     fixture = Fixture()
     scope = {"__name__": "holdgw.router.planted", "time": time}
     exec("async def main():\n    return int(time.monotonic())", scope)
@@ -186,13 +186,13 @@
         pytest.raises(NondeterminismError, match=r"planted called time\.monotonic"),
     ):
         fixture.run()
-    assert time.monotonic() > 0  # it watches no longer
+    assert time.monotonic() > 0  # the guard has restored the function
 
 
 # Processes
 
 
-def test_signals_reach_their_handler_and_the_others_kill() -> None:
+def test_signals_call_their_handler_or_end_the_process() -> None:
     fixture = Fixture()
     heard: list[str] = []
 
@@ -208,7 +208,7 @@
     assert fixture.client.exit_code == -signal.SIGTERM
 
 
-def test_a_process_can_die_at_any_await_and_runs_nothing_afterwards() -> None:
+def test_process_can_die_at_any_await_and_runs_nothing_afterwards() -> None:
     reached = set()
     for after in range(1, 14):
         fixture = Fixture()
@@ -226,15 +226,15 @@
         fixture.client.start(main())
         fixture.client.kill(after=after)
         fixture.run()
-        assert -1 not in steps  # the dead run no `finally`
+        assert -1 not in steps  # a dead process runs no `finally` block
         reached.add(len(steps))
         fixture.world.end()
     assert reached == {1, 2, 3, 4, 5, 6, 7}
 
 
-def test_a_stopped_process_loses_nothing_and_its_kernel_goes_on() -> None:
+def test_stopped_process_loses_no_data_and_its_kernel_accepts_connections() -> None:
     fixture = Fixture()
-    made: list[Kept] = []
+    made: list[RecordingProtocol] = []
 
     async def main() -> int:
         client = await dial()
@@ -242,7 +242,7 @@
         await asyncio.sleep(1)
         fixture.server.send_signal(signal.SIGSTOP)
         client.transport.write(b" late")
-        second = await asyncio.wait_for(dial(), 1)  # the kernel takes it
+        second = await asyncio.wait_for(dial(), 1)  # the kernel accepts the connection
         await asyncio.sleep(1)
         assert len(made) == 1
         assert made[0].data == b"early"
@@ -256,10 +256,10 @@
     fixture.play(main(), listening(made))
 
 
-def test_the_death_of_a_process_is_told_to_whoever_is_connected() -> None:
+def test_death_of_a_process_closes_its_connections() -> None:
     fixture = Fixture()
-    made: list[Kept] = []
-    clients: list[Kept] = []
+    made: list[RecordingProtocol] = []
+    clients: list[RecordingProtocol] = []
 
     async def main() -> int:
         clients.append(await dial())
@@ -272,11 +272,11 @@
 
     fixture.play(main(), listening(made))
     assert clients[0].lost == "NoneType"
-    assert made[0].lost == ""  # the dead are told nothing
+    assert made[0].lost == ""  # a dead process gets no callback
     assert not fixture.server.open_descriptors
 
 
-def test_a_process_at_its_limit_gets_no_descriptor() -> None:
+def test_process_at_its_limit_gets_no_descriptor() -> None:
     fixture = Fixture()
     small = Process(fixture.world, fixture.network, fixture.here, "small", max_descriptors=5)
 
@@ -296,12 +296,12 @@
     assert small.exit_code == 0
 
 
-# Lines
+# Links
 
 
-def test_a_partition_holds_bytes_back_and_one_way_lets_the_other_through() -> None:
+def test_partition_delays_bytes_in_the_blocked_direction_only() -> None:
     fixture = Fixture()
-    made: list[Kept] = []
+    made: list[RecordingProtocol] = []
 
     async def main() -> int:
         client = await dial()
@@ -321,9 +321,9 @@
     fixture.play(main(), listening(made))
 
 
-def test_a_machine_that_vanishes_says_nothing_until_it_is_back() -> None:
+def test_silent_machine_resets_old_connections_only_after_its_boot() -> None:
     fixture = Fixture()
-    made: list[Kept] = []
+    made: list[RecordingProtocol] = []
 
     async def main() -> int:
         client = await dial()
@@ -350,10 +350,10 @@
         ("vanish", "", False),
     ],
 )
-def test_a_cut_hits_a_connection_in_its_phase(phase: str, lost: str, reaches: bool) -> None:
+def test_cut_breaks_a_connection_in_its_phase(phase: str, lost: str, reaches: bool) -> None:
     fixture = Fixture()
-    made: list[Kept] = []
-    clients: list[Kept] = []
+    made: list[RecordingProtocol] = []
+    clients: list[RecordingProtocol] = []
 
     async def main() -> int:
         fixture.network.cuts = [Cut(1.0, (phase,), lambda _a, _b: True)]
@@ -367,11 +367,11 @@
     assert any(one.data == b"whole request" for one in made) == reaches
 
 
-def test_segments_are_chopped_slow_and_sent_again_but_never_lost_or_out_of_order() -> None:
+def test_split_delayed_and_retransmitted_segments_arrive_complete_and_in_order() -> None:
     fixture = Fixture(seed=5)
     conditions = fixture.network.conditions
     conditions.chop, conditions.loss, conditions.extra_delay_ns, conditions.window = 1.0, 0.2, 40 * MS, 512
-    made: list[Kept] = []
+    made: list[RecordingProtocol] = []
     sent = random.Random(1).randbytes(20_000)
 
     async def main() -> int:
@@ -387,7 +387,7 @@
     assert made[0].pieces > 40
 
 
-def test_datagrams_are_lost_doubled_and_late() -> None:
+def test_datagrams_are_lost_duplicated_and_reordered() -> None:
     fixture = Fixture()
     conditions = fixture.network.conditions
     conditions.datagram_loss, conditions.datagram_duplication, conditions.datagram_reordering = 0.2, 0.2, 0.3
@@ -418,11 +418,11 @@
     assert got != sorted(got)
 
 
-def test_a_full_backlog_has_them_knock_again() -> None:
+def test_full_backlog_makes_the_client_retransmit_its_syn() -> None:
     fixture = Fixture()
 
     async def server() -> int:
-        await asyncio.get_running_loop().create_server(Kept, *SERVER, backlog=1)
+        await asyncio.get_running_loop().create_server(RecordingProtocol, *SERVER, backlog=1)
         await asyncio.sleep(0.1)
         return int(await asyncio.get_running_loop().create_future())
 
@@ -447,7 +447,7 @@
 # Disks
 
 
-def test_what_was_synced_survives_and_a_name_needs_its_folder() -> None:
+def test_synced_data_survives_a_crash_and_a_name_needs_a_directory_sync() -> None:
     outcomes = set()
     for seed in range(60):
         disk = Disk()
@@ -467,7 +467,7 @@
             if name in disk.names():
                 assert disk.read(name) == b"content"
     lengths = {length for length, _ in outcomes}
-    assert {4, 2004} < lengths  # lost, kept, and torn ones between
+    assert {4, 2004} < lengths  # lost and kept writes, and torn ones between
     assert all((length - 4) % 512 in (0, 2000 % 512, 508) for length in lengths)
     assert {names for _, names in outcomes} == {("log",), ("log", "new"), ("log", "newer")}
 
@@ -475,7 +475,7 @@
 @given(
     st.lists(st.tuples(st.sampled_from(["write", "append", "cut", "sync"]), st.integers(0, 40)), max_size=30)
 )
-def test_a_process_reads_what_it_wrote_and_a_crash_keeps_the_last_sync_of_untouched_bytes(
+def test_process_reads_what_it_wrote_and_a_crash_keeps_the_last_sync_of_untouched_bytes(
     steps: list[tuple[str, int]],
 ) -> None:
     disk, shadow, synced = Disk(), bytearray(), b""
--- a/tests/simulation/test_simulation_conformance.py
+++ b/tests/simulation/test_simulation_conformance.py
@@ -1,4 +1,4 @@
-"""One table of small scenes, on uvloop over loopback and on the simulated loop: protocols see the same."""
+"""Short scenes run on uvloop over loopback and on the simulated loop; protocols must see the same calls."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from holdgw.simulation.process import Process
 from holdgw.simulation.world import NS_PER_S, World
 
-BIG = 8 << 20  # more than kernels hold of one direction
+LARGE_BYTES = 8 << 20  # more than kernels buffer in one direction
 
 
-class Seen(asyncio.Protocol):
-    """Writes down what a protocol is told; bytes that come together or apart are the same."""
+class RecordingProtocol(asyncio.Protocol):
+    """Records the calls of a protocol; consecutive data calls count as one."""
 
     def __init__(self, keep_open: bool = False) -> None:
         self.log: list[str] = []
@@ -28,7 +28,7 @@
         self._keep_open = keep_open
         self._waiters: list[tuple[Callable[[], bool], asyncio.Future[None]]] = []
 
-    def note(self, what: str) -> None:
+    def record(self, what: str) -> None:
         if what != "data" or self.log[-1:] != ["data"]:
             self.log.append(what)
         for ready, waiter in self._waiters:
@@ -42,64 +42,66 @@
             async with asyncio.timeout(20):
                 await waiter
 
-    async def until_noted(self, what: str) -> None:
+    async def until_logged(self, what: str) -> None:
         await self.until(lambda: any(line.startswith(what) for line in self.log))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
-        self.note("made")
+        self.record("made")
 
     def data_received(self, data: bytes) -> None:
         if self.faulty:
             raise LookupError("planted")
         self.total += len(data)
-        self.note("data")
+        self.record("data")
 
     def eof_received(self) -> bool:
-        self.note("eof")
+        self.record("eof")
         return self._keep_open
 
     def pause_writing(self) -> None:
-        self.note("pause")
+        self.record("pause")
 
     def resume_writing(self) -> None:
-        self.note("resume")
+        self.record("resume")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.note(f"lost {type(exc).__name__ if exc is not None else None}")
+        self.record(f"lost {type(exc).__name__ if exc is not None else None}")
 
 
 class Pair:
     """Both ends of one connection."""
 
-    def __init__(self, client: Seen, server: Seen, listener: asyncio.AbstractServer) -> None:
+    def __init__(
+        self, client: RecordingProtocol, server: RecordingProtocol, listener: asyncio.AbstractServer
+    ) -> None:
         self.client, self.server, self.listener = client, server, listener
 
     def seen(self) -> tuple[list[str], int, list[str], int]:
         return self.client.log, self.client.total, self.server.log, self.server.total
 
 
-IP = "127.0.0.1"  # also the simulated host's
+IP = "127.0.0.1"  # of loopback and of the simulated host
 
 
 async def connected(client_keeps: bool = False, server_keeps: bool = False) -> Pair:
     loop = asyncio.get_running_loop()
-    accepted: asyncio.Future[Seen] = loop.create_future()
+    accepted: asyncio.Future[RecordingProtocol] = loop.create_future()
 
-    def accept() -> Seen:
-        server = Seen(server_keeps)
+    def accept() -> RecordingProtocol:
+        server = RecordingProtocol(server_keeps)
         accepted.set_result(server)
         return server
 
     listener = await loop.create_server(accept, IP, 0)
     port = listener.sockets[0].getsockname()[1]
-    _, client = await loop.create_connection(lambda: Seen(client_keeps), IP, port)
+    _, client = await loop.create_connection(lambda: RecordingProtocol(client_keeps), IP, port)
     server = await accepted
-    await server.until_noted("made")
+    await server.until_logged("made")
     return Pair(client, server, listener)
 
 
-def linger_none(transport: Any) -> None:
+def set_zero_linger(transport: Any) -> None:
     sock = transport.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
@@ -108,29 +110,29 @@
     pair = await connected()
     pair.client.transport.write(b"hello")
     pair.client.transport.close()
-    await pair.server.until_noted("lost")
-    await pair.client.until_noted("lost")
+    await pair.server.until_logged("lost")
+    await pair.client.until_logged("lost")
     return pair.seen()
 
 
-async def server_closes_behind_its_answer() -> Any:
+async def server_closes_after_its_reply() -> Any:
     pair = await connected()
     pair.server.transport.write(b"x" * 70_000)
     pair.server.transport.close()
-    await pair.client.until_noted("lost")
-    await pair.server.until_noted("lost")
+    await pair.client.until_logged("lost")
+    await pair.server.until_logged("lost")
     return pair.seen()
 
 
-async def half_closed_and_answered() -> Any:
+async def half_closed_client_gets_its_reply() -> Any:
     pair = await connected(server_keeps=True)
     pair.client.transport.write(b"request")
     pair.client.transport.write_eof()
-    await pair.server.until_noted("eof")
+    await pair.server.until_logged("eof")
     pair.server.transport.write(b"answer")
     await pair.client.until(lambda: pair.client.total == 6)
     pair.server.transport.close()
-    await pair.client.until_noted("lost")
+    await pair.client.until_logged("lost")
     return pair.seen()
 
 
@@ -140,81 +142,81 @@
     with pytest.raises(RuntimeError):
         pair.client.transport.write(b"more")
     pair.client.transport.abort()
-    await pair.client.until_noted("lost")
+    await pair.client.until_logged("lost")
     return pair.client.log
 
 
-async def abort_with_nothing_unread_is_an_end() -> Any:
+async def abort_without_unread_data_sends_a_fin() -> Any:
     pair = await connected()
     pair.server.transport.abort()
-    await pair.client.until_noted("lost")
+    await pair.client.until_logged("lost")
     return pair.seen()
 
 
-async def lingering_for_no_time_is_a_reset() -> Any:
+async def zero_linger_sends_a_reset() -> Any:
     pair = await connected()
-    linger_none(pair.server.transport)
+    set_zero_linger(pair.server.transport)
     pair.server.transport.abort()
-    await pair.client.until_noted("lost")
+    await pair.client.until_logged("lost")
     return pair.seen()
 
 
-async def closing_with_something_unread_is_a_reset() -> Any:
+async def closing_with_unread_data_sends_a_reset() -> Any:
     pair = await connected()
     pair.server.transport.pause_reading()
     pair.client.transport.write(b"never read")
     await asyncio.sleep(0.05)
     pair.server.transport.abort()
-    await pair.client.until_noted("lost")
+    await pair.client.until_logged("lost")
     return pair.client.log
 
 
-async def a_paused_reader_is_told_of_a_reset_when_it_reads() -> Any:
+async def paused_reader_gets_a_reset_when_it_reads() -> Any:
     pair = await connected()
     pair.client.transport.pause_reading()
-    linger_none(pair.server.transport)
+    set_zero_linger(pair.server.transport)
     pair.server.transport.abort()
     await asyncio.sleep(0.05)
     before = list(pair.client.log)
     pair.client.transport.resume_reading()
-    await pair.client.until_noted("lost")
+    await pair.client.until_logged("lost")
     return before, pair.client.log
 
 
-async def a_paused_reader_is_told_of_a_reset_when_it_writes() -> Any:
+async def paused_reader_gets_a_reset_when_it_writes() -> Any:
     pair = await connected()
     pair.client.transport.pause_reading()
-    linger_none(pair.server.transport)
+    set_zero_linger(pair.server.transport)
     pair.server.transport.abort()
     await asyncio.sleep(0.05)
     pair.client.transport.write(b"into nothing")
-    await pair.client.until_noted("lost")
+    await pair.client.until_logged("lost")
     return [line.split()[0] for line in pair.client.log]
 
 
-async def writing_to_what_has_closed_is_a_reset() -> Any:
+async def writing_to_a_closed_peer_is_reset() -> Any:
     pair = await connected(client_keeps=True)
     pair.server.transport.abort()
-    await pair.client.until_noted("eof")
+    await pair.client.until_logged("eof")
     pair.client.transport.write(b"first: answered by a reset")
     await asyncio.sleep(0.05)
     pair.client.transport.write(b"second: the kernel refuses it")
-    await pair.client.until_noted("lost")
+    await pair.client.until_logged("lost")
     return [line.split()[0] for line in pair.client.log]
 
 
-async def nobody_listens() -> Any:
+async def connecting_to_a_closed_listener_is_refused() -> Any:
     pair = await connected()
     port = pair.listener.sockets[0].getsockname()[1]  # type: ignore[attr-defined]
     pair.listener.close()
     pair.client.transport.write(b"the old one stays")
     await pair.server.until(lambda: pair.server.total > 0)
     with pytest.raises(ConnectionRefusedError):
-        await asyncio.get_running_loop().create_connection(Seen, IP, port)
+        await asyncio.get_running_loop().create_connection(RecordingProtocol, IP, port)
     return pair.seen()
 
 
-async def paused_reading_holds_everything_back() -> Any:
+async def paused_reading_delays_data() -> Any:
     pair = await connected()
     pair.server.transport.pause_reading()
     pair.client.transport.write(b"y" * 10_000)
@@ -225,7 +227,7 @@
     return before, pair.seen()
 
 
-async def paused_reading_hides_the_end() -> Any:
+async def paused_reading_delays_the_end_of_stream() -> Any:
     pair = await connected()
     pair.server.transport.pause_reading()
     pair.client.transport.write(b"last words")
@@ -233,89 +235,89 @@
     await asyncio.sleep(0.05)
     before = list(pair.server.log)
     pair.server.transport.resume_reading()
-    await pair.server.until_noted("lost")
+    await pair.server.until_logged("lost")
     return before, pair.server.log, pair.server.total
 
 
-async def a_reader_that_stands_still_pauses_the_writer() -> Any:
+async def paused_reader_pauses_the_writer() -> Any:
     pair = await connected()
     pair.server.transport.pause_reading()
-    pair.client.transport.write(b"z" * BIG)
-    await pair.client.until_noted("pause")
+    pair.client.transport.write(b"z" * LARGE_BYTES)
+    await pair.client.until_logged("pause")
     waiting = pair.client.transport.get_write_buffer_size() > 0
     pair.server.transport.resume_reading()
-    await pair.client.until_noted("resume")
-    await pair.server.until(lambda: pair.server.total == BIG)
+    await pair.client.until_logged("resume")
+    await pair.server.until(lambda: pair.server.total == LARGE_BYTES)
     return waiting, pair.client.log, pair.client.transport.get_write_buffer_size()
 
 
-async def a_limit_of_zero_tells_whether_the_kernel_took_all() -> Any:
+async def zero_write_limit_shows_whether_the_kernel_accepted_all() -> Any:
     pair = await connected()
     pair.client.transport.set_write_buffer_limits(high=0)
     pair.client.transport.write(b"small")
     await pair.server.until(lambda: pair.server.total == 5)
     before = list(pair.client.log)
     pair.server.transport.pause_reading()
-    pair.client.transport.write(b"z" * BIG)
+    pair.client.transport.write(b"z" * LARGE_BYTES)
     paused = pair.client.log[-1]
     pair.server.transport.resume_reading()
-    await pair.client.until_noted("resume")
+    await pair.client.until_logged("resume")
     return before, paused, pair.client.log[-1]
 
 
-async def closing_waits_for_what_is_unsent() -> Any:
+async def closing_waits_for_unsent_data() -> Any:
     pair = await connected()
     pair.server.transport.pause_reading()
-    pair.client.transport.write(b"z" * BIG)
+    pair.client.transport.write(b"z" * LARGE_BYTES)
     pair.client.transport.close()
     closing = pair.client.transport.is_closing()
     early = list(pair.client.log)
     pair.server.transport.resume_reading()
-    await pair.client.until_noted("lost")
-    await pair.server.until_noted("lost")
+    await pair.client.until_logged("lost")
+    await pair.server.until_logged("lost")
     return closing, "lost None" in early, pair.server.total, pair.server.log[-2:]
 
 
-async def aborting_drops_what_is_unsent() -> Any:
+async def aborting_drops_unsent_data() -> Any:
     pair = await connected()
     pair.server.transport.pause_reading()
-    pair.client.transport.write(b"z" * BIG)
-    await pair.client.until_noted("pause")
+    pair.client.transport.write(b"z" * LARGE_BYTES)
+    await pair.client.until_logged("pause")
     pair.client.transport.abort()
-    await pair.client.until_noted("lost")
+    await pair.client.until_logged("lost")
     pair.server.transport.resume_reading()
-    await pair.server.until_noted("lost")
-    return pair.client.log, 0 < pair.server.total < BIG
+    await pair.server.until_logged("lost")
+    return pair.client.log, 0 < pair.server.total < LARGE_BYTES
 
 
 async def writing_after_closing_is_ignored() -> Any:
     pair = await connected()
     pair.client.transport.close()
     pair.client.transport.write(b"too late")
-    await pair.server.until_noted("lost")
+    await pair.server.until_logged("lost")
     return pair.seen()
 
 
-async def closing_twice_is_told_once() -> Any:
+async def closing_twice_calls_connection_lost_once() -> Any:
     pair = await connected()
     pair.client.transport.close()
     pair.client.transport.abort()
     pair.client.transport.close()
-    await pair.client.until_noted("lost")
+    await pair.client.until_logged("lost")
     await asyncio.sleep(0.02)
     return pair.client.log
 
 
-async def a_fault_in_a_protocol_costs_its_connection() -> Any:
+async def exception_in_a_protocol_closes_its_connection() -> Any:
     loop = asyncio.get_running_loop()
-    told: list[str] = []
-    loop.set_exception_handler(lambda _, context: told.append(type(context["exception"]).__name__))
+    reported: list[str] = []
+    loop.set_exception_handler(lambda _, context: reported.append(type(context["exception"]).__name__))
     pair = await connected()
 
     pair.server.faulty = True
     pair.client.transport.write(b"go")
-    await pair.server.until_noted("lost")
-    return told, pair.server.log
+    await pair.server.until_logged("lost")
+    return reported, pair.server.log
 
 
 async def timers_of_one_instant_keep_their_order() -> Any:
@@ -324,15 +326,15 @@
     done = loop.create_future()
     loop.call_later(0.030, order.append, "30")
     loop.call_later(0.0304, order.append, "30.4")  # the same millisecond
-    loop.call_later(0.0297, order.append, "29.7")  # rounded up to it
-    loop.call_later(0.0004, order.append, "0.4")  # no time at all: behind what is ready
+    loop.call_later(0.0297, order.append, "29.7")  # rounded up to the same millisecond
+    loop.call_later(0.0004, order.append, "0.4")  # rounded to zero: runs after the calls that are ready
     loop.call_soon(order.append, "soon")
     loop.call_later(0.060, done.set_result, None)
     await done
     return order
 
 
-async def a_cancelled_call_is_never_made() -> Any:
+async def cancelled_call_is_never_made() -> Any:
     loop = asyncio.get_running_loop()
     order: list[str] = []
     one = loop.call_later(0.01, order.append, "cancelled")
@@ -343,7 +345,7 @@
     return order, one.cancelled(), two.cancelled()
 
 
-async def time_out_of_a_wait() -> Any:
+async def wait_times_out() -> Any:
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0.02):
             await asyncio.get_running_loop().create_future()
@@ -355,7 +357,7 @@
     return "timed out"
 
 
-async def datagrams_come_whole_and_a_closed_port_is_told() -> Any:
+async def datagrams_arrive_whole_and_a_closed_port_is_reported() -> Any:
     loop = asyncio.get_running_loop()
     got: list[str] = []
 
@@ -388,29 +390,29 @@
 
 SCENES: list[Callable[[], Awaitable[Any]]] = [
     client_closes,
-    server_closes_behind_its_answer,
-    half_closed_and_answered,
+    server_closes_after_its_reply,
+    half_closed_client_gets_its_reply,
     write_after_write_eof_raises,
-    abort_with_nothing_unread_is_an_end,
-    lingering_for_no_time_is_a_reset,
-    closing_with_something_unread_is_a_reset,
-    a_paused_reader_is_told_of_a_reset_when_it_reads,
-    a_paused_reader_is_told_of_a_reset_when_it_writes,
-    writing_to_what_has_closed_is_a_reset,
-    nobody_listens,
-    paused_reading_holds_everything_back,
-    paused_reading_hides_the_end,
-    a_reader_that_stands_still_pauses_the_writer,
-    a_limit_of_zero_tells_whether_the_kernel_took_all,
-    closing_waits_for_what_is_unsent,
-    aborting_drops_what_is_unsent,
+    abort_without_unread_data_sends_a_fin,
+    zero_linger_sends_a_reset,
+    closing_with_unread_data_sends_a_reset,
+    paused_reader_gets_a_reset_when_it_reads,
+    paused_reader_gets_a_reset_when_it_writes,
+    writing_to_a_closed_peer_is_reset,
+    connecting_to_a_closed_listener_is_refused,
+    paused_reading_delays_data,
+    paused_reading_delays_the_end_of_stream,
+    paused_reader_pauses_the_writer,
+    zero_write_limit_shows_whether_the_kernel_accepted_all,
+    closing_waits_for_unsent_data,
+    aborting_drops_unsent_data,
     writing_after_closing_is_ignored,
-    closing_twice_is_told_once,
-    a_fault_in_a_protocol_costs_its_connection,
+    closing_twice_calls_connection_lost_once,
+    exception_in_a_protocol_closes_its_connection,
     timers_of_one_instant_keep_their_order,
-    a_cancelled_call_is_never_made,
-    time_out_of_a_wait,
-    datagrams_come_whole_and_a_closed_port_is_told,
+    cancelled_call_is_never_made,
+    wait_times_out,
+    datagrams_arrive_whole_and_a_closed_port_is_reported,
 ]
 
 
@@ -426,7 +428,7 @@
 
     process.start(main())
     world.run(world.now + 60 * NS_PER_S)
-    assert not process.faults or scene is a_fault_in_a_protocol_costs_its_connection, process.faults
+    assert not process.faults or scene is exception_in_a_protocol_closes_its_connection, process.faults
     world.end()
     return found[0]
 
--- a/tests/simulation/test_simulation_cores.py
+++ b/tests/simulation/test_simulation_cores.py
@@ -1,4 +1,4 @@
-"""Routers of several worker processes in simulated time: killed, held up and replaced, and the rules kept."""
+"""Routers with several worker processes in simulated time: workers are killed, stopped and replaced."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 STORM = load_scenario(str(Path(__file__).resolve().parent.parent.parent / "bench/scenarios/cores-storm.toml"))
 
 
-# 67: a killed supervisor that does nearly nothing outlived its kill; the next one found its address in use.
+# Seed 67: a killed supervisor that ran few callbacks outlived its kill, and the next found the address in use.
 def test_a_corpus_of_seeds_keeps_rules_and_invariants() -> None:
     for outcome in search(STORM, (*range(1, 21), 67), os.cpu_count() or 1):
         assert not outcome.fault, (outcome.seed, outcome.fault)
@@ -28,17 +28,17 @@
     assert first.digest != play_seed(STORM, 6).digest
 
 
-def test_workers_that_all_spend_a_cold_servers_bound_are_told_apart() -> None:
-    """The scene has cold servers: without any, the owner of a bound would make no difference."""
-    asked = []
-    room = SlowStart.has_capacity
+def test_each_worker_spends_its_own_bound_of_a_cold_server() -> None:
+    """The scenario has cold servers: without any, it would not matter which worker owns a bound."""
+    calls = []
+    has_capacity = SlowStart.has_capacity
 
     def spy(rule: SlowStart, request: object, endpoint: object, ranking: object, now_ns: int) -> bool:
-        found = room(rule, request, endpoint, ranking, now_ns)  # type: ignore[arg-type]
-        asked.append((rule._settings.worker_index, endpoint.entry.id, found))  # type: ignore[attr-defined]
+        found = has_capacity(rule, request, endpoint, ranking, now_ns)  # type: ignore[arg-type]
+        calls.append((rule._settings.worker_index, endpoint.entry.id, found))  # type: ignore[attr-defined]
         return found
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(SlowStart, "has_capacity", spy)
         play_seed(STORM, 1)
-    assert {worker for worker, _, _ in asked} == {0, 1}
+    assert {worker for worker, _, _ in calls} == {0, 1}
--- a/tests/simulation/test_simulation_play.py
+++ b/tests/simulation/test_simulation_play.py
@@ -1,4 +1,4 @@
-"""Whole days in simulated time: repeatable to the byte, leaks and planted faults seen, found seeds kept."""
+"""Whole runs in simulated time: determinism, planted faults, and seeds that failed before."""
 
 from __future__ import annotations
 
@@ -55,8 +55,8 @@
 
 
 @pytest.mark.parametrize("kind", ["restart", "pause", "drain", "by_hand", "vanish"])
-def test_a_trouble_may_choose_a_node_that_is_not_there_yet(kind: str) -> None:
-    # Found by by-hand, seed 38, with "replace" in its storm: the day ended with a KeyError.
+def test_fault_may_choose_a_server_that_starts_later(kind: str) -> None:
+    # Such a fault ended the run of by-hand, seed 38, with "replace" in its storm, by a KeyError.
     seconds = "" if kind == "restart" else "seconds = 0.5"
     joins = '[[trouble]]\nkind = "replace"\nat = 0.5\nnodes = 2\ndown_s = 2.0\n'
     scenario = tiny(f'{joins}[[trouble]]\nkind = "{kind}"\nat = 1.0\nnodes = 4\n{seconds}\n')
@@ -78,7 +78,7 @@
 outcome = play_seed(load_scenario("mixed-storm").cut(5.0), 12)
 print(outcome.digest, outcome.events, outcome.fault)
 """
-LEAK = """
+HASH_ORDER_DEPENDENCE = """
 from holdgw.router.dispatcher import Dispatcher
 def settle_all(host):
     for one in {"a", "b", "c", "d", "e", "f", "g"}:  # in the order of their hashes
@@ -103,8 +103,10 @@
     assert int(one.split()[1]) > 3000
 
 
-def test_a_planted_leak_of_the_hash_order_is_caught_by_the_digest() -> None:
-    one, other = (in_a_process(DIGEST.format(planted=LEAK), hash_seed) for hash_seed in ("1", "4242"))
+def test_planted_dependence_on_the_hash_order_changes_the_digest() -> None:
+    one, other = (
+        in_a_process(DIGEST.format(planted=HASH_ORDER_DEPENDENCE), hash_seed) for hash_seed in ("1", "4242")
+    )
     assert one != other
 
 
@@ -113,15 +115,15 @@
     assert simulate(scenario, 1).digest != simulate(scenario, 2).digest
 
 
-# Seeds that failed once. Draws of mixed-storm have changed since, so they stand for odd days and no longer
-# for the fault named; the router's own faults are put back below, each with a seed that finds it now.
+# Seeds that failed before. The draws of mixed-storm have changed since, so these are unusual runs but no longer
+# reproduce the fault named. The router's own faults are planted below, each with a seed that finds it now.
 
 FOUND = {
-    43: "a client's own second sending after a router's death was judged the router's",
-    44: "a keyed write's repeat came after its window, for it had waited for a connection",
-    96: "a node came back at an address that another had by then",
-    400: "timers of the module were left when a router ended",
-    1096: "a connection being closed to a client that takes nothing was kept for ever",
+    43: "a client's own retry after a router's death was counted as the router's",
+    44: "a keyed write was repeated after its dedup window, as it had waited for a connection",
+    96: "a cache server came back at an address that another had taken",
+    400: "timers of the routing policy were left when a router ended",
+    1096: "a connection being closed was kept for ever, as its client read nothing",
 }
 
 
@@ -138,17 +140,17 @@
     assert [(one.seed, one.first, one.fault) for one in outcomes if one.failed] == []
 
 
-def test_servers_out_by_hand_amid_releases_keep_the_rules() -> None:
+def test_administrative_overrides_during_releases_keep_the_rules() -> None:
     scenario = load_scenario("bench/scenarios/by-hand.toml")
     outcomes = list(search(scenario, range(1, 17), min(os.cpu_count() or 1, 8)))
     assert [(one.seed, one.first, one.fault) for one in outcomes if one.failed] == []
 
 
-# Planted faults: each with a seed that finds it (bench/mutants.py seeks them)
+# Planted faults, each with a seed that finds it (bench/mutants.py searches for such seeds)
 
 
-def test_every_mutant_fits_the_sources_as_they_are() -> None:
-    # Two no longer did, and nobody was told until they were played.
+def test_every_mutant_matches_the_current_sources() -> None:
+    # Without this check, a mutant that no longer matches shows only when it is run, as two once did.
     for name, mutant in MUTANTS.items():
         for module, old, _ in mutant.edits:
             text = (ROOT / f"{module.replace('.', '/')}.py").read_text()
@@ -167,7 +169,7 @@
         ("half-closed-reused", 3, "half_closed"),
         ("descriptor-miscounted", 1, "miscounted"),
         ("deadline-unwatched", 1, "overdue"),
-        # The faults that the simulation found, put back.
+        # Faults that the simulation found, planted again.
         ("closing-for-ever", 1, "left_over"),
         ("module-timers-left", 2, "left_over"),
         ("cold-unbounded", 81, "felled"),
@@ -186,11 +188,11 @@
     assert not play_seed(load_scenario(MUTANTS[name].scenario), seed).failed
 
 
-# The least scenario that still fails
+# Shrinking
 
 
 async def ends_on_reload(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
-    """A double: the router as it is, until it is told to read its configuration again."""
+    """Run the router unchanged, except that SIGHUP (reload) ends it with code 9."""
     listen = process.on_signal
 
     def on_signal(number: int, callback: object) -> None:
@@ -221,7 +223,7 @@
 """
 
 
-def test_shrinking_leaves_the_trouble_that_matters_and_writes_a_file_that_replays_it() -> None:
+def test_shrinking_keeps_the_decisive_fault_and_writes_a_file_that_replays_it() -> None:
     scenario = draw_storm(tiny(MANY, length=4.0), 3)
 
     def again(smaller: Scenario) -> Outcome:
@@ -241,13 +243,13 @@
     assert not simulate(replayed, 3).failed
 
 
-def test_dropping_a_trouble_moves_no_other() -> None:
+def test_removing_a_fault_changes_no_other() -> None:
     scenario = draw_storm(load_scenario("mixed-storm"), 7)
     fewer = msgspec.structs.replace(scenario, trouble=scenario.trouble[1:])
     assert draw_storm(fewer, 7).trouble == scenario.trouble[1:]
 
 
-def test_every_kind_of_trouble_is_drawn_valid_and_can_be_written_down() -> None:
+def test_every_kind_of_fault_is_drawn_valid_and_can_be_written() -> None:
     drawn = set()
     for seed in range(150):
         scenario = draw_storm(load_scenario("mixed-storm"), seed)
@@ -262,10 +264,10 @@
         assert read_scenario(as_toml(scenario), "x.toml") == scenario
 
 
-# Troubles as they act
+# Effects of faults
 
 
-def test_a_cut_line_of_a_client_is_not_held_against_a_router() -> None:
+def test_cut_client_connections_are_not_counted_against_a_router() -> None:
     text = '[[trouble]]\nkind = "cut"\nat = 0.5\nseconds = 2.0\nshare = 0.2\nlines = "clients"\n'
     outcome = simulate(tiny(text), 1)
     assert not outcome.failed
@@ -273,7 +275,7 @@
     assert len(outcome.played.history.severed) > 5
 
 
-def test_a_vanished_node_is_left_by_its_routers_and_comes_back_cold() -> None:
+def test_vanished_server_gets_no_attempts_and_returns_cold() -> None:
     text = '[[trouble]]\nkind = "vanish"\nat = 0.5\nseconds = 3.0\nnodes = ["node001"]\nnotice_s = 1.0\n'
     fleet = SimulatedFleet(draw_schedule(tiny(text, length=6.0), 1))
     outcome = fleet.play()
@@ -286,7 +288,7 @@
     assert fleet.hosts["node001"].boot_count == 1
 
 
-def test_after_a_stall_the_module_answers_what_is_due_and_not_the_sweep() -> None:
+def test_after_a_stall_the_policy_and_not_the_sweep_answers_due_requests() -> None:
     text = '[[trouble]]\nkind = "silence"\nat = 0.1\nseconds = 2.8\nshare = 1.0\nstore = true\n'
     for i in range(24):
         text += f'[[trouble]]\nkind = "router_stop"\nat = {0.6 + i * 0.08:.2f}\nseconds = 0.03\nrouters = 2\n'
@@ -366,7 +368,7 @@
         (("--json", "/no/such/folder/x.json"), "the folder is not there"),
     ],
 )
-def test_what_can_not_be_used_is_one_line(words: tuple[str, ...], text: str) -> None:
+def test_unusable_options_are_reported_on_one_line(words: tuple[str, ...], text: str) -> None:
     code, _, err = run_cli("simulate", "quiet", *words)
     assert code == 2
     assert text in err
@@ -387,18 +389,18 @@
         ('[load]\nrate = 50.0\n[storm]\nkinds = ["emulator_stall"]\n', "storm.kinds"),
     ],
 )
-def test_a_load_that_can_not_be_played_is_refused_as_the_file_loads(text: str, part: str) -> None:
+def test_unplayable_load_is_rejected_when_the_file_loads(text: str, part: str) -> None:
     with pytest.raises(ScenarioError, match=part):
         read_scenario('name = "x"\nlength_s = 600.0\n' + text, "x.toml")
 
 
-def test_real_sockets_refuse_what_only_the_simulation_plays() -> None:
+def test_rehearse_rejects_a_scenario_that_needs_the_simulation() -> None:
     code, _, err = run_cli("rehearse", "mixed-storm")
     assert code == 2
     assert "holdgw simulate" in err
 
 
-def test_a_leak_of_the_real_world_ends_the_run_as_a_fault_of_its_seed() -> None:
+def test_reading_the_real_clock_ends_the_run_as_a_fault_of_its_seed() -> None:
     scope = {"__name__": "holdgw.router.planted", "time": time}
     exec("async def leaks(router, process, environ):\n    return int(time.monotonic())", scope)
     outcome = simulate(tiny(), 1, main=cast(RouterMain, scope["leaks"]))
