--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -189,9 +189,9 @@
     def _exited(self, process: Process) -> None:
         self._on_exit(process)
         if self._parent.alive:
-            self._parent.world.soon(self._parent, self._tell)
+            self._parent.world.soon(self._parent, self._set_exit_code)
 
-    def _tell(self) -> None:
+    def _set_exit_code(self) -> None:
         if not self._ended.done():
             self._ended.set_result(self.process.exit_code or 0)
 
--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -146,7 +146,7 @@
         def apply() -> None:
             entries = tuple(self.servers[name].entry for name in self.listed)
             one.load_view.set_servers(self.listed)
-            self._act(one, one.router.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now))
+            self._apply_actions(one, one.router.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now))
 
         self._unless_frozen(one, apply)
 
@@ -205,11 +205,11 @@
             name = f"r{next(self._ids)}"
             self._open[name] = one, key, begun, 0
             event = RequestArrived(name, "read", self.now + DEADLINE_NS, key=key)
-            self._act(one, one.router.handle(event, self.now))
+            self._apply_actions(one, one.router.handle(event, self.now))
 
         self._unless_frozen(one, arrive)
 
-    def _act(self, one: SimulatedPolicy, actions: Sequence[object]) -> None:
+    def _apply_actions(self, one: SimulatedPolicy, actions: Sequence[object]) -> None:
         for action in actions:
             if isinstance(action, SendAttempt):
                 self._send_attempt(one, action)
@@ -274,7 +274,7 @@
                 took,
                 load_report=load,
             )
-            self._act(one, one.router.handle(event, self.now))
+            self._apply_actions(one, one.router.handle(event, self.now))
 
         self.at(end, receive_reply)
 
@@ -294,7 +294,7 @@
                 self.at(self.now + self.delay, lambda other=other: self._receive(other, report))  # type: ignore[misc]
         view = one.load_view.snapshot(self.now)
         event = LoadSnapshotChanged(view.waits, dict(view.slot_shares), view.requests, view.own_requests)
-        self._act(one, one.router.handle(event, self.now))
+        self._apply_actions(one, one.router.handle(event, self.now))
 
     def _receive(self, one: SimulatedPolicy, report: LoadReport) -> None:
         self._unless_frozen(one, lambda: one.load_view.receive(report, self.now))
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -196,7 +196,7 @@
         self.fleet.saw(record)
 
     def host(self, name: str, zone: str) -> listeners.Host:
-        """Return the addresses of a server, one listener for each zone; the network adds the delays."""
+        """Return one listener per zone, as with real sockets; the simulated network adds the delays."""
         ip = self.fleet.ips[name]
         return listeners.Host(ip, dict.fromkeys(self.setup.scenario.fleet.zones, 0.0))
 
@@ -224,9 +224,9 @@
 
     def told(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
         """Record an update when it arrives: a partition delays its bytes."""
-        written, comes = self.fleet.list_arrivals.get(connection.router, (0.0, 0.0))
+        written, arrival = self.fleet.list_arrivals.get(connection.router, (0.0, 0.0))
         if written == self._clock():
-            self.loop.call_later(comes - written, self._record_arrival, connection, whole, entries)
+            self.loop.call_later(arrival - written, self._record_arrival, connection, whole, entries)
         else:
             self.loop.call_soon(super().told, connection, whole, entries)
 
@@ -481,11 +481,11 @@
                 "half_closed", f"{end.host.name} wrote on a connection that its peer has ended"
             )
 
-    def _record_delayed_segment(self, a: Host, b: Host, sent: int, comes: int) -> None:
+    def _record_delayed_segment(self, a: Host, b: Host, sent: int, arrival: int) -> None:
         if a.name == DISCOVERY:
-            self.list_arrivals[b.name] = self.clock(), comes / NS_PER_S
+            self.list_arrivals[b.name] = self.clock(), arrival / NS_PER_S
         for name in self._nodes_by_host.get(b, (b.name,)):
-            self.history.held[name, comes / NS_PER_S] = sent / NS_PER_S
+            self.history.held[name, arrival / NS_PER_S] = sent / NS_PER_S
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine in the background; an exception in it ends the run."""
--- a/holdgw/simulation/network.py
+++ b/holdgw/simulation/network.py
@@ -108,7 +108,7 @@
         """Called with a connection before the network breaks it, and when the network drops its data."""
         self.on_write_after_eof: Callable[[TcpTransport], None] = lambda _: None
         """Called with an end that writes after its program was told of the peer's end of stream."""
-        self.on_segment_delayed: Callable[[Host, Host, int, int], None] = lambda _a, _b, _sent, _comes: None
+        self.on_segment_delayed: Callable[[Host, Host, int, int], None] = lambda _a, _b, _sent, _arrival: None
         """Called for a delayed segment with sender, receiver, and the times of writing and of arrival."""
         self.peers: RelayModel | None = None
         """The links between routers that exchange datagrams; where it is set, it carries all datagrams."""
--- a/holdgw/simulation/process.py
+++ b/holdgw/simulation/process.py
@@ -121,9 +121,9 @@
         """Run a program's main coroutine; its result is the exit code."""
         self.world.trace.add(self.world.now, self.name, "start")
         self.main = self.loop.create_task(main)
-        self.main.add_done_callback(self._main_over)
+        self.main.add_done_callback(self._exit_with_main)
 
-    def _main_over(self, main: asyncio.Task[int]) -> None:
+    def _exit_with_main(self, main: asyncio.Task[int]) -> None:
         if main.cancelled():
             self._end(1)
         elif (error := main.exception()) is not None:
--- a/holdgw/simulation/transports.py
+++ b/holdgw/simulation/transports.py
@@ -395,7 +395,7 @@
                 self._conn_lost = True
                 self._world.soon(self.process, self._call_connection_lost, (None, self._owner_generation))
 
-    # The kernel's half: what comes in
+    # The kernel's half: receiving
 
     def _ignores_input(self) -> bool:
         return self.host.silent or self.connection.black_holed
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -194,17 +194,17 @@
 
 def test_signals_call_their_handler_or_end_the_process() -> None:
     fixture = Fixture()
-    heard: list[str] = []
+    received: list[str] = []
 
     async def main() -> int:
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, heard.append, "HUP")
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, received.append, "HUP")
         return int(await asyncio.get_running_loop().create_future())
 
     fixture.client.start(main())
     fixture.at(1, lambda: fixture.client.send_signal(signal.SIGHUP))
     fixture.at(2, lambda: fixture.client.send_signal(signal.SIGTERM))
     fixture.run()
-    assert heard == ["HUP"]
+    assert received == ["HUP"]
     assert fixture.client.exit_code == -signal.SIGTERM
 
 
--- a/tests/simulation/test_simulation_cores.py
+++ b/tests/simulation/test_simulation_cores.py
@@ -14,7 +14,7 @@
 STORM = load_scenario(str(Path(__file__).resolve().parent.parent.parent / "bench/scenarios/cores-storm.toml"))
 
 
-# Seed 67: a killed supervisor that ran few callbacks outlived its kill, and the next found the address in use.
+# Seed 67: a killed supervisor that ran few callbacks outlived its kill; the next found the address in use.
 def test_a_corpus_of_seeds_keeps_rules_and_invariants() -> None:
     for outcome in search(STORM, (*range(1, 21), 67), os.cpu_count() or 1):
         assert not outcome.fault, (outcome.seed, outcome.fault)
--- a/tests/simulation/test_simulation_play.py
+++ b/tests/simulation/test_simulation_play.py
@@ -115,8 +115,8 @@
     assert simulate(scenario, 1).digest != simulate(scenario, 2).digest
 
 
-# Seeds that failed before. The draws of mixed-storm have changed since, so these are unusual runs but no longer
-# reproduce the fault named. The router's own faults are planted below, each with a seed that finds it now.
+# Seeds that failed before. The draws of mixed-storm have changed since, so these are unusual runs and do not
+# reproduce the fault named any more. The router's own faults are planted below, with seeds that find them.
 
 FOUND = {
     43: "a client's own retry after a router's death was counted as the router's",
@@ -323,9 +323,9 @@
     assert any("KV.GET" in line.get("data", "") for line in lines)
     code, out, _ = run_cli("simulate", str(file), "--seeds", "5..8", "--jobs", "2", "--json", str(report))
     assert code == 0
-    told = msgspec.json.decode(report.read_bytes())
-    assert sorted(one["seed"] for one in told) == [5, 6, 7, 8]
-    assert next(one for one in told if one["seed"] == 5)["events"] == len(lines)
+    rows = msgspec.json.decode(report.read_bytes())
+    assert sorted(one["seed"] for one in rows) == [5, 6, 7, 8]
+    assert next(one for one in rows if one["seed"] == 5)["events"] == len(lines)
 
 
 def test_a_failing_seed_names_the_rule_and_the_last_events_of_its_request(
