--- a/holdgw/cli/simulate.py
+++ b/holdgw/cli/simulate.py
@@ -24,7 +24,7 @@
 )
 from holdgw.harness.scenario import Scenario, load_scenario
 from holdgw.simulation.fleet_run import Outcome
-from holdgw.simulation.random_faults import told, written_out
+from holdgw.simulation.random_faults import describe_faults, draw_storm
 from holdgw.simulation.search import last_events, play_seed, search
 from holdgw.simulation.shrink import as_toml, shrink
 from holdgw.simulation.trace import Trace, TraceFile
@@ -220,8 +220,8 @@
 
 def _print_failure(scenario: Scenario, outcome: Outcome) -> None:
     """Print the seed, the broken rules, and the last events of the first request concerned."""
-    drawn = written_out(scenario, outcome.seed)
-    print(f"seed {outcome.seed} fails: {told(drawn)}")
+    drawn = draw_storm(scenario, outcome.seed)
+    print(f"seed {outcome.seed} fails: {describe_faults(drawn)}")
     if outcome.fault:
         print(f"  {outcome.fault}")
     for one in outcome.broken[:MAX_BROKEN_SHOWN]:
@@ -236,7 +236,7 @@
 
 
 def _shrink(scenario: Scenario, outcome: Outcome, path: Path, console: Console) -> None:
-    original = written_out(scenario, outcome.seed)
+    original = draw_storm(scenario, outcome.seed)
 
     def play_again(smaller: Scenario) -> Outcome:
         return play_seed(smaller, outcome.seed)
--- a/holdgw/simulation/determinism_guard.py
+++ b/holdgw/simulation/determinism_guard.py
@@ -1,8 +1,8 @@
-"""Sees the real world leak into a run: code of ours that asks the machine for time, chance or a thread.
+"""Detects nondeterminism in a run: code that asks the machine for time, random numbers or a thread.
 
-While a world runs, the functions below raise where a module of this package calls them. What was taken hold
-of before (a default argument, a name imported from its module) is not seen here but by the digest: two runs
-of one seed, in two processes, must have the same.
+While a run is guarded, the functions below raise if a module of this package calls them. A reference taken
+earlier (a default argument, a name imported from its module) is not detected here but by the digest, which
+must be the same for two runs of one seed in two processes.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 from holdgw.simulation.world import World
 
-WATCHED: tuple[tuple[Any, str], ...] = (
+FORBIDDEN_CALLS: tuple[tuple[Any, str], ...] = (
     *((time, name) for name in ("time", "time_ns", "monotonic", "monotonic_ns", "perf_counter", "sleep")),
     *(
         (random, name)
@@ -33,40 +33,40 @@
 )
 
 
-class LeakError(BaseException):
-    """The real world leaked into a run. No `except Exception` of the program under test may swallow it."""
+class NondeterminismError(BaseException):
+    """Code under test called a forbidden function; a BaseException that no `except Exception` can hide."""
 
 
 class DeterminismGuard:
-    """Watches while it is entered; one at a time in a process."""
+    """Replaces the forbidden functions while it is entered; at most one may be active in a process."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self._kept: list[tuple[Any, str, Any]] = []
+        self._originals: list[tuple[Any, str, Any]] = []
 
     def __enter__(self) -> DeterminismGuard:
-        """Begin to watch."""
-        for owner, name in WATCHED:
-            kept = getattr(owner, name)
-            self._kept.append((owner, name, kept))
-            setattr(owner, name, self._watching(f"{getattr(owner, '__name__', owner)}.{name}", kept))
+        """Replace the functions."""
+        for owner, name in FORBIDDEN_CALLS:
+            original = getattr(owner, name)
+            self._originals.append((owner, name, original))
+            setattr(owner, name, self._guarded(f"{getattr(owner, '__name__', owner)}.{name}", original))
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Stop watching."""
-        for owner, name, kept in reversed(self._kept):
-            setattr(owner, name, kept)
-        self._kept.clear()
+        """Restore the functions."""
+        for owner, name, original in reversed(self._originals):
+            setattr(owner, name, original)
+        self._originals.clear()
 
-    def _watching(self, name: str, kept: Callable[..., Any]) -> Callable[..., Any]:
-        def watched(*args: Any, **kwargs: Any) -> Any:
+    def _guarded(self, name: str, original: Callable[..., Any]) -> Callable[..., Any]:
+        def guarded(*args: Any, **kwargs: Any) -> Any:
             caller = sys._getframe(1).f_globals.get("__name__", "")
             if caller.startswith("holdgw."):
-                error = LeakError(f"{caller} called {name} in a simulated run")
+                error = NondeterminismError(f"{caller} called {name} in a simulated run")
                 self._world.fail(error)
                 raise error
-            return kept(*args, **kwargs)
+            return original(*args, **kwargs)
 
-        return watched
+        return guarded
--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -1,7 +1,8 @@
-"""Decision modules alone, with what they tell one another: how load spreads, and whether they herd.
+"""A model of routing policies that share load reports, to measure how load spreads and whether they herd.
 
-No sockets, no wire: hundreds of modules ask servers that are queues, in simulated time. What routers and
-servers really do is `play` and the laboratory of processes; here single causes are told apart, seconds a run.
+It has no sockets and no wire format: hundreds of routing policies send requests to servers that are queues,
+in simulated time. `fleet_run` and the harness run complete routers and servers; this model isolates single
+causes, in runs that take seconds.
 """
 
 from __future__ import annotations
@@ -41,8 +42,8 @@
 
 
 @dataclass
-class Queue:
-    """A cache server: one request after the other; `says` stands in for a report that is not true."""
+class SimulatedServer:
+    """A cache server that serves one request at a time; `claimed_load` replaces its true load report."""
 
     entry: Endpoint
     service: float
@@ -50,18 +51,18 @@
     ends: list[int] = field(default_factory=list)
     recent_ms: float = 20.0
     keys: set[str] = field(default_factory=set)
-    says: tuple[float, float] | None = None
+    claimed_load: tuple[float, float] | None = None
     arrivals: list[int] = field(default_factory=list)
 
     def report(self, now: int) -> tuple[float, float]:
-        """How long an answer took here lately, ms, and how many wait."""
+        """Return the recent response time in milliseconds and the number of waiting requests."""
         self.ends = [end for end in self.ends if end > now]
-        return self.says or (self.recent_ms, float(len(self.ends)))
+        return self.claimed_load or (self.recent_ms, float(len(self.ends)))
 
 
 @dataclass
 class SimulatedPolicy:
-    """A router: its module, and its load view where it has peers."""
+    """A router: its routing policy and, where it has peers, its load view."""
 
     number: int
     router: RoutingPolicy
@@ -71,7 +72,12 @@
 
 
 class Fleet(EventQueue):
-    """So many routers and servers under one load, drawn by the seed."""
+    """Routers and servers under one load, drawn from the seed.
+
+    `rate` is in requests per second. `delay` is that of a load report and `cold_time` the servers' warm-up
+    time, both in nanoseconds. `service` is a server's mean time per request in seconds, and `skew` the Zipf
+    exponent of the keys' popularity.
+    """
 
     def __init__(
         self,
@@ -100,7 +106,9 @@
             gossip_allowed=peers,
         )
         self.servers = {
-            f"10.1.{i // 250}.{i % 250}:1": Queue(Endpoint(f"10.1.{i // 250}.{i % 250}:1", kind="c"), service)
+            f"10.1.{i // 250}.{i % 250}:1": SimulatedServer(
+                Endpoint(f"10.1.{i // 250}.{i % 250}:1", kind="c"), service
+            )
             for i in range(servers)
         }
         self._service = service
@@ -109,83 +117,83 @@
             for n in range(routers)
         ]
         self.listed = list(self.servers)
-        self.reach: Callable[[int, int], bool] = lambda _from, _to: True
-        self.hot: dict[str, float] = {}  # keys that get such a part of all reads besides
+        self.can_reach: Callable[[int, int], bool] = lambda _from, _to: True
+        self.hot: dict[str, float] = {}  # keys with an extra share of all reads each
         self.falsify: Callable[[SimulatedPolicy, LoadReport], LoadReport] = lambda _one, report: report
-        """What a router sends in place of its true report."""
+        """Returns the load report that a router sends, given its true report."""
         self._keys = [f"key{i}" for i in range(keys)]
         self.random.shuffle(self._keys)
         self._popular = list(accumulate((i + 1) ** -skew for i in range(keys)))
         self._ids = count()
         self._open: dict[
             str, tuple[SimulatedPolicy, str, int, int]
-        ] = {}  # request: router, key, begun, attempt
-        self._missed: dict[str, str] = {}  # request: the server where it missed
+        ] = {}  # request: router, key, start time, attempt
+        self._missed: dict[str, str] = {}  # request: the server of its cache miss
         self.count: Counter[str] = Counter()
-        self.latest: dict[int, int] = defaultdict(int)  # late or refused, by second
+        self.late_by_second: dict[int, int] = defaultdict(int)  # late, rejected or failed requests
         for one in self.routers:
-            self._list(one, UpdateKind.FULL)
+            self._send_list(one, UpdateKind.FULL)
             self.at(int(self.random.random() * REPORT_NS), lambda one=one: self._report(one))  # type: ignore[misc]
-        self._next_ask()
+        self._schedule_request()
 
     def run(self, until_s: float) -> None:
-        """Let time pass until this second."""
+        """Run until a second of simulated time."""
         self.run_until(int(until_s * NS_PER_S))
 
-    # Lists, freezes
+    # Endpoint lists and freezes
 
-    def _list(self, one: SimulatedPolicy, kind: UpdateKind) -> None:
-        def told() -> None:
+    def _send_list(self, one: SimulatedPolicy, kind: UpdateKind) -> None:
+        def apply() -> None:
             entries = tuple(self.servers[name].entry for name in self.listed)
             one.load_view.set_servers(self.listed)
-            self._act(one, one.router.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now))
+            self._apply_actions(one, one.router.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now))
 
-        self._unless_frozen(one, told)
+        self._unless_frozen(one, apply)
 
-    def relist(self, names: Sequence[str], within: int = 100_000_000) -> None:
-        """From now on these servers are listed; each router learns it within so many nanoseconds."""
+    def set_listed(self, names: Sequence[str], within: int = 100_000_000) -> None:
+        """Change the listed servers; each router learns of it within `within` nanoseconds."""
         for name in names:
             if name not in self.servers:
                 entry = Endpoint(name, kind="c", state=EndpointState.READY, started_ns=self.now)
-                self.servers[name] = Queue(entry, self._service)
+                self.servers[name] = SimulatedServer(entry, self._service)
         self.listed = list(names)
         for one in self.routers:
             self.at(
                 self.now + int(self.random.random() * within),
-                lambda one=one: self._list(one, UpdateKind.FULL),  # type: ignore[misc]
+                lambda one=one: self._send_list(one, UpdateKind.FULL),  # type: ignore[misc]
             )
 
     def freeze(self, numbers: Sequence[int], seconds: float) -> None:
-        """These routers stand still, and wake all at once with what came meanwhile."""
+        """Stop routers for some seconds; they all resume at once and handle what arrived meanwhile."""
         for number in numbers:
             self.routers[number].frozen = []
 
-        def wake() -> None:
+        def resume() -> None:
             for number in numbers:
                 held, self.routers[number].frozen = self.routers[number].frozen or [], None
-                for act in held:
-                    act()
+                for callback in held:
+                    callback()
 
-        self.at(self.now + int(seconds * NS_PER_S), wake)
+        self.at(self.now + int(seconds * NS_PER_S), resume)
 
-    def _unless_frozen(self, one: SimulatedPolicy, act: Callable[[], None]) -> None:
+    def _unless_frozen(self, one: SimulatedPolicy, callback: Callable[[], None]) -> None:
         if one.frozen is not None:
-            one.frozen.append(act)
+            one.frozen.append(callback)
         else:
-            act()
+            callback()
 
     # Requests
 
-    def _next_ask(self) -> None:
-        self.at(self.now + int(self.random.expovariate(self.rate) * NS_PER_S), self._ask)
+    def _schedule_request(self) -> None:
+        self.at(self.now + int(self.random.expovariate(self.rate) * NS_PER_S), self._request)
 
-    def _ask(self) -> None:
-        self._next_ask()
+    def _request(self) -> None:
+        self._schedule_request()
         one = self.random.choices(self.routers, [one.weight for one in self.routers])[0]
-        lot, key = self.random.random(), ""
+        draw, key = self.random.random(), ""
         for name, share in self.hot.items():
-            lot -= share
-            if lot < 0:
+            draw -= share
+            if draw < 0:
                 key = name
                 break
         if not key:
@@ -197,26 +205,26 @@
             name = f"r{next(self._ids)}"
             self._open[name] = one, key, begun, 0
             event = RequestArrived(name, "read", self.now + DEADLINE_NS, key=key)
-            self._act(one, one.router.handle(event, self.now))
+            self._apply_actions(one, one.router.handle(event, self.now))
 
         self._unless_frozen(one, arrive)
 
-    def _act(self, one: SimulatedPolicy, actions: Sequence[object]) -> None:
+    def _apply_actions(self, one: SimulatedPolicy, actions: Sequence[object]) -> None:
         for action in actions:
             if isinstance(action, SendAttempt):
-                self._sent(one, action)
+                self._send_attempt(one, action)
             elif hasattr(action, "request"):
                 self.count["refused" if isinstance(action, Reject) else "failed"] += 1
-                self.latest[self.now // NS_PER_S] += 1
+                self.late_by_second[self.now // NS_PER_S] += 1
                 self._open.pop(action.request, None)
 
-    def _sent(self, one: SimulatedPolicy, send: SendAttempt) -> None:
+    def _send_attempt(self, one: SimulatedPolicy, send: SendAttempt) -> None:
         _, key, begun, attempt = self._open[send.request_id]
         self._open[send.request_id] = one, key, begun, attempt + 1
         server = self.servers.get(send.endpoint_id)
         if server is None:
             self.count["fetches"] += 1
-            self._ends(one, send, self.now + FETCH_NS, Outcome.OK, None)
+            self._end_attempt(one, send, self.now + FETCH_NS, Outcome.OK, None)
             return
         server.arrivals.append(self.now)
         start = max(self.now, server.free_at)
@@ -226,32 +234,37 @@
         if not hit:
             self.count["misses"] += 1
             self._missed[send.request_id] = send.endpoint_id
-        self._ends(one, send, end, Outcome.OK if hit else Outcome.MISS, server)
+        self._end_attempt(one, send, end, Outcome.OK if hit else Outcome.MISS, server)
 
-    def _ends(
-        self, one: SimulatedPolicy, send: SendAttempt, end: int, outcome: Outcome, server: Queue | None
+    def _end_attempt(
+        self,
+        one: SimulatedPolicy,
+        send: SendAttempt,
+        end: int,
+        outcome: Outcome,
+        server: SimulatedServer | None,
     ) -> None:
         sent, attempt = self.now, self._open[send.request_id][3]
 
-        def over() -> None:
-            self._unless_frozen(one, answered)
+        def receive_reply() -> None:
+            self._unless_frozen(one, handle_reply)
 
-        def answered() -> None:
+        def handle_reply() -> None:
             took = self.now - sent
             load = None
             if server is not None:
                 server.recent_ms += ((end - sent) / 1e6 - server.recent_ms) / 8
                 load = server.report(self.now)
-            known = self._open.get(send.request_id)
-            if known is not None and known[3] == attempt and outcome is Outcome.OK:
+            request = self._open.get(send.request_id)
+            if request is not None and request[3] == attempt and outcome is Outcome.OK:
                 self._open.pop(send.request_id)
                 self.count["served"] += 1
-                late = self.now - known[2] > AIM_NS
+                late = self.now - request[2] > AIM_NS
                 self.count["late"] += late
-                self.latest[self.now // NS_PER_S] += late
+                self.late_by_second[self.now // NS_PER_S] += late
                 missed = self._missed.pop(send.request_id, "")
                 if server is None and missed in self.servers:
-                    self.servers[missed].keys.add(known[1])
+                    self.servers[missed].keys.add(request[1])
             event = AttemptEnded(
                 send.request_id,
                 attempt,
@@ -261,9 +274,9 @@
                 took,
                 load_report=load,
             )
-            self._act(one, one.router.handle(event, self.now))
+            self._apply_actions(one, one.router.handle(event, self.now))
 
-        self.at(end, over)
+        self.at(end, receive_reply)
 
     # Load reports
 
@@ -277,21 +290,21 @@
         report = self.falsify(one, one.load_view.report(self.now))
         others = self.random.sample(self.routers, min(FANOUT + 1, len(self.routers)))
         for other in [other for other in others if other is not one][:FANOUT]:
-            if self.reach(one.number, other.number):
+            if self.can_reach(one.number, other.number):
                 self.at(self.now + self.delay, lambda other=other: self._receive(other, report))  # type: ignore[misc]
         view = one.load_view.snapshot(self.now)
         event = LoadSnapshotChanged(
             view.response_times, dict(view.slot_shares), view.requests, view.own_requests
         )
-        self._act(one, one.router.handle(event, self.now))
+        self._apply_actions(one, one.router.handle(event, self.now))
 
     def _receive(self, one: SimulatedPolicy, report: LoadReport) -> None:
         self._unless_frozen(one, lambda: one.load_view.receive(report, self.now))
 
-    # What is measured
+    # Measurements
 
     def spread(self, since_s: float, until_s: float) -> tuple[float, float]:
-        """The busiest and the idlest listed server's arrivals over the mean."""
+        """Return the most and the fewest arrivals of a listed server, each divided by the mean."""
         found = [
             sum(since_s * NS_PER_S <= at < until_s * NS_PER_S for at in self.servers[name].arrivals)
             for name in self.listed
@@ -300,7 +313,7 @@
         return max(found) / mean, min(found) / mean
 
     def herd(self, since_s: float, until_s: float, window: int = 100_000_000) -> float:
-        """Variance over mean of a server's arrivals by window, in the mean; a Poisson stream's is 1."""
+        """Return the mean over servers of the index of dispersion of arrivals per window (Poisson: 1)."""
         found = []
         first, last = int(since_s * NS_PER_S) // window, int(until_s * NS_PER_S) // window
         for name in self.listed:
--- a/holdgw/simulation/shrink.py
+++ b/holdgw/simulation/shrink.py
@@ -1,4 +1,4 @@
-"""Looks for the least scenario that still fails alike: fewer troubles, a shorter day, a smaller fleet."""
+"""Shrinks a failing scenario while it fails alike: fewer faults, a shorter schedule, a smaller fleet."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from holdgw.harness.scenario import Scenario, ScenarioError, read_scenario
 from holdgw.simulation.fleet_run import Outcome
 
-MARGIN_S = 0.5  # of the day, kept beyond what broke
+MARGIN_S = 0.5  # of the schedule, kept after the violation
 
-Try = Callable[[Scenario], Outcome]
+Replay = Callable[[Scenario], Outcome]
 
 
-def _fewer_troubles(scenario: Scenario) -> Iterator[Scenario]:
-    """Halves first, then one by one (delta debugging: Zeller and Hildebrandt, 2002)."""
+def _fewer_faults(scenario: Scenario) -> Iterator[Scenario]:
+    """Leave out halves of the faults, then smaller parts (delta debugging: Zeller and Hildebrandt, 2002)."""
     count = len(scenario.trouble)
     size = count
     while size >= 1:
@@ -31,7 +31,7 @@
 
 
 def _shorter(scenario: Scenario, outcome: Outcome) -> Iterator[Scenario]:
-    """End the day behind what broke; else somewhat earlier."""
+    """End the schedule shortly after the first violation, then at half and at four fifths of its length."""
     ends = [max(one.at - outcome.begun, 0.0) + MARGIN_S for one in outcome.broken[:1]]
     ends += [scenario.length_s / 2, scenario.length_s * 0.8]
     for end in ends:
@@ -40,8 +40,8 @@
             yield scenario.cut(length)
 
 
-def _lighter(scenario: Scenario) -> Iterator[Scenario]:
-    """Fewer requests and a smaller fleet."""
+def _smaller_load_and_fleet(scenario: Scenario) -> Iterator[Scenario]:
+    """Reduce the request rate or the fleet, or leave out the emulator's prelude."""
     for share in (0.25, 0.5, 0.75):
         load = msgspec.structs.replace(scenario.load, rate=round(scenario.load.rate * share, 1))
         if load.rate >= 1:
@@ -50,7 +50,7 @@
     for nodes, routers in ((fleet.nodes // 2, fleet.routers), (fleet.nodes, fleet.routers - 1)):
         if nodes >= 1 and routers >= 1:
             small = msgspec.structs.replace(fleet, nodes=nodes, routers=routers)
-            with contextlib.suppress(ValueError):  # a trouble names more than such a fleet has
+            with contextlib.suppress(ValueError):  # a fault names more than this fleet has
                 yield msgspec.structs.replace(scenario, fleet=small)
     if scenario.emulator.prelude_s:
         emulator = msgspec.structs.replace(scenario.emulator, prelude_s=0.0)
@@ -58,7 +58,7 @@
 
 
 def _valid(scenario: Scenario) -> bool:
-    """Whether a file could say so: a smaller fleet may lack nodes that a trouble names."""
+    """Whether a file with this scenario loads: a smaller fleet may lack servers that a fault names."""
     try:
         read_scenario(as_toml(scenario), "shrunk")
     except ScenarioError:
@@ -69,41 +69,56 @@
 def shrink(
     scenario: Scenario,
     outcome: Outcome,
-    again: Try,
-    told: Callable[[Scenario, int], None] = lambda _scenario, _runs: None,
-    most_runs: int = 200,
+    replay: Replay,
+    on_progress: Callable[[Scenario, int], None] = lambda _scenario, _runs: None,
+    max_runs: int = 200,
 ) -> tuple[Scenario, Outcome]:
-    """The least scenario found for which `again` breaks the same rule first; `told` hears of each step."""
+    """Find the smallest scenario for which `replay` breaks the same rule first.
+
+    `on_progress` is called after each smaller scenario that still fails, with that scenario and the number of
+    runs so far.
+    """
     runs, wanted = 0, outcome.first
     progress = True
-    while progress and runs < most_runs:
+    while progress and runs < max_runs:
         progress = False
-        for candidates in (_fewer_troubles(scenario), _shorter(scenario, outcome), _lighter(scenario)):
+        for candidates in (
+            _fewer_faults(scenario),
+            _shorter(scenario, outcome),
+            _smaller_load_and_fleet(scenario),
+        ):
             for smaller in candidates:
-                if runs >= most_runs:
+                if runs >= max_runs:
                     break
                 if not _valid(smaller):
                     continue
                 runs += 1
-                found = again(smaller)
+                found = replay(smaller)
                 if found.first == wanted:
                     scenario, outcome, progress = smaller, found, True
-                    told(scenario, runs)
+                    on_progress(scenario, runs)
                     break
     return scenario, outcome
 
 
-def _differences(value: Any, usual: Any) -> Any:
-    if isinstance(value, dict) and isinstance(usual, dict):
-        found = {name: _differences(one, usual.get(name)) for name, one in value.items()}
+def _differences(value: Any, defaults: Any) -> Any:
+    if isinstance(value, dict) and isinstance(defaults, dict):
+        found = {name: _differences(one, defaults.get(name)) for name, one in value.items()}
         return {name: one for name, one in found.items() if one is not None} or None
-    return None if value == usual else value
+    return None if value == defaults else value
 
 
 def as_toml(scenario: Scenario) -> str:
-    """The scenario as a file that plays the same; what is as usual is left out."""
-    told = msgspec.to_builtins(scenario)
-    usual = msgspec.to_builtins(Scenario(name=scenario.name, length_s=scenario.length_s, load=scenario.load))
-    always = {"name": told["name"], "length_s": told["length_s"], "seed": told["seed"], "load": told["load"]}
-    rest = {name: _differences(value, usual[name]) for name, value in told.items() if name not in always}
+    """Return the scenario as a TOML file that replays it; settings at their defaults are left out."""
+    values = msgspec.to_builtins(scenario)
+    defaults = msgspec.to_builtins(
+        Scenario(name=scenario.name, length_s=scenario.length_s, load=scenario.load)
+    )
+    always = {
+        "name": values["name"],
+        "length_s": values["length_s"],
+        "seed": values["seed"],
+        "load": values["load"],
+    }
+    rest = {name: _differences(value, defaults[name]) for name, value in values.items() if name not in always}
     return tomli_w.dumps({**always, **{name: value for name, value in rest.items() if value is not None}})
--- a/holdgw/simulation/transports.py
+++ b/holdgw/simulation/transports.py
@@ -1,8 +1,9 @@
-"""Transports as asyncio defines them, over the simulated network, in the manner of uvloop on Linux.
+"""asyncio transports over the simulated network, with the behaviour of uvloop on Linux.
 
-Each end has two halves: the program's (the transport's methods, and calls into its protocol, which are made
-only while its process runs) and the kernel's (what arrives, what is held unread, resets, what is closed).
-The kernel's goes on while the process stands still, and outlives it while the other side needs an answer.
+Each end of a connection has two halves. The program's half is the transport's methods and the calls into its
+protocol, which are made only while its process runs. The kernel's half receives segments, holds unread data,
+and handles resets and closed sockets; it works on while the process is stopped, and after the process's death
+for as long as the other end needs an answer.
 """
 
 from __future__ import annotations
@@ -20,56 +21,56 @@
     from holdgw.simulation.network import Address, Connection, Host, Network
     from holdgw.simulation.process import Process
 
-HIGH_WATER = 64 << 10  # of a transport's own buffer, before writing is paused
-ACCEPT_AGAIN_NS = 100_000_000  # until a process without a free descriptor tries again
-SEGMENT = 1448  # bytes of one segment on an Ethernet
-MOST_HELD = 64
-SLOW_NS = 30_000_000  # a segment that takes longer than this was held back
-HELD_NS = 100_000_000  # a segment that comes later than this waits to be sent again
-PHASES_OF = {"request": ("request", "behind", "vanish"), "answer": ("answer", "behind", "end", "vanish")}
-PIECES_NS = 300_000  # between one piece of a segment and the next, at most
-READ_MOST = 256 << 10  # bytes that uvloop reads at a time
+HIGH_WATER_BYTES = 64 << 10  # a transport pauses writing above this size of its own buffer
+ACCEPT_RETRY_NS = 100_000_000  # a process without a free descriptor retries accept after this time
+SEGMENT_BYTES = 1448  # payload of one TCP segment on an Ethernet
+MAX_TRACKED_SEGMENTS = 64  # segments in transit that a reset can still cancel
+DELAYED_SEGMENT_NS = 30_000_000  # a segment that takes longer is reported as delayed by the network
+RETRANSMITTED_SEGMENT_NS = 100_000_000  # a segment that takes longer is waiting for its retransmission
+CUT_PHASES = {"request": ("request", "behind", "vanish"), "answer": ("answer", "behind", "end", "vanish")}
+MAX_PIECE_GAP_NS = 300_000  # between two pieces of a split segment
+MAX_READ_BYTES = 256 << 10  # uvloop reads this much at a time
 
 
-def has_left(transport: Any) -> bool:
-    """What `router.platform` asks the kernel, of a simulated transport."""
-    return isinstance(transport, TcpEnd) and transport.left
+def peer_closed(transport: Any) -> bool:
+    """Whether the peer has closed or reset the connection; replaces the kernel call of `router.platform`."""
+    return isinstance(transport, TcpTransport) and transport.peer_closed
 
 
 class Socket:
-    """As much of a socket as programs look at."""
+    """The subset of the socket interface that the programs under test use."""
 
     def __init__(self, name: Address, peer: Address | None = None) -> None:
         self._name, self._peer = name, peer
-        self.resets = False  # closing it is a reset
+        self.resets = False  # whether closing the socket sends a reset
 
     def getsockname(self) -> Address:
-        """Its own address."""
+        """Return the local address."""
         return self._name
 
     def getpeername(self) -> Address:
-        """The other side's; raises OSError where there is none."""
+        """Return the peer's address; raises OSError (ENOTCONN) where there is no peer."""
         if self._peer is None:
             raise OSError(107, "Transport endpoint is not connected")
         return self._peer
 
     def setsockopt(self, level: int, option: int, value: int | bytes) -> None:
-        """Lingering for 0 s makes the close a reset (socket(7)); nothing else changes anything here."""
+        """Apply SO_LINGER: with 0 s, closing sends a reset (socket(7)). Other options have no effect."""
         if (level, option) == (socket.SOL_SOCKET, socket.SO_LINGER) and isinstance(value, bytes):
             on, seconds = struct.unpack("ii", value)
             self.resets = bool(on) and seconds == 0
 
     def getsockopt(self, level: int, option: int, size: int = 0) -> bytes:
-        """Tells nothing (ENOPROTOOPT)."""
+        """Raise OSError (ENOPROTOOPT): no option can be read."""
         raise OSError(92, "Protocol not available")
 
     def fileno(self) -> int:
-        """None: there is no descriptor of this machine."""
+        """Return -1: a simulated socket has no descriptor of the operating system."""
         return -1
 
 
-class TcpEnd(asyncio.Transport):
-    """One end of a connection. `process` None: nobody has accepted it yet."""
+class TcpTransport(asyncio.Transport):
+    """One end of a TCP connection. Its `process` is None until a process accepts the connection."""
 
     def __init__(
         self,
@@ -79,64 +80,64 @@
         address: Address,
         remote: Address,
         protocol: asyncio.BaseProtocol | None,
-        up: asyncio.Future[None] | None,
+        connect_waiter: asyncio.Future[None] | None,
     ) -> None:
         self.network, self.process, self.host = network, process, host
         self.address, self.remote = address, remote
         self.socket = Socket(address, remote)
         self._world: World = network.world
         self._protocol = cast("asyncio.Protocol | None", protocol)
-        self._up = up
-        self._is_up = False
+        self._connect_waiter = connect_waiter
+        self._established = False
         # The program's half
-        self._buffer = bytearray()  # what the kernel has not taken
-        self._high, self._low = HIGH_WATER, HIGH_WATER // 4
+        self._buffer = bytearray()  # written data that the kernel has not accepted
+        self._high, self._low = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
         self._writing_paused = self._reading_paused = False
-        self._closing = self._eof = self._conn_lost = self._lost_told = False
+        self._closing = self._eof = self._conn_lost = self._connection_lost_called = False
         # The kernel's half
-        self.shut = False  # closed, or never to come up
-        self._owner = 0  # how often it went from one process to another
-        self.copies = 0  # descriptors beside the process's own: in another's hands, or on their way
-        self._unacked = 0  # sent, and not read by the other side's program
-        self._last = 0  # when the last of what was sent comes in
+        self.socket_closed = False  # closed in the kernel, or never to be established
+        self._owner_generation = 0  # number of transfers from one process to another
+        self.extra_descriptors = 0  # beside the process's own: held by another process, or being passed
+        self._unacked = 0  # bytes sent that the peer's program has not read
+        self._last_arrival = 0  # when the last segment sent so far arrives
         self._received: deque[bytes] = deque()
-        self._fin_came = self._eof_told = self._fin_sent = self._reset_came = False
-        self._written_at = 0  # the last write of the program
-        self._on_its_way: deque[Handle] = deque(maxlen=MOST_HELD)  # segments, the latest
+        self._fin_received = self._eof_delivered = self._fin_sent = self._reset_received = False
+        self._written_at = 0  # when the program last wrote
+        self._segments_in_transit: deque[Handle] = deque(maxlen=MAX_TRACKED_SEGMENTS)  # the latest ones
 
-    def join(self, connection: Connection, peer: TcpEnd, label: str) -> None:
-        """Know the connection and the other end."""
+    def attach(self, connection: Connection, peer: TcpTransport, label: str) -> None:
+        """Attach this end to its connection and to the other end."""
         self.connection, self.peer, self.label = connection, peer, label
 
     # The program's half: asyncio.Transport
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """The socket and its addresses."""
+        """Return the socket, or the local or the peer's address."""
         return {"socket": self.socket, "sockname": self.address, "peername": self.remote}.get(name, default)
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Another protocol from now on."""
+        """Replace the protocol."""
         self._protocol = cast(asyncio.Protocol, protocol)
 
     def get_protocol(self) -> asyncio.BaseProtocol:
-        """The protocol."""
+        """Return the protocol."""
         assert self._protocol is not None
         return self._protocol
 
     def is_closing(self) -> bool:
-        """Whether it is closed or about to be."""
+        """Whether the transport is closed or closing."""
         return self._closing
 
     def is_reading(self) -> bool:
-        """Whether the protocol is given what comes."""
+        """Whether received data is passed to the protocol."""
         return not self._reading_paused and not self._closing
 
     def pause_reading(self) -> None:
-        """What comes stays with the kernel."""
+        """Leave received data with the kernel."""
         self._reading_paused = True
 
     def resume_reading(self) -> None:
-        """The protocol is given what comes."""
+        """Pass received data to the protocol again."""
         if not self._reading_paused or self._closing:
             self._reading_paused = False
             return
@@ -144,9 +145,9 @@
         self._world.soon(self.process, self._read)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """As asyncio has it."""
+        """Set the limits of flow control, in bytes, with asyncio's defaults and checks."""
         if high is None:
-            high = HIGH_WATER if low is None else 4 * low
+            high = HIGH_WATER_BYTES if low is None else 4 * low
         if low is None:
             low = high // 4
         if not high >= low >= 0:
@@ -155,24 +156,24 @@
         self._pause_or_resume()
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the kernel has not taken."""
+        """Return the number of bytes that the kernel has not accepted."""
         return len(self._buffer)
 
     def get_write_buffer_limits(self) -> tuple[int, int]:
-        """Low and high."""
+        """Return the low and the high limit."""
         return self._low, self._high
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Send; what the kernel does not take waits here."""
+        """Send data; what the kernel does not accept waits in the transport's buffer."""
         if self._eof:
             raise RuntimeError("Cannot call write() after write_eof()")
-        if not data or self._conn_lost or self._lost_told:
+        if not data or self._conn_lost or self._connection_lost_called:
             return
         self._written_at = self._world.now
-        if self._eof_told:
-            self.network.on_wrote_behind_end(self)
-        if self._reset_came:
-            # The kernel tells of it at the next write, also where nothing is being read.
+        if self._eof_delivered:
+            self.network.on_write_after_eof(self)
+        if self._reset_received:
+            # The kernel reports a reset at the next write, also while reading is paused.
             self._conn_lost = True
             self._world.soon(self.process, self._fatal, (BrokenPipeError(32, "Broken pipe"),))
             return
@@ -192,11 +193,11 @@
         self._pause_or_resume()
 
     def can_write_eof(self) -> bool:
-        """Always."""
+        """Return True: a TCP connection can be half-closed."""
         return True
 
     def write_eof(self) -> None:
-        """Send no more, once all is sent; reading goes on."""
+        """Close the sending direction once the buffer is sent; reading continues."""
         if self._eof or self._closing:
             return
         self._eof = True
@@ -204,43 +205,45 @@
             self._send_fin()
 
     def close(self) -> None:
-        """Close once all is sent; nothing more is read."""
+        """Stop reading, and close once the buffer is sent."""
         if self._closing:
             return
         self._closing = True
         if not self._buffer:
             self._conn_lost = True
-            self._world.soon(self.process, self._told_lost, (None, self._owner))
+            self._world.soon(self.process, self._call_connection_lost, (None, self._owner_generation))
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close at once and drop the buffer."""
         self._force_close(None)
 
     def _force_close(self, error: Exception | None) -> None:
-        if self._lost_told or (self._closing and self._conn_lost):
+        if self._connection_lost_called or (self._closing and self._conn_lost):
             return
         self._buffer.clear()
         self._closing = self._conn_lost = True
-        self._world.soon(self.process, self._told_lost, (error, self._owner))
+        self._world.soon(self.process, self._call_connection_lost, (error, self._owner_generation))
 
     def _fatal(self, error: Exception) -> None:
-        if self._lost_told:
+        if self._connection_lost_called:
             return
-        if self._closing and self._conn_lost and not self._buffer and not self._reset_came:
+        if self._closing and self._conn_lost and not self._buffer and not self._reset_received:
             return
         self._buffer.clear()
         self._closing = self._conn_lost = True
-        self._told_lost(error)
+        self._call_connection_lost(error)
 
-    def _told_lost(self, error: Exception | None, owner: int | None = None) -> None:
-        if self._lost_told or (owner is not None and owner != self._owner):
+    def _call_connection_lost(self, error: Exception | None, owner_generation: int | None = None) -> None:
+        if self._connection_lost_called or (
+            owner_generation is not None and owner_generation != self._owner_generation
+        ):
             return
-        self._lost_told = True
+        self._connection_lost_called = True
         try:
             if self._protocol is not None:
                 self._protocol.connection_lost(error)
         finally:
-            self._shut()
+            self._close_socket()
 
     def _pause_or_resume(self) -> None:
         size = len(self._buffer)
@@ -254,27 +257,27 @@
                 self._protocol.resume_writing()
 
     def _read(self) -> None:
-        """Give the protocol what the kernel holds."""
+        """Pass the data that the kernel holds to the protocol, then the end of the stream or a reset."""
         while self._received and not self._reading_paused and not self._closing:
             data = self._received.popleft()
-            while self._received and len(data) + len(self._received[0]) <= READ_MOST:
+            while self._received and len(data) + len(self._received[0]) <= MAX_READ_BYTES:
                 data += self._received.popleft()
-            if not self._give(data):
+            if not self._deliver(data):
                 return
         if self._reading_paused or self._closing:
             return
-        if self._reset_came:
-            self._fatal(was_reset())
-        elif self._fin_came and not self._eof_told:
-            self._eof_told = True
+        if self._reset_received:
+            self._fatal(reset_error())
+        elif self._fin_received and not self._eof_delivered:
+            self._eof_delivered = True
             assert self._protocol is not None
             if self._protocol.eof_received():
-                self._reading_paused = True  # as uvloop does: nothing more can come
+                self._reading_paused = True  # as uvloop does after the end of the stream
             else:
                 self.close()
 
-    def _give(self, data: bytes) -> bool:
-        self._was_read(len(data))
+    def _deliver(self, data: bytes) -> bool:
+        self._release_window(len(data))
         assert self._protocol is not None
         try:
             self._protocol.data_received(data)
@@ -290,9 +293,9 @@
         return True
 
     @property
-    def left(self) -> bool:
-        """Whether the other side has closed or reset the connection, as poll(2) tells it."""
-        return self._fin_came or self._reset_came
+    def peer_closed(self) -> bool:
+        """Whether the other side has closed or reset the connection, as poll(2) reports it."""
+        return self._fin_received or self._reset_received
 
     # The kernel's half: sending
 
@@ -301,86 +304,86 @@
         self._unacked += len(data)
         if self.host.silent:
             return
-        if self.connection.vanished:
+        if self.connection.black_holed:
             network.on_cut(self.connection)
             return
-        at = max(network.arrival(self.host, peer.host), self._last)
-        if at - self._written_at > SLOW_NS:
-            network.on_held(self.host, peer.host, self._written_at, at)
+        at = max(network.arrival(self.host, peer.host), self._last_arrival)
+        if at - self._written_at > DELAYED_SEGMENT_NS:
+            network.on_segment_delayed(self.host, peer.host, self._written_at, at)
         if network.cuts:
             kind = "request" if self is self.connection.client else "answer"
-            cut = network.cut_of(self.host, peer.host, PHASES_OF[kind])
+            cut = network.choose_cut_phase(self.host, peer.host, CUT_PHASES[kind])
             if cut == "vanish":
-                network.swallow(self.connection)
+                network.black_hole(self.connection)
                 return
             if cut == "end":
                 network.on_cut(self.connection)
                 self._world.soon(self.process, self.close)
             elif cut:
                 if cut == kind:
-                    data = data[: network.part_of(len(data))]
+                    data = data[: network.random_offset(len(data))]
                 if data:
-                    self._world.at(at, None, peer.data_comes, (data,))
-                self._last = at
-                self._world.at(at, None, network.break_off, (self.connection,))
+                    self._world.at(at, None, peer.receive_data, (data,))
+                self._last_arrival = at
+                self._world.at(at, None, network.break_connection, (self.connection,))
                 return
-        if network.weather.chop:
-            for piece in network.pieces(data):
-                at += network.part_of(PIECES_NS)
-                self._world.at(at, None, peer.data_comes, (piece,))
-            if at - self._written_at > SLOW_NS:
-                network.on_held(self.host, peer.host, self._written_at, at)
+        if network.conditions.chop:
+            for piece in network.split_segment(data):
+                at += network.random_offset(MAX_PIECE_GAP_NS)
+                self._world.at(at, None, peer.receive_data, (piece,))
+            if at - self._written_at > DELAYED_SEGMENT_NS:
+                network.on_segment_delayed(self.host, peer.host, self._written_at, at)
         else:
-            sent = self._world.at(at, None, peer.data_comes, (data,))
-            if at - self._world.now > HELD_NS:
-                self._on_its_way.append(sent)
-        self._last = at
+            scheduled = self._world.at(at, None, peer.receive_data, (data,))
+            if at - self._world.now > RETRANSMITTED_SEGMENT_NS:
+                self._segments_in_transit.append(scheduled)
+        self._last_arrival = at
 
-    def first_at(self, at: int) -> None:
-        """Nothing that is sent comes in before that: the other side does not know of the connection yet."""
-        self._last = at
+    def set_earliest_arrival(self, at: int) -> None:
+        """Set the time before which no segment arrives: the other side does not know the connection yet."""
+        self._last_arrival = at
 
     def _send_fin(self) -> None:
-        if self._fin_sent or not self._is_up:
+        if self._fin_sent or not self._established:
             return
         self._fin_sent = True
-        at = max(self.network.arrival(self.host, self.peer.host), self._last)
-        self._last = at
-        self._world.at(at, None, self.peer.fin_comes)
+        at = max(self.network.arrival(self.host, self.peer.host), self._last_arrival)
+        self._last_arrival = at
+        self._world.at(at, None, self.peer.receive_fin)
 
     def _send_reset(self) -> None:
-        # A kernel that resets sends nothing again: what the line has held back so far never comes.
+        # After a reset the kernel retransmits nothing: segments that still wait for it never arrive.
         soonest = self._world.now + 2 * self.network.delay(self.host, self.peer.host)
-        for held in self._on_its_way:
+        for held in self._segments_in_transit:
             if held.due > soonest:
                 held.cancel()
-                self._last = self._world.now
-        self._on_its_way.clear()
+                self._last_arrival = self._world.now
+        self._segments_in_transit.clear()
         if self.network.is_blocked(self.host, self.peer.host):
-            return  # a reset is never sent again, either
-        at = max(self.network.arrival(self.host, self.peer.host), self._last)
-        self._last = at
-        self._world.at(at, None, self.peer.reset_comes)
+            return  # a reset is not retransmitted, either
+        at = max(self.network.arrival(self.host, self.peer.host), self._last_arrival)
+        self._last_arrival = at
+        self._world.at(at, None, self.peer.receive_reset)
 
-    def _was_read(self, size: int) -> None:
+    def _release_window(self, size: int) -> None:
         peer = self.peer
         peer._unacked -= size
-        if peer._buffer and not peer.shut:
+        if peer._buffer and not peer.socket_closed:
             at = self.network.arrival(self.host, peer.host)
-            self._world.at(at, None, peer.room_comes)
+            self._world.at(at, None, peer.window_opened)
 
-    def room_comes(self) -> None:
-        """The other side has read: the kernel takes more."""
-        if self.shut or self._reset_came or self.host.silent or self.connection.vanished:
+    def window_opened(self) -> None:
+        """Accept more data from the buffer: the other side has read some."""
+        if self.socket_closed or self._reset_received or self.host.silent or self.connection.black_holed:
             return
-        self._world.soon(self.process, self._push)
+        self._world.soon(self.process, self._flush_buffer)
 
-    def _push(self) -> None:
+    def _flush_buffer(self) -> None:
         room = self.connection.window - self._unacked
-        if self._lost_told or not self._buffer:
+        if self._connection_lost_called or not self._buffer:
             return
-        if room < min(len(self._buffer), SEGMENT, self.connection.window // 2):
-            return  # RFC 9293, 3.8.6.2: a kernel does not send crumbs; more room comes with the next reading
+        if room < min(len(self._buffer), SEGMENT_BYTES, self.connection.window // 2):
+            return  # RFC 9293, 3.8.6.2: a kernel sends no tiny segments; the next read opens the window
         data = bytes(self._buffer[:room])
         del self._buffer[:room]
         self._send(data)
@@ -390,166 +393,166 @@
                 self._send_fin()
             if self._closing and not self._conn_lost:
                 self._conn_lost = True
-                self._world.soon(self.process, self._told_lost, (None, self._owner))
+                self._world.soon(self.process, self._call_connection_lost, (None, self._owner_generation))
 
-    # The kernel's half: what comes in
+    # The kernel's half: receiving
 
-    def _deaf(self) -> bool:
-        return self.host.silent or self.connection.vanished
+    def _ignores_input(self) -> bool:
+        return self.host.silent or self.connection.black_holed
 
-    def data_comes(self, data: bytes) -> None:
-        """A segment comes in."""
-        if self._deaf():
+    def receive_data(self, data: bytes) -> None:
+        """Receive a segment."""
+        if self._ignores_input():
             return
-        if self.shut:
-            # Nobody is there to read it: RFC 9293, 3.10.7.1.
+        if self.socket_closed:
+            # No socket exists any more to read the segment: RFC 9293, 3.10.7.1.
             self._send_reset()
             return
-        if self._reset_came:
+        if self._reset_received:
             return
         process = self.process
         self._world.trace.add(
             self._world.now, process.name if process is not None else self.host.name, "data", self.label, data
         )
         self._received.append(data)
-        if process is None or self._reading_paused or self._closing or not self._is_up:
+        if process is None or self._reading_paused or self._closing or not self._established:
             return
         if process.running:
             self._world.call(process, self._read)
         elif len(self._received) == 1:
             self._world.soon(process, self._read)
 
-    def fin_comes(self) -> None:
-        """The other side sends no more."""
-        if self._deaf() or self.shut or self._reset_came:
+    def receive_fin(self) -> None:
+        """Receive a FIN: the other side sends no more data."""
+        if self._ignores_input() or self.socket_closed or self._reset_received:
             return
-        self._fin_came = True
-        if self.process is not None and self._is_up and not self._reading_paused and not self._closing:
+        self._fin_received = True
+        if self.process is not None and self._established and not self._reading_paused and not self._closing:
             self._world.soon(self.process, self._read)
 
-    def reset_comes(self) -> None:
-        """The connection is broken: what was held unread is lost, and what is sent goes nowhere."""
-        if self._deaf() or self.shut or self._reset_came:
+    def receive_reset(self) -> None:
+        """Receive a reset: unread data is dropped, and writing fails from now on."""
+        if self._ignores_input() or self.socket_closed or self._reset_received:
             return
-        self._reset_came = True
+        self._reset_received = True
         self._received.clear()
         self._world.trace.add(self._world.now, self.host.name, "reset", self.label)
         if self.process is None:
-            if not self.copies:
-                self._shut()
-        elif self._up is not None and not self._is_up:
-            self.refused()
+            if not self.extra_descriptors:
+                self._close_socket()
+        elif self._connect_waiter is not None and not self._established:
+            self.connection_refused()
         elif self._closing:
-            # Waiting to send the rest, which can't be sent any more.
-            self._world.soon(self.process, self._fatal, (was_reset(),))
+            # The transport waited for the rest of its buffer to be sent, which is no longer possible.
+            self._world.soon(self.process, self._fatal, (reset_error(),))
         elif not self._reading_paused:
             self._world.soon(self.process, self._read)
 
-    # Beginning and end
+    # Establishing, transferring and closing
 
-    def came_up(self) -> None:
-        """The client's side is up: its protocol is told, and then whoever waits for the connection."""
-        self._is_up = True
-        self._world.soon(self.process, self._made)
+    def set_established(self) -> None:
+        """Mark the client's end as established: its protocol is called, then the connect call returns."""
+        self._established = True
+        self._world.soon(self.process, self._call_connection_made)
 
-    def _made(self) -> None:
-        up, self._up = self._up, None
-        if self.shut:
+    def _call_connection_made(self) -> None:
+        up, self._connect_waiter = self._connect_waiter, None
+        if self.socket_closed:
             return
         assert self._protocol is not None
         self._protocol.connection_made(self)
         if up is not None and not up.done():
             up.set_result(None)
         if self._protocol is None:
-            return  # it was given on to another process
-        if self._received or self._fin_came or self._reset_came:
+            return  # connection_made has passed the connection to another process
+        if self._received or self._fin_received or self._reset_received:
             self._world.soon(self.process, self._read)
 
-    def accepted(self, process: Process, protocol: asyncio.BaseProtocol) -> None:
-        """A server's process has taken the connection."""
+    def attach_process(self, process: Process, protocol: asyncio.BaseProtocol) -> None:
+        """Attach the connection to a server's process that has accepted it."""
         self.process, self._protocol = process, cast(asyncio.Protocol, protocol)
-        self._is_up = True
-        self._made()
+        self._established = True
+        self._call_connection_made()
 
-    def let_go(self) -> None:
-        """The process has it no longer, and others do: what comes waits with the kernel."""
+    def detach_process(self) -> None:
+        """Detach the process while other descriptors stay open; received data waits in the kernel."""
         if self.process is not None:
             self.process.free_descriptor(self)
         self.process = self._protocol = None
-        self._owner += 1
-        self._closing = self._conn_lost = self._lost_told = self._reading_paused = False
+        self._owner_generation += 1
+        self._closing = self._conn_lost = self._connection_lost_called = self._reading_paused = False
 
-    def taken(self, process: Process, protocol: asyncio.BaseProtocol) -> None:
-        """Another process has it from now on."""
+    def transfer_to(self, process: Process, protocol: asyncio.BaseProtocol) -> None:
+        """Attach the connection to another process."""
         if self.process is not None:
-            self.let_go()  # the one before has not heard yet that its own descriptor is closed
-        self.accepted(process, protocol)
-
-    def copy_dropped(self) -> None:
-        """One descriptor beside the process's own is closed; the last one of all closes the connection."""
-        self.copies -= 1
-        if not self.copies and self.process is None:
-            self._shut()
-
-    def refused(self) -> None:
-        """Nobody listens there."""
-        if self.shut or self._up is None:
+            self.detach_process()  # the previous process has not run the close of its own descriptor yet
+        self.attach_process(process, protocol)
+
+    def drop_extra_descriptor(self) -> None:
+        """Close one descriptor beside the process's own; closing the last of all closes the connection."""
+        self.extra_descriptors -= 1
+        if not self.extra_descriptors and self.process is None:
+            self._close_socket()
+
+    def connection_refused(self) -> None:
+        """Fail the connect call: no socket listens at the address."""
+        if self.socket_closed or self._connect_waiter is None:
             return
-        up, self._up = self._up, None
-        self._shut()
-        self._world.soon(self.process, _refuse, (up, self.remote))
-
-    def given_up(self) -> None:
-        """Whoever wanted the connection wants it no longer."""
-        if not self._lost_told and not self.shut:
-            self._closing = self._conn_lost = self._lost_told = True
-            self._shut()
-
-    def forgotten(self) -> None:
-        """This end's machine was away and knows nothing of the connection: it answers with a reset."""
-        if not self.shut:
-            self.shut = True
-        if self.peer._unacked and not self.peer.shut:
+        up, self._connect_waiter = self._connect_waiter, None
+        self._close_socket()
+        self._world.soon(self.process, _fail_connect, (up, self.remote))
+
+    def cancel_connect(self) -> None:
+        """Close the socket of a connect call that was cancelled."""
+        if not self._connection_lost_called and not self.socket_closed:
+            self._closing = self._conn_lost = self._connection_lost_called = True
+            self._close_socket()
+
+    def reset_after_reboot(self) -> None:
+        """Forget the connection after the host's reboot, and answer data of the other end with a reset."""
+        if not self.socket_closed:
+            self.socket_closed = True
+        if self.peer._unacked and not self.peer.socket_closed:
             self._send_reset()
 
     def process_died(self) -> None:
-        """The kernel closes what the process held."""
+        """Close the socket: the kernel closes what a dead process held."""
         self._buffer.clear()
-        self._lost_told = True
-        self._shut()
+        self._connection_lost_called = True
+        self._close_socket()
 
-    def _shut(self) -> None:
-        """The kernel closes it: with a reset if something was left unread, else in good order."""
-        if self.shut:
+    def _close_socket(self) -> None:
+        """Close the socket in the kernel: with a reset if data was left unread, else with a FIN."""
+        if self.socket_closed:
             return
-        if self.copies:
-            self.let_go()
+        if self.extra_descriptors:
+            self.detach_process()
             return
-        self.shut = True
+        self.socket_closed = True
         if self.process is not None:
             self.process.free_descriptor(self)
-        if not self.host.silent and not self._reset_came:
+        if not self.host.silent and not self._reset_received:
             if self.socket.resets or self._received:
                 self._send_reset()
-            elif self._is_up:
+            elif self._established:
                 self._send_fin()
         self._received.clear()
-        if self.peer.shut:
-            self.network.over(self.connection)
+        if self.peer.socket_closed:
+            self.network.forget_connection(self.connection)
 
 
-def was_reset() -> ConnectionResetError:
-    """What a read from a connection that was reset fails with."""
+def reset_error() -> ConnectionResetError:
+    """Return the error that reading from a reset connection raises."""
     return ConnectionResetError(104, "Connection reset by peer")
 
 
-def _refuse(up: asyncio.Future[None], remote: Address) -> None:
+def _fail_connect(up: asyncio.Future[None], remote: Address) -> None:
     if not up.done():
         up.set_exception(ConnectionRefusedError(111, f"Connect call failed {remote}"))
 
 
 class Listener(asyncio.AbstractServer):
-    """A listening socket, and the server that accepts from it."""
+    """A listening socket and the asyncio server that accepts from it."""
 
     def __init__(
         self,
@@ -562,104 +565,104 @@
         self.network, self.process, self.address = network, process, address
         self._socket = Socket(address)
         self._factory, self._backlog = factory, backlog
-        self._expected: dict[Connection, None] = {}
+        self._pending: dict[Connection, None] = {}
         self._open = True
         self._closed: list[asyncio.Future[None]] = []
 
     @property
     def sockets(self) -> tuple[Socket, ...]:
-        """The listening socket, while it is open."""
+        """The listening socket while it is open, else empty."""
         return (self._socket,) if self._open else ()
 
     @property
     def is_full(self) -> bool:
-        """Whether the kernel holds as many connections as it may that nobody has accepted."""
-        return len(self._expected) >= self._backlog
+        """Whether the backlog is full of connections that no process has accepted."""
+        return len(self._pending) >= self._backlog
 
-    def expect(self, connection: Connection) -> None:
-        """A connection is coming up."""
-        self._expected[connection] = None
+    def add_pending(self, connection: Connection) -> None:
+        """Add a connection that is being established to the backlog."""
+        self._pending[connection] = None
 
-    def unexpect(self, connection: Connection) -> None:
-        """It will not."""
-        self._expected.pop(connection, None)
+    def remove_pending(self, connection: Connection) -> None:
+        """Take a connection out of the backlog."""
+        self._pending.pop(connection, None)
 
-    def arrived(self, connection: Connection) -> None:
-        """It is up: the process is to accept it."""
+    def connection_established(self, connection: Connection) -> None:
+        """Have the process accept a connection that is established."""
         if not self._open:
-            if connection in self._expected:
-                self.unexpect(connection)
+            if connection in self._pending:
+                self.remove_pending(connection)
             return
         self.network.world.soon(self.process, self._accept, (connection,))
 
     def _accept(self, connection: Connection) -> None:
         end = connection.server
-        if not self._open or connection not in self._expected:
+        if not self._open or connection not in self._pending:
             return
-        if end._reset_came or end.shut:
-            self.unexpect(connection)
+        if end._reset_received or end.socket_closed:
+            self.remove_pending(connection)
             return
         try:
             self.process.take_descriptor(end)
         except OSError:
-            # The kernel keeps it; the process looks again when it looks again.
+            # The connection stays in the backlog until the process tries again.
             self.network.world.at(
-                self.network.world.now + ACCEPT_AGAIN_NS, self.process, self._accept, (connection,)
+                self.network.world.now + ACCEPT_RETRY_NS, self.process, self._accept, (connection,)
             )
             return
-        self.unexpect(connection)
+        self.remove_pending(connection)
         self.network.world.trace.add(self.network.world.now, self.process.name, "accept", connection.label)
-        end.accepted(self.process, self._factory())
+        end.attach_process(self.process, self._factory())
 
     def get_loop(self) -> asyncio.AbstractEventLoop:
-        """The process's loop."""
+        """Return the process's event loop."""
         return self.process.loop
 
     def is_serving(self) -> bool:
-        """Whether it listens."""
+        """Whether the socket listens."""
         return self._open
 
     async def start_serving(self) -> None:
-        """It does already."""
+        """Do nothing: the socket listens from its creation on."""
 
     async def serve_forever(self) -> None:
-        """Until it is cancelled."""
+        """Wait until the task is cancelled, then close."""
         try:
             await self.process.loop.create_future()
         finally:
             self.close()
 
     def close(self) -> None:
-        """Refuse from now on; those that nobody has accepted are reset."""
+        """Stop listening; connections that no process has accepted are reset."""
         if not self._open:
             return
         self._open = False
         self.network.unlisten(self)
         self.process.free_descriptor(self)
-        expected, self._expected = self._expected, {}
-        for connection in expected:
+        pending, self._pending = self._pending, {}
+        for connection in pending:
             if not self.process.host.silent:
                 connection.server.socket.resets = True
-            connection.server._shut()
+            connection.server._close_socket()
         for waiter in self._closed:
             if not waiter.done():
                 waiter.set_result(None)
 
     def process_died(self) -> None:
-        """The kernel closes it."""
+        """Close the socket, as the kernel does."""
         self._closed.clear()
         self.close()
 
     async def wait_closed(self) -> None:
-        """Until it is closed."""
+        """Wait until the socket is closed."""
         if self._open:
             waiter = self.process.loop.create_future()
             self._closed.append(waiter)
             await waiter
 
 
-class DatagramEnd(asyncio.DatagramTransport):
-    """A datagram socket."""
+class UdpTransport(asyncio.DatagramTransport):
+    """The transport of a UDP socket, bound to a local address and, with `remote`, connected."""
 
     def __init__(
         self,
@@ -674,23 +677,23 @@
         self.socket = Socket(address, remote)
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """The socket and its addresses."""
+        """Return the socket, or the local or the peer's address."""
         return {"socket": self.socket, "sockname": self.address, "peername": self.remote}.get(name, default)
 
     def get_protocol(self) -> asyncio.BaseProtocol:
-        """The protocol."""
+        """Return the protocol."""
         return self._protocol
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Another protocol from now on."""
+        """Replace the protocol."""
         self._protocol = cast(asyncio.DatagramProtocol, protocol)
 
     def is_closing(self) -> bool:
-        """Whether it is closed."""
+        """Whether the socket is closed."""
         return self._closing
 
     def sendto(self, data: bytes | bytearray | memoryview, addr: Any = None) -> None:
-        """Send one datagram."""
+        """Send one datagram; raises ValueError without an address, or with another than the connected one."""
         to = addr or self.remote
         if to is None:
             raise ValueError("no address to send to")
@@ -699,18 +702,18 @@
         if not self._closing and data:
             self.network.send_datagram(self, bytes(data), (to[0], to[1]))
 
-    def came(self, data: bytes, sender: Address) -> None:
-        """One datagram has come."""
+    def receive_datagram(self, data: bytes, sender: Address) -> None:
+        """Pass a received datagram to the protocol."""
         if not self._closing and (self.remote is None or self.remote == sender):
             self._protocol.datagram_received(data, sender)
 
-    def was_refused(self) -> None:
-        """Nobody has the port that something was sent to; only a connected socket is told."""
+    def receive_port_unreachable(self) -> None:
+        """Report that the destination port is closed; only a connected socket learns of it."""
         if not self._closing and self.remote is not None:
             self._protocol.error_received(ConnectionRefusedError(111, "Connection refused"))
 
     def close(self) -> None:
-        """Close."""
+        """Close the socket."""
         if self._closing:
             return
         self._closing = True
@@ -719,10 +722,10 @@
         self.network.world.soon(self.process, self._protocol.connection_lost, (None,))
 
     def abort(self) -> None:
-        """Close."""
+        """Close the socket."""
         self.close()
 
     def process_died(self) -> None:
-        """The kernel closes it."""
+        """Close the socket, as the kernel does."""
         self._closing = True
         self.network.unbind(self)
--- a/holdgw/simulation/world.py
+++ b/holdgw/simulation/world.py
@@ -1,7 +1,8 @@
-"""The order of everything that happens: what is ready now, and what is due later; time passes only between.
+"""Simulated time and the queue of all calls of a run.
 
-One heap for all processes and the network. Two events of one instant keep the order in which they were asked
-for, so a run depends on nothing but its seed (FoundationDB's simulation and TigerBeetle's VOPR work so).
+Calls that are ready run first; time advances only when none is left, to the time of the next scheduled call.
+One heap serves all processes and the network. Calls of one instant run in the order in which they were
+scheduled, so a run depends on nothing but its seed, as in FoundationDB's simulation and TigerBeetle's VOPR.
 """
 
 from __future__ import annotations
@@ -24,16 +25,16 @@
 NS_PER_S = 1_000_000_000
 NS_PER_MS = 1_000_000
 START_NS = 1_000 * NS_PER_S
-MOST_AT_ONCE = 100_000  # callbacks of one instant, beyond which it is a spin
-LOOKED_AT = 1_000  # of them, the last ones, to name who spins
+MAX_CALLBACKS_PER_INSTANT = 100_000  # more without time advancing count as a spin
+SPIN_SAMPLE_SIZE = 1_000  # the last callbacks of a spin, counted to name the busiest
 
 
 class SpinError(Exception):
-    """Callbacks follow each other without time passing; the text names the busiest."""
+    """Callbacks schedule each other without time advancing; the message names the most frequent ones."""
 
 
 class Handle(asyncio.TimerHandle):
-    """A call that is to be made in a process, or, where `process` is None, by the world itself."""
+    """A scheduled call into a process or, where `process` is None, into the simulation itself."""
 
     __slots__ = ("due", "process")
 
@@ -52,21 +53,23 @@
         self._cancelled = False
 
     def cancel(self) -> None:
-        """Never make the call."""
+        """Cancel the call."""
         self._cancelled = True
-        # The heap keeps a cancelled entry until its time; what it would have called need not be kept so long.
+        # The heap keeps a cancelled entry until it is due; its callback and arguments are released now.
         self._callback = self._args = None
 
     def cancelled(self) -> bool:
-        """Whether it was cancelled."""
+        """Whether the call was cancelled."""
         return self._cancelled
 
     def when(self) -> float:
-        """On its process's own clock, seconds."""
-        return self.process.local(self.due) / NS_PER_S if self.process is not None else self.due / NS_PER_S
+        """Return the due time in seconds, on the clock of its process if it has one."""
+        return (
+            self.process.local_time(self.due) / NS_PER_S if self.process is not None else self.due / NS_PER_S
+        )
 
     def __repr__(self) -> str:
-        return f"<{'cancelled ' * self._cancelled}{name_of(self._callback)} due {self.due}>"
+        return f"<{'cancelled ' * self._cancelled}{callback_name(self._callback)} due {self.due}>"
 
     def __hash__(self) -> int:
         return id(self)
@@ -75,8 +78,8 @@
         return self is other
 
 
-def name_of(callback: Callable[..., object] | None) -> str:
-    """What a callback is called; a task's step by its coroutine."""
+def callback_name(callback: Callable[..., object] | None) -> str:
+    """Return a callback's qualified name for messages; a step of a task is named after its coroutine."""
     owner = getattr(callback, "__self__", None)
     if isinstance(owner, asyncio.Task):
         coroutine = owner.get_coro()
@@ -88,7 +91,7 @@
 
 
 class World:
-    """Time, chance, and the queue of what happens."""
+    """The clock, the random source and the queue of calls of one simulated run."""
 
     def __init__(self, seed: int, trace: Trace | None = None) -> None:
         self.seed, self.now = seed, START_NS
@@ -98,16 +101,16 @@
         self.current: Process | None = None
         self.callbacks = 0
         self.failure: BaseException | None = None
-        self.over = False
-        """Nothing is made of what comes now: the run is being taken down."""
+        self.ended = False
+        """True while the run is taken down: faults that still occur are ignored."""
         self._ready: deque[Handle] = deque()
-        self._later: list[tuple[int, int, Handle]] = []
-        self._order = 0
+        self._scheduled: list[tuple[int, int, Handle]] = []
+        self._sequence = 0
         self._running = False
 
     @property
     def seconds(self) -> float:
-        """The world's time in seconds."""
+        """The simulated time in seconds."""
         return self.now / NS_PER_S
 
     def soon(
@@ -117,7 +120,7 @@
         args: tuple[Any, ...] = (),
         context: Context | None = None,
     ) -> Handle:
-        """Call at this instant, behind what is ready already."""
+        """Schedule a call at this instant, after the calls that are ready already."""
         handle = Handle(process, callback, args, context, self.now)
         self._ready.append(handle)
         return handle
@@ -130,29 +133,29 @@
         args: tuple[Any, ...] = (),
         context: Context | None = None,
     ) -> Handle:
-        """Call when the world's clock shows `due`."""
+        """Schedule a call at the simulated time `due`, in nanoseconds."""
         handle = Handle(process, callback, args, context, due)
-        self._order += 1
-        heapq.heappush(self._later, (max(due, self.now), self._order, handle))
+        self._sequence += 1
+        heapq.heappush(self._scheduled, (max(due, self.now), self._sequence, handle))
         return handle
 
-    def put(self, handle: Handle) -> None:
-        """Make a call that had been put off, behind what is ready already."""
+    def requeue(self, handle: Handle) -> None:
+        """Schedule a deferred call at this instant, after the calls that are ready already."""
         self._ready.append(handle)
 
     def pending(self, process: Process) -> list[Handle]:
-        """Calls that a process is still to be given, in no order."""
-        calls = (*self._ready, *(handle for _, _, handle in self._later))
+        """Return the calls scheduled for a process, in no particular order."""
+        calls = (*self._ready, *(handle for _, _, handle in self._scheduled))
         return [call for call in calls if call.process is process and not call._cancelled]
 
     def enter(self, process: Process | None) -> None:
-        """From here on this process is the one whose code runs."""
+        """Make a process the current one, and its loop the running loop of asyncio."""
         if self.current is not process:
             self.current = process
             events._set_running_loop(process.loop if process is not None else None)
 
     def call(self, process: Process, callback: Callable[..., object], *args: Any) -> None:
-        """Call into a process from the world; a fault there is that process's own."""
+        """Call into a process at once; an exception goes to that process's exception handler."""
         before = self.current
         self.enter(process)
         try:
@@ -161,79 +164,80 @@
             raise
         except BaseException as error:
             process.loop.call_exception_handler(
-                {"message": f"fault in {name_of(callback)}", "exception": error}
+                {"message": f"fault in {callback_name(callback)}", "exception": error}
             )
         finally:
             self.enter(before)
 
     def end(self) -> None:
-        """The run is over: what was left of its tasks is forgotten without a word."""
-        self.over = True
+        """Take down the run, and drop all tasks and calls that are left without a warning."""
+        self.ended = True
         for process in self.processes:
             process.alive = False
             for task in process.loop.tasks:
                 task._log_destroy_pending = False  # type: ignore[attr-defined]
-                # What it would still do to end itself in good order goes to a loop that takes nothing in.
+                # `finally` blocks run here, but their process is dead and all that they schedule is dropped.
                 with contextlib.suppress(Exception):
                     task.get_coro().close()
         self._ready.clear()
-        self._later.clear()
+        self._scheduled.clear()
 
     def stop(self) -> None:
-        """Let `run` return before it goes on to the next call."""
+        """Have `run` return before the next call."""
         self._running = False
 
     def fail(self, error: BaseException) -> None:
-        """The run can't go on: `run` raises this."""
+        """End the run with an error, which `run` raises; the first one counts."""
         if self.failure is None:
             self.failure = error
         self._running = False
 
     def run(self, until: int | None = None) -> None:
-        """Go on until nothing is left to do, `until` is reached, or `stop` is called. Raises SpinError, and
-        what `fail` was given.
+        """Run until no call is left, the time `until` (ns) is reached, or `stop` is called.
+
+        Raises SpinError, and the error given to `fail`.
         """
         if events._get_running_loop() is not None:
             raise RuntimeError("a world can't run inside a running loop")
         self._running = True
-        ready, later = self._ready, self._later
-        at_once = 0
-        busiest: deque[str] = deque(maxlen=LOOKED_AT)
+        ready, scheduled = self._ready, self._scheduled
+        in_this_instant = 0
+        recent: deque[str] = deque(maxlen=SPIN_SAMPLE_SIZE)
         try:
             while self._running:
                 if ready:
                     handle = ready.popleft()
-                    at_once += 1
-                    if at_once > MOST_AT_ONCE - LOOKED_AT:
-                        busiest.append(name_of(handle._callback))
-                        if at_once > MOST_AT_ONCE:
-                            raise self._spin(busiest)
-                elif later:
-                    due, _, handle = later[0]
+                    in_this_instant += 1
+                    if in_this_instant > MAX_CALLBACKS_PER_INSTANT - SPIN_SAMPLE_SIZE:
+                        recent.append(callback_name(handle._callback))
+                        if in_this_instant > MAX_CALLBACKS_PER_INSTANT:
+                            raise self._spin_error(recent)
+                elif scheduled:
+                    due, _, handle = scheduled[0]
                     if until is not None and due > until:
                         self.now = until
                         break
-                    heapq.heappop(later)
+                    heapq.heappop(scheduled)
                     if handle._cancelled:
                         continue
                     if due > self.now:
                         self.now = due
-                        at_once = 0
+                        in_this_instant = 0
                 else:
                     break
                 if not handle._cancelled:
-                    self._make(handle)
+                    self._run_handle(handle)
         finally:
             self.enter(None)
             self._running = False
         if self.failure is not None:
             raise self.failure
 
-    def _make(self, handle: Handle) -> None:
+    def _run_handle(self, handle: Handle) -> None:
         process = handle.process
         if process is not None:
             if not process.running:
-                process.missed(handle)
+                process.defer(handle)
                 return
             if self.current is not process:
                 self.current = process
@@ -255,12 +259,14 @@
             if process is None:
                 raise
             process.loop.call_exception_handler(
-                {"message": f"fault in {name_of(callback)}", "exception": error}
+                {"message": f"fault in {callback_name(callback)}", "exception": error}
             )
         if process is not None and process.kill_after is not None:
-            process.one_step_nearer_to_its_death()
-
-    def _spin(self, busiest: deque[str]) -> SpinError:
-        names = Counter(busiest).most_common(3)
-        told = ", ".join(f"{name} ({count} of the last {len(busiest)})" for name, count in names)
-        return SpinError(f"a spin at {self.seconds:.6f} s: {MOST_AT_ONCE} callbacks in one instant: {told}")
+            process.count_down_to_kill()
+
+    def _spin_error(self, recent: deque[str]) -> SpinError:
+        names = Counter(recent).most_common(3)
+        listing = ", ".join(f"{name} ({count} of the last {len(recent)})" for name, count in names)
+        return SpinError(
+            f"a spin at {self.seconds:.6f} s: {MAX_CALLBACKS_PER_INSTANT} callbacks in one instant: {listing}"
+        )
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -114,7 +114,7 @@
     tier.run(2.5)
     resumed_at = tier.now
     for number in range(12):
-        tier.go_on(number)
+        tier.resume(number)
     before = len(changes)
     tier.run(10.0)
     assert not [c for c in changes if c[2] is MemberState.GONE], resumed_at
@@ -160,7 +160,7 @@
     tier = new_tier(30)
     false_updates = tuple(MemberUpdate(number, MemberState.GONE, leap, 0) for number in range(1, 29))
     for to in range(1, 30):
-        tier.say(0, to, datagram.encode(Message(MessageKind.PING, 0, 5, 0, 0, 1, 0, false_updates)))
+        tier.send(0, to, datagram.encode(Message(MessageKind.PING, 0, 5, 0, 0, 1, 0, false_updates)))
     tier.run(0.05)
     assert any(numbers_in_state(tier, MemberState.GONE).values())
     tier.run(8.0)
@@ -172,13 +172,13 @@
     old = datagram.encode(
         Message(MessageKind.PING, 3, 5, 0, 0, 1, 0, (MemberUpdate(8, MemberState.SUSPECTED, 0, 0),))
     )
-    tier.say(3, 5, old)
+    tier.send(3, 5, old)
     tier.run(6.0)
     assert all_alive(tier)
     changed: list[int] = []
     tier.on_change = lambda at, number, state: changed.append(number)
     for _ in range(50):
-        tier.say(3, 5, old)
+        tier.send(3, 5, old)
         tier.run(0.1)
     assert changed == []
 
@@ -188,7 +188,7 @@
     duplicate = Membership(3, 10, 0, 99, tier.now)
     for _ in range(60):
         for outgoing in duplicate.tick(tier.now):
-            tier.say(3, outgoing.to, datagram.encode(outgoing.message))
+            tier.send(3, outgoing.to, datagram.encode(outgoing.message))
         tier.run(0.1)
     assert sum(member.conflicts for member in tier.members if member is not None) > 0
     assert all(found <= {3} for found in numbers_in_state(tier, MemberState.GONE).values())
--- a/tests/peers/test_update_budget.py
+++ b/tests/peers/test_update_budget.py
@@ -97,7 +97,7 @@
     for number in range(0, size, 2):
         old = tier.members[number] = Membership(number, size, 0, number, tier.now, update_bytes_per_s=None)
         tier.start_ticking(number, old)
-    receive = tier._comes
+    receive = tier._receive
     dropped = 0
 
     def receive_or_drop(number: int, data: bytes) -> None:
@@ -107,7 +107,7 @@
         else:
             receive(number, data)
 
-    tier._comes = receive_or_drop  # type: ignore[method-assign]
+    tier._receive = receive_or_drop  # type: ignore[method-assign]
     tier.run(3.0)
     for number in dead:
         tier.kill(number)
@@ -129,7 +129,7 @@
     tier.run(3.0)  # while the dead are suspected, and their updates fill the queues
     false_updates = tuple(MemberUpdate(number, MemberState.SUSPECTED, 0, 0) for number in range(20, 30))
     for to in range(60, 64):  # four suspectors, so that suspicions are the shortest
-        tier.say(50, to, datagram.encode(Message(MessageKind.UPDATES, 50, 1, 0, 0, 0, 0, false_updates)))
+        tier.send(50, to, datagram.encode(Message(MessageKind.UPDATES, 50, 1, 0, 0, 0, 0, false_updates)))
     tier.run(25.0)
     assert gone == set(range(deaths))
     assert sum(member.false_suspicions for member in living(tier)) >= 10
--- a/tests/router/test_lines.py
+++ b/tests/router/test_lines.py
@@ -303,7 +303,7 @@
 
     async def run_router(router: SimulatedRouter, process: Process, environ: dict[str, str]) -> int:
         ip = process.host.ips[0]
-        end, _ = await process.network.datagrams(
+        end, _ = await process.network.open_datagram_socket(
             process, lambda: Receiver(process.name), (ip, PEER_PORT), None
         )
         while process.name == "router00":
