--- a/bench/scale.py
+++ b/bench/scale.py
@@ -31,31 +31,31 @@
 from bench import scale_plan
 from bench.scale_child import ChildError
 from bench.scale_plan import Machine, Needs
-from bench.scale_report import drawn, plain
-from bench.scale_rig import Cast, Played, Program, Rig
+from bench.scale_report import draw_figure, to_plain
+from bench.scale_rig import Participants, Program, Rig, ScenarioResult
 from holdgw.harness.deployment import build, run_command
 from holdgw.router.process import python_with
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = ROOT / "deploy/balancer.toml"
-REAL = 3
-CALIBRATION = 40  # hollow routers, on a clock that is not slowed
-GROWTH = 1.5  # what a router of a large membership takes, over one of the calibration's
+DEFAULT_REAL_ROUTERS = 3
+CALIBRATION_ROUTERS = 40  # hollow routers, on a clock that is not slowed
+COST_GROWTH_FACTOR = 1.5  # what a router of a large membership takes, over one of the calibration's
 REFUSED, VOID, INTERRUPTED = 2, 1, 130
-PACES = ("pace_us", "best_pace_us")
+PACE_KEYS = ("pace_us", "best_pace_us")
 
 
 class RefusedError(Exception):
     """This machine can't run that; one line."""
 
 
-def look_at_machine() -> Machine:
+def inspect_machine() -> Machine:
     """What this machine has for us."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     return Machine(len(os.sched_getaffinity(0)), memory, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
-def commit() -> str:
+def source_commit() -> str:
     """The commit that the program's sources come from; with a mark where they differ from it."""
 
     def git(*words: str) -> str:
@@ -66,13 +66,15 @@
     return git("log", "-1", "--format=%h", "--", "holdgw") + dirty
 
 
-def options(words: Sequence[str] | None = None) -> argparse.Namespace:
+def parse_arguments(words: Sequence[str] | None = None) -> argparse.Namespace:
     """The command line's."""
     style = argparse.RawDescriptionHelpFormatter
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=style)
     parser.add_argument("--sizes", type=int, nargs="*", default=list(scale_plan.SIZES))
-    parser.add_argument("--plays", nargs="+", choices=scale_plan.PLAYS, default=["deaths", "cut"])
-    parser.add_argument("--real", type=int, default=REAL, help="real routers where the clock is not slowed")
+    parser.add_argument("--plays", nargs="+", choices=scale_plan.SCENARIOS, default=["deaths", "cut"])
+    parser.add_argument(
+        "--real", type=int, default=DEFAULT_REAL_ROUTERS, help="real routers where the clock is not slowed"
+    )
     parser.add_argument("--slow", type=float, default=0.0, help="factor of the clock; 0: by calibration")
     parser.add_argument("--workers", type=int, default=0, help="processes of hollow routers; 0: by the cores")
     parser.add_argument("--aggregators", type=int, default=0, help="machines set aside to merge load reports")
@@ -86,42 +88,46 @@
     return parser.parse_args(words)
 
 
-class Scale:
+class ScaleBenchmark:
     """All runs that were asked for, one after the other."""
 
-    def __init__(self, told: argparse.Namespace, program: Program, status: Callable[[str], None]) -> None:
-        self.told, self.program, self.status = told, program, status
-        self.machine = look_at_machine()
+    def __init__(self, args: argparse.Namespace, program: Program, status: Callable[[str], None]) -> None:
+        self.args, self.program, self.status = args, program, status
+        self.machine = inspect_machine()
         self.rig: Rig | None = None
         self.cost = 0.0
 
-    def refuse_or_begin(self) -> None:
+    def check_sizes(self) -> None:
         """Raise RefusedError where some size can't be run here, before anything is started."""
-        for size in self.told.sizes:
+        for size in self.args.sizes:
             if size < 2:
                 raise RefusedError(f"{size} routers asked for, 2 are the least")
             workers = self.workers(size)
-            needed = scale_plan.needs(size + self.told.aggregators, self.told.real, workers, 0.0)
-            slow = self.told.slow or 1.0
+            needed = scale_plan.needs(size + self.args.aggregators, self.args.real, workers, 0.0)
+            slow = self.args.slow or 1.0
             if why := scale_plan.refusal(self.machine, needed, slow, 0):
                 raise RefusedError(f"{size} routers: {why}")
 
     def workers(self, hollow: int) -> int:
         """How many processes hollow routers are spread over."""
-        return min(self.told.workers or hollow, scale_plan.workers_for(self.machine, hollow))
+        return min(self.args.workers or hollow, scale_plan.worker_count(self.machine, hollow))
 
-    async def played(self, players: Cast, play: str, slow: float) -> Played:
+    async def run_scenario(
+        self, participants: Participants, scenario_name: str, slow: float
+    ) -> ScenarioResult:
         """One play, from its start to the end of all its processes."""
-        line = scale_plan.play(play, players.size, players.real, players.aggregators)
-        rig = self.rig = Rig(players, line, self.program, self.told.seed, self.told.loss, slow)
-        name = f"{players.size} routers, {play}, clock slowed by {slow:g}"
+        scenario = scale_plan.build_scenario(
+            scenario_name, participants.size, participants.real, participants.aggregators
+        )
+        rig = self.rig = Rig(participants, scenario, self.program, self.args.seed, self.args.loss, slow)
+        description = f"{participants.size} routers, {scenario_name}, clock slowed by {slow:g}"
 
         def progress(at: float) -> None:
-            self.status(f"{name}: {at:.0f} of {line.length} s")
+            self.status(f"{description}: {at:.0f} of {scenario.length} s")
 
         try:
-            self.status(f"{name}: starting")
-            await rig.start(self.workers(players.members - players.real))
+            self.status(f"{description}: starting")
+            await rig.start(self.workers(participants.members - participants.real))
             return await rig.run(progress)
         finally:
             await rig.end()
@@ -129,8 +135,8 @@
     async def calibrate(self) -> None:
         """Find what a hollow router takes of a core here, with the rig's own part."""
         if not self.cost:
-            found = await self.played(Cast(CALIBRATION), "calm", 1.0)
-            self.cost = found.rig["cpu_percent_whole"] / 100 * GROWTH
+            found = await self.run_scenario(Participants(CALIBRATION_ROUTERS), "calm", 1.0)
+            self.cost = found.rig["cpu_percent_whole"] / 100 * COST_GROWTH_FACTOR
 
     def needs(self, size: int, real: int) -> Needs:
         """What a size takes."""
@@ -138,34 +144,34 @@
 
     async def size(self, size: int) -> dict[str, Any]:
         """All plays at a size; real routers take part where the clock need not be slowed."""
-        slow = self.told.slow
+        slow = self.args.slow
         if not slow:
             await self.calibrate()
             slow = scale_plan.slow_factor(self.needs(size, 0), self.workers(size))
-        real = self.told.real if slow == 1.0 else 0
+        real = self.args.real if slow == 1.0 else 0
         if why := scale_plan.refusal(self.machine, self.needs(size, real), slow, real):
             raise RefusedError(f"{size} routers: {why}")
         found: dict[str, Any] = {
             "size": size, "windows": {}, "learning": {}, "rig": {}, "void": [], "real": None,
         }  # fmt: skip
-        aggregators = self.told.aggregators
-        for play in self.told.plays:
-            played = await self.played(Cast(size, real, aggregators=aggregators), play, slow)
-            found["windows"] |= plain(played.figures["windows"])
-            found["learning"] |= plain(played.figures["learning"])
-            found["rig"][play] = played.rig
-            found["void"] += [f"{play}: {why}" for why in played.void]
+        aggregators = self.args.aggregators
+        for name in self.args.plays:
+            result = await self.run_scenario(Participants(size, real, aggregators=aggregators), name, slow)
+            found["windows"] |= to_plain(result.figures["windows"])
+            found["learning"] |= to_plain(result.figures["learning"])
+            found["rig"][name] = result.rig
+            found["void"] += [f"{name}: {why}" for why in result.void]
             if real and found["real"] is None:
-                alone = await self.played(Cast(size - real, apart=real), "calm", slow)
-                found["void"] += [f"without peers: {why}" for why in alone.void]
-                found["real"] = real_figures(played, alone, size)
+                standalone = await self.run_scenario(Participants(size - real, standalone=real), "calm", slow)
+                found["void"] += [f"without peers: {why}" for why in standalone.void]
+                found["real"] = real_figures(result, standalone, size)
         return found
 
 
-def real_figures(played: Played, alone: Played, size: int) -> dict[str, Any]:
+def real_figures(played: ScenarioResult, without_peers: ScenarioResult, size: int) -> dict[str, Any]:
     """What real routers took, in calm; control is what those with peers took more than those without."""
-    with_peers, without = (median(one.cpu for one in some.real) * 100 for some in (played, alone))
-    memory = median(one.memory for one in played.real) - median(one.memory for one in alone.real)
+    with_peers, without = (median(one.cpu for one in result.real) * 100 for result in (played, without_peers))
+    memory = median(one.memory for one in played.real) - median(one.memory for one in without_peers.real)
     return {
         "routers": len(played.real),
         "cpu_percent": round(with_peers - without, 3),
@@ -173,22 +179,24 @@
         "cpu_percent_without": round(without, 3),
         "memory_bytes": round(memory),
         "bytes_both": round(median(played.real_bytes), 1),
-        "coverage": round(100 * (1 + median(one.heard for one in played.real)) / size, 1),
+        "coverage": round(100 * (1 + median(one.routers_in_view for one in played.real)) / size, 1),
         "light_hollow": played.light,
         "alive_least": min(one.alive for one in played.real),
     }
 
 
-def shown(run: dict[str, Any]) -> str:
+def format_run(run: dict[str, Any]) -> str:
     """A run in a few lines."""
     rigs = run["rig"].values()
-    late = [max(rig[name] for rig in rigs) for name in ("slow", "lag_p99_ms", "lag_worst_ms")]
+    worst_figures = [max(rig[name] for rig in rigs) for name in ("slow", "lag_p99_ms", "lag_worst_ms")]
     lines = [
-        "{} routers, clock slowed by {:g}, lag p99 {:.1f} ms, worst {:.1f}: ".format(run["size"], *late)
-        + "pace {:.0f} of {:.0f} us, ".format(*(max(rig[name] for rig in rigs) for name in PACES))
+        "{} routers, clock slowed by {:g}, lag p99 {:.1f} ms, worst {:.1f}: ".format(
+            run["size"], *worst_figures
+        )
+        + "pace {:.0f} of {:.0f} us, ".format(*(max(rig[name] for rig in rigs) for name in PACE_KEYS))
         + ("VOID: " + "; ".join(run["void"]) if run["void"] else "holds")
     ]
-    lines += [shown_window(name, one) for name, one in run["windows"].items()]
+    lines += [format_window(name, one) for name, one in run["windows"].items()]
     for name, one in run["learning"].items():
         lines.append(
             f"  {name}: learnt by the first after {one['first_median']} s, by all {one['all_median']} s "
@@ -199,13 +207,13 @@
     return "\n".join(lines)
 
 
-def shown_window(name: str, one: dict[str, Any]) -> str:
+def format_window(name: str, one: dict[str, Any]) -> str:
     """A window's figures in a line."""
-    cpu, spoken, view = one["cpu_percent"], one["bytes_both"], one["view"]
+    cpu, traffic, view = one["cpu_percent"], one["bytes_both"], one["view"]
     worst = "worst second, p95:"
     return (
         f"  {name}: control {cpu['mean']['median']:.2f} % ({worst} {cpu['worst']['p95']:.2f}), "
-        f"{spoken['mean']['median']:.0f} bytes a second ({worst} {spoken['worst']['p95']:.0f}), "
+        f"{traffic['mean']['median']:.0f} bytes a second ({worst} {traffic['worst']['p95']:.0f}), "
         f"age {view['given_age']['median']:.2f} s (p95 {view['given_age']['p95']:.2f}; worst second "
         f"{view['worst_age']['median']:.2f}, p95 {view['worst_age']['p95']:.2f}), before the next view "
         f"{view['held_age']['median']:.2f} (p95 {view['held_age']['p95']:.2f}), "
@@ -213,7 +221,7 @@
     )
 
 
-def kept(path: Path | None) -> dict[str, Any]:
+def load_results(path: Path | None) -> dict[str, Any]:
     """What a file holds already."""
     if path is not None and path.exists():
         found: dict[str, Any] = orjson.loads(path.read_bytes())
@@ -221,18 +229,18 @@
     return {"runs": []}
 
 
-def keep(told: argparse.Namespace, run: dict[str, Any]) -> None:
+def save_run(args: argparse.Namespace, run: dict[str, Any]) -> None:
     """Add a run to the file."""
-    if told.json is None:
+    if args.json is None:
         return
-    body = kept(told.json)
-    body["name"] = told.name or body.get("name", "")
+    body = load_results(args.json)
+    body["name"] = args.name or body.get("name", "")
     body["runs"].append(run)
-    told.json.parent.mkdir(parents=True, exist_ok=True)
-    told.json.write_bytes(orjson.dumps(body, option=orjson.OPT_INDENT_2) + b"\n")
+    args.json.parent.mkdir(parents=True, exist_ok=True)
+    args.json.write_bytes(orjson.dumps(body, option=orjson.OPT_INDENT_2) + b"\n")
 
 
-def valid(body: dict[str, Any]) -> list[dict[str, Any]]:
+def valid_runs(body: dict[str, Any]) -> list[dict[str, Any]]:
     """Of each size the windows of all runs that hold, the latest where one was played twice; by size."""
     found: dict[int, dict[str, Any]] = {}
     for run in body["runs"]:
@@ -244,52 +252,52 @@
     return [found[size] for size in sorted(found)]
 
 
-def draw(told: argparse.Namespace) -> None:
+def draw_results(args: argparse.Namespace) -> None:
     """Draw what the files hold."""
-    bodies = [kept(path) for path in (*told.beside, told.json) if path is not None]
-    drawn({body.get("name") or "runs": valid(body) for body in bodies}, told.svg)
+    bodies = [load_results(path) for path in (*args.beside, args.json) if path is not None]
+    draw_figure({body.get("name") or "runs": valid_runs(body) for body in bodies}, args.svg)
 
 
-async def measure(told: argparse.Namespace, program: Program, status: Status) -> int:
+async def measure(args: argparse.Namespace, program: Program, status: Status) -> int:
     """All sizes; returns the exit code. An interrupt ends all that was started."""
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, task.cancel)
-    scale = Scale(told, program, status.update)
-    scale.refuse_or_begin()
+    scale = ScaleBenchmark(args, program, status.update)
+    scale.check_sizes()
     code = 0
-    for size in told.sizes:
+    for size in args.sizes:
         run = await scale.size(size)
         run |= {
-            "commit": commit(),
+            "commit": source_commit(),
             "at": datetime.now(UTC).isoformat(timespec="seconds"),
-            "machine": plain(scale.machine),
-            "loss": told.loss,
-            "aggregators": told.aggregators,
-            "seed": told.seed,
+            "machine": to_plain(scale.machine),
+            "loss": args.loss,
+            "aggregators": args.aggregators,
+            "seed": args.seed,
             "load_average": os.getloadavg()[0],
         }
-        print(shown(run), flush=True)
-        keep(told, run)
+        print(format_run(run), flush=True)
+        save_run(args, run)
         code = VOID if run["void"] else code
     return code
 
 
 def main() -> int:
     """Measure, print, draw; returns the exit code."""
-    told = options()
-    if told.sources:
+    args = parse_arguments()
+    if args.sources:
         program = Program("exec " + " ".join(python_with("holdgw.router")), ROOT, str(ROOT))
     else:
         program = Program(run_command(DEPLOY), ROOT, f"{ROOT / '.native'}:{ROOT}")
     code = 0
     try:
         with Console(stderr=True).status("scale") as status:
-            if told.sizes and not told.sources:
+            if args.sizes and not args.sources:
                 build(DEPLOY)
-            code = uvloop.run(measure(told, program, status))
+            code = uvloop.run(measure(args, program, status))
     except ChildError as error:
         print(f"scale: failed: {error}", file=sys.stderr)
         return VOID
@@ -299,9 +307,9 @@
     except (asyncio.CancelledError, KeyboardInterrupt):
         print("scale: interrupted; all that it started is ended", file=sys.stderr)
         return INTERRUPTED
-    if told.svg is not None:
+    if args.svg is not None:
         with contextlib.suppress(FileNotFoundError):
-            draw(told)
+            draw_results(args)
     return code
 
 
--- a/bench/scale_child.py
+++ b/bench/scale_child.py
@@ -37,33 +37,33 @@
         self._root, self._path = root, path
         self._reader: asyncio.StreamReader | None = None
         self._writer: asyncio.StreamWriter | None = None
-        self._turn = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     async def start(self) -> None:
         """Start it. It ends when this process does, in whatever way."""
-        mine, its = socket.socketpair()
-        with its:
+        parent_end, child_end = socket.socketpair()
+        with child_end:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-P",
                 "-m",
                 self.module,
-                str(its.fileno()),
-                pass_fds=(its.fileno(),),
+                str(child_end.fileno()),
+                pass_fds=(child_end.fileno(),),
                 cwd=self._root,
                 env={**os.environ, "PYTHONPATH": self._path},
                 stdin=asyncio.subprocess.DEVNULL,
                 start_new_session=True,  # Ctrl-C is for whoever started it
                 preexec_fn=die_with_parent,
             )
-        self._reader, self._writer = await asyncio.open_connection(sock=mine, limit=LINE_BYTES)
+        self._reader, self._writer = await asyncio.open_connection(sock=parent_end, limit=LINE_BYTES)
 
-    async def ask(self, verb: str, **words: Any) -> Any:
+    async def ask(self, verb: str, **arguments: Any) -> Any:
         """Have it do something; returns what it answers. Raises ChildError."""
         assert self._reader is not None
         assert self._writer is not None
-        async with self._turn:
-            self._writer.write(msgspec.json.encode({"verb": verb, **words}) + b"\n")
+        async with self._lock:
+            self._writer.write(msgspec.json.encode({"verb": verb, **arguments}) + b"\n")
             try:
                 data = await asyncio.wait_for(self._reader.readline(), ANSWER_S)
             except (OSError, TimeoutError) as error:
@@ -96,9 +96,9 @@
 async def _serve(sock: socket.socket, handlers: Mapping[str, Handler]) -> None:
     reader, writer = await asyncio.open_connection(sock=sock, limit=LINE_BYTES)
     while data := await reader.readline():
-        words = msgspec.json.decode(data)
+        request = msgspec.json.decode(data)
         try:
-            answer = {"value": await handlers[words.pop("verb")](**words)}
+            answer = {"value": await handlers[request.pop("verb")](**request)}
         except Exception:
             answer = {"error": traceback.format_exc().strip().splitlines()[-1]}
             traceback.print_exc()
@@ -106,13 +106,13 @@
         await writer.drain()
 
 
-def serve(make: Callable[[], Mapping[str, Handler]]) -> int:
+def serve(make_handlers: Callable[[], Mapping[str, Handler]]) -> int:
     """Answer whoever is at the other end of the descriptor in the first argument, until it is gone."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     sock = socket.socket(fileno=int(sys.argv[1]))
 
     async def main() -> None:
-        await _serve(sock, make())
+        await _serve(sock, make_handlers())
 
     uvloop.run(main())
     return 0
--- a/bench/scale_plan.py
+++ b/bench/scale_plan.py
@@ -13,27 +13,32 @@
 
 SIZES = (50, 100, 200, 400, 760)
 SITES, ZONES, REGIONS = 43, 25, 8
-STRIDE = 11  # sites from one number to the next
+SITE_STRIDE = 11  # sites from one number to the next
 SERVERS = 96
-LIGHT_PER_S = 10.0  # requests a second of each real router, and of hollow ones held against them
-MOST_PROCESSES = 200
-MEMORY_PART = 0.5  # of the machine's memory, that a run may take
-MOST_WORKERS = 100
-MOST_SLOW = 30.0
-BUSY_PART = 0.8  # of a core, that the hollow routers of one process are planned to take
-OWN_CORES = 1  # left for the relay and whoever starts the run
-
-HOLLOW_BYTES = 3_000_000  # planned for each hollow router; what it takes is measured
+LOW_RATE_PER_S = 10.0  # requests a second of each real router, and of hollow ones held against them
+MAX_PROCESSES = 200
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory, that a run may take
+MAX_WORKERS = 100
+MAX_SLOW_FACTOR = 30.0
+PLANNED_CORE_FRACTION = 0.8  # of a core, that the hollow routers of one process are planned to take
+RESERVED_CORES = 1  # left for the relay and whoever starts the run
+
+HOLLOW_ROUTER_BYTES = 3_000_000  # planned for each hollow router; what it takes is measured
 PROCESS_BYTES = 80_000_000
-REAL_BYTES = 200_000_000  # planned for a real router, and for a worker of its stand-ins
-REAL_WORKERS = 12  # processes beside real routers: stand-ins, clients and their stage, at most
-OWN_DESCRIPTORS = 64
+REAL_ROUTER_BYTES = 200_000_000  # planned for a real router, and for a worker of its stand-ins
+HARNESS_PROCESSES = 12  # processes beside real routers: stand-ins, clients and their stage, at most
+RESERVED_DESCRIPTORS = 64
 REAL_DESCRIPTORS = 4000  # of the process with the most connections, with real routers
 
-NEAR_S, ZONE_S, REGION_S, FAR_S = 0.0001, 0.0003, 0.001, (0.015, 0.060)
+SAME_SITE_DELAY_S, SAME_ZONE_DELAY_S, SAME_REGION_DELAY_S, INTER_REGION_DELAY_S = (
+    0.0001,
+    0.0003,
+    0.001,
+    (0.015, 0.060),
+)
 
 
-class Place(NamedTuple):
+class Location(NamedTuple):
     """Where a router stands."""
 
     site: int
@@ -58,24 +63,24 @@
     cores: float
 
 
-class Act(Enum):
+class FaultKind(Enum):
     """What is done to the routers."""
 
     KILL = "kill"
     CUT = "cut"
     SLOW = "slow"
-    HOLD = "hold"
+    PAUSE = "hold"
     """Stand still."""
 
 
-class Step(NamedTuple):
+class FaultStep(NamedTuple):
     """An act. `members`: whom it befalls, for a cut nobody; `seconds`: for how long, 0 for ever."""
 
     at: float
-    act: Act
+    kind: FaultKind
     members: tuple[int, ...] = ()
     seconds: float = 0.0
-    fault: str = ""
+    label: str = ""
 
 
 class Window(NamedTuple):
@@ -86,16 +91,16 @@
     until: int
 
 
-class Play(NamedTuple):
+class ScaleScenario(NamedTuple):
     """A time line: steps, the stretches measured, and its length."""
 
     name: str
-    steps: tuple[Step, ...]
+    steps: tuple[FaultStep, ...]
     windows: tuple[Window, ...]
     length: int
 
 
-class Timeouts(NamedTuple):
+class LagBounds(NamedTuple):
     """Bounds past which the rig was late, and its figures are void."""
 
     lag_p99: float = 0.05
@@ -103,38 +108,41 @@
     """A membership's tick of 0.1 s that is 0.15 s late finds that its process stood still."""
 
 
-LATE = Timeouts()
-WARM = 10
+LAG_BOUNDS = LagBounds()
+WARM_UP_S = 10
 
 
-def place(number: int) -> Place:
+def location_of(number: int) -> Location:
     """Where the router of a number stands: each site has as many as the others, and numbers that follow one
     another stand far apart.
     """
-    site = number * STRIDE % SITES
+    site = number * SITE_STRIDE % SITES
     zone = site * ZONES // SITES
-    return Place(site, zone, zone * REGIONS // ZONES)
+    return Location(site, zone, zone * REGIONS // ZONES)
 
 
-def line(a: int, b: int) -> float:
+def one_way_delay(a: int, b: int) -> float:
     """The least one-way delay between two routers, seconds."""
-    one, other = place(a), place(b)
-    if one.site == other.site:
-        return NEAR_S
-    if one.zone == other.zone:
-        return ZONE_S
-    if one.region == other.region:
-        return REGION_S
-    low, high = sorted((one.region, other.region))
-    return FAR_S[0] + (FAR_S[1] - FAR_S[0]) * (crc32(b"%d-%d" % (low, high)) % 1000) / 1000
-
-
-def in_region(size: int, region: int) -> tuple[int, ...]:
+    location, other_location = location_of(a), location_of(b)
+    if location.site == other_location.site:
+        return SAME_SITE_DELAY_S
+    if location.zone == other_location.zone:
+        return SAME_ZONE_DELAY_S
+    if location.region == other_location.region:
+        return SAME_REGION_DELAY_S
+    low, high = sorted((location.region, other_location.region))
+    return (
+        INTER_REGION_DELAY_S[0]
+        + (INTER_REGION_DELAY_S[1] - INTER_REGION_DELAY_S[0]) * (crc32(b"%d-%d" % (low, high)) % 1000) / 1000
+    )
+
+
+def routers_in_region(size: int, region: int) -> tuple[int, ...]:
     """The routers of a region."""
-    return tuple(number for number in range(size) if place(number).region == region)
+    return tuple(number for number in range(size) if location_of(number).region == region)
 
 
-def play(name: str, size: int, real: int, aggregators: int = 0) -> Play:
+def build_scenario(name: str, size: int, real: int, aggregators: int = 0) -> ScaleScenario:
     """The play of that name for so many routers, of which the first `real` are real: those come to no harm.
 
     Aggregators have the numbers behind the routers'. Raises KeyError where there is no such play.
@@ -144,70 +152,70 @@
     return {"calm": _calm, "deaths": _deaths, "cut": _cut}[name](size, real)
 
 
-PLAYS = ("calm", "deaths", "cut", "aggregators")
+SCENARIOS = ("calm", "deaths", "cut", "aggregators")
 
 
-def _calm(size: int, real: int) -> Play:
-    return Play("calm", (), (Window("calm", WARM, WARM + 4),), WARM + 4)
+def _calm(size: int, real: int) -> ScaleScenario:
+    return ScaleScenario("calm", (), (Window("calm", WARM_UP_S, WARM_UP_S + 4),), WARM_UP_S + 4)
 
 
-def _deaths(size: int, real: int) -> Play:
+def _deaths(size: int, real: int) -> ScaleScenario:
     """One dies; then 8 % (60 of 760) within 5 s, all of neighbouring sites, as when a zone goes."""
-    first, *others = sorted(range(real, size), key=lambda number: (place(number).site, number))
+    first, *others = sorted(range(real, size), key=lambda number: (location_of(number).site, number))
     several = others[: max(round(size * 60 / 760), 1)]
-    begin = WARM + 8
-    steps = [Step(WARM + 4, Act.KILL, (first,), fault="one death")]
+    begin = WARM_UP_S + 8
+    steps = [FaultStep(WARM_UP_S + 4, FaultKind.KILL, (first,), label="one death")]
     steps += [
-        Step(begin + 5 * i / len(several), Act.KILL, (number,), fault="8 % die in 5 s")
+        FaultStep(begin + 5 * i / len(several), FaultKind.KILL, (number,), label="8 % die in 5 s")
         for i, number in enumerate(several)
     ]
     windows = (
-        Window("calm", WARM, WARM + 4),
-        Window("one death", WARM + 4, begin),
+        Window("calm", WARM_UP_S, WARM_UP_S + 4),
+        Window("one death", WARM_UP_S + 4, begin),
         Window("8 % die in 5 s", begin, begin + 8),
     )
-    return Play("deaths", tuple(steps), windows, begin + 17)
+    return ScaleScenario("deaths", tuple(steps), windows, begin + 17)
 
 
-def _cut(size: int, real: int) -> Play:
+def _cut(size: int, real: int) -> ScaleScenario:
     """A region is cut off for 5 s; then a tenth of the routers runs 20 ms of each 100."""
     hollow = range(real, size)
     slow = tuple(hollow[:: max(len(hollow) * 10 // size, 10)])
     steps = (
-        Step(WARM, Act.CUT, seconds=5.0, fault="region cut"),
-        Step(WARM + 10, Act.SLOW, slow, seconds=8.0, fault="10 % slow"),
+        FaultStep(WARM_UP_S, FaultKind.CUT, seconds=5.0, label="region cut"),
+        FaultStep(WARM_UP_S + 10, FaultKind.SLOW, slow, seconds=8.0, label="10 % slow"),
     )
     windows = (
-        Window("region cut", WARM, WARM + 5),
-        Window("region back", WARM + 5, WARM + 10),
-        Window("10 % slow", WARM + 10, WARM + 18),
+        Window("region cut", WARM_UP_S, WARM_UP_S + 5),
+        Window("region back", WARM_UP_S + 5, WARM_UP_S + 10),
+        Window("10 % slow", WARM_UP_S + 10, WARM_UP_S + 18),
     )
-    return Play("cut", steps, windows, WARM + 18)
+    return ScaleScenario("cut", steps, windows, WARM_UP_S + 18)
 
 
-def _aggregators(size: int, count: int) -> Play:
+def _aggregators(size: int, count: int) -> ScaleScenario:
     """An aggregator dies, another stands still for 5 s and wakes, and at last all are gone."""
     first, *others = range(size, size + max(count, 2))
     steps = (
-        Step(WARM, Act.KILL, (first,), fault="an aggregator dies"),
-        Step(WARM + 6, Act.HOLD, (others[0],), 5.0, fault="an aggregator frozen"),
-        Step(WARM + 16, Act.KILL, tuple(others), fault="all aggregators die"),
+        FaultStep(WARM_UP_S, FaultKind.KILL, (first,), label="an aggregator dies"),
+        FaultStep(WARM_UP_S + 6, FaultKind.PAUSE, (others[0],), 5.0, label="an aggregator frozen"),
+        FaultStep(WARM_UP_S + 16, FaultKind.KILL, tuple(others), label="all aggregators die"),
     )
     windows = (
-        Window("an aggregator dies", WARM, WARM + 6),
-        Window("an aggregator frozen", WARM + 6, WARM + 11),
-        Window("it wakes", WARM + 11, WARM + 16),
-        Window("all aggregators die", WARM + 16, WARM + 24),
+        Window("an aggregator dies", WARM_UP_S, WARM_UP_S + 6),
+        Window("an aggregator frozen", WARM_UP_S + 6, WARM_UP_S + 11),
+        Window("it wakes", WARM_UP_S + 11, WARM_UP_S + 16),
+        Window("all aggregators die", WARM_UP_S + 16, WARM_UP_S + 24),
     )
-    return Play("aggregators", steps, windows, WARM + 24)
+    return ScaleScenario("aggregators", steps, windows, WARM_UP_S + 24)
 
 
-def workers_for(machine: Machine, hollow: int) -> int:
+def worker_count(machine: Machine, hollow: int) -> int:
     """How many processes the hollow routers are spread over."""
-    return max(min(machine.cores - OWN_CORES, hollow, MOST_WORKERS), 1)
+    return max(min(machine.cores - RESERVED_CORES, hollow, MAX_WORKERS), 1)
 
 
-def spread(numbers: range, workers: int) -> list[list[int]]:
+def assign_routers(numbers: range, workers: int) -> list[list[int]]:
     """Which worker has which routers: each as many, and of all sites."""
     return [list(numbers[i::workers]) for i in range(workers)]
 
@@ -215,32 +223,34 @@
 def needs(size: int, real: int, workers: int, cost: float) -> Needs:
     """What a run takes; `cost`: seconds of a core that a router's control takes in a second."""
     hollow = size - real
-    beside = real + REAL_WORKERS if real else 0
-    processes = workers + 2 + beside
-    memory = hollow * HOLLOW_BYTES + (workers + 2) * PROCESS_BYTES + beside * REAL_BYTES
-    descriptors = OWN_DESCRIPTORS + max(size + 1, ceil(hollow / workers))
+    harness_processes = real + HARNESS_PROCESSES if real else 0
+    processes = workers + 2 + harness_processes
+    memory = (
+        hollow * HOLLOW_ROUTER_BYTES + (workers + 2) * PROCESS_BYTES + harness_processes * REAL_ROUTER_BYTES
+    )
+    descriptors = RESERVED_DESCRIPTORS + max(size + 1, ceil(hollow / workers))
     return Needs(processes, memory, max(descriptors, REAL_DESCRIPTORS * bool(real)), size * cost)
 
 
 def slow_factor(needed: Needs, workers: int) -> float:
     """By how much the rig's clock must be slower than the machine's for the hollow routers to be on time."""
-    factor = needed.cores / (workers * BUSY_PART)
+    factor = needed.cores / (workers * PLANNED_CORE_FRACTION)
     return max(ceil(factor * 4) / 4, 1.0)
 
 
 def refusal(machine: Machine, needed: Needs, slow: float, real: int) -> str:
     """Why such a run may not begin here, in one line; empty where it may."""
-    if needed.processes > MOST_PROCESSES:
-        return f"{needed.processes} processes needed, {MOST_PROCESSES} are the most"
-    if needed.memory > machine.memory * MEMORY_PART:
-        there = int(machine.memory * MEMORY_PART) >> 20
-        return f"{needed.memory >> 20} MB needed, half of this machine's memory is {there} MB"
+    if needed.processes > MAX_PROCESSES:
+        return f"{needed.processes} processes needed, {MAX_PROCESSES} are the most"
+    if needed.memory > machine.memory * MAX_MEMORY_FRACTION:
+        allowed_mb = int(machine.memory * MAX_MEMORY_FRACTION) >> 20
+        return f"{needed.memory >> 20} MB needed, half of this machine's memory is {allowed_mb} MB"
     if needed.descriptors > machine.descriptors:
         return f"{needed.descriptors} descriptors needed in one process, its limit is {machine.descriptors}"
     if machine.cores < 2:
         return "2 cores needed, this machine has 1"
     if real and slow > 1.0:
         return f"real routers need a clock that is not slowed, hollow ones here one slowed by {slow:g}"
-    if slow > MOST_SLOW:
-        return f"a clock slowed by {slow:g} needed, {MOST_SLOW:g} is the most: more cores needed"
+    if slow > MAX_SLOW_FACTOR:
+        return f"a clock slowed by {slow:g} needed, {MAX_SLOW_FACTOR:g} is the most: more cores needed"
     return ""
--- a/bench/scale_real.py
+++ b/bench/scale_real.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from bench.scale_plan import LIGHT_PER_S, SERVERS
+from bench.scale_plan import LOW_RATE_PER_S, SERVERS
 from holdgw.harness.deployment import Peers
 from holdgw.harness.orchestrator import Orchestrator
 from holdgw.harness.routers import resident_bytes
@@ -20,7 +20,7 @@
 from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.wire.address import Address
 
-SETTINGS = """
+SCENARIO = """
 name = "scale"
 length_s = {length}
 [load]
@@ -39,13 +39,13 @@
 lag_ms = 1000.0
 """
 
-Join = Callable[[dict[int, Address]], Awaitable[tuple[tuple[Address, ...], Address]]]
+JoinMembership = Callable[[dict[int, Address]], Awaitable[tuple[tuple[Address, ...], Address]]]
 """Given where real routers listen, by number: where all are to be had, in the order of their numbers, and
 the address of all together.
 """
 
 
-class Look(NamedTuple):
+class RouterSample(NamedTuple):
     """What a real router's process and door say: its CPU seconds so far, its memory (bytes), how many it
     holds to be alive, and of how many others its picture is.
     """
@@ -54,7 +54,7 @@
     cpu: float
     memory: int
     alive: int
-    heard: int
+    routers_in_view: int
 
 
 class RealFigures(NamedTuple):
@@ -65,22 +65,26 @@
     cpu: float
     memory: int
     alive: int
-    heard: int
+    routers_in_view: int
 
 
-class MixedStage(Orchestrator):
+class MixedOrchestrator(Orchestrator):
     """A stage whose routers join the membership of a scale run."""
 
-    def __init__(self, day: Schedule, command: str, root: Path, join: Join | None, aggregators: int) -> None:
-        super().__init__(day, command, root)
+    def __init__(
+        self, schedule: Schedule, command: str, root: Path, join: JoinMembership | None, aggregators: int
+    ) -> None:
+        super().__init__(schedule, command, root)
         self._join, self._aggregator_count = join, aggregators
 
     async def _join_peers(self) -> None:
         assert self._join is not None
         listens = {name: router.peer for name, router in self.routers.items()}
-        each, all_of_them = await self._join(dict(enumerate(listens.values())))
-        set_aside = each[len(each) - self._aggregator_count :]
-        self.peers = {name: Peers(listen, each, all_of_them, set_aside) for name, listen in listens.items()}
+        addresses, shared_address = await self._join(dict(enumerate(listens.values())))
+        aggregators = addresses[len(addresses) - self._aggregator_count :]
+        self.peers = {
+            name: Peers(listen, addresses, shared_address, aggregators) for name, listen in listens.items()
+        }
 
 
 class RealRouters:
@@ -93,58 +97,58 @@
         command: str,
         root: Path,
         length: float,
-        join: Join | None,
+        join: JoinMembership | None,
         aggregators: int = 0,
     ) -> None:
-        text = SETTINGS.format(
+        text = SCENARIO.format(
             length=length,
-            rate=LIGHT_PER_S * count,
+            rate=LOW_RATE_PER_S * count,
             nodes=SERVERS,
             routers=count,
             peers=str(join is not None).lower(),
         )
-        day = draw_schedule(read_scenario(text, "bench"), seed)
-        self.stage = MixedStage(day, command, root, join, aggregators)
-        self.begun = asyncio.Event()
-        self._playing = asyncio.ensure_future(self.stage.play(self._progress))
+        schedule = draw_schedule(read_scenario(text, "bench"), seed)
+        self.orchestrator = MixedOrchestrator(schedule, command, root, join, aggregators)
+        self.started = asyncio.Event()
+        self._play_task = asyncio.ensure_future(self.orchestrator.play(self._progress))
 
-    def _progress(self, _stage: Orchestrator, at: float) -> None:
+    def _progress(self, _orchestrator: Orchestrator, at: float) -> None:
         if at >= 0:
-            self.begun.set()
+            self.started.set()
 
     async def ready(self) -> None:
         """Wait until they serve clients; raises what the stage failed by."""
-        waiting = asyncio.ensure_future(self.begun.wait())
-        await asyncio.wait((waiting, self._playing), return_when=asyncio.FIRST_COMPLETED)
+        waiting = asyncio.ensure_future(self.started.wait())
+        await asyncio.wait((waiting, self._play_task), return_when=asyncio.FIRST_COMPLETED)
         if not waiting.done():
             waiting.cancel()
-            await self._playing
+            await self._play_task
             raise RuntimeError("the stage was over before it began")
 
-    async def look(self) -> list[Look]:
+    async def sample(self) -> list[RouterSample]:
         """What each one's process and door say now."""
-        found = []
-        for router in self.stage.routers.values():
-            at, cpu = time.monotonic(), ran_seconds(router.pid)
-            figures = await door_figures(router.ops) if self.stage.peers else {}
-            found.append(
-                Look(
+        samples = []
+        for router in self.orchestrator.routers.values():
+            at, cpu = time.monotonic(), cpu_run_seconds(router.pid)
+            metrics = await admin_metrics(router.ops) if self.orchestrator.peers else {}
+            samples.append(
+                RouterSample(
                     at,
                     cpu,
                     resident_bytes(router.pid),
-                    int(figures.get('lb_peers{state="alive"}', 0)),
-                    int(figures.get('lb_picture{of="routers"}', 0)),
+                    int(metrics.get('lb_peers{state="alive"}', 0)),
+                    int(metrics.get('lb_picture{of="routers"}', 0)),
                 )
             )
-        return found
+        return samples
 
     async def end(self) -> None:
         """End all of it now."""
-        self._playing.cancel()
-        await asyncio.gather(self._playing, return_exceptions=True)
+        self._play_task.cancel()
+        await asyncio.gather(self._play_task, return_exceptions=True)
 
 
-async def door_figures(address: Address) -> dict[str, float]:
+async def admin_metrics(address: Address) -> dict[str, float]:
     """What a router's door tells, by name."""
     reader, writer = await asyncio.open_connection(*address)
     try:
@@ -155,14 +159,16 @@
     return {name: float(value) for name, value in re.findall(r"^(lb_\S+) (\S+)$", text, re.MULTILINE)}
 
 
-def ran_seconds(pid: int) -> float:
+def cpu_run_seconds(pid: int) -> float:
     """How long a process's thread has run so far, finer than the kernel's ticks; raises OSError."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-def between(before: list[Look], after: list[Look]) -> list[RealFigures]:
+def figures_between(before: list[RouterSample], after: list[RouterSample]) -> list[RealFigures]:
     """The figures of a stretch from what was seen at its two ends."""
     return [
-        RealFigures((late.cpu - early.cpu) / (late.at - early.at), late.memory, late.alive, late.heard)
+        RealFigures(
+            (late.cpu - early.cpu) / (late.at - early.at), late.memory, late.alive, late.routers_in_view
+        )
         for early, late in zip(before, after, strict=True)
     ]
--- a/bench/scale_relay.py
+++ b/bench/scale_relay.py
@@ -12,12 +12,12 @@
 
 from bench import scale_plan
 from bench.scale_child import Handler, serve
-from bench.scale_clock import Lag, SlowClock
+from bench.scale_clock import LagMonitor, SlowClock
 from holdgw.emulators.relay import ALL, Relay
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
 
 
-class CountedLines(RelayModel):
+class CountingRelayModel(RelayModel):
     """All lines, with a region that may be cut off from the others, and what passes counted by second.
 
     The relay has the machine's clock: its delays are stretched by as much as the rig's clock is slowed.
@@ -25,26 +25,28 @@
 
     def __init__(self, seed: int, loss: float, clock: SlowClock) -> None:
         super().__init__(
-            seed, lambda a, b: clock.real(scale_plan.line(int(a), int(b))), PeerWeather(loss=loss)
+            seed,
+            lambda a, b: clock.machine_seconds(scale_plan.one_way_delay(int(a), int(b))),
+            PeerWeather(loss=loss),
         )
-        self.said: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
-        self.heard: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
+        self.sent_bytes: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
+        self.received_bytes: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
         self.clock = clock
-        self._apart: frozenset[str] = frozenset()
-        self._apart_until = 0.0
+        self._isolated: frozenset[str] = frozenset()
+        self._isolated_until = 0.0
 
-    def cut_off(self, names: frozenset[str], until: float) -> None:
+    def isolate(self, names: frozenset[str], until: float) -> None:
         """Nothing passes between these and the others until that second of the rig's clock."""
-        self._apart, self._apart_until = names, until
+        self._isolated, self._isolated_until = names, until
 
     def carries(self, now: float, a: str, b: str, size: int) -> list[float]:
         """As the relay's model; and counted."""
         at = self.clock.seconds()
-        self.said[a][int(at)] += size
-        if at < self._apart_until and (a in self._apart) != (b in self._apart):
+        self.sent_bytes[a][int(at)] += size
+        if at < self._isolated_until and (a in self._isolated) != (b in self._isolated):
             return []
         delays = super().carries(now, a, b, size)
-        self.heard[b][int(at)] += size * len(delays)
+        self.received_bytes[b][int(at)] += size * len(delays)
         return delays
 
 
@@ -53,8 +55,8 @@
 
     def __init__(self) -> None:
         self.relay: Relay | None = None
-        self.lines: CountedLines | None = None
-        self.lag: Lag | None = None
+        self.model: CountingRelayModel | None = None
+        self.lag: LagMonitor | None = None
         self.clock = SlowClock(0, 1.0)
 
     def handlers(self) -> Mapping[str, Handler]:
@@ -67,39 +69,39 @@
         """Listen; returns the address each router is known by, by its number, and all under `all`."""
         self.clock = SlowClock(base, slow)
         loop = asyncio.get_running_loop()
-        self.lines = CountedLines(seed, loss, self.clock)
-        places = {name: (host, port) for name, (host, port) in listens.items()}
-        self.relay = Relay(self.lines, places, loop.time, ip)
-        found = await self.relay.start()
-        self.lag = Lag(loop, self.clock)
-        return {"all": found.pop(ALL), "each": found}
+        self.model = CountingRelayModel(seed, loss, self.clock)
+        addresses = {name: (host, port) for name, (host, port) in listens.items()}
+        self.relay = Relay(self.model, addresses, loop.time, ip)
+        relay_addresses = await self.relay.start()
+        self.lag = LagMonitor(loop, self.clock)
+        return {"all": relay_addresses.pop(ALL), "each": relay_addresses}
 
     async def begin(self, base: int) -> None:
         """The play begins: the clock's second 0 is at that reading of the monotonic clock."""
-        assert self.lines is not None
+        assert self.model is not None
         assert self.lag is not None
-        self.clock = self.lines.clock = SlowClock(base, self.clock.slow)
-        self.lines.said.clear()
-        self.lines.heard.clear()
-        self.lag.begin()
+        self.clock = self.model.clock = SlowClock(base, self.clock.slow)
+        self.model.sent_bytes.clear()
+        self.model.received_bytes.clear()
+        self.lag.reset()
 
     async def cut(self, members: list[int], seconds: float) -> None:
         """Cut these off from all others."""
-        assert self.lines is not None
-        self.lines.cut_off(frozenset(map(str, members)), self.clock.seconds() + seconds)
+        assert self.model is not None
+        self.model.isolate(frozenset(map(str, members)), self.clock.seconds() + seconds)
 
     async def report(self) -> dict[str, Any]:
         """All that was counted."""
-        assert self.lines is not None
+        assert self.model is not None
         assert self.relay is not None
         assert self.lag is not None
-        long = sum(counts.long for counts in self.lines.counts.values())
+        oversized = sum(counts.long for counts in self.model.counts.values())
         return {
-            "said": self.lines.said,
-            "heard": self.lines.heard,
-            "long": long,
+            "said": self.model.sent_bytes,
+            "heard": self.model.received_bytes,
+            "long": oversized,
             "unknown": self.relay.unknown,
-            "lag": self.lag.told(),
+            "lag": self.lag.readings(),
         }
 
 
--- a/bench/scale_report.py
+++ b/bench/scale_report.py
@@ -7,12 +7,12 @@
 from statistics import median
 from typing import Any, NamedTuple
 
-from bench.scale_plan import LATE, Act, Play, Window
+from bench.scale_plan import LAG_BOUNDS, FaultKind, ScaleScenario, Window
 
 NS_PER_S = 1_000_000_000
 
 
-class Spread(NamedTuple):
+class Distribution(NamedTuple):
     """A figure over all routers."""
 
     least: float
@@ -21,19 +21,19 @@
     most: float
 
 
-def quantile(values: Sequence[float], part: float) -> float:
+def quantile(values: Sequence[float], fraction: float) -> float:
     """The value that such a part of them is at or under (nearest rank)."""
     ordered = sorted(values)
-    return ordered[min(int(part * len(ordered)), len(ordered) - 1)]
+    return ordered[min(int(fraction * len(ordered)), len(ordered) - 1)]
 
 
-def spread(values: Iterable[float]) -> Spread:
+def distribution(values: Iterable[float]) -> Distribution:
     """Sum up; raises ValueError where there are none."""
     found = sorted(values)
     if not found:
         raise ValueError("no routers to sum up")
     rounded = (round(one, 4) for one in (found[0], median(found), quantile(found, 0.95), found[-1]))
-    return Spread(*rounded)
+    return Distribution(*rounded)
 
 
 def by_second(counts: Mapping[str, float], window: Window) -> list[float]:
@@ -44,16 +44,16 @@
 class Cost(NamedTuple):
     """A figure a second over all routers: in the mean of a window's seconds, and in each one's worst."""
 
-    mean: Spread
-    worst: Spread
+    mean: Distribution
+    worst: Distribution
 
 
 def cost(by_router: Iterable[Mapping[str, float]], window: Window, unit: float = 1.0) -> Cost:
     """Sum up what routers spent in a window."""
     rows = [by_second(counts, window) for counts in by_router]
     return Cost(
-        spread(sum(row) / len(row) / unit for row in rows),
-        spread(max(row) / unit for row in rows),
+        distribution(sum(row) / len(row) / unit for row in rows),
+        distribution(max(row) / unit for row in rows),
     )
 
 
@@ -64,12 +64,12 @@
     it rests on, both at the least.
     """
 
-    given_age: Spread
-    worst_age: Spread
-    held_age: Spread
-    oldest_age: Spread
-    servers: Spread
-    coverage: Spread
+    given_age: Distribution
+    worst_age: Distribution
+    held_age: Distribution
+    oldest_age: Distribution
+    servers: Distribution
+    coverage: Distribution
 
 
 def view(routers: Iterable[Mapping[str, Any]], window: Window, alive: int) -> View:
@@ -88,10 +88,10 @@
                     min(one[5] for one in seen) / alive,
                 )
             )
-    return View(*(spread(column) for column in zip(*rows, strict=True)))
+    return View(*(distribution(column) for column in zip(*rows, strict=True)))
 
 
-class Learning(NamedTuple):
+class DeathDetection(NamedTuple):
     """How long after a death the first, and all that live, held it for gone; s, -1: not in the play."""
 
     deaths: int
@@ -102,23 +102,23 @@
     """Deaths that not all learnt of before the play was over."""
 
 
-def learning(
-    routers: Iterable[Mapping[str, Any]], died: Mapping[int, float], of: Collection[int]
-) -> Learning:
+def death_detection(
+    routers: Iterable[Mapping[str, Any]], died: Mapping[int, float], members: Collection[int]
+) -> DeathDetection:
     """Sum up how some of the deaths were learnt of."""
-    living = [router for router in routers if not router["dead"]]
+    survivors = [router for router in routers if not router["dead"]]
     first, last, unlearnt = [], [], 0
-    for number in of:
-        told = [router["learnt"].get(str(number)) for router in living]
-        known = [at - died[number] for at in told if at is not None]
-        if known:
-            first.append(min(known))
-        if len(known) == len(living):
-            last.append(max(known))
+    for number in members:
+        learnt_at = [router["learnt"].get(str(number)) for router in survivors]
+        delays = [at - died[number] for at in learnt_at if at is not None]
+        if delays:
+            first.append(min(delays))
+        if len(delays) == len(survivors):
+            last.append(max(delays))
         else:
             unlearnt += 1
-    return Learning(
-        len(of),
+    return DeathDetection(
+        len(members),
         round(median(first), 2) if first else -1.0,
         round(median(last), 2) if last else -1.0,
         round(max(last), 2) if last else -1.0,
@@ -126,25 +126,29 @@
     )
 
 
-def why_void(lags: Mapping[str, Sequence[float]], drops: int, strangers: int, silent: int = 0) -> list[str]:
+def void_reasons(
+    lags: Mapping[str, Sequence[float]], kernel_drop_count: int, unknown_senders: int, silent: int = 0
+) -> list[str]:
     """Why the rig's own lateness makes a run's figures worth nothing; empty where they hold."""
-    found = []
+    reasons = []
     for name, readings in lags.items():
         if not readings:
-            found.append(f"{name}: no lag was read")
+            reasons.append(f"{name}: no lag was read")
             continue
         p99, worst = quantile(readings, 0.99), max(readings)
-        if p99 > LATE.lag_p99:
-            found.append(f"{name}: lag p99 {p99 * 1000:.0f} ms, bound {LATE.lag_p99 * 1000:.0f}")
-        if worst > LATE.lag_worst:
-            found.append(f"{name}: worst lag {worst * 1000:.0f} ms, bound {LATE.lag_worst * 1000:.0f}")
-    if drops:
-        found.append(f"{drops} datagrams dropped by full receive buffers")
+        if p99 > LAG_BOUNDS.lag_p99:
+            reasons.append(f"{name}: lag p99 {p99 * 1000:.0f} ms, bound {LAG_BOUNDS.lag_p99 * 1000:.0f}")
+        if worst > LAG_BOUNDS.lag_worst:
+            reasons.append(
+                f"{name}: worst lag {worst * 1000:.0f} ms, bound {LAG_BOUNDS.lag_worst * 1000:.0f}"
+            )
+    if kernel_drop_count:
+        reasons.append(f"{kernel_drop_count} datagrams dropped by full receive buffers")
     if silent:
-        found.append(f"{silent} routers said nothing")
-    if strangers:
-        found.append(f"{strangers} datagrams from nobody of the run")
-    return found
+        reasons.append(f"{silent} routers said nothing")
+    if unknown_senders:
+        reasons.append(f"{unknown_senders} datagrams from nobody of the run")
+    return reasons
 
 
 def kernel_drops(table: str, ips: Collection[str]) -> int:
@@ -154,69 +158,73 @@
     return sum(int(row[-1]) for row in rows if row[1].split(":")[0] in wanted)
 
 
-def summed_up(
-    play: Play,
+def summarize(
+    scenario: ScaleScenario,
     hollow: Sequence[Mapping[str, Any]],
     relay: Mapping[str, Any],
     died: Mapping[int, float],
     size: int,
 ) -> dict[str, Any]:
     """A play's figures by window, over the hollow routers that lived through it."""
-    living = [router for router in hollow if not (router["dead"] or router["light"] or router["aggregator"])]
-    names = [str(router["number"]) for router in living]
+    survivors = [
+        router for router in hollow if not (router["dead"] or router["light"] or router["aggregator"])
+    ]
+    names = [str(router["number"]) for router in survivors]
     windows = {}
-    for window in play.windows:
+    for window in scenario.windows:
         dead = sum(at < window.until for number, at in died.items() if number < size)
         windows[window.name] = {
-            "cpu_percent": cost((router["cpu_ns"] for router in living), window, NS_PER_S / 100),
+            "cpu_percent": cost((router["cpu_ns"] for router in survivors), window, NS_PER_S / 100),
             "bytes_said": cost((relay["said"].get(name, {}) for name in names), window),
             "bytes_heard": cost((relay["heard"].get(name, {}) for name in names), window),
-            "bytes_both": cost((both(relay, name) for name in names), window),
-            "view": view(living, window, size - dead),
-            "aggregators": set_aside(hollow, relay, window),
+            "bytes_both": cost((total_bytes(relay, name) for name in names), window),
+            "view": view(survivors, window, size - dead),
+            "aggregators": aggregator_figures(hollow, relay, window),
         }
-    faults = {step.fault for step in play.steps if step.act is Act.KILL}
+    faults = {step.label for step in scenario.steps if step.kind is FaultKind.KILL}
     deaths = {
-        fault: learning(hollow, died, [n for step in play.steps if step.fault == fault for n in step.members])
+        fault: death_detection(
+            hollow, died, [n for step in scenario.steps if step.label == fault for n in step.members]
+        )
         for fault in sorted(faults)
     }
     return {"windows": windows, "learning": deaths}
 
 
-def set_aside(
+def aggregator_figures(
     hollow: Iterable[Mapping[str, Any]], relay: Mapping[str, Any], window: Window
 ) -> dict[str, Any]:
     """What the aggregators took; empty where none lived through the play, or there were none."""
-    living = [router for router in hollow if router["aggregator"] and not router["dead"]]
-    if not living:
+    survivors = [router for router in hollow if router["aggregator"] and not router["dead"]]
+    if not survivors:
         return {}
-    names = [str(router["number"]) for router in living]
+    names = [str(router["number"]) for router in survivors]
     return {
-        "cpu_percent": cost((router["cpu_ns"] for router in living), window, NS_PER_S / 100),
-        "bytes_both": cost((both(relay, name) for name in names), window),
+        "cpu_percent": cost((router["cpu_ns"] for router in survivors), window, NS_PER_S / 100),
+        "bytes_both": cost((total_bytes(relay, name) for name in names), window),
     }
 
 
-def both(relay: Mapping[str, Any], name: str) -> dict[str, float]:
+def total_bytes(relay: Mapping[str, Any], name: str) -> dict[str, float]:
     """What a router said and heard together, by second."""
     said, heard = relay["said"].get(name, {}), relay["heard"].get(name, {})
     return {second: said.get(second, 0) + heard.get(second, 0) for second in {*said, *heard}}
 
 
-def plain(value: Any) -> Any:
+def to_plain(value: Any) -> Any:
     """Named tuples as maps, for JSON."""
     if hasattr(value, "_asdict"):
-        return {name: plain(one) for name, one in value._asdict().items()}
+        return {name: to_plain(one) for name, one in value._asdict().items()}
     if isinstance(value, Mapping):
-        return {str(name): plain(one) for name, one in value.items()}
+        return {str(name): to_plain(one) for name, one in value.items()}
     if isinstance(value, list | tuple):
-        return [plain(one) for one in value]
+        return [to_plain(one) for one in value]
     return value
 
 
-def bytes_a_second(relay: Mapping[str, Any], name: str, window: Window) -> float:
+def mean_bytes_per_s(relay: Mapping[str, Any], name: str, window: Window) -> float:
     """What a router said and heard in the mean second of a window."""
-    row = by_second(both(relay, name), window)
+    row = by_second(total_bytes(relay, name), window)
     return sum(row) / len(row)
 
 
@@ -231,7 +239,7 @@
     return {
         "routers": len(light),
         "cpu_percent": cost((router["cpu_ns"] for router in light), window, NS_PER_S / 100).mean.median,
-        "bytes_both": median(bytes_a_second(relay, str(router["number"]), window) for router in light),
+        "bytes_both": median(mean_bytes_per_s(relay, str(router["number"]), window) for router in light),
         "coverage": round(seen.coverage.median * 100, 1),
     }
 
@@ -248,19 +256,19 @@
     """Size, median and p95 (of coverage: least) over the routers, in one window."""
     found = []
     for run in runs:
-        told = run["windows"].get(window)
-        if told is None:
+        figures = run["windows"].get(window)
+        if figures is None:
             continue
         if panel in ("given_age", "coverage"):
-            one = told["view"][panel]
+            values = figures["view"][panel]
         else:
-            one = told[panel]["mean" if window == "calm" else "worst"]
+            values = figures[panel]["mean" if window == "calm" else "worst"]
         scale = 100.0 if panel == "coverage" else 1.0
-        found.append((run["size"], one["median"] * scale, one["least" if scale > 1 else "p95"] * scale))
+        found.append((run["size"], values["median"] * scale, values["least" if scale > 1 else "p95"] * scale))
     return found
 
 
-def drawn(runs: Mapping[str, Sequence[Mapping[str, Any]]], path: Path) -> None:
+def draw_figure(runs: Mapping[str, Sequence[Mapping[str, Any]]], path: Path) -> None:
     """The picture: sizes across, each figure a panel, each set of runs a colour, real routers as crosses."""
     import matplotlib as mpl
 
@@ -269,19 +277,19 @@
     from matplotlib import pyplot as plt
 
     figure, axes = plt.subplots(2, 2, figsize=(8.4, 6.0))
-    for (panel, title, aim), ax in zip(PANELS, axes.flat, strict=True):
-        for colour, (name, found) in zip(("C3", "C0", "C2"), runs.items(), strict=False):
+    for (panel, title, target), ax in zip(PANELS, axes.flat, strict=True):
+        for colour, (name, series) in zip(("C3", "C0", "C2"), runs.items(), strict=False):
             for window, dash in (("calm", "-"), ("8 % die in 5 s", ":")):
-                points = _points(found, panel, window)
+                points = _points(series, panel, window)
                 if points:
                     sizes, middle, edge = zip(*points, strict=True)
                     label = f"{name}, hollow, {'calm' if dash == '-' else 'worst second, 8 % dead'}"
                     ax.plot(sizes, middle, dash, color=colour, marker="o", markersize=3, label=label)
                     ax.plot(sizes, edge, dash, color=colour, marker="_", alpha=0.5, linewidth=0.8)
-            real = [(run["size"], run["real"][panel]) for run in found if panel in (run.get("real") or {})]
+            real = [(run["size"], run["real"][panel]) for run in series if panel in (run.get("real") or {})]
             if real:
                 ax.plot(*zip(*real, strict=True), "x", color=colour, markersize=7, label=f"{name}, real")
-        ax.axhline(aim, color="0.6", linewidth=0.8)
+        ax.axhline(target, color="0.6", linewidth=0.8)
         ax.set_title(title, size=8)
         ax.set_ylim(bottom=0)
     axes[0][0].legend(fontsize=6)
--- a/tests/processes/test_scale.py
+++ b/tests/processes/test_scale.py
@@ -15,8 +15,8 @@
 import pytest
 import uvloop
 
-from bench.scale_plan import Act, Play, Step, Window
-from bench.scale_rig import Cast, Program, Rig
+from bench.scale_plan import FaultKind, FaultStep, ScaleScenario, Window
+from bench.scale_rig import Participants, Program, Rig
 from holdgw.peers.gossip import MAX_BURST, MAX_BYTES_PER_S
 from tests.processes.test_faults import ROOT, ROUTER
 
@@ -36,8 +36,8 @@
 
 
 @asynccontextmanager
-async def rig(play: Play) -> AsyncIterator[Rig]:
-    found = Rig(Cast(SIZE, REAL), play, PROGRAM, seed=1, loss=0.01, slow=1.0)
+async def rig(play: ScaleScenario) -> AsyncIterator[Rig]:
+    found = Rig(Participants(SIZE, REAL), play, PROGRAM, seed=1, loss=0.01, slow=1.0)
     try:
         await found.start(workers=2)
         yield found
@@ -47,9 +47,9 @@
 
 def test_hollow_and_real_routers_are_one_membership_hear_of_all_and_learn_of_a_death() -> None:
     killed = SIZE - 1
-    play = Play(
+    play = ScaleScenario(
         "test",
-        (Step(4.0, Act.KILL, (killed,), fault="one death"),),
+        (FaultStep(4.0, FaultKind.KILL, (killed,), label="one death"),),
         (Window("calm", 1, 4), Window("after", 4, 6)),
         6,
     )
@@ -61,12 +61,12 @@
             async def all_hold(count: int) -> bool:
                 assert found.real is not None
                 hollow = list((await found.alive()).values())
-                real = [one.alive for one in await found.real.look()]
+                real = [one.alive for one in await found.real.sample()]
                 return set(hollow + real) == {count} and len(real) == REAL
 
             async def real_ones_hear_most() -> bool:
                 assert found.real is not None
-                return all(one.heard >= 0.75 * SIZE for one in await found.real.look())
+                return all(one.routers_in_view >= 0.75 * SIZE for one in await found.real.sample())
 
             await until(lambda: all_hold(SIZE))
             await until(real_ones_hear_most)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -10,18 +10,28 @@
 import pytest
 
 from bench import scale_plan
-from bench.hollow import HELD_MOST, Meter, MeteredLoop, stretches, together
-from bench.scale import valid
+from bench.hollow import MAX_HELD_DATAGRAMS, Meter, MeteredLoop, draw_segments, merge_segments
+from bench.scale import valid_runs
 from bench.scale_clock import NS_PER_S, SlowClock
-from bench.scale_plan import Act, Machine, Window, line, needs, place, play, refusal, spread
-from bench.scale_report import cost, kernel_drops, learning, quantile, summed_up, view, why_void
+from bench.scale_plan import (
+    FaultKind,
+    Machine,
+    Window,
+    assign_routers,
+    build_scenario,
+    location_of,
+    needs,
+    one_way_delay,
+    refusal,
+)
+from bench.scale_report import cost, death_detection, kernel_drops, quantile, summarize, view, void_reasons
 
 BIG = Machine(cores=64, memory=256 << 30, descriptors=20_000)
 WINDOW = Window("calm", 10, 13)
 
 
 def test_routers_stand_at_43_sites_in_25_zones_in_8_regions_as_many_at_each() -> None:
-    places = [place(number) for number in range(760)]
+    places = [location_of(number) for number in range(760)]
     assert {len({one[i] for one in places}) for i in range(3)} == {43, 25, 8}
     assert set(Counter(one.site for one in places).values()) == {17, 18}
     zone_of = {one.site: one.zone for one in places}
@@ -31,18 +41,18 @@
 
 
 def test_a_line_is_as_long_both_ways_and_longer_the_further_apart_its_ends_are() -> None:
-    assert line(0, 43) < line(0, 4) < line(0, 16) < line(0, 1)
-    assert [place(n).region for n in (0, 43, 4, 16)] == [0] * 4
-    assert len({place(number).region for number in range(760, 764)}) == 4
-    assert all(line(a, b) == line(b, a) for a in range(0, 86, 7) for b in range(0, 86, 5))
+    assert one_way_delay(0, 43) < one_way_delay(0, 4) < one_way_delay(0, 16) < one_way_delay(0, 1)
+    assert [location_of(n).region for n in (0, 43, 4, 16)] == [0] * 4
+    assert len({location_of(number).region for number in range(760, 764)}) == 4
+    assert all(one_way_delay(a, b) == one_way_delay(b, a) for a in range(0, 86, 7) for b in range(0, 86, 5))
 
 
 @pytest.mark.parametrize("size", scale_plan.SIZES)
-@pytest.mark.parametrize("name", scale_plan.PLAYS)
+@pytest.mark.parametrize("name", scale_plan.SCENARIOS)
 def test_a_play_lasts_under_40_seconds_has_its_windows_within_and_harms_no_real_router(
     name: str, size: int
 ) -> None:
-    found = play(name, size, real=3, aggregators=4)
+    found = build_scenario(name, size, real=3, aggregators=4)
     assert found.length < 40
     assert all(0 <= one.since < one.until <= found.length for one in found.windows)
     assert all(0 <= step.at < found.length for step in found.steps)
@@ -51,7 +61,7 @@
 
 
 def test_at_760_one_router_dies_and_then_60_within_five_seconds() -> None:
-    steps = [step for step in play("deaths", 760, 0).steps if step.act is Act.KILL]
+    steps = [step for step in build_scenario("deaths", 760, 0).steps if step.kind is FaultKind.KILL]
     first, *others = [step.at for step in steps]
     assert len({member for step in steps for member in step.members}) == len(steps) == 61
     assert max(others) - min(others) <= 5.0
@@ -59,18 +69,18 @@
 
 
 def test_at_760_a_tenth_of_the_routers_is_slow() -> None:
-    (slow,) = (step for step in play("cut", 760, 0).steps if step.act is Act.SLOW)
+    (slow,) = (step for step in build_scenario("cut", 760, 0).steps if step.kind is FaultKind.SLOW)
     assert len(slow.members) == 76
 
 
 def test_aggregators_die_and_stand_still_and_no_router_is_touched() -> None:
-    found = play("aggregators", 760, 0, 4)
+    found = build_scenario("aggregators", 760, 0, 4)
     assert {member for step in found.steps for member in step.members} == set(range(760, 764))
-    assert [step.act for step in found.steps] == [Act.KILL, Act.HOLD, Act.KILL]
+    assert [step.kind for step in found.steps] == [FaultKind.KILL, FaultKind.PAUSE, FaultKind.KILL]
 
 
 def test_every_router_has_one_process_and_no_process_has_many_more_than_another() -> None:
-    shares = spread(range(3, 760), 7)
+    shares = assign_routers(range(3, 760), 7)
     assert sorted(number for share in shares for number in share) == list(range(3, 760))
     assert max(map(len, shares)) - min(map(len, shares)) <= 1
 
@@ -113,8 +123,8 @@
     few, many = (scale_plan.needs(size, 0, workers, 0.05) for size in (50, 760))
     assert scale_plan.slow_factor(few, workers) == 1.0
     factor = scale_plan.slow_factor(many, workers)
-    assert many.cores / factor <= workers * scale_plan.BUSY_PART
-    assert factor == pytest.approx(many.cores / (workers * scale_plan.BUSY_PART), abs=0.25)
+    assert many.cores / factor <= workers * scale_plan.PLANNED_CORE_FRACTION
+    assert factor == pytest.approx(many.cores / (workers * scale_plan.PLANNED_CORE_FRACTION), abs=0.25)
 
 
 def test_a_slowed_clock_runs_slower_by_its_factor_and_starts_where_the_machine_s_stands(
@@ -124,7 +134,7 @@
     monkeypatch.setattr("time.monotonic_ns", lambda: 13 * NS_PER_S)
     assert clock.ns() == 7 * NS_PER_S
     assert clock.seconds() == 2.0
-    assert clock.real(2.0) == 8.0
+    assert clock.machine_seconds(2.0) == 8.0
 
 
 # What a hollow router takes
@@ -148,45 +158,45 @@
     def tick() -> None:
         spin(100)
         spin(40)  # the stream
-        meter.owner += 40
+        meter.owner_ns += 40
 
     meter.run(tick)
     meter.run(tick)
-    assert meter.spent == {3: 200}
+    assert meter.spent_ns == {3: 200}
 
 
 def test_a_router_that_stands_still_does_all_later_in_order_and_loses_what_its_socket_can_t_keep() -> None:
     meter = Meter(lambda: 0.0)
     done: list[str] = []
-    meter.hold()
+    meter.pause()
     meter.run(done.append, "tick")
-    for i in range(HELD_MOST + 5):
-        meter.came(done.append, f"datagram {i}")
+    for i in range(MAX_HELD_DATAGRAMS + 5):
+        meter.run_datagram(done.append, f"datagram {i}")
     meter.run(done.append, "tick again")
     assert not done
-    meter.go_on()
+    meter.resume()
     assert done[0] == "tick"
     assert done[-1] == "tick again"
-    assert len(done) == HELD_MOST + 1
-    assert meter.lost == 6
+    assert len(done) == MAX_HELD_DATAGRAMS + 1
+    assert meter.dropped_datagrams == 6
 
 
 def test_a_stretch_of_the_stream_has_its_rate_its_servers_and_a_skew_over_the_slots() -> None:
     servers = [f"s{i}" for i in range(96)]
-    found = stretches(servers, 1, 934.0)
+    found = draw_segments(servers, 1, 934.0)
     assert {sum(one.slots.values()) for one in found} == {280}
     assert {name for one in found for name in one.waits} == set(servers)
     total = Counter(dict.fromkeys(range(8192), 0))
     for one in found:
         total.update(one.slots)
     assert max(total.values()) > 20 * sum(total.values()) / 8192
-    assert found == stretches(servers, 1, 934.0)
+    assert found == draw_segments(servers, 1, 934.0)
 
 
 def test_a_router_asked_later_has_as_many_more_requests_each_at_its_time() -> None:
-    one, other = stretches([f"s{i}" for i in range(96)], 1, 934.0)[:2]
+    one, other = draw_segments([f"s{i}" for i in range(96)], 1, 934.0)[:2]
     now = 100 * NS_PER_S
-    found = together([one, other], now)
+    found = merge_segments([one, other], now)
     assert sum(found.slot_requests.values()) == 560
     for server, (_, at) in found.waits.items():
         age = other.waits[server][1] if server in other.waits else one.waits[server][1] + NS_PER_S * 3 // 10
@@ -231,19 +241,19 @@
 
     died = {7: 10.0, 8: 12.0}
     told = [router(n7=16.0, n8=20.0), router(n7=17.5), router(dead=True)]
-    found = learning(told, died, [7, 8])
+    found = death_detection(told, died, [7, 8])
     assert found == (2, 7.0, 7.5, 7.5, 1)
 
 
 def test_a_late_rig_and_a_full_buffer_void_a_run_and_what_is_in_time_does_not() -> None:
     well = [0.001] * 990 + [0.049] * 9 + [0.149]
-    assert why_void({"relay": well}, 0, 0) == []
-    assert len(why_void({"relay": [*well, 0.151]}, 0, 0)) == 1
-    assert len(why_void({"relay": [0.051] * 100}, 0, 0)) == 1
-    assert len(why_void({"relay": []}, 0, 0)) == 1
-    assert len(why_void({"relay": well}, 1, 0)) == 1
-    assert len(why_void({"relay": well}, 0, 1)) == 1
-    assert len(why_void({"relay": well}, 0, 0, silent=1)) == 1
+    assert void_reasons({"relay": well}, 0, 0) == []
+    assert len(void_reasons({"relay": [*well, 0.151]}, 0, 0)) == 1
+    assert len(void_reasons({"relay": [0.051] * 100}, 0, 0)) == 1
+    assert len(void_reasons({"relay": []}, 0, 0)) == 1
+    assert len(void_reasons({"relay": well}, 1, 0)) == 1
+    assert len(void_reasons({"relay": well}, 0, 1)) == 1
+    assert len(void_reasons({"relay": well}, 0, 0, silent=1)) == 1
 
 
 def test_the_kernel_s_drops_are_read_of_the_run_s_own_sockets_alone() -> None:
@@ -257,7 +267,7 @@
 
 
 def test_the_dead_the_light_and_the_aggregators_are_not_in_the_routers_figures() -> None:
-    line_of_time = play("calm", 4, 0)
+    line_of_time = build_scenario("calm", 4, 0)
     (window,) = line_of_time.windows
     seconds = [str(second) for second in range(window.since, window.until)]
 
@@ -275,7 +285,7 @@
     hollow = [router(0, 2e7), router(1, 9e7, dead=True), router(2, 9e7, light=True), router(3, 4e7)]
     hollow.append(router(4, 8e7))
     spoken = {str(number): dict.fromkeys(seconds, 1000 * (number + 1)) for number in range(5)}
-    found = summed_up(line_of_time, hollow, {"said": spoken, "heard": spoken}, {1: 1.0}, 4)
+    found = summarize(line_of_time, hollow, {"said": spoken, "heard": spoken}, {1: 1.0}, 4)
     figures = found["windows"]["calm"]
     assert figures["cpu_percent"].mean[0::3] == (2.0, 4.0)
     assert figures["bytes_both"].mean[0::3] == (2000.0, 8000.0)
@@ -323,7 +333,7 @@
         return {"size": size, "windows": {window: figure}, "void": ["late"] * void, "real": None}
 
     runs = [run(760, "calm", 1), run(50, "calm", 2), run(760, "cut", 3), run(760, "calm", 4, void=True)]
-    found = valid({"runs": runs})
+    found = valid_runs({"runs": runs})
     assert [(one["size"], one["windows"]) for one in found] == [
         (50, {"calm": 2}),
         (760, {"calm": 1, "cut": 3}),
