--- a/bench/aggregation_figures.py
+++ b/bench/aggregation_figures.py
@@ -18,175 +18,177 @@
 
 MS = 1_000_000
 ROUTERS, SERVERS, SITES = 40, 24, 5
-SLOTS_A_SECOND = 20  # requests of each router
-COUNTED_S = 3.6  # seconds of requests that a decayed count holds
-WELL_MS, BAND_MS = 20, 10  # what honest servers' waits lie between, where these tell load
-LIE_MS = 60_000
+REQUESTS_PER_S = 20  # requests of each router
+DECAYED_S = 3.6  # seconds of requests that a decayed count holds
+HONEST_MIN_MS, HONEST_RANGE_MS = 20, 10  # what honest servers' waits lie between, where these tell load
+FALSE_RESPONSE_TIME_MS = 60_000
 WEATHER = PeerWeather(loss=0.02, duplicates=0.05, reordered=0.1)
 
 
-def tier(seed: int, aggregators: int = 3, **more: object) -> AggregatedTier:
+def make_tier(seed: int, aggregators: int = 3, **more: object) -> AggregatedTier:
     """Forty routers at five sites; lines of 4 and 20 ms."""
 
-    def line(a: str, b: str) -> float:
+    def one_way_delay(a: str, b: str) -> float:
         return 0.004 if int(a[6:]) % SITES == int(b[6:]) % SITES else 0.02
 
-    relay = RelayModel(seed, line, WEATHER)
+    relay = RelayModel(seed, one_way_delay, WEATHER)
     return AggregatedTier(ROUTERS, aggregators, seed, relay, servers=SERVERS, sites=SITES, **more)  # type: ignore[arg-type]
 
 
-def watch_ages(played: AggregatedTier) -> list[float]:
+def watch_ages(tier: AggregatedTier) -> list[float]:
     """Have waits tell when they were measured; returns the list to which each wait that is handed to
     decisions adds how much older it is than stated, s.
     """
-    played.wait = lambda _server, now: now // MS * MS
-    found: list[float] = []
+    tier.wait = lambda _server, now: now // MS * MS
+    understated: list[float] = []
 
-    def look(_number: int, snapshot: LoadSnapshot) -> None:
+    def check(_number: int, snapshot: LoadSnapshot) -> None:
         for wait, age in snapshot.waits.values():
-            found.append((played.now - wait - age) / NS_PER_S)
+            understated.append((tier.now - wait - age) / NS_PER_S)
 
-    played.on_snapshot = look
-    return found
+    tier.on_snapshot = check
+    return understated
 
 
 def view_age(seed: int) -> float:
     """By how much a wait is older than stated at the most, s, with one aggregator halted and one killed."""
-    played = tier(seed)
-    understated = watch_ages(played)
-    played.run(8.0)
-    played.halt(played.aggregators[0], 5.0)
-    played.run(10.0)
-    played.kill(played.aggregators[1])
-    played.run(12.0)
+    tier = make_tier(seed)
+    understated = watch_ages(tier)
+    tier.run(8.0)
+    tier.halt(tier.aggregators[0], 5.0)
+    tier.run(10.0)
+    tier.kill(tier.aggregators[1])
+    tier.run(12.0)
     return max(understated)
 
 
-def counted_twice(seed: int) -> float:
+def double_counting(seed: int) -> float:
     """Requests in views over those that there are, at the most, while aggregators are parted, and reporters
     move and restart.
     """
-    played = tier(seed)
-    most = 0.0
-
-    def look(_number: int, snapshot: LoadSnapshot) -> None:
-        nonlocal most
-        most = max(most, snapshot.requests / (ROUTERS * SLOTS_A_SECOND * COUNTED_S))
-
-    played.run(12.0)
-    played.on_snapshot = look
-    first, second, third = played.aggregators
-    played.cut([first], [second], 6.0)
-    played.run(6.0)
-    played.halt(third, 5.0)
-    played.run(8.0)
+    tier = make_tier(seed)
+    highest = 0.0
+
+    def check(_number: int, snapshot: LoadSnapshot) -> None:
+        nonlocal highest
+        highest = max(highest, snapshot.requests / (ROUTERS * REQUESTS_PER_S * DECAYED_S))
+
+    tier.run(12.0)
+    tier.on_snapshot = check
+    first, second, third = tier.aggregators
+    tier.cut([first], [second], 6.0)
+    tier.run(6.0)
+    tier.halt(third, 5.0)
+    tier.run(8.0)
     for number in range(0, ROUTERS, 4):
-        played.kill(number)
-    played.run(1.0)
+        tier.kill(number)
+    tier.run(1.0)
     for number in range(0, ROUTERS, 4):
-        played.start(number)
-    played.run(10.0)
-    return most
+        tier.start(number)
+    tier.run(10.0)
+    return highest
 
 
 def replayed(seed: int) -> float:
     """Waits that are older than stated by over a second, while old datagrams come again."""
-    played = tier(seed)
-    understated = watch_ages(played)
-    said: list[tuple[int, int, bytes]] = []
+    tier = make_tier(seed)
+    understated = watch_ages(tier)
+    recorded: list[tuple[int, int, bytes]] = []
 
-    def keep(number: int, to: int, data: bytes) -> bytes:
-        said.append((number, to, data))
+    def record(number: int, to: int, data: bytes) -> bytes:
+        recorded.append((number, to, data))
         return data
 
-    played.alter = keep
-    played.run(10.0)
-    played.alter = lambda _number, _to, data: data
-    old = played.random.sample(said, 600)
+    tier.alter = record
+    tier.run(10.0)
+    tier.alter = lambda _number, _to, data: data
+    old = tier.random.sample(recorded, 600)
     for number, to, data in old:
-        at = played.now + played.random.randrange(10 * NS_PER_S)
-        played.at(at, lambda number=number, to=to, data=data: played.send(number, to, data))  # type: ignore[misc]
-    played.run(14.0)
+        at = tier.now + tier.random.randrange(10 * NS_PER_S)
+        tier.at(at, lambda number=number, to=to, data=data: tier.send(number, to, data))  # type: ignore[misc]
+    tier.run(14.0)
     return float(sum(one > 1.0 for one in understated))
 
 
-def blind(seed: int) -> float:
+def uninformed(seed: int) -> float:
     """Routers that know the wait of under three in four servers, or go by an old view, 8 s after all
     aggregators are gone, and 6 s after one is back.
     """
-    played = tier(seed, samples_per_s=4)
-    played.run(8.0)
-    played.kill(*played.aggregators)
-    played.run(8.0)
-    without = sum(len(one.waits) < 0.75 * SERVERS for one in played.snapshots.values())
-    without += ROUTERS - played.in_fallback()
-    played.start(played.aggregators[1])
-    played.run(6.0)
-    without += sum(len(one.waits) < 0.75 * SERVERS for one in played.snapshots.values())
-    return float(without + played.in_fallback())
+    tier = make_tier(seed, samples_per_s=4)
+    tier.run(8.0)
+    tier.kill(*tier.aggregators)
+    tier.run(8.0)
+    count = sum(len(one.waits) < 0.75 * SERVERS for one in tier.snapshots.values())
+    count += ROUTERS - tier.in_fallback()
+    tier.start(tier.aggregators[1])
+    tier.run(6.0)
+    count += sum(len(one.waits) < 0.75 * SERVERS for one in tier.snapshots.values())
+    return float(count + tier.in_fallback())
 
 
 def without_view(seed: int) -> float:
     """Routers that fell back though an aggregator was there: one of three killed, one halted for 5 s, all
     parted from one another, and each cut off from half of the routers.
     """
-    played = tier(seed)
-    first, second, third = played.aggregators
-    played.run(6.0)
-    played.kill(first)
-    played.run(8.0)
-    played.halt(second, 5.0)
-    played.run(8.0)
-    played.start(first)
-    played.run(14.0)
-    played.cut([first], [second, third], 20.0)
-    played.cut([second], [third], 20.0)
-    played.cut([first], range(0, ROUTERS // 2), 20.0)
-    played.cut([second], range(ROUTERS // 2, ROUTERS), 20.0)
-    played.run(20.0)
-    clients = [one.exchange.client for one in played.members.values()]
+    tier = make_tier(seed)
+    first, second, third = tier.aggregators
+    tier.run(6.0)
+    tier.kill(first)
+    tier.run(8.0)
+    tier.halt(second, 5.0)
+    tier.run(8.0)
+    tier.start(first)
+    tier.run(14.0)
+    tier.cut([first], [second, third], 20.0)
+    tier.cut([second], [third], 20.0)
+    tier.cut([first], range(0, ROUTERS // 2), 20.0)
+    tier.cut([second], range(ROUTERS // 2, ROUTERS), 20.0)
+    tier.run(20.0)
+    clients = [one.exchange.client for one in tier.members.values()]
     return float(sum(one.fallbacks for one in clients if one is not None))
 
 
-def _lies(played: AggregatedTier) -> Callable[[bytes], bytes]:
+def _falsifier(tier: AggregatedTier) -> Callable[[bytes], bytes]:
     """What a lying aggregator makes of its views, and of what it forwards: every server is full, or none is,
     and slot 9 alone is asked for.
     """
-    wait = LIE_MS * MS
+    wait = FALSE_RESPONSE_TIME_MS * MS
 
-    def lie(data: bytes) -> bytes:
+    def falsify(data: bytes) -> bytes:
         if merged_view.is_view(data):
-            view = merged_view.decode(data, played.size)
+            view = merged_view.decode(data, tier.size)
             waits = tuple(one._replace(wait=wait, age=0) for one in view.waits)
             false = view._replace(waits=waits, slot_shares={9: 1.0}, requests=1 << 31, reporters=0xFFFF)
             return merged_view.finish(merged_view.encode_body(false), 0)
         if sequenced_report.is_forwarded_report(data):
-            forwarder, (sequence, report) = sequenced_report.decode_forwarded(data, played.size)
-            samples = tuple(ServerSample(hash_server(name), wait, 0) for name in played.servers[:22])
+            forwarder, (sequence, report) = sequenced_report.decode_forwarded(data, tier.size)
+            samples = tuple(ServerSample(hash_server(name), wait, 0) for name in tier.servers[:22])
             claimed = report._replace(samples=samples, requests=0xFFFF, slots={9: 0xFFFF})
-            said = sequenced_report.encode(sequenced_report.SequencedReport(sequence + 1000, claimed))
-            return sequenced_report.forward(said, forwarder)
+            encoded = sequenced_report.encode(sequenced_report.SequencedReport(sequence + 1000, claimed))
+            return sequenced_report.forward(encoded, forwarder)
         return data
 
-    return lie
+    return falsify
 
 
-def one_liar(seed: int) -> float:
+def single_false_aggregator(seed: int) -> float:
     """Waits that a lying aggregator moved beyond what servers told, and slots that it made hot, in a tier
     where it also forwards falsely and a reporter claims everything.
     """
-    played = tier(seed, samples_per_s=SERVERS)
-    played.wait = lambda _server, _now: played.random.randrange(WELL_MS, WELL_MS + BAND_MS) * MS
-    liar, moved = played.aggregators[0], 0
+    tier = make_tier(seed, samples_per_s=SERVERS)
+    tier.wait = lambda _server, _now: (
+        tier.random.randrange(HONEST_MIN_MS, HONEST_MIN_MS + HONEST_RANGE_MS) * MS
+    )
+    false_aggregator, moved = tier.aggregators[0], 0
 
-    def look(_number: int, snapshot: LoadSnapshot) -> None:
+    def check(_number: int, snapshot: LoadSnapshot) -> None:
         nonlocal moved
-        moved += sum(wait > (WELL_MS + BAND_MS) * MS for wait, _ in snapshot.waits.values())
+        moved += sum(wait > (HONEST_MIN_MS + HONEST_RANGE_MS) * MS for wait, _ in snapshot.waits.values())
         moved += snapshot.slot_shares.get(9, 0.0) > 0.05
 
-    played.run(8.0)
-    lie = _lies(played)
-    played.alter = lambda number, _to, data: lie(data) if number == liar else data
-    played.on_snapshot = look
-    played.run(12.0)
+    tier.run(8.0)
+    falsify = _falsifier(tier)
+    tier.alter = lambda number, _to, data: falsify(data) if number == false_aggregator else data
+    tier.on_snapshot = check
+    tier.run(12.0)
     return float(moved)
--- a/bench/cold_budget.py
+++ b/bench/cold_budget.py
@@ -37,11 +37,11 @@
 from holdgw.simulation.event_queue import EventQueue
 
 ORIGIN = Endpoint("origin:1", kind="store")
-BEGIN_S, BEFORE_S, AFTER_S = 100, 12.0, 10.0  # the server's start; play before and after it
-TOOK_NS, FETCH_NS = 40_000_000, 150_000_000
+START_S, BEFORE_S, AFTER_S = 100, 12.0, 10.0  # the server's start; play before and after it
+ANSWER_NS, FETCH_NS = 40_000_000, 150_000_000
 DEADLINE_NS = 1_200_000_000
 TENTHS, TENTH_S = 10, 0.5  # a tenth of the processes starts anew each half second
-KEYS, SKEW = 3000, 1.1
+KEYS, ZIPF = 3000, 1.1
 
 
 @dataclass(frozen=True)
@@ -53,19 +53,19 @@
     servers: int = 20
     load: float = 0.6
     """Of what the warm servers can do."""
-    can_do: float = 50.0
+    warm_per_s: float = 50.0
     """Requests a second, one warm server."""
-    multiple: float = 4.0
+    fall_multiple: float = 4.0
     window_s: float = 2.0
     cold_share: float = 0.3
     cold_s: float = 8.0
     restarts: str = ""
     """all: every process starts with the server; tenths: a tenth at a time from then; pairs: each twice."""
-    others_die: int = 0
+    dead_servers: int = 0
     """Servers that refuse connections from the start on."""
-    hot: float = 0.0
+    hot_share: float = 0.0
     """Share of one key, beside the usual ones."""
-    late: float = 0.0
+    timeout_share: float = 0.0
     """Share of answers that time out, and come again: what is sent is then far more than what is done."""
 
 
@@ -74,11 +74,11 @@
     *(Case(f"with all processes, {n}", n, restarts="all") for n in (1, 4, 20, 30, 200)),
     *(Case(f"a tenth at a time, {n}", n, restarts="tenths") for n in (20, 30, 200)),
     *(Case(f"old and new together, {n}", n, restarts="pairs") for n in (4, 20, 30, 200)),
-    *(Case(f"a hot key, {n}", n, hot=0.25, load=0.8) for n in (4, 30, 200)),
-    *(Case(f"others die, {n}", n, others_die=8, load=0.9) for n in (4, 30, 200)),
-    *(Case(f"a storm of time-outs, {n}", n, late=0.8, load=1.1) for n in (4, 30, 200)),
-    *(Case(f"slow and few, {n}", n, 12, can_do=16.0, multiple=3.0, window_s=3.0, cold_share=0.12,
-           cold_s=20.0, load=0.8, hot=0.1) for n in (4, 30)),
+    *(Case(f"a hot key, {n}", n, hot_share=0.25, load=0.8) for n in (4, 30, 200)),
+    *(Case(f"others die, {n}", n, dead_servers=8, load=0.9) for n in (4, 30, 200)),
+    *(Case(f"a storm of time-outs, {n}", n, timeout_share=0.8, load=1.1) for n in (4, 30, 200)),
+    *(Case(f"slow and few, {n}", n, 12, warm_per_s=16.0, fall_multiple=3.0, window_s=3.0, cold_share=0.12,
+           cold_s=20.0, load=0.8, hot_share=0.1) for n in (4, 30)),
 ]  # fmt: skip
 
 
@@ -89,101 +89,103 @@
         origin_kind="store",
         warm_up_initial_weight=case.cold_share,
         warm_up_ns=int(case.cold_s * NS_PER_S),
-        warm_up_overload_factor=case.multiple,
+        warm_up_overload_factor=case.fall_multiple,
         warm_up_overload_window_ns=int(case.window_s * NS_PER_S),
     )
 
 
-class Play:
+class ColdStartRun:
     """One case, one seed."""
 
     def __init__(self, case: Case, seed: int) -> None:
-        self._agenda, self._requests = EventQueue(), count()
+        self._events, self._requests = EventQueue(), count()
         self.case, self._rng = case, random.Random(seed)
         self._servers = [Endpoint(f"10.0.0.{i}:80") for i in range(case.servers)]
         self._cold = self._servers[seed % case.servers]
-        self._dead = {one.id for one in self._servers if one is not self._cold}
-        self._dead = set(sorted(self._dead)[: case.others_die])
-        self._processes = [self._started(i) for i in range(case.processes)]
+        self._refusing = {one.id for one in self._servers if one is not self._cold}
+        self._refusing = set(sorted(self._refusing)[: case.dead_servers])
+        self._processes = [self._start_process(i) for i in range(case.processes)]
         self.sent: list[float] = []  # to the cold one, seconds since its start
-        self._told = False
-        weights = [1 / (rank + 3) ** SKEW for rank in range(KEYS)]
-        self._keys = list(accumulate(weights))
+        self._is_announced = False
+        weights = [1 / (rank + 3) ** ZIPF for rank in range(KEYS)]
+        self._cumulative_weights = list(accumulate(weights))
 
-    def _started(self, number: int) -> RoutingPolicy:
-        router = RoutingPolicy(_settings(self.case), self._rng.getrandbits(32))
-        router.handle(EndpointsChanged(UpdateKind.CACHED, (*self._servers, ORIGIN)), 0)
-        return router
+    def _start_process(self, number: int) -> RoutingPolicy:
+        policy = RoutingPolicy(_settings(self.case), self._rng.getrandbits(32))
+        policy.handle(EndpointsChanged(UpdateKind.CACHED, (*self._servers, ORIGIN)), 0)
+        return policy
 
     def _arrivals(self) -> Iterator[float]:
-        rate, at = self.case.load * self.case.can_do * self.case.servers, BEGIN_S - BEFORE_S
-        while at < BEGIN_S + AFTER_S:
+        rate, at = self.case.load * self.case.warm_per_s * self.case.servers, START_S - BEFORE_S
+        while at < START_S + AFTER_S:
             at += self._rng.expovariate(rate)
             yield at
 
     def _key(self) -> str:
-        if self._rng.random() < self.case.hot:
+        if self._rng.random() < self.case.hot_share:
             return "hot"
-        return f"k{bisect(self._keys, self._rng.random() * self._keys[-1])}"
+        return f"k{bisect(self._cumulative_weights, self._rng.random() * self._cumulative_weights[-1])}"
 
     def run(self) -> float:
         """The worst window: roots of N by which the sum is over N."""
         for at in self._arrivals():
-            self._agenda.at(int(at * NS_PER_S), self._ask)
-        self._agenda.at(BEGIN_S * NS_PER_S, self._begin)
+            self._events.at(int(at * NS_PER_S), self._send_request)
+        self._events.at(START_S * NS_PER_S, self._start_server)
         if self.case.restarts == "tenths":
             for tenth in range(TENTHS):
-                at_ns = int((BEGIN_S + TENTH_S * tenth) * NS_PER_S)
-                self._agenda.at(at_ns, partial(self._restart_tenth, tenth))
-        self._agenda.run_out()
-        return self._worst()
+                at_ns = int((START_S + TENTH_S * tenth) * NS_PER_S)
+                self._events.at(at_ns, partial(self._restart_tenth, tenth))
+        self._events.run_out()
+        return self._worst_window()
 
     def _restart_tenth(self, tenth: int) -> None:
         for i in range(tenth, len(self._processes), TENTHS):
-            self._processes[i] = self._started(i)
+            self._processes[i] = self._start_process(i)
 
-    def _begin(self) -> None:
-        self._cold = Endpoint(self._cold.id, started_ns=self._agenda.now)
+    def _start_server(self) -> None:
+        self._cold = Endpoint(self._cold.id, started_ns=self._events.now)
         self._servers = [self._cold if one.id == self._cold.id else one for one in self._servers]
         if self.case.restarts == "all":
-            self._processes = [self._started(i) for i in range(self.case.processes)]
+            self._processes = [self._start_process(i) for i in range(self.case.processes)]
         elif self.case.restarts == "pairs":
-            self._processes += [self._started(i) for i in range(self.case.processes)]
-        for router in self._processes:
-            router.handle(EndpointsChanged(UpdateKind.DELTA, (self._cold,)), self._agenda.now)
-        self._told = True
+            self._processes += [self._start_process(i) for i in range(self.case.processes)]
+        for policy in self._processes:
+            policy.handle(EndpointsChanged(UpdateKind.DELTA, (self._cold,)), self._events.now)
+        self._is_announced = True
 
-    def _ask(self) -> None:
+    def _send_request(self) -> None:
         process = self._rng.randrange(len(self._processes))
-        deadline = self._agenda.now + DEADLINE_NS
+        deadline = self._events.now + DEADLINE_NS
         self._handle(process, RequestArrived(f"r{next(self._requests)}", "get", deadline, key=self._key()))
 
     def _handle(self, process: int, event: Event) -> None:
-        router, now = self._processes[process], self._agenda.now
-        for action in router.handle(event, now):
+        policy, now = self._processes[process], self._events.now
+        for action in policy.handle(event, now):
             if isinstance(action, SetTimer):
-                self._later(action.delay_ns, process, TimerFired(action.token))
+                self._handle_later(action.delay_ns, process, TimerFired(action.token))
             elif isinstance(action, SendAttempt):
                 self._send(process, action)
 
-    def _later(self, delay: int, process: int, event: Event) -> None:
-        self._agenda.at(self._agenda.now + delay, partial(self._handle, process, event))
+    def _handle_later(self, delay: int, process: int, event: Event) -> None:
+        self._events.at(self._events.now + delay, partial(self._handle, process, event))
 
-    def _send(self, process: int, send: SendAttempt) -> None:
-        now = self._agenda.now
-        if send.endpoint_id == self._cold.id and self._told:
-            self.sent.append((now - BEGIN_S * NS_PER_S) / NS_PER_S)
-        took, outcome = TOOK_NS, Outcome.OK
-        if send.endpoint_id == ORIGIN.id:
+    def _send(self, process: int, action: SendAttempt) -> None:
+        now = self._events.now
+        if action.endpoint_id == self._cold.id and self._is_announced:
+            self.sent.append((now - START_S * NS_PER_S) / NS_PER_S)
+        took, outcome = ANSWER_NS, Outcome.OK
+        if action.endpoint_id == ORIGIN.id:
             took = FETCH_NS
-        elif send.endpoint_id in self._dead and self._told:
+        elif action.endpoint_id in self._refusing and self._is_announced:
             took, outcome = 1_000_000, Outcome.CONNECT_FAILED
-        elif self._rng.random() < self.case.late:
+        elif self._rng.random() < self.case.timeout_share:
             took, outcome = 300_000_000, Outcome.RESET
         closed = outcome is Outcome.OK
-        self._later(took, process, AttemptEnded(send.request_id, 0, send.endpoint_id, outcome, closed, took))
+        self._handle_later(
+            took, process, AttemptEnded(action.request_id, 0, action.endpoint_id, outcome, closed, took)
+        )
 
-    def _worst(self) -> float:
+    def _worst_window(self) -> float:
         case, window, worst = self.case, deque[float](), -math.inf
         for at in self.sent:
             if at >= case.cold_s:
@@ -193,7 +195,7 @@
                 window.popleft()
             age = max(at - case.window_s, 0.0)  # the least that it can do within the window
             warmth = min(case.cold_share + (1 - case.cold_share) * age / case.cold_s, 1.0)
-            allowed = case.multiple * case.can_do * warmth * case.window_s
+            allowed = case.fall_multiple * case.warm_per_s * warmth * case.window_s
             worst = max(worst, (len(window) - 2 - allowed) / math.sqrt(allowed))
         return worst
 
@@ -203,16 +205,18 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=5)
     seeds = parser.parse_args().seeds
-    over = False
+    exceeded = False
     print("| case | worst window, roots of N over N (2 at most) | mean over seeds | sent a seed |")
     print("| --- | --- | --- | --- |")
     for case in CASES:
-        plays = [Play(case, seed) for seed in range(seeds)]
-        found = [play.run() for play in plays]
-        sent = mean(len(play.sent) for play in plays)
-        over |= max(found) > 2
-        print(f"| {case.name} | {max(found):.1f} | {mean(found):.1f} | {sent:.0f} |", flush=True)
-    return int(over)
+        runs = [ColdStartRun(case, seed) for seed in range(seeds)]
+        worst_windows = [run.run() for run in runs]
+        sent = mean(len(run.sent) for run in runs)
+        exceeded |= max(worst_windows) > 2
+        print(
+            f"| {case.name} | {max(worst_windows):.1f} | {mean(worst_windows):.1f} | {sent:.0f} |", flush=True
+        )
+    return int(exceeded)
 
 
 if __name__ == "__main__":
--- a/bench/cores.py
+++ b/bench/cores.py
@@ -35,76 +35,83 @@
 COLOURS = {"router": "#1b6ca8", "relay": "#8a8a8a"}
 
 
-def children_of(pid: int) -> list[int]:
+def process_and_children(pid: int) -> list[int]:
     """The process and those it started."""
-    told = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
-    return [pid, *map(int, told)]
+    children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
+    return [pid, *map(int, children)]
 
 
 def main() -> None:
     """Measure, print, and draw."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--seconds", type=float, default=3.0)
-    words.add_argument("--rounds", type=int, default=1)
-    words.add_argument("--counts", type=int, nargs="*", default=[1, 2, 4, 8])
-    words.add_argument("--connections", type=int, default=192)
-    words.add_argument("--clients", type=int, default=3, help="processes of clients")
-    words.add_argument("--nodes", type=int, default=2, help="processes of nodes")
-    words.add_argument("--json", type=Path)
-    words.add_argument("--picture", type=Path)
-    told = words.parse_args()
-    every = sorted(os.sched_getaffinity(0))
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seconds", type=float, default=3.0)
+    parser.add_argument("--rounds", type=int, default=1)
+    parser.add_argument("--counts", type=int, nargs="*", default=[1, 2, 4, 8])
+    parser.add_argument("--connections", type=int, default=192)
+    parser.add_argument("--clients", type=int, default=3, help="processes of clients")
+    parser.add_argument("--nodes", type=int, default=2, help="processes of nodes")
+    parser.add_argument("--json", type=Path)
+    parser.add_argument("--picture", type=Path)
+    args = parser.parse_args()
+    all_cores = sorted(os.sched_getaffinity(0))
     build(ROOT / "deploy/balancer.toml")
     figures: list[tuple[int, bool, Figures]] = []
-    for count in told.counts * told.rounds:
+    for count in args.counts * args.rounds:
         # The others keep to what the workers leave, where they leave enough; else all share all.
-        apart = len(every) - count >= 2
-        rest = every[count:] if apart else every
-        own = set(every[:count]) if apart else set(every)
-        figures += [(count, apart, one) for one in round_of(count, own, rest, told)]
+        dedicated = len(all_cores) - count >= 2
+        other_cores = all_cores[count:] if dedicated else all_cores
+        worker_cores = set(all_cores[:count]) if dedicated else set(all_cores)
+        figures += [(count, dedicated, one) for one in run_round(count, worker_cores, other_cores, args)]
     show([one for _, _, one in figures], with_ratio=False)
     body = [
-        {"workers": count, "apart": apart, **{name: getattr(one, name) for name in Figures.__slots__}}
-        for count, apart, one in figures
+        {"workers": count, "apart": dedicated, **{name: getattr(one, name) for name in Figures.__slots__}}
+        for count, dedicated, one in figures
     ]
-    if told.json is not None:
-        told.json.write_text(json.dumps(body, indent=1) + "\n")
-    if told.picture is not None:
-        draw(body, told.picture)
+    if args.json is not None:
+        args.json.write_text(json.dumps(body, indent=1) + "\n")
+    if args.picture is not None:
+        draw(body, args.picture)
 
 
-def round_of(count: int, own: set[int], rest: list[int], told: argparse.Namespace) -> list[Figures]:
+def run_round(
+    count: int, worker_cores: set[int], other_cores: list[int], args: argparse.Namespace
+) -> list[Figures]:
     """So many relays, then a router on so many workers, under the same clients and nodes."""
     children, relays = Children(), Children()
-    client_cores = [rest[i % len(rest)] for i in range(told.clients)]
+    client_cores = [other_cores[i % len(other_cores)] for i in range(args.clients)]
     found: list[Figures] = []
     router = None
     try:
-        places = []
-        for i in range(told.nodes):
-            core = rest[-1 - i % len(rest)]
-            places += [(h, p) for h, p in children.start(serve_nodes, NODES // told.nodes, {core})]
-        pid, target = relays.start(serve_relay, places, own)
-        pids = [pid, *(relays.start(serve_relay, places, own, target)[0] for _ in range(count - 1))]
+        node_addresses = []
+        for i in range(args.nodes):
+            core = other_cores[-1 - i % len(other_cores)]
+            node_addresses += [(h, p) for h, p in children.start(serve_nodes, NODES // args.nodes, {core})]
+        pid, target = relays.start(serve_relay, node_addresses, worker_cores)
+        pids = [
+            pid,
+            *(relays.start(serve_relay, node_addresses, worker_cores, target)[0] for _ in range(count - 1)),
+        ]
         found.append(
             measure(
-                f"relay x{count}", "full", pids, target, told.connections, 0.0, told.seconds, client_cores
+                f"relay x{count}", "full", pids, target, args.connections, 0.0, args.seconds, client_cores
             )
         )
         relays.kill()
-        discovery, known = children.start(serve_discovery, places, {rest[-1]})
+        discovery, known = children.start(serve_discovery, node_addresses, {other_cores[-1]})
         with tempfile.TemporaryDirectory() as folder:
             run = f"PYTHONPATH=.native:. exec {sys.executable} -P -m holdgw run --cores {count}"
-            router, address = start_router(Path(folder), discovery, known, own, run, LIMITS)
+            router, address = start_router(Path(folder), discovery, known, worker_cores, run, LIMITS)
             time.sleep(1.0)  # every worker serves, and the shares are dealt
-            pids = children_of(router.pid)
+            pids = process_and_children(router.pid)
             assert len(pids) == count + 1, pids
             what = f"router x{count}"
-            full = measure(what, "full", pids, address, told.connections, 0.0, told.seconds, client_cores)
+            full = measure(what, "full", pids, address, args.connections, 0.0, args.seconds, client_cores)
             rate = full.per_s / 2
-            half = measure(what, "half", pids, address, told.connections, rate, told.seconds, client_cores)
+            half = measure(what, "half", pids, address, args.connections, rate, args.seconds, client_cores)
             found += [full, half]
-            assert children_of(router.pid) == pids, "a worker died"
+            assert process_and_children(router.pid) == pids, "a worker died"
     finally:
         if router is not None:
             router.terminate()
--- a/bench/each_trouble.py
+++ b/bench/each_trouble.py
@@ -24,26 +24,28 @@
 
 def main() -> int:
     """Play and print."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--seeds", type=int, default=500)
-    words.add_argument("--jobs", type=int, default=8)
-    words.add_argument("kinds", nargs="*")
-    told = words.parse_args()
-    day = load_scenario(SCENARIO)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seeds", type=int, default=500)
+    parser.add_argument("--jobs", type=int, default=8)
+    parser.add_argument("kinds", nargs="*")
+    args = parser.parse_args()
+    base = load_scenario(SCENARIO)
     failed = 0
     print("| trouble | seeds | failed | the first | s |\n| --- | --- | --- | --- | --- |", flush=True)
-    for kind in told.kinds or KINDS:
-        begun = perf_counter()
-        scenario = msgspec.structs.replace(day, name=kind, storm=Storm(count=(1, 3), kinds=(kind,)))
-        found = sorted(
+    for kind in args.kinds or KINDS:
+        started = perf_counter()
+        scenario = msgspec.structs.replace(base, name=kind, storm=Storm(count=(1, 3), kinds=(kind,)))
+        failures = sorted(
             (one.seed, one.fault or one.broken[0].text)
-            for one in search(scenario, range(1, told.seeds + 1), told.jobs)
+            for one in search(scenario, range(1, args.seeds + 1), args.jobs)
             if one.failed
         )
-        failed += len(found)
-        first = f"{found[0][0]}: {found[0][1]}" if found else ""
-        took = perf_counter() - begun
-        print(f"| {kind} | {told.seeds} | {len(found)} | {first} | {took:.0f} |", flush=True)
+        failed += len(failures)
+        first = f"{failures[0][0]}: {failures[0][1]}" if failures else ""
+        elapsed_s = perf_counter() - started
+        print(f"| {kind} | {args.seeds} | {len(failures)} | {first} | {elapsed_s:.0f} |", flush=True)
     return 1 if failed else 0
 
 
--- a/bench/emulator_rate.py
+++ b/bench/emulator_rate.py
@@ -26,28 +26,29 @@
 
 def main() -> None:
     """Measure and print."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--rates", type=float, nargs="*", default=[1000, 2000, 3000, 4000, 5000, 6000, 8000])
-    words.add_argument("--routers", type=int, default=6)
-    words.add_argument("--seconds", type=float, default=10.0)
-    told = words.parse_args()
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--rates", type=float, nargs="*", default=[1000, 2000, 3000, 4000, 5000, 6000, 8000])
+    parser.add_argument("--routers", type=int, default=6)
+    parser.add_argument("--seconds", type=float, default=10.0)
+    args = parser.parse_args()
     deploy = ROOT / "deploy/balancer.toml"
     build(deploy)
-    base = load_scenario("quiet").cut(told.seconds)
-    for rate in told.rates:
-        fleet = replace(base.fleet, nodes=int(rate / NODE_RATE), routers=told.routers)
+    base = load_scenario("quiet").cut(args.seconds)
+    for rate in args.rates:
+        fleet = replace(base.fleet, nodes=int(rate / NODE_RATE), routers=args.routers)
         store = replace(base.store, per_s=rate / 3)
         keys = replace(base.keys, count=4000)
         scenario = replace(base, fleet=fleet, store=store, keys=keys, load=replace(base.load, rate=rate))
-        played = uvloop.run(play(draw_schedule(scenario, 1), run_command(deploy), ROOT))
-        body = make_report(played).body
-        lag, kept = body["emulator"], body["rules"]
-        busy = max(lag["cpu_s"].items(), key=lambda pair: pair[1])
+        result = uvloop.run(play(draw_schedule(scenario, 1), run_command(deploy), ROOT))
+        body = make_report(result).body
+        lag, rules = body["emulator"], body["rules"]
+        busiest = max(lag["cpu_s"].items(), key=lambda pair: pair[1])
         print(
-            f"{rate:.0f} a second, {fleet.nodes} nodes, {told.routers} routers: "
-            f"lag p99 {lag['p99_ms']:g} ms, "
-            f"worst {lag['worst_ms']:g} ms ({lag['worker']}); busiest {busy[0]} {busy[1]:.1f} CPU s; service "
-            f"{body['service']:.3f}, rules {kept}, void {body['void'] or 'no'}",
+            f"{rate:.0f} a second, {fleet.nodes} nodes, {args.routers} routers: "
+            f"lag p99 {lag['p99_ms']:g} ms, worst {lag['worst_ms']:g} ms ({lag['worker']}); "
+            f"busiest {busiest[0]} {busiest[1]:.1f} CPU s; service {body['service']:.3f}, rules {rules}, void {body['void'] or 'no'}",
             flush=True,
         )
         if body["void"]:
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -26,11 +26,11 @@
 from holdgw.simulation.fleet import Fleet, SimulatedPolicy
 
 S = NS_PER_S
-BEGIN, LENGTH = 15.0, 45.0  # of the trouble, and of the whole
+FAULT_AT_S, RUN_S = 15.0, 45.0  # of the trouble, and of the whole
 ROUTERS, SERVERS, RATE = 200, 50, 600.0
 
 
-def _zone(fleet: Fleet) -> None:
+def _partition(fleet: Fleet) -> None:
     """A third of the routers hears only its own for 20 s, and has a hot key of its own."""
     fleet.hot = {"north": 0.05, "south": 0.05}
     fleet.reach = lambda one, other: (one % 3 == 0) == (other % 3 == 0)
@@ -38,26 +38,26 @@
     def heal() -> None:
         fleet.reach, fleet.hot = lambda _one, _other: True, {}
 
-    fleet.at(int((BEGIN + 20.0) * S), heal)
+    fleet.at(int((FAULT_AT_S + 20.0) * S), heal)
 
 
-def _hot(count: int, each: float) -> Callable[[Fleet], None]:
-    def trouble(fleet: Fleet) -> None:
-        fleet.hot = {f"hot{i}": each for i in range(count)}
-        fleet.at(int((BEGIN + 10.0) * S), fleet.hot.clear)
+def _hot_keys(count: int, share: float) -> Callable[[Fleet], None]:
+    def fault(fleet: Fleet) -> None:
+        fleet.hot = {f"hot{i}": share for i in range(count)}
+        fleet.at(int((FAULT_AT_S + 10.0) * S), fleet.hot.clear)
 
-    return trouble
+    return fault
 
 
-def _says(report: tuple[float, float] | None) -> Callable[[Fleet], None]:
-    def trouble(fleet: Fleet) -> None:
-        liar = next(iter(fleet.servers.values()))
-        liar.says = report or liar.report(fleet.now)
+def _fixed_report(report: tuple[float, float] | None) -> Callable[[Fleet], None]:
+    def fault(fleet: Fleet) -> None:
+        server = next(iter(fleet.servers.values()))
+        server.says = report or server.report(fleet.now)
 
-    return trouble
+    return fault
 
 
-def _claims(fleet: Fleet) -> None:
+def _false_router_report(fleet: Fleet) -> None:
     """One router claims that eighteen slots of its choice are all that anybody asks for."""
     fleet.falsify = lambda one, report: (
         LoadReport(one.number, 1, report.samples, 60_000, dict.fromkeys(range(MAX_SLOTS), 3_300))
@@ -66,126 +66,128 @@
     )
 
 
-def _weights(weigh: Callable[[SimulatedPolicy], float]) -> Callable[[Fleet], None]:
-    def trouble(fleet: Fleet) -> None:
+def _weights(weight_of: Callable[[SimulatedPolicy], float]) -> Callable[[Fleet], None]:
+    def fault(fleet: Fleet) -> None:
         for one in fleet.routers:
-            one.weight = weigh(one)
+            one.weight = weight_of(one)
 
-    return trouble
+    return fault
 
 
-def _joins(fleet: Fleet) -> None:
+def _add_servers(fleet: Fleet) -> None:
     fleet.relist([*fleet.listed, *(f"10.9.0.{i}:1" for i in range(5))])
 
 
-def _leave(fleet: Fleet) -> None:
+def _remove_servers(fleet: Fleet) -> None:
     for i in range(1, SERVERS // 3 + 1):
         names = list(fleet.servers)[i:SERVERS]
-        fleet.at(int((BEGIN + i * 0.3) * S), lambda names=names: fleet.relist(names))  # type: ignore[misc]
+        fleet.at(int((FAULT_AT_S + i * 0.3) * S), lambda names=names: fleet.relist(names))  # type: ignore[misc]
 
 
 CASES: dict[str, tuple[dict[str, Any], Callable[[Fleet], None] | None, float, float]] = {
     # options, trouble, when it comes, and from when on the spread is measured
-    "quiet": ({}, None, BEGIN, BEGIN),
-    "news 1 s old": ({"delay": S}, None, BEGIN, BEGIN),
-    "news 5 s old": ({"delay": 5 * S}, None, BEGIN, BEGIN),
-    "news 10 s old": ({"delay": 10 * S}, None, BEGIN, BEGIN),
-    "a server that says it is idle": ({}, _says((1.0, 0.0)), BEGIN, BEGIN + 5),
-    "a server that says it is full": ({}, _says((400.0, 20.0)), BEGIN, BEGIN + 5),
-    "a server whose reports stand still": ({}, _says(None), BEGIN, BEGIN + 5),
+    "quiet": ({}, None, FAULT_AT_S, FAULT_AT_S),
+    "news 1 s old": ({"delay": S}, None, FAULT_AT_S, FAULT_AT_S),
+    "news 5 s old": ({"delay": 5 * S}, None, FAULT_AT_S, FAULT_AT_S),
+    "news 10 s old": ({"delay": 10 * S}, None, FAULT_AT_S, FAULT_AT_S),
+    "a server that says it is idle": ({}, _fixed_report((1.0, 0.0)), FAULT_AT_S, FAULT_AT_S + 5),
+    "a server that says it is full": ({}, _fixed_report((400.0, 20.0)), FAULT_AT_S, FAULT_AT_S + 5),
+    "a server whose reports stand still": ({}, _fixed_report(None), FAULT_AT_S, FAULT_AT_S + 5),
     "a tenth of the routers frozen for 3 s": (
         {},
         lambda fleet: fleet.freeze(range(0, ROUTERS, 10), 3.0),
-        BEGIN,
-        BEGIN + 8,
+        FAULT_AT_S,
+        FAULT_AT_S + 8,
     ),
-    "a third of the routers cut off for 20 s": ({}, _zone, BEGIN, BEGIN + 25),
-    "a key gets 10 % for 10 s": ({}, _hot(1, 0.1), BEGIN, BEGIN + 15),
-    "ten keys get 3 % each for 10 s": ({}, _hot(10, 0.03), BEGIN, BEGIN + 15),
-    "five servers join cold": ({"cold_time": 10 * S}, _joins, BEGIN, BEGIN + 15),
-    "a third of the servers leaves in 5 s": ({}, _leave, BEGIN, BEGIN + 10),
-    "one router has 25 %": ({}, _weights(lambda one: 66.0 if one.number == 0 else 1.0), 0.0, BEGIN),
-    "fifty routers have none": ({}, _weights(lambda one: 1e-9 if one.number < 50 else 1.0), 0.0, BEGIN),
-    "a router that claims to be all": ({}, _claims, BEGIN, BEGIN + 5),
-    "1 router": ({"routers": 1}, None, BEGIN, BEGIN),
-    "3 routers": ({"routers": 3}, None, BEGIN, BEGIN),
-    "400 routers": ({"routers": 400}, None, BEGIN, BEGIN),
-    "3 servers": ({"servers": 3, "rate": 36.0}, None, BEGIN, BEGIN),
+    "a third of the routers cut off for 20 s": ({}, _partition, FAULT_AT_S, FAULT_AT_S + 25),
+    "a key gets 10 % for 10 s": ({}, _hot_keys(1, 0.1), FAULT_AT_S, FAULT_AT_S + 15),
+    "ten keys get 3 % each for 10 s": ({}, _hot_keys(10, 0.03), FAULT_AT_S, FAULT_AT_S + 15),
+    "five servers join cold": ({"cold_time": 10 * S}, _add_servers, FAULT_AT_S, FAULT_AT_S + 15),
+    "a third of the servers leaves in 5 s": ({}, _remove_servers, FAULT_AT_S, FAULT_AT_S + 10),
+    "one router has 25 %": ({}, _weights(lambda one: 66.0 if one.number == 0 else 1.0), 0.0, FAULT_AT_S),
+    "fifty routers have none": ({}, _weights(lambda one: 1e-9 if one.number < 50 else 1.0), 0.0, FAULT_AT_S),
+    "a router that claims to be all": ({}, _false_router_report, FAULT_AT_S, FAULT_AT_S + 5),
+    "1 router": ({"routers": 1}, None, FAULT_AT_S, FAULT_AT_S),
+    "3 routers": ({"routers": 3}, None, FAULT_AT_S, FAULT_AT_S),
+    "400 routers": ({"routers": 400}, None, FAULT_AT_S, FAULT_AT_S),
+    "3 servers": ({"servers": 3, "rate": 36.0}, None, FAULT_AT_S, FAULT_AT_S),
 }
-WAYS = ("reports alone", "picture", "plan")
-SWITCHED = ("quiet", "news 1 s old", "news 5 s old", "news 10 s old")
+VARIANTS = ("reports alone", "picture", "plan")
+SWITCH_CASES = ("quiet", "news 1 s old", "news 5 s old", "news 10 s old")
 
 
-def switch(_self: slot_rebalancing.SlotRebalancer, _slot: int, ranking: Sequence[Any]) -> int:
+def lowest_wait_rank(_self: slot_rebalancing.SlotRebalancer, _slot: int, ranking: Sequence[Any]) -> int:
     """Where a slot would be were it the one that says the shortest wait who has it."""
     count = min(len(ranking), slot_rebalancing.MAX_RECEIVER_RANK)
     return min(range(count), key=lambda i: ranking[i].reported_response_time_ns or math.inf)
 
 
-def once(case: str, way: str, seed: int) -> dict[str, float]:
+def run_case(case: str, variant: str, seed: int) -> dict[str, float]:
     """Play a case."""
-    options, trouble, when, since = CASES[case]
-    if way == "picture":
+    options, fault, fault_at_s, since = CASES[case]
+    if variant == "picture":
         slot_rebalancing.MAX_MIGRATION_PER_S = 0.0
-    if way == "switch":
-        slot_rebalancing.SlotRebalancer.receiver_rank = switch  # type: ignore[method-assign, assignment]
-    played = Fleet(
+    if variant == "switch":
+        slot_rebalancing.SlotRebalancer.receiver_rank = lowest_wait_rank  # type: ignore[method-assign, assignment]
+    fleet = Fleet(
         **{
             "routers": ROUTERS,
             "servers": SERVERS,
             "rate": RATE,
             "seed": seed,
-            "peers": way != "reports alone",
+            "peers": variant != "reports alone",
             **options,
         }
     )
-    played.run(when)
-    if trouble is not None:
-        trouble(played)
-    played.run(LENGTH)
-    busiest, idlest = played.spread(since, LENGTH)
-    cold = 0.0
-    for server in played.servers.values():
+    fleet.run(fault_at_s)
+    if fault is not None:
+        fault(fleet)
+    fleet.run(RUN_S)
+    busiest, idlest = fleet.spread(since, RUN_S)
+    cold_overload = 0.0
+    for server in fleet.servers.values():
         if server.entry.started_ns:
-            seconds = Counter((at - server.entry.started_ns) // S for at in server.arrivals)
+            arrivals_by_second = Counter((at - server.entry.started_ns) // S for at in server.arrivals)
             for second in range(10):
-                can = (0.2 + 0.8 * second / 10) / server.service
-                cold = max(cold, seconds[second] / can)
-    bad = sum(count for at, count in played.latest.items() if at >= when)
+                capacity = (0.2 + 0.8 * second / 10) / server.service
+                cold_overload = max(cold_overload, arrivals_by_second[second] / capacity)
+    late_requests = sum(count for at, count in fleet.latest.items() if at >= fault_at_s)
     return {
-        "herd": played.herd(since, LENGTH),
+        "herd": fleet.herd(since, RUN_S),
         "busiest": busiest,
         "idlest": idlest,
-        "late": bad / played.rate / (LENGTH - when),
-        "misses": float(played.count["misses"]),
-        "cold": cold,
+        "late": late_requests / fleet.rate / (RUN_S - fault_at_s),
+        "misses": float(fleet.count["misses"]),
+        "cold": cold_overload,
     }
 
 
 def main() -> None:
     """Play all, and print a table."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--jobs", type=int, default=8)
-    words.add_argument("cases", nargs="*")
-    told = words.parse_args()
-    todo = [
-        (case, way)
-        for case in told.cases or CASES
-        for way in (*WAYS, "switch")
-        if way != "switch" or case in SWITCHED
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--jobs", type=int, default=8)
+    parser.add_argument("cases", nargs="*")
+    args = parser.parse_args()
+    runs = [
+        (case, variant)
+        for case in args.cases or CASES
+        for variant in (*VARIANTS, "switch")
+        if variant != "switch" or case in SWITCH_CASES
     ]
     print("| case | | herd | busiest | idlest | late | misses | cold |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
-    with ProcessPoolExecutor(told.jobs, mp_context=get_context("spawn"), max_tasks_per_child=1) as pool:
-        for (case, way), row in zip(
-            todo, pool.map(once, *zip(*((*one, told.seed) for one in todo), strict=True)), strict=True
+    with ProcessPoolExecutor(args.jobs, mp_context=get_context("spawn"), max_tasks_per_child=1) as pool:
+        for (case, variant), row in zip(
+            runs, pool.map(run_case, *zip(*((*one, args.seed) for one in runs), strict=True)), strict=True
         ):
-            shown = " | ".join(
+            cells = " | ".join(
                 f"{value:.0f}" if name == "misses" else f"{value:.3f}" if name == "late" else f"{value:.2f}"
                 for name, value in row.items()
             )
-            print(f"| {case} | {way} | {shown} |", flush=True)
+            print(f"| {case} | {variant} | {cells} |", flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -96,14 +96,16 @@
     return found
 
 
-async def rounds(count: int, nodes_count: int, keys: int, profile: cProfile.Profile | None) -> list[float]:
+async def run_rounds(
+    count: int, nodes_count: int, keys: int, profile: cProfile.Profile | None
+) -> list[float]:
     """Microseconds of CPU a request, of each round."""
     loop = asyncio.get_running_loop()
     pool = ConnectionPool(loop, nodes_count + 400, 0.12, 10.0)
-    host = Dispatcher(loop, SETTINGS, 7, pool, 20_000)
-    clients = ClientListener(loop, host, 400)
+    dispatcher = Dispatcher(loop, SETTINGS, 7, pool, 20_000)
+    clients = ClientListener(loop, dispatcher, 400)
 
-    async def connected(factory: Any, *_address: Any, **_more: Any) -> tuple[Any, Any]:
+    async def fake_connection(factory: Any, *_address: Any, **_more: Any) -> tuple[Any, Any]:
         protocol = factory()
         transport = FakeTransport(protocol, True)
         protocol.connection_made(transport)
@@ -113,24 +115,24 @@
         """The loop, but for connections."""
 
         def __getattr__(self, name: str) -> Any:
-            return connected if name == "create_connection" else getattr(loop, name)
+            return fake_connection if name == "create_connection" else getattr(loop, name)
 
     pool._loop = Loop()  # type: ignore[assignment]
     nodes = [Endpoint(f"node{i:03d}", "std") for i in range(nodes_count)]
     servers = (*nodes, Endpoint(ORIGIN, "origin"))
     addresses = {server.id: ("127.0.0.1", 1) for server in servers}
-    host.apply_endpoint_update(EndpointUpdate(1, EndpointsChanged(UpdateKind.FULL, servers), addresses))
+    dispatcher.apply_endpoint_update(EndpointUpdate(1, EndpointsChanged(UpdateKind.FULL, servers), addresses))
     from holdgw.router.client_connection import ClientConnection
 
     client = ClientConnection(clients)
     transport = FakeTransport(client, False)
     client.connection_made(transport)  # type: ignore[arg-type]
-    took = []
-    for number in range(count + 1):
+    cpu_us = []
+    for round_number in range(count + 1):
         commands = requests(REQUESTS, keys)
-        commands = [one.replace(b"-0\r\n", b"-%d\r\n" % (number % 10)) for one in commands]
+        commands = [one.replace(b"-0\r\n", b"-%d\r\n" % (round_number % 10)) for one in commands]
         before, written = time.process_time(), transport.written
-        if profile is not None and number:
+        if profile is not None and round_number:
             profile.enable()
         for one in commands:
             client.data_received(one)
@@ -144,13 +146,13 @@
                 PENDING.pop().protocol.data_received(ANSWER)
         if profile is not None:
             profile.disable()
-        took.append((time.process_time() - before) / REQUESTS * 1e6)
+        cpu_us.append((time.process_time() - before) / REQUESTS * 1e6)
         assert transport.written - written == REQUESTS, (transport.written - written, REQUESTS)
         await asyncio.sleep(0.01)
     clients.close()
-    host.close()
+    dispatcher.close()
     pool.close()
-    return took[1:]
+    return cpu_us[1:]
 
 
 def main() -> int:
@@ -160,10 +162,10 @@
     parser.add_argument("--nodes", type=int, default=NODES)
     parser.add_argument("--keys", type=int, default=KEYS)
     parser.add_argument("--profile", action="store_true")
-    told = parser.parse_args()
-    profile = cProfile.Profile() if told.profile else None
-    took = uvloop.run(rounds(told.rounds, told.nodes, told.keys, profile))
-    print(f"{median(took):.2f} us a request ({min(took):.2f} to {max(took):.2f}, {len(took)} rounds)")
+    args = parser.parse_args()
+    profile = cProfile.Profile() if args.profile else None
+    cpu_us = uvloop.run(run_rounds(args.rounds, args.nodes, args.keys, profile))
+    print(f"{median(cpu_us):.2f} us a request ({min(cpu_us):.2f} to {max(cpu_us):.2f}, {len(cpu_us)} rounds)")
     if profile is not None:
         pstats.Stats(profile).sort_stats("tottime").print_stats(30)
     return 0
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -498,15 +498,15 @@
     sys.meta_path.insert(0, _Finder(mutant))
 
 
-def seek(mutant: Mutant, seeds: Sequence[int]) -> tuple[int, str]:
+def find_failure(mutant: Mutant, seeds: Sequence[int]) -> tuple[int, str]:
     """The first of these seeds that fails, and how; (0, "") if none does."""
     if mutant.figure:
         from bench.figures import FIGURES
 
         figure = FIGURES[mutant.figure]
         for seed in seeds[:FIGURE_SEEDS]:
-            if (found := figure.play(seed)) > figure.most:
-                return seed, f"{figure.about}: {found:.2f}, over {figure.most:g}"
+            if (found := figure.measure(seed)) > figure.bound:
+                return seed, f"{figure.about}: {found:.2f}, over {figure.bound:g}"
         return 0, ""
     if mutant.test:
         import pytest
@@ -525,7 +525,7 @@
     return 0, ""
 
 
-def _in_a_process(name: str, seeds: int) -> tuple[str, str, float]:
+def _run_mutant_process(name: str, seeds: int) -> tuple[str, str, float]:
     begun = perf_counter()
     command = [sys.executable, "-m", "bench.mutants", "--one", name, "--seeds", str(seeds)]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
@@ -540,22 +540,22 @@
     parser.add_argument("--seeds", type=int, default=SEEDS)
     parser.add_argument("--jobs", type=int, default=8)
     parser.add_argument("--one")
-    told = parser.parse_args()
-    if told.one:
-        plant(told.one)
-        seed, text = seek(MUTANTS[told.one], range(1, told.seeds + 1))
+    args = parser.parse_args()
+    if args.one:
+        plant(args.one)
+        seed, text = find_failure(MUTANTS[args.one], range(1, args.seeds + 1))
         print(f"{seed}\t{text}")
         return 0
     missed = 0
-    with ThreadPoolExecutor(told.jobs) as pool:
-        for name, line, took in pool.map(
-            lambda one: _in_a_process(one, told.seeds), told.names or list(MUTANTS)
+    with ThreadPoolExecutor(args.jobs) as pool:
+        for name, line, elapsed_s in pool.map(
+            lambda one: _run_mutant_process(one, args.seeds), args.names or list(MUTANTS)
         ):
             first, _, text = line.partition("\t")
             found = first.isdigit() and first != "0"
             missed += not found
-            shown = first if found else "NOT FOUND"
-            print(f"| {name} | {MUTANTS[name].about} | {shown} | {text} | {took:.0f} s |", flush=True)
+            outcome = first if found else "NOT FOUND"
+            print(f"| {name} | {MUTANTS[name].about} | {outcome} | {text} | {elapsed_s:.0f} s |", flush=True)
     return 1 if missed else 0
 
 
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -17,7 +17,7 @@
 
 from bench.mutants import plant
 
-BETTER = {"service": 1, "served": 1, "in_aim": 1, "attempts": -1, "fetches": -1, "broken": -1}
+FIGURE_SIGNS = {"service": 1, "served": 1, "in_aim": 1, "attempts": -1, "fetches": -1, "broken": -1}
 """The figures, and whether more is better: worth served of all, tries served and in their aim by first tries,
 attempts at nodes and fetches from the store by first tries, rules and invariants broken."""
 
@@ -48,19 +48,19 @@
     }
 
 
-def _planted(mutant: str) -> None:
+def _plant_mutant(mutant: str) -> None:
     if mutant:
         plant(mutant)
 
 
-def play(
+def play_seeds(
     mutant: str, scenario: str, seeds: Sequence[int], jobs: int, seconds: float = 0.0
 ) -> dict[str, np.ndarray]:
     """Each figure over the seeds, in their order, with the mutant planted; "": the router as it is."""
     context = multiprocessing.get_context("spawn")
-    with ProcessPoolExecutor(jobs, context, _planted, (mutant,)) as pool:
+    with ProcessPoolExecutor(jobs, context, _plant_mutant, (mutant,)) as pool:
         rows = list(pool.map(figures, [scenario] * len(seeds), seeds, [seconds] * len(seeds)))
-    return {name: np.array([row[name] for row in rows]) for name in BETTER}
+    return {name: np.array([row[name] for row in rows]) for name in FIGURE_SIGNS}
 
 
 def main() -> None:
@@ -72,20 +72,30 @@
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--jobs", type=int, default=8)
     parser.add_argument("--for", dest="seconds", type=float, default=0.0)
-    told = parser.parse_args()
-    seeds = range(told.first, told.first + told.seeds)
-    ours = play("", told.scenario, seeds, told.jobs, told.seconds)
-    where = Path(told.scenario).stem
+    args = parser.parse_args()
+    seeds = range(args.first, args.first + args.seeds)
+    baseline = play_seeds("", args.scenario, seeds, args.jobs, args.seconds)
+    stem = Path(args.scenario).stem
     print("| scenario | mutant | figure | as it is | with the mutant | difference | |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
-    for mutant in told.mutants or [""]:
-        other = play(mutant, told.scenario, seeds, told.jobs, told.seconds) if mutant else ours
-        for name, sign in BETTER.items():
-            apart = ours[name] - other[name]
-            error = 1.96 * apart.std(ddof=1) / np.sqrt(len(apart))
-            gain = "gain" if sign * apart.mean() > error else "loss" if -sign * apart.mean() > error else ""
-            means = f"{ours[name].mean():.4f} | {other[name].mean():.4f}"
-            print(f"| {where} | {mutant} | {name} | {means} | {apart.mean():+.4f} ± {error:.4f} | {gain} |")
+    for mutant in args.mutants or [""]:
+        with_mutant = (
+            play_seeds(mutant, args.scenario, seeds, args.jobs, args.seconds) if mutant else baseline
+        )
+        for name, sign in FIGURE_SIGNS.items():
+            difference = baseline[name] - with_mutant[name]
+            error = 1.96 * difference.std(ddof=1) / np.sqrt(len(difference))
+            gain = (
+                "gain"
+                if sign * difference.mean() > error
+                else "loss"
+                if -sign * difference.mean() > error
+                else ""
+            )
+            means = f"{baseline[name].mean():.4f} | {with_mutant[name].mean():.4f}"
+            print(
+                f"| {stem} | {mutant} | {name} | {means} | {difference.mean():+.4f} ± {error:.4f} | {gain} |"
+            )
 
 
 if __name__ == "__main__":
--- a/bench/peer_cost.py
+++ b/bench/peer_cost.py
@@ -39,13 +39,13 @@
 from holdgw.peers.timing import NS_PER_S
 
 PARTS = ("record", "report", "snapshot", "receive", "membership")
-SLOTS, KEYS, SKEW = 8192, 1_000_000, 0.9
+SLOTS, KEYS, ZIPF = 8192, 1_000_000, 0.9
 RATE, SERVERS = 934.0, 96
 SIZES = (50, 100, 200, 400, 760)
 WARM_UP_S, MEMORY_S = 12.0, 15.0
 TICK_NS = int(TICK_S * NS_PER_S)
 REPORT_S = REPORT_TICKS * TICK_S
-MEAN_WAIT, WAIT_SPREAD = 30e6, 8e6  # ns
+MEAN_RESPONSE_TIME_NS, RESPONSE_TIME_DEVIATION_NS = 30e6, 8e6  # ns
 DECAYED_S = 3.6  # seconds of requests that a router's decayed count holds: the half life over log 2
 SEED = 1
 
@@ -62,12 +62,12 @@
 
 def make_load(servers: int) -> Load:
     """Zipf shares of the keys, each key in a slot drawn for it."""
-    lot = random.Random(SEED)
+    rng = random.Random(SEED)
     shares = [0.0] * SLOTS
     for rank in range(1, KEYS + 1):
-        shares[lot.randrange(SLOTS)] += rank**-SKEW
-    whole = sum(shares)
-    shares = [share / whole for share in shares]
+        shares[rng.randrange(SLOTS)] += rank**-ZIPF
+    total = sum(shares)
+    shares = [share / total for share in shares]
     hottest = sorted(enumerate(shares), key=lambda one: -one[1])[:MAX_SLOTS]
     names = [f"10.1.0.{i}:6379" for i in range(servers)]
     return Load(range(SLOTS), list(accumulate(shares)), hottest, names, [hash_server(one) for one in names])
@@ -135,7 +135,7 @@
             self.view.snapshot(self.now)
 
     def _receive_report(self) -> None:
-        data = load_report.encode(self._peers_report())
+        data = load_report.encode(self._peer_report())
         self.bytes["received"] += len(data)
         with self._timed("receive"):
             self.view.receive(load_report.decode(data, self.routers), self.now)
@@ -151,34 +151,34 @@
             count, passed = count + 1, passed + self.random.expovariate(1.0)
         return count
 
-    def _wait(self) -> float:
-        return max(self.random.gauss(MEAN_WAIT, WAIT_SPREAD), 1e6)
+    def _response_time(self) -> float:
+        return max(self.random.gauss(MEAN_RESPONSE_TIME_NS, RESPONSE_TIME_DEVIATION_NS), 1e6)
 
     def _observations(self) -> Observations:
         requests = self._poisson(self.rate * REPORT_S)
         slots = self.random.choices(self.load.slots, cum_weights=self.load.sums, k=requests)
-        waits: dict[str, SampledWait] = {}
+        response_times: dict[str, SampledWait] = {}
         for i in range(requests):
             at = self.now - int((requests - i) / requests * REPORT_S * NS_PER_S)
-            waits[self.random.choice(self.load.servers)] = SampledWait(self._wait(), at)
-        return Observations(waits, Counter(slots))
+            response_times[self.random.choice(self.load.servers)] = SampledWait(self._response_time(), at)
+        return Observations(response_times, Counter(slots))
 
-    def _peers_report(self) -> LoadReport:
+    def _peer_report(self) -> LoadReport:
         requests = self.rate * DECAYED_S
         servers = self.random.sample(self.load.hashes, min(MAX_SERVERS, len(self.load.hashes)))
         samples = (
-            ServerSample(server, int(self._wait()), int(self.random.random() * REPORT_S * NS_PER_S))
+            ServerSample(server, int(self._response_time()), int(self.random.random() * REPORT_S * NS_PER_S))
             for server in servers
         )
         slots = {slot: round(share * requests) for slot, share in self.load.hottest}
         return LoadReport(self._peer(), 1, tuple(samples), round(requests), slots)
 
 
-def held_bytes(made: Callable[[], ControlPart]) -> int:
+def held_bytes(make_control: Callable[[], ControlPart]) -> int:
     """Memory that code of holdgw/peers holds after a run."""
     tracemalloc.start()
     try:
-        control = made()
+        control = make_control()
         control.run(MEMORY_S)
         traces = tracemalloc.take_snapshot().filter_traces([tracemalloc.Filter(True, "*/holdgw/peers/*")])
         return sum(one.size for one in traces.statistics("filename"))
@@ -204,19 +204,23 @@
             "servers": len(load.servers),
             "cpu_ms_per_s": {part: round(spent, 4) for part, spent in cpu.items()},
             "cpu_ms_per_s_total": round(sum(cpu.values()), 4),
-            "bytes_per_s": {way: round(control.bytes[way] / seconds, 1) for way in ("sent", "received")},
+            "bytes_per_s": {
+                direction: round(control.bytes[direction] / seconds, 1) for direction in ("sent", "received")
+            },
             "memory_bytes": memory,
             "routers_in_view": control.view.routers,
             "tables": control.view.tables(),
         }
 
 
-def show(rows: list[dict[str, Any]]) -> str:
+def format_row(rows: list[dict[str, Any]]) -> str:
     """One line for a size: medians of the rounds."""
     first = rows[0]
     cells = [median(row["cpu_ms_per_s"][part] for row in rows) for part in PARTS]
     cells.append(median(row["cpu_ms_per_s_total"] for row in rows))
-    sent, received = (median(row["bytes_per_s"][way] for row in rows) for way in ("sent", "received"))
+    sent, received = (
+        median(row["bytes_per_s"][direction] for row in rows) for direction in ("sent", "received")
+    )
     return (
         f"| {first['routers']} | "
         + " | ".join(f"{cell:.2f}" for cell in cells)
@@ -227,25 +231,27 @@
 
 def main() -> None:
     """Measure and print a table; medians of the rounds."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--routers", type=int, nargs="+", default=SIZES)
-    words.add_argument("--rate", type=float, default=RATE, help="requests a second at the router")
-    words.add_argument("--servers", type=int, default=SERVERS)
-    words.add_argument("--seconds", type=float, default=30.0, help="simulated, after the warm-up")
-    words.add_argument("--rounds", type=int, default=3)
-    words.add_argument("--json", type=Path)
-    told = words.parse_args()
-    load = make_load(told.servers)
-    print(f"CPU ms by simulated second | {told.rate:g} requests a second, {told.servers} servers")
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--routers", type=int, nargs="+", default=SIZES)
+    parser.add_argument("--rate", type=float, default=RATE, help="requests a second at the router")
+    parser.add_argument("--servers", type=int, default=SERVERS)
+    parser.add_argument("--seconds", type=float, default=30.0, help="simulated, after the warm-up")
+    parser.add_argument("--rounds", type=int, default=3)
+    parser.add_argument("--json", type=Path)
+    args = parser.parse_args()
+    load = make_load(args.servers)
+    print(f"CPU ms by simulated second | {args.rate:g} requests a second, {args.servers} servers")
     print(f"| routers | {' | '.join(PARTS)} | total | of a core | sent B/s | received B/s | KB | in view |")
     print("| --- " * (len(PARTS) + 7) + "|")
     found = []
-    for routers in told.routers:
-        rows = list(measure(load, routers, told.rate, told.seconds, told.rounds))
+    for routers in args.routers:
+        rows = list(measure(load, routers, args.rate, args.seconds, args.rounds))
         found += rows
-        print(show(rows), flush=True)
-    if told.json is not None:
-        told.json.write_text("".join(json.dumps(row) + "\n" for row in found))
+        print(format_row(rows), flush=True)
+    if args.json is not None:
+        args.json.write_text("".join(json.dumps(row) + "\n" for row in found))
 
 
 if __name__ == "__main__":
--- a/bench/router_core.py
+++ b/bench/router_core.py
@@ -64,13 +64,13 @@
     def __init__(self) -> None:
         self._started: list[Any] = []
 
-    def start(self, serve: Callable[..., None], *words: Any) -> Any:
+    def start(self, serve: Callable[..., None], *arguments: Any) -> Any:
         """Start one; returns what it says first."""
-        mine, its = CONTEXT.Pipe()
-        child = CONTEXT.Process(target=serve, args=(its, *words), daemon=True)
+        parent_end, child_end = CONTEXT.Pipe()
+        child = CONTEXT.Process(target=serve, args=(child_end, *arguments), daemon=True)
         child.start()
         self._started.append(child)
-        return mine.recv()
+        return parent_end.recv()
 
     def kill(self) -> None:
         """Kill all."""
@@ -114,8 +114,8 @@
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.other: RelaySide | None = None
-        self.before = bytearray()
+        self.peer: RelaySide | None = None
+        self.buffered = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport."""
@@ -123,15 +123,15 @@
 
     def data_received(self, data: bytes) -> None:
         """Hand it on."""
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.write(data)
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.write(data)
         else:
-            self.before += data
+            self.buffered += data
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Both end together."""
-        if self.other is not None and self.other.transport is not None:
-            self.other.transport.abort()
+        if self.peer is not None and self.peer.transport is not None:
+            self.peer.transport.abort()
 
 
 def serve_relay(
@@ -147,9 +147,9 @@
 
         async def join(side: RelaySide, target: Address) -> None:
             _, other = await loop.create_connection(RelaySide, *target)
-            side.other, other.other = other, side
+            side.peer, other.peer = other, side
             assert other.transport is not None
-            other.transport.write(bytes(side.before))
+            other.transport.write(bytes(side.buffered))
 
         def accept() -> RelaySide:
             nonlocal turn
@@ -167,49 +167,49 @@
     uvloop.run(serve())
 
 
-class Caller(asyncio.Protocol):
+class LoadConnection(asyncio.Protocol):
     """One connection: a request at a time, at once again or evenly spaced."""
 
-    def __init__(self, calls: Calls) -> None:
-        self.calls = calls
+    def __init__(self, generator: LoadGenerator) -> None:
+        self.generator = generator
         self.transport: asyncio.Transport | None = None
         self.reader = hiredis.Reader()
         self.sent = 0.0
-        self.waits = False  # for an answer: there is exactly one to each request
+        self.awaiting_answer = False  # for an answer: there is exactly one to each request
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         """Send the next request."""
         if self.transport is not None and not self.transport.is_closing():
-            self.sent, self.waits = time.perf_counter(), True
-            self.transport.write(self.calls.next())
+            self.sent, self.awaiting_answer = time.perf_counter(), True
+            self.transport.write(self.generator.next())
 
     def data_received(self, data: bytes) -> None:
         """Count an answer."""
         self.reader.feed(data)
         while (reply := self.reader.gets()) is not False:
             good = isinstance(reply, bytes) or (isinstance(reply, list) and isinstance(reply[0], bytes))
-            if not self.waits:
-                self.calls.lost += 1
+            if not self.awaiting_answer:
+                self.generator.lost += 1
                 continue
-            self.waits = False
-            self.calls.answered(self, good, time.perf_counter() - self.sent)
+            self.awaiting_answer = False
+            self.generator.answered(self, good, time.perf_counter() - self.sent)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The server closed."""
-        self.calls.lost += 1
+        self.generator.lost += 1
 
 
-class Calls:
+class LoadGenerator:
     """All of a process's connections. `rate` 0: as fast as they are answered."""
 
     def __init__(self, name: str, rate: float) -> None:
         self.rate, self.good, self.bad, self.lost = rate, 0, 0, 0
-        self.took: list[float] = []
-        self.free: list[Caller] = []
+        self.latencies: list[float] = []
+        self.free: list[LoadConnection] = []
         self.missed = 0  # requests that found no free connection at their time
         self.counting = False
         self._name, self._number = name, 0
@@ -224,19 +224,19 @@
         key = b"pkg-%06d" % (self._number * 7919 % KEYS)
         return b"*4\r\n$6\r\nKV.GET\r\n$10\r\n%b\r\n$%d\r\n%b\r\n%b" % (key, len(name), name, self._info)
 
-    def answered(self, caller: Caller, good: bool, took: float) -> None:
+    def answered(self, connection: LoadConnection, good: bool, latency: float) -> None:
         """An answer came."""
         if self.counting:
             self.good += good
             self.bad += not good
-            self.took.append(took)
+            self.latencies.append(latency)
         if self.rate:
-            self.free.append(caller)
+            self.free.append(connection)
         else:
-            caller.ask()
+            connection.send_request()
 
 
-def call(
+def run_clients(
     pipe: Connection,
     name: str,
     target: Address,
@@ -248,46 +248,48 @@
     """A process of clients; sends what it counted through the pipe."""
     bind_to(cores)
 
-    async def work() -> None:
+    async def run() -> None:
         loop = asyncio.get_running_loop()
-        calls = Calls(name, rate)
-        callers = []
+        generator = LoadGenerator(name, rate)
+        open_connections = []
         for _ in range(connections):
-            _, caller = await loop.create_connection(lambda: Caller(calls), *target)
-            callers.append(caller)
+            _, connection = await loop.create_connection(lambda: LoadConnection(generator), *target)
+            open_connections.append(connection)
         pacer = None
         if rate:
-            calls.free = list(callers)
-            pacer = loop.create_task(pace(calls))
+            generator.free = list(open_connections)
+            pacer = loop.create_task(send_evenly(generator))
         else:
-            for caller in callers:
-                caller.ask()
+            for connection in open_connections:
+                connection.send_request()
         await asyncio.sleep(WARM_UP_S)
         pipe.send("warm")
-        calls.counting = True
+        generator.counting = True
         begun = time.perf_counter()
         await asyncio.sleep(seconds)
-        calls.counting = False
+        generator.counting = False
         span = time.perf_counter() - begun
         if pacer is not None:
             pacer.cancel()
-        calls.took.sort()
-        pipe.send((calls.good, calls.bad, calls.lost, calls.missed, span, calls.took))
+        generator.latencies.sort()
+        pipe.send(
+            (generator.good, generator.bad, generator.lost, generator.missed, span, generator.latencies)
+        )
 
-    uvloop.run(work())
+    uvloop.run(run())
 
 
-async def pace(calls: Calls) -> None:
+async def send_evenly(generator: LoadGenerator) -> None:
     """Ask evenly, whether or not answers come: a free connection takes each."""
     begun, made = time.perf_counter(), 0
     while True:
-        due = int((time.perf_counter() - begun) * calls.rate)
+        due = int((time.perf_counter() - begun) * generator.rate)
         while made < due:
             made += 1
-            if calls.free:
-                calls.free.pop(0).ask()
+            if generator.free:
+                generator.free.pop(0).send_request()
             else:
-                calls.missed += calls.counting
+                generator.missed += generator.counting
         await asyncio.sleep(0.001)
 
 
@@ -321,29 +323,37 @@
     """Run the clients, a process on each of these cores, against a server, and read what it took."""
     pipes, children = [], []
     for i in range(len(cores)):
-        mine, its = CONTEXT.Pipe()
+        parent_end, child_end = CONTEXT.Pipe()
         part = connections // len(cores)
-        words = (its, f"{what[0]}{load[0]}{i}", target, part, rate / len(cores), seconds, {cores[i]})
-        child = CONTEXT.Process(target=call, args=words)
+        arguments = (
+            child_end,
+            f"{what[0]}{load[0]}{i}",
+            target,
+            part,
+            rate / len(cores),
+            seconds,
+            {cores[i]},
+        )
+        child = CONTEXT.Process(target=run_clients, args=arguments)
         child.start()
-        pipes.append(mine)
+        pipes.append(parent_end)
         children.append(child)
     for pipe in pipes:
         assert pipe.recv() == "warm"
     before = sum(map(cpu_seconds, pids))
     time.sleep(seconds)
     after, memory = sum(map(cpu_seconds, pids)), sum(map(resident_bytes, pids)) / (1 << 20)
-    told = [pipe.recv() for pipe in pipes]
+    results = [pipe.recv() for pipe in pipes]
     for child in children:
         child.join()
-    good = sum(one[0] for one in told)
-    took = sorted(value for one in told for value in one[5])
-    span = sum(one[4] for one in told) / len(told)
+    good = sum(one[0] for one in results)
+    latencies = sorted(value for one in results for value in one[5])
+    span = sum(one[4] for one in results) / len(results)
 
     def quantile(q: float) -> float:
-        return took[min(int(q * len(took)), len(took) - 1)] * 1000 if took else 0.0
+        return latencies[min(int(q * len(latencies)), len(latencies) - 1)] * 1000 if latencies else 0.0
 
-    answers = max(len(took), 1)
+    answers = max(len(latencies), 1)
     return Figures(
         what,
         load,
@@ -354,12 +364,12 @@
         round(quantile(0.99), 3),
         round(quantile(0.999), 3),
         round(memory, 1),
-        sum(one[1] + one[2] for one in told),
-        sum(one[3] for one in told),
+        sum(one[1] + one[2] for one in results),
+        sum(one[3] for one in results),
     )
 
 
-class Nobody:
+class NullRecorder:
     """A witness that keeps nothing."""
 
     def saw(self, record: Record) -> None:
@@ -372,15 +382,15 @@
         """Drop it."""
 
 
-def serve_discovery(pipe: Connection, places: list[Address], cores: set[int]) -> None:
+def serve_discovery(pipe: Connection, node_addresses: list[Address], cores: set[int]) -> None:
     """A process of discovery."""
     bind_to(cores)
 
     async def serve() -> None:
-        entries = [Entry(f"node{i:03d}", State.UP, "lozenets", NODE_KIND) for i in range(len(places))]
+        entries = [Entry(f"node{i:03d}", State.UP, "lozenets", NODE_KIND) for i in range(len(node_addresses))]
         model = DiscoveryModel(entries, [ROUTER], lambda *_: 0.0, time.monotonic())
-        where: Callable[[str, str], Address] = lambda _, server: places[int(server[4:])]  # noqa: E731
-        server = DiscoveryServer(model, [ROUTER], where, Nobody(), time.monotonic)
+        address_of: Callable[[str, str], Address] = lambda _, server: node_addresses[int(server[4:])]  # noqa: E731
+        server = DiscoveryServer(model, [ROUTER], address_of, NullRecorder(), time.monotonic)
         addresses = await server.start()
         pipe.send((addresses[ROUTER], server.form(ROUTER, True, entries)))
         await asyncio.Event().wait()
@@ -399,11 +409,11 @@
     """A router, bound to these cores: the deploy file's `run`, or another command with other limits."""
     address = free_address("127.0.0.1")
     scenario = load_scenario("quiet")
-    told = configuration(scenario, 1, ROUTER, 1, address, discovery, known)
+    configured = configuration(scenario, 1, ROUTER, 1, address, discovery, known)
     if limits is not None:
-        told["limits"] = limits
+        configured["limits"] = limits
     path = folder / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(configured))
 
     environment = {**os.environ, "LB_CONFIG": str(path)}
     deploy = ROOT / "deploy/balancer.toml"
@@ -417,35 +427,37 @@
     )
     due = time.monotonic() + 30
     while time.monotonic() < due and process.poll() is None:
-        if pings(address):
+        if answers_ping(address):
             return process, address
         time.sleep(0.05)
     raise SystemExit("the router did not get ready")
 
 
-def pings(address: Address) -> bool:
+def answers_ping(address: Address) -> bool:
     """Whether PING is answered with PONG."""
     try:
-        with socket.create_connection(address, timeout=1) as line:
-            line.sendall(b"*1\r\n$4\r\nPING\r\n")
-            return line.recv(64).startswith(b"+PONG")
+        with socket.create_connection(address, timeout=1) as connection:
+            connection.sendall(b"*1\r\n$4\r\nPING\r\n")
+            return connection.recv(64).startswith(b"+PONG")
     except OSError:
         return False
 
 
 def main() -> None:
     """Measure and print."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--seconds", type=float, default=3.0)
-    words.add_argument("--rounds", type=int, default=3, help="relay and router take turns so often")
-    words.add_argument("--connections", type=int, default=96)
-    words.add_argument("--json", type=Path)
-    told = words.parse_args()
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seconds", type=float, default=3.0)
+    parser.add_argument("--rounds", type=int, default=3, help="relay and router take turns so often")
+    parser.add_argument("--connections", type=int, default=96)
+    parser.add_argument("--json", type=Path)
+    args = parser.parse_args()
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 2 + NODE_PROCESSES + CLIENT_PROCESSES:
         raise SystemExit(f"needs {2 + NODE_PROCESSES + CLIENT_PROCESSES} cores, has {len(cores)}")
     # A router's clients may hold half of its descriptors, two fifths of that between requests.
-    limits = {"memory_mb": 192, "sockets": max(1024, 8 * told.connections)}
+    limits = {"memory_mb": 192, "sockets": max(1024, 8 * args.connections)}
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
     client_cores = cores[1 : 1 + CLIENT_PROCESSES]
     node_cores = cores[1 + CLIENT_PROCESSES :]
@@ -453,21 +465,21 @@
     router: subprocess.Popen[bytes] | None = None
     figures: list[Figures] = []
     try:
-        places: list[Address] = []
+        node_addresses: list[Address] = []
         for i in range(NODE_PROCESSES):
-            places += [
+            node_addresses += [
                 (h, p) for h, p in children.start(serve_nodes, NODES // NODE_PROCESSES, {node_cores[i]})
             ]
-        relay_pid, relay = children.start(serve_relay, places, {cores[0]})
-        discovery, known = children.start(serve_discovery, places, {node_cores[-1]})
+        relay_pid, relay = children.start(serve_relay, node_addresses, {cores[0]})
+        discovery, known = children.start(serve_discovery, node_addresses, {node_cores[-1]})
         with tempfile.TemporaryDirectory() as folder:
             router, address = start_router(Path(folder), discovery, known, {cores[0]}, limits=limits)
             turns = (("relay", relay_pid, relay), ("router", router.pid, address))
-            for what, pid, target in turns * told.rounds:
-                full = measure(what, "full", [pid], target, told.connections, 0.0, told.seconds, client_cores)
+            for what, pid, target in turns * args.rounds:
+                full = measure(what, "full", [pid], target, args.connections, 0.0, args.seconds, client_cores)
                 rate = full.per_s / 2
                 half = measure(
-                    what, "half", [pid], target, told.connections, rate, told.seconds, client_cores
+                    what, "half", [pid], target, args.connections, rate, args.seconds, client_cores
                 )
                 figures += [full, half]
     finally:
@@ -476,8 +488,8 @@
             router.wait()
         children.kill()
     show(figures)
-    if told.json is not None:
-        told.json.write_text(json.dumps([{k: getattr(one, k) for k in Figures.__slots__} for one in figures]))
+    if args.json is not None:
+        args.json.write_text(json.dumps([{k: getattr(one, k) for k in Figures.__slots__} for one in figures]))
 
 
 def show(figures: list[Figures], with_ratio: bool = True) -> None:
@@ -494,8 +506,8 @@
         return
     full = [one.per_s for one in figures if one.load == "full"]
     ratios = sorted(router / relay for relay, router in zip(full[::2], full[1::2], strict=True))
-    told = ", ".join(f"{ratio:.3f}" for ratio in ratios)
-    console.print(f"router over relay, median of rounds: {ratios[len(ratios) // 2]:.3f} ({told})")
+    listed = ", ".join(f"{ratio:.3f}" for ratio in ratios)
+    console.print(f"router over relay, median of rounds: {ratios[len(ratios) // 2]:.3f} ({listed})")
 
 
 if __name__ == "__main__":
--- a/bench/slopes_membership.py
+++ b/bench/slopes_membership.py
@@ -8,7 +8,7 @@
 import statistics
 
 from bench.capacity_model import Measurement, Scale
-from bench.membership import falsely, learn_of_deaths
+from bench.membership import false_suspicions, learn_of_deaths
 from bench.slopes import REPEATS, ROUTERS, Readings, bytes_of, measurement
 from bench.slopes_tier import knows_all, make, timed
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
@@ -46,7 +46,7 @@
 
 def wrong(readings: Readings, size: int, seed: int) -> None:
     """False suspicions and deaths an hour and router: 5 % lost, a tenth of the routers slow."""
-    found = falsely(size, seed, FALSELY_S)
+    found = false_suspicions(size, seed, FALSELY_S)
     readings.add("well ones suspected", size, found["suspected"] / size)
     readings.add("slow ones suspected", size, found["of slow"] / size)
     readings.add("held for gone falsely", size, found["gone"] / size)
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -35,8 +35,8 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 WINDOW_S = 5.0
-AFTER_S = 5.0  # from a trouble's end on until the load has to be level again
-DAY = """
+SETTLE_S = 5.0  # from a trouble's end on until the load has to be level again
+SCENARIO = """
 name = "spread"
 length_s = {length}
 [load]
@@ -51,66 +51,66 @@
 [peers]
 allowed = {peers}
 """
-KEPT = (
+REPORT_FIELDS = (
     "service", "asked", "served", "in_aim", "refused", "failed", "origin_fetches", "attempts", "rules",
     "starved",
 )  # of the report  # fmt: skip
-BEGIN, LENGTH, PAUSE = 10.0, 35.0, 10.0  # of the trouble, of the day, and how long most troubles last
+FAULT_AT_S, RUN_S, FAULT_S = 10.0, 35.0, 10.0  # of the trouble, of the day, and how long most troubles last
 
 
 class Case(NamedTuple):
     """A trouble, and when it is over."""
 
-    troubles: str = ""
-    over: float = BEGIN + PAUSE
-    length: float = LENGTH
+    faults: str = ""
+    settled_from: float = FAULT_AT_S + FAULT_S
+    length: float = RUN_S
 
 
-def trouble(kind: str, at: float = BEGIN, **fields: Any) -> str:
+def fault_table(kind: str, at: float = FAULT_AT_S, **fields: Any) -> str:
     """A table of the scenario file."""
-    words = "".join(f"{name} = {orjson.dumps(value).decode()}\n" for name, value in fields.items())
-    return f'[[trouble]]\nkind = "{kind}"\nat = {at}\n{words}'
+    lines = "".join(f"{name} = {orjson.dumps(value).decode()}\n" for name, value in fields.items())
+    return f'[[trouble]]\nkind = "{kind}"\nat = {at}\n{lines}'
 
 
-def leaving(nodes: int) -> str:
+def drain_third(nodes: int) -> str:
     """A third of the nodes leaves within 5 s."""
     third = nodes // 3
     return "".join(
-        trouble("drain", BEGIN + i * 0.5, nodes=third // 10 + (i < third % 10), seconds=0.6)
+        fault_table("drain", FAULT_AT_S + i * 0.5, nodes=third // 10 + (i < third % 10), seconds=0.6)
         for i in range(10)
     )
 
 
 def cases(routers: int, nodes: int) -> dict[str, Case]:
     """What is played, by name."""
-    cut = trouble("partition", 5.0, seconds=20, zone="mladost", nodes=0)
-    own = "".join(
-        trouble("hot_key", 5.0, seconds=20, share=0.1, zone=zone) for zone in ("mladost", "lozenets")
+    cut = fault_table("partition", 5.0, seconds=20, zone="mladost", nodes=0)
+    hot_keys = "".join(
+        fault_table("hot_key", 5.0, seconds=20, share=0.1, zone=zone) for zone in ("mladost", "lozenets")
     )
     return {
-        "quiet": Case(over=BEGIN - AFTER_S),
-        "a key of 10 %": Case(trouble("hot_key", seconds=PAUSE, share=0.1)),
-        "ten keys of 3 %": Case(trouble("hot_key", seconds=PAUSE, share=0.3, keys=10)),
-        "one says it is idle": Case(trouble("false_report", seconds=25, says="idle"), BEGIN),
-        "one says it is full": Case(trouble("false_report", seconds=25, says="full"), BEGIN),
-        "one's reports stand still": Case(trouble("false_report", seconds=25, says="still"), BEGIN),
+        "quiet": Case(settled_from=FAULT_AT_S - SETTLE_S),
+        "a key of 10 %": Case(fault_table("hot_key", seconds=FAULT_S, share=0.1)),
+        "ten keys of 3 %": Case(fault_table("hot_key", seconds=FAULT_S, share=0.3, keys=10)),
+        "one says it is idle": Case(fault_table("false_report", seconds=25, says="idle"), FAULT_AT_S),
+        "one says it is full": Case(fault_table("false_report", seconds=25, says="full"), FAULT_AT_S),
+        "one's reports stand still": Case(fault_table("false_report", seconds=25, says="still"), FAULT_AT_S),
         "a tenth frozen for 3 s": Case(
-            trouble("freeze", seconds=3, routers=max(routers // 10, 1)), BEGIN + 3.0
+            fault_table("freeze", seconds=3, routers=max(routers // 10, 1)), FAULT_AT_S + 3.0
         ),
-        "a zone cut off for 20 s": Case(cut + own, 25.0, 40.0),
-        "five join cold": Case(trouble("cold_start", nodes=5), BEGIN + 9.0),
-        "a third leaves in 5 s": Case(leaving(nodes), BEGIN + 5.0),
+        "a zone cut off for 20 s": Case(cut + hot_keys, 25.0, 40.0),
+        "five join cold": Case(fault_table("cold_start", nodes=5), FAULT_AT_S + 9.0),
+        "a third leaves in 5 s": Case(drain_third(nodes), FAULT_AT_S + 5.0),
         "one router has 25 %": Case(
-            trouble("hot_caller", 0.0, seconds=LENGTH, share=0.25, routers=1), BEGIN - AFTER_S
+            fault_table("hot_caller", 0.0, seconds=RUN_S, share=0.25, routers=1), FAULT_AT_S - SETTLE_S
         ),
         "a quarter of the routers has none": Case(
-            trouble("hot_caller", 0.0, seconds=LENGTH, share=1.0, routers=ceil(routers * 0.75)),
-            BEGIN - AFTER_S,
+            fault_table("hot_caller", 0.0, seconds=RUN_S, share=1.0, routers=ceil(routers * 0.75)),
+            FAULT_AT_S - SETTLE_S,
         ),
     }
 
 
-class Begun(NamedTuple):
+class StartedWork(NamedTuple):
     """Work that a node began."""
 
     at: float
@@ -118,97 +118,103 @@
     work: float
 
 
-def there(day: Schedule, since: float, until: float) -> list[str]:
+def available_nodes(schedule: Schedule, since: float, until: float) -> list[str]:
     """The nodes that are listed and warm for the whole of that time."""
-    names = set(node_names(day.scenario.fleet))
-    for step in day.faults:
-        if step.verb == "create" and step.at + day.scenario.node.warm_s <= since:
+    names = set(node_names(schedule.scenario.fleet))
+    for step in schedule.faults:
+        if step.verb == "create" and step.at + schedule.scenario.node.warm_s <= since:
             names.add(step.target)
         elif step.verb in ("drain", "kill") and step.at < until:
             names.discard(step.target)
     return sorted(names)
 
 
-def over_mean(work: Mapping[str, float], names: Sequence[str]) -> tuple[float, float]:
+def extremes_over_mean(work: Mapping[str, float], names: Sequence[str]) -> tuple[float, float]:
     """The busiest and the idlest of some nodes, over their mean."""
-    found = [work.get(name, 0.0) for name in names]
-    mean = sum(found) / len(found)
-    return (max(found) / mean, min(found) / mean) if mean else (0.0, 0.0)
+    amounts = [work.get(name, 0.0) for name in names]
+    mean = sum(amounts) / len(amounts)
+    return (max(amounts) / mean, min(amounts) / mean) if mean else (0.0, 0.0)
 
 
-def summed(begun: Sequence[Begun], since: float, until: float) -> dict[str, float]:
+def work_by_node(begun: Sequence[StartedWork], since: float, until: float) -> dict[str, float]:
     """Work by node within a time."""
-    found: dict[str, float] = defaultdict(float)
+    totals: dict[str, float] = defaultdict(float)
     for one in begun:
         if since <= one.at < until:
-            found[one.node] += one.work
-    return found
+            totals[one.node] += one.work
+    return totals
 
 
-def idle_longest(begun: Sequence[Begun], day: Schedule, since: float, until: float) -> float:
+def longest_underloaded(
+    begun: Sequence[StartedWork], schedule: Schedule, since: float, until: float
+) -> float:
     """For how many seconds on end some node's last five were under half of the mean."""
-    by_second: dict[int, list[Begun]] = defaultdict(list)
+    by_second: dict[int, list[StartedWork]] = defaultdict(list)
     for one in begun:
         by_second[int(one.at)].append(one)
     runs: dict[str, int] = defaultdict(int)
     longest = 0
     for second in range(int(since), int(until)):
-        span = range(second - int(WINDOW_S) + 1, second + 1)
-        work = summed([one for i in span for one in by_second[i]], span[0], second + 1)
-        names = there(day, span[0], second + 1)
+        window = range(second - int(WINDOW_S) + 1, second + 1)
+        work = work_by_node([one for i in window for one in by_second[i]], window[0], second + 1)
+        names = available_nodes(schedule, window[0], second + 1)
         half = sum(work.get(name, 0.0) for name in names) / len(names) / 2
         runs = defaultdict(int, {name: runs[name] + 1 for name in names if work.get(name, 0.0) < half})
         longest = max(longest, *runs.values(), 0)
     return float(longest)
 
 
-def spread(begun: Sequence[Begun], day: Schedule, over: float) -> dict[str, Any]:
+def spread(begun: Sequence[StartedWork], schedule: Schedule, settled_from: float) -> dict[str, Any]:
     """The windows, and all from when the load has to be level again."""
-    length = day.scenario.length_s
-    since = over + AFTER_S
+    length = schedule.scenario.length_s
+    since = settled_from + SETTLE_S
     rows = []
     for i in range(int(length / WINDOW_S)):
         first, last = i * WINDOW_S, (i + 1) * WINDOW_S
-        busiest, idlest = over_mean(summed(begun, first, last), there(day, first, last))
+        busiest, idlest = extremes_over_mean(
+            work_by_node(begun, first, last), available_nodes(schedule, first, last)
+        )
         rows.append({"busiest": busiest, "idlest": idlest})
-    busiest, idlest = over_mean(summed(begun, since, length), there(day, since, length))
-    longest = idle_longest(begun, day, since, length)
+    busiest, idlest = extremes_over_mean(
+        work_by_node(begun, since, length), available_nodes(schedule, since, length)
+    )
+    longest = longest_underloaded(begun, schedule, since, length)
     return {"windows": rows, "busiest": busiest, "idlest": idlest, "idle_longest": longest}
 
 
-def work_begun(played: RunResult) -> list[Begun]:
+def started_work(result: RunResult) -> list[StartedWork]:
     """What nodes began on the day."""
     return [
-        Begun(one.at - played.begun, one.server, one.work)
-        for one in played.history.attempts
-        if one.server != ORIGIN and one.at >= played.begun and one.result in ("hit", "miss", "pending")
+        StartedWork(one.at - result.begun, one.server, one.work)
+        for one in result.history.attempts
+        if one.server != ORIGIN and one.at >= result.begun and one.result in ("hit", "miss", "pending")
     ]
 
 
-def floors(day: Schedule) -> dict[str, list[Begun]]:
+def baselines(schedule: Schedule) -> dict[str, list[StartedWork]]:
     """The same asks as an all-knowing placement, and as pure chance, would lay them out."""
-    work = workload(day.scenario, day.seed)
-    classes = day.scenario.classes
-    rng = random.Random(day.seed)
+    work = workload(schedule.scenario, schedule.seed)
+    classes = schedule.scenario.classes
+    rng = random.Random(schedule.seed)
     by_window: dict[int, list[tuple[float, float]]] = defaultdict(list)
-    for ask in day.requests:
-        if ask.at >= 0 and classes[ask.request_class].effect == "safe":
-            name = classes[ask.request_class].name
-            cost = work.work(name, b"%d" % ask.number, "any")
-            by_window[int(ask.at / WINDOW_S)].append((cost, ask.at))
-    found: dict[str, list[Begun]] = {"placed": [], "chance": []}
-    for i, asks in by_window.items():
-        names = there(day, i * WINDOW_S, (i + 1) * WINDOW_S)
+    for request in schedule.requests:
+        if request.at >= 0 and classes[request.request_class].effect == "safe":
+            name = classes[request.request_class].name
+            cost = work.work(name, b"%d" % request.number, "any")
+            by_window[int(request.at / WINDOW_S)].append((cost, request.at))
+    layouts: dict[str, list[StartedWork]] = {"placed": [], "chance": []}
+    for i, requests in by_window.items():
+        names = available_nodes(schedule, i * WINDOW_S, (i + 1) * WINDOW_S)
         placed = dict.fromkeys(names, 0.0)
-        for cost, at in sorted(asks, reverse=True):
-            emptiest = min(names, key=placed.__getitem__)
-            placed[emptiest] += cost
-            found["placed"].append(Begun(at, emptiest, cost))
-            found["chance"].append(Begun(at, rng.choice(names), cost))
-    return found
+        for cost, at in sorted(requests, reverse=True):
+            least_loaded = min(names, key=placed.__getitem__)
+            placed[least_loaded] += cost
+            layouts["placed"].append(StartedWork(at, least_loaded, cost))
+            layouts["chance"].append(StartedWork(at, rng.choice(names), cost))
+    return layouts
 
 
-def plotted(results: dict[str, dict[str, Any]], path: Path) -> None:
+def plot(results: dict[str, dict[str, Any]], path: Path) -> None:
     """The picture."""
     mpl.use("svg")
     mpl.rcParams.update({"svg.hashsalt": "holdgw", "svg.fonttype": "none", "font.size": 8})
@@ -222,12 +228,14 @@
     styles = {"reports alone": "C3", "peers": "C0", "placed": "0.5", "chance": "0.75"}
     for ax in axes.flat[len(results) :]:
         ax.set_axis_off()
-    for ax, (case, ways) in zip(axes.flat, results.items(), strict=False):
-        for way, found in ways.items():
+    for ax, (case, variants) in zip(axes.flat, results.items(), strict=False):
+        for variant, found in variants.items():
             at = [i * WINDOW_S for i in range(len(found["windows"]))]
-            for which, dash in (("busiest", "-"), ("idlest", "--")):
-                label = way if which == "busiest" else None
-                ax.plot(at, [row[which] for row in found["windows"]], dash, color=styles[way], label=label)
+            for extreme, dash in (("busiest", "-"), ("idlest", "--")):
+                label = variant if extreme == "busiest" else None
+                ax.plot(
+                    at, [row[extreme] for row in found["windows"]], dash, color=styles[variant], label=label
+                )
         ax.set_title(case, size=8)
     axes[0][0].set_ylim(0.0, 4.5)
     axes[0][0].legend(ncol=2, loc="upper right", fontsize=7)
@@ -237,40 +245,40 @@
     plt.close(figure)
 
 
-def played_day(text: str, seed: int, deploy: Path, logs: Path | None = None) -> RunResult:
+def run_schedule(text: str, seed: int, deploy: Path, logs: Path | None = None) -> RunResult:
     """Play a day with the program of a deploy file's checkout."""
-    day = draw_schedule(read_scenario(text, "bench"), seed)
+    schedule = draw_schedule(read_scenario(text, "bench"), seed)
 
-    async def scene() -> RunResult:
+    async def run() -> RunResult:
         root = deploy.absolute().parent.parent
-        return await asyncio.wait_for(play(day, run_command(deploy), root, keep_logs=logs), 600.0)
+        return await asyncio.wait_for(play(schedule, run_command(deploy), root, keep_logs=logs), 600.0)
 
-    return uvloop.run(scene())
+    return uvloop.run(run())
 
 
-def once(text: str, seed: int, deploy: Path, over: float) -> tuple[dict[str, Any], Schedule]:
+def measure_case(text: str, seed: int, deploy: Path, settled_from: float) -> tuple[dict[str, Any], Schedule]:
     """Play a day; returns what is measured of it, and the day."""
-    played = played_day(text, seed, deploy)
-    body = make_report(played).body
+    result = run_schedule(text, seed, deploy)
+    body = make_report(result).body
     found = {
-        **{name: body[name] for name in KEPT},
+        **{name: body[name] for name in REPORT_FIELDS},
         "void": body["void"],
         "lag_worst_ms": body["emulator"]["worst_ms"],
         "start_s": body["laboratory"]["start_s"]["all"],
         "memory_mb": body["laboratory"]["routers_memory_mb"],
         "late": [row["served"] - row["in_aim"] for row in body["windows"]],
-        **spread(work_begun(played), played.day, over),
+        **spread(started_work(result), result.day, settled_from),
     }
-    return found, played.day
+    return found, result.day
 
 
-def shown(case: str, way: str, found: dict[str, Any]) -> str:
+def format_row(case: str, variant: str, found: dict[str, Any]) -> str:
     """A row of the table."""
     if "service" not in found:
-        told = ["-"] * 6
+        cells = ["-"] * 6
     else:
         broken = ", ".join(f"{name} {count}" for name, count in found["rules"].items() if count)
-        told = [
+        cells = [
             f"{found['service']:.3f}",
             f"{found['in_aim'] / found['asked']:.3f}",
             str(found["origin_fetches"]),
@@ -279,8 +287,8 @@
             f"{found['lag_worst_ms']:.0f} ms" if found["void"] else "no",
         ]
     spans = [" ".join(f"{row[name]:.1f}" for row in found["windows"]) for name in ("busiest", "idlest")]
-    level = [f"{found['busiest']:.2f}", f"{found['idlest']:.2f}", f"{found['idle_longest']:.0f}"]
-    return f"| {' | '.join([case, way, *told, *spans, *level])} |"
+    settled = [f"{found['busiest']:.2f}", f"{found['idlest']:.2f}", f"{found['idle_longest']:.0f}"]
+    return f"| {' | '.join([case, variant, *cells, *spans, *settled])} |"
 
 
 COLUMNS = (
@@ -291,42 +299,46 @@
 
 def main() -> None:
     """Measure and print."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--routers", type=int, default=200)
-    words.add_argument("--nodes", type=int, default=100)
-    words.add_argument("--rate", type=float, default=600.0)
-    words.add_argument(
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--routers", type=int, default=200)
+    parser.add_argument("--nodes", type=int, default=100)
+    parser.add_argument("--rate", type=float, default=600.0)
+    parser.add_argument(
         "--speed", type=float, default=0.6, help="of the nodes; at 1 they have a quarter to do"
     )
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--deploy", type=Path, default=ROOT / "deploy/balancer.toml")
-    words.add_argument("--json", type=Path, help="added to: cases played before stay in it")
-    words.add_argument("--svg", type=Path)
-    words.add_argument("cases", nargs="*")
-    told = words.parse_args()
-    build(told.deploy)
-    known = cases(told.routers, told.nodes)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--deploy", type=Path, default=ROOT / "deploy/balancer.toml")
+    parser.add_argument("--json", type=Path, help="added to: cases played before stay in it")
+    parser.add_argument("--svg", type=Path)
+    parser.add_argument("cases", nargs="*")
+    args = parser.parse_args()
+    build(args.deploy)
+    known = cases(args.routers, args.nodes)
     results: dict[str, dict[str, Any]] = {}
-    if told.json is not None and told.json.exists():
-        results = orjson.loads(told.json.read_bytes())
+    if args.json is not None and args.json.exists():
+        results = orjson.loads(args.json.read_bytes())
     print(f"| {' | '.join(COLUMNS)} |\n|{' --- |' * len(COLUMNS)}", flush=True)
-    for case in told.cases or known:
-        one = known[case]
+    for case in args.cases or known:
+        parameters = known[case]
         found = results[case] = {}
-        for way, peers in (("reports alone", "false"), ("peers", "true")):
-            text = DAY.format(
-                length=one.length, rate=told.rate, nodes=told.nodes, routers=told.routers, peers=peers,
-                slowest=told.speed * 0.9, fastest=told.speed * 1.1,
+        for variant, peers in (("reports alone", "false"), ("peers", "true")):
+            text = SCENARIO.format(
+                length=parameters.length, rate=args.rate, nodes=args.nodes, routers=args.routers, peers=peers,
+                slowest=args.speed * 0.9, fastest=args.speed * 1.1,
             )  # fmt: skip
-            found[way], day = once(text + one.troubles, told.seed, told.deploy, one.over)
-            print(shown(case, way, found[way]), flush=True)
-        for way, begun in floors(day).items():
-            found[way] = spread(begun, day, one.over)
-            print(shown(case, way, found[way]), flush=True)
-        if told.json is not None:
-            told.json.write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2))
-    if told.svg is not None:
-        plotted(results, told.svg)
+            found[variant], schedule = measure_case(
+                text + parameters.faults, args.seed, args.deploy, parameters.settled_from
+            )
+            print(format_row(case, variant, found[variant]), flush=True)
+        for variant, started in baselines(schedule).items():
+            found[variant] = spread(started, schedule, parameters.settled_from)
+            print(format_row(case, variant, found[variant]), flush=True)
+        if args.json is not None:
+            args.json.write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2))
+    if args.svg is not None:
+        plot(results, args.svg)
 
 
 if __name__ == "__main__":
--- a/bench/start.py
+++ b/bench/start.py
@@ -21,16 +21,16 @@
 import matplotlib as mpl
 import orjson
 
-from bench.spread import KEPT, played_day, trouble
+from bench.spread import REPORT_FIELDS, fault_table, run_schedule
 from holdgw.harness.deployment import build
 from holdgw.harness.orchestrator import RunResult
 from holdgw.harness.report import make_report
 from holdgw.harness.schedule import ORIGIN
 
 ROOT = Path(__file__).resolve().parent.parent
-KILL, LENGTH, STEP = 10.0, 40.0, 0.1
-CALM, ENOUGH, STEADY_S = (4.0, 10.0), 0.95, 1.0
-DAY = """
+KILL_AT_S, RUN_S, STEP_S = 10.0, 40.0, 0.1
+CALM_SPAN_S, RECOVERED_FRACTION, RECOVERED_FOR_S = (4.0, 10.0), 0.95, 1.0
+SCENARIO = """
 name = "start"
 length_s = {length}
 [load]
@@ -50,81 +50,83 @@
 
 def cases(routers: int, nodes: int) -> dict[str, str]:
     """Troubles, by case."""
-    kill = trouble("router_restart", KILL, routers=routers, together=routers, signal="KILL")
+    kill = fault_table("router_restart", KILL_AT_S, routers=routers, together=routers, signal="KILL")
     return {
         "warm servers": kill,
         "black start": kill
-        + trouble("restart", KILL, nodes=nodes, down_s=0.5)
-        + trouble("origin_down", KILL, seconds=3.0),
-        "list service down for 5 s": kill + trouble("discovery_down", KILL, seconds=5.0),
+        + fault_table("restart", KILL_AT_S, nodes=nodes, down_s=0.5)
+        + fault_table("origin_down", KILL_AT_S, seconds=3.0),
+        "list service down for 5 s": kill + fault_table("discovery_down", KILL_AT_S, seconds=5.0),
     }
 
 
 def by_step(times: Iterable[float]) -> list[int]:
     """Counts by 100 ms from the kill on."""
-    found = Counter(int((at - KILL) / STEP) for at in times if at >= KILL)
-    return [found[i] for i in range(round((LENGTH - KILL) / STEP))]
+    found = Counter(int((at - KILL_AT_S) / STEP_S) for at in times if at >= KILL_AT_S)
+    return [found[i] for i in range(round((RUN_S - KILL_AT_S) / STEP_S))]
 
 
-def recovered(served: list[tuple[float, bool]], calm: float, since: float) -> float:
+def recovery_time(served: list[tuple[float, bool]], calm: float, since: float) -> float:
     """Seconds from then until a second's asks are served as on the calm day; infinity: never."""
-    for i in range(round((LENGTH - since) / STEP) - round(STEADY_S / STEP)):
-        at = since + i * STEP
-        window = [good for when, good in served if at <= when < at + STEADY_S]
-        if window and sum(window) / len(window) >= ENOUGH * calm:
+    for i in range(round((RUN_S - since) / STEP_S) - round(RECOVERED_FOR_S / STEP_S)):
+        at = since + i * STEP_S
+        window = [was_served for when, was_served in served if at <= when < at + RECOVERED_FOR_S]
+        if window and sum(window) / len(window) >= RECOVERED_FRACTION * calm:
             return at - since
     return float("inf")
 
 
-def measured(played: RunResult) -> dict[str, Any]:
+def measure(result: RunResult) -> dict[str, Any]:
     """What a play asked of whom, and when it was well again."""
-    history, begun = played.history, played.begun
-    report = make_report(played)
-    dials: dict[str, list[float]] = {}
+    history, begun = result.history, result.begun
+    report = make_report(result)
+    dials_by_node: dict[str, list[float]] = {}
     for one in history.dials:
-        dials.setdefault(one.server, []).append(one.at - begun)
-    steps = {name: by_step(times) for name, times in dials.items()}
+        dials_by_node.setdefault(one.server, []).append(one.at - begun)
+    steps = {name: by_step(times) for name, times in dials_by_node.items()}
     busiest = max(steps, key=lambda name: max(steps[name]))
-    lives = [life for life in history.lives if life.started - begun >= KILL]
-    last = max((life.started - begun for life in lives), default=KILL)
+    instances = [instance for instance in history.lives if instance.started - begun >= KILL_AT_S]
+    last_started = max((instance.started - begun for instance in instances), default=KILL_AT_S)
     served = [(fate.ask.at, fate.took is not None) for fate in report.fates if fate.ask.at >= 0]
-    calm_asks = [good for at, good in served if CALM[0] <= at < CALM[1]]
-    calm = sum(calm_asks) / len(calm_asks)
-    wait = recovered(served, calm, last)
-    after = last + wait
-    asks = sum(at >= after for at, _ in served)
-    sent = [one.sent - begun for one in history.tries if one.sent - begun >= after]
-    calls = [one for one in history.calls if one.at - begun >= KILL]
+    calm_results = [good for at, good in served if CALM_SPAN_S[0] <= at < CALM_SPAN_S[1]]
+    calm = sum(calm_results) / len(calm_results)
+    recovery_s = recovery_time(served, calm, last_started)
+    recovered_at = last_started + recovery_s
+    requests = sum(at >= recovered_at for at, _ in served)
+    sent = [one.sent - begun for one in history.tries if one.sent - begun >= recovered_at]
+    calls = [one for one in history.calls if one.at - begun >= KILL_AT_S]
     rows = {
         "calls": by_step(one.at - begun for one in history.calls),
         "dials at the busiest node": steps[busiest],
-        "dials": by_step(at for times in dials.values() for at in times),
+        "dials": by_step(at for times in dials_by_node.values() for at in times),
         "turned away": by_step(one.at - begun for one in history.dials if not one.taken),
         "fetches": by_step(
             one.at - begun for one in history.attempts if one.server == ORIGIN and not one.idempotency
         ),
     }
     return {
-        **{name: report.body[name] for name in KEPT},
+        **{name: report.body[name] for name in REPORT_FIELDS},
         "void": report.body["void"],
         "lag_worst_ms": report.body["emulator"]["worst_ms"],
         "waited_for_a_core_s": report.body["laboratory"]["waited_for_a_core_s"],
         "start_s": report.body["laboratory"]["start_s"],
-        "last_ready_s": round(max((life.ready or 0.0) - begun for life in lives) - KILL, 2),
+        "last_ready_s": round(max((instance.ready or 0.0) - begun for instance in instances) - KILL_AT_S, 2),
         "calm": round(calm, 4),
-        "recovered_s": round(wait, 2),
-        "tries_after": round(len(sent) / asks, 3) if asks else 0.0,
+        "recovered_s": round(recovery_s, 2),
+        "tries_after": round(len(sent) / requests, 3) if requests else 0.0,
         "whole_lists": sum(one.whole for one in calls),
-        "starts": len(lives),
+        "starts": len(instances),
         "served_by_second": [
-            round(sum(here) / len(here), 3) if (here := [g for at, g in served if i <= at < i + 1]) else 0.0
-            for i in range(int(LENGTH))
+            round(sum(in_second) / len(in_second), 3)
+            if (in_second := [g for at, g in served if i <= at < i + 1])
+            else 0.0
+            for i in range(int(RUN_S))
         ],
         "rows": rows,
     }
 
 
-def plotted(results: dict[str, dict[str, Any]], path: Path) -> None:
+def plot(results: dict[str, dict[str, Any]], path: Path) -> None:
     """The picture: a column a case, a line a program."""
     mpl.use("svg")
     mpl.rcParams.update({"svg.hashsalt": "holdgw", "svg.fonttype": "none", "font.size": 8})
@@ -138,10 +140,10 @@
         for i, (program, found) in enumerate(programs.items()):
             for line, name in enumerate(names):
                 row = found["rows"][name]
-                at = [i * STEP for i in range(len(row))]
+                at = [i * STEP_S for i in range(len(row))]
                 axes[line][column].plot(at, row, color=f"C{i}", label=program, linewidth=0.8)
                 axes[line][0].set_ylabel(f"{name}\nby 100 ms", size=7)
-            seconds = found["served_by_second"][int(KILL) :]
+            seconds = found["served_by_second"][int(KILL_AT_S) :]
             axes[-1][column].plot(range(len(seconds)), seconds, color=f"C{i}", linewidth=0.8)
         axes[-1][column].set_xlabel("s from the kill")
     axes[-1][0].set_ylabel("served", size=7)
@@ -153,37 +155,39 @@
 
 def main() -> None:
     """Measure and print."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--routers", type=int, default=200)
-    words.add_argument("--nodes", type=int, default=100)
-    words.add_argument("--rate", type=float, default=600.0)
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--beside", type=Path, help="another checkout, built")
-    words.add_argument("--json", type=Path)
-    words.add_argument("--svg", type=Path)
-    words.add_argument("--logs", type=Path)
-    words.add_argument("cases", nargs="*")
-    told = words.parse_args()
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--routers", type=int, default=200)
+    parser.add_argument("--nodes", type=int, default=100)
+    parser.add_argument("--rate", type=float, default=600.0)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--beside", type=Path, help="another checkout, built")
+    parser.add_argument("--json", type=Path)
+    parser.add_argument("--svg", type=Path)
+    parser.add_argument("--logs", type=Path)
+    parser.add_argument("cases", nargs="*")
+    args = parser.parse_args()
     build(ROOT / "deploy/balancer.toml")
-    programs = {"this": ROOT} | ({"beside": told.beside.absolute()} if told.beside else {})
-    known = cases(told.routers, told.nodes)
+    programs = {"this": ROOT} | ({"beside": args.beside.absolute()} if args.beside else {})
+    known = cases(args.routers, args.nodes)
     results: dict[str, dict[str, Any]] = {}
-    for case in told.cases or known:
-        text = DAY.format(length=LENGTH, rate=told.rate, nodes=told.nodes, routers=told.routers)
+    for case in args.cases or known:
+        text = SCENARIO.format(length=RUN_S, rate=args.rate, nodes=args.nodes, routers=args.routers)
         for program, root in programs.items():
-            logs = told.logs / program / case.replace(" ", "-") if told.logs else None
-            found = measured(played_day(text + known[case], told.seed, root / "deploy/balancer.toml", logs))
+            logs = args.logs / program / case.replace(" ", "-") if args.logs else None
+            found = measure(run_schedule(text + known[case], args.seed, root / "deploy/balancer.toml", logs))
             results.setdefault(case, {})[program] = found
             rows = found.pop("rows")
             worst = {name: max(row) for name, row in rows.items()}
-            five = {name: sum(row[: round(5 / STEP)]) for name, row in rows.items()}
+            first_five_s = {name: sum(row[: round(5 / STEP_S)]) for name, row in rows.items()}
             print(f"{case}, {program}: {found}")
-            print(f"  most by 100 ms {worst}; in the first 5 s {five}", flush=True)
+            print(f"  most by 100 ms {worst}; in the first 5 s {first_five_s}", flush=True)
             found["rows"] = rows
-    if told.json is not None:
-        told.json.write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2))
-    if told.svg is not None:
-        plotted(results, told.svg)
+    if args.json is not None:
+        args.json.write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2))
+    if args.svg is not None:
+        plot(results, args.svg)
 
 
 if __name__ == "__main__":
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.cold_budget import CASES, Case, Play
+from bench.cold_budget import CASES, Case, ColdStartRun
 
 TOLD = [
     "with all processes, 1",
@@ -20,6 +20,6 @@
 
 @pytest.mark.parametrize("case", [case for case in CASES if case.name in TOLD], ids=lambda case: case.name)
 def test_the_sum_of_all_processes_stays_within_what_a_cold_server_bears(case: Case) -> None:
-    play = Play(case, seed=1)
+    play = ColdStartRun(case, seed=1)
     assert play.run() <= 2.0
     assert len(play.sent) > 3  # it is sent something
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -24,9 +24,9 @@
     figure = FIGURES[which]
     planted = (
         f"from bench.mutants import plant; plant({name!r})\n"
-        f"from bench.figures import FIGURES\nprint(FIGURES[{which!r}].play(1))"
+        f"from bench.figures import FIGURES\nprint(FIGURES[{which!r}].measure(1))"
     )
-    assert figure.play(1) <= figure.most < float(in_a_process(planted, "0"))
+    assert figure.measure(1) <= figure.bound < float(in_a_process(planted, "0"))
 
 
 def test_every_figure_is_some_mutants() -> None:
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from bench.mutants import MUTANTS, _in_a_process
+from bench.mutants import MUTANTS, _run_mutant_process
 
 
 @pytest.mark.parametrize("name", [name for name, mutant in MUTANTS.items() if mutant.test])
 def test_a_planted_fault_is_found_by_its_test(name: str) -> None:
-    _, line, _ = _in_a_process(name, 1)
+    _, line, _ = _run_mutant_process(name, 1)
     assert line == f"1\t{MUTANTS[name].test} fails"
