--- a/bench/emulator_rate.py
+++ b/bench/emulator_rate.py
@@ -48,7 +48,8 @@
         print(
             f"{rate:.0f} a second, {fleet.nodes} nodes, {args.routers} routers: "
             f"lag p99 {lag['p99_ms']:g} ms, worst {lag['worst_ms']:g} ms ({lag['worker']}); "
-            f"busiest {busiest[0]} {busiest[1]:.1f} CPU s; service {body['service']:.3f}, rules {rules}, void {body['void'] or 'no'}",
+            f"busiest {busiest[0]} {busiest[1]:.1f} CPU s; service {body['service']:.3f}, "
+            f"rules {rules}, void {body['void'] or 'no'}",
             flush=True,
         )
         if body["void"]:
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -1,8 +1,8 @@
-"""Hollow routers, many to a process: the real control code, with a made-up request stream for an owner.
+"""Hollow routers, many to a process: the real control code, driven by a synthetic request stream.
 
-What a router's control takes is the thread's CPU time in the calls that its loop makes of it (timers,
-datagrams that came), less that of the made-up stream. The loop's own part (waking, reading the socket) is not
-in it; the whole process's CPU time, which is told besides, has it.
+The cost of a router's control is the thread's CPU time in the event loop's calls into it (timers, received
+datagrams), without the time of the synthetic stream. The loop's own work (waking, reading sockets) is not
+included; the CPU time of the whole process, which is reported too, includes it.
 """
 
 from __future__ import annotations
@@ -34,24 +34,28 @@
 REQUESTS_PER_S = 934
 SLOTS = 8192
 ZIPF = 0.9
-SEGMENTS = 64  # stretches of a made-up stream that are drawn ahead, and come in any order
+SEGMENTS = 64  # drawn ahead; each router replays them in a random order
 SEGMENT_S = 0.3
-MIN_COUNTED_LATENESS_S = 0.1  # from which on a timer's lateness counts for the next one
-MAX_SEGMENTS_PER_CALL = 10  # that are told at once: after a while of standing still
-MAX_HELD_DATAGRAMS = 256  # datagrams that a socket's buffer keeps for a process that stands still
+MAX_CORRECTED_LATENESS_S = 0.1  # after a later timer, the next delay counts from the current time
+MAX_SEGMENTS_PER_CALL = 10  # the most that is reported at once after a pause
+MAX_HELD_DATAGRAMS = 256  # that the socket buffer of a paused process keeps
 SLOW_PERIOD_S = 0.1
 TENANTS = ("public", "municipal")
 
 
 class StreamSegment(NamedTuple):
-    """What a router was asked and told in 0.3 s: waits by server (ns, and how long ago, ns), and slots."""
+    """A router's observations in 0.3 s of the stream.
+
+    `waits`: by server, the last reported response time and how long before the segment's end it came, ns;
+    `slots`: requests by slot.
+    """
 
     waits: dict[str, tuple[float, int]]
     slots: dict[int, int]
 
 
 def draw_segments(servers: list[str], seed: int, rate: float) -> list[StreamSegment]:
-    """Stretches of a stream of so many requests a second, Zipf over 8,192 slots, evenly over all servers."""
+    """Draw segments of a stream of `rate` requests a second: Zipf over the slots, even over the servers."""
     rng = random.Random(f"{seed}/stream")
     cumulative_weights = list(itertools.accumulate((rank + 1) ** -ZIPF for rank in range(SLOTS)))
     slot_of = list(range(SLOTS))
@@ -74,7 +78,7 @@
 
 
 def merge_segments(segments: list[StreamSegment], now: int) -> Observations:
-    """What a router observed in these stretches, the last of which ends now (ns)."""
+    """Return a router's observations in consecutive segments, of which the last ends now (ns)."""
     waits: dict[str, SampledWait] = {}
     slots: Counter[int] = Counter()
     for i, segment in enumerate(segments):
@@ -85,22 +89,22 @@
 
 
 class Meter:
-    """One router's control: its CPU time by second, and what is put off while its process stands still."""
+    """Measures one router's control by second, and holds its calls back while the router is paused."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
         self.spent_ns: Counter[int] = Counter()
-        """Nanoseconds of CPU by second of the play."""
+        """CPU time by second of the scenario, ns."""
         self.owner_ns = 0
-        """CPU time of the made-up stream, which is no control's."""
+        """CPU time of the synthetic stream, ns; not part of the control's."""
         self.after_call: Callable[[], None] = lambda: None
         self.dropped_datagrams = 0
-        """Datagrams that came while it stood still, beyond what a socket keeps."""
+        """Datagrams received during pauses beyond what a socket buffer keeps."""
         self._pauses = 0
         self._held_calls: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
 
     def run(self, call: Callable[..., Any], *args: Any) -> None:
-        """Call, and count what that takes; later, while this router stands still."""
+        """Make a call and add its CPU time; while the router is paused, hold the call back."""
         if self._pauses:
             self._held_calls.append((call, args))
             return
@@ -111,18 +115,18 @@
         self.after_call()
 
     def run_datagram(self, call: Callable[..., Any], *args: Any) -> None:
-        """A datagram: the same, but lost where too many wait."""
+        """Handle a datagram as `run` does, but drop it if too many calls are held back."""
         if self._pauses and len(self._held_calls) >= MAX_HELD_DATAGRAMS:
             self.dropped_datagrams += 1
             return
         self.run(call, *args)
 
     def pause(self) -> None:
-        """Stand still."""
+        """Pause the router. Pauses nest."""
         self._pauses += 1
 
     def resume(self) -> None:
-        """Stand still no longer: all that came meanwhile is done now."""
+        """End a pause; after the last one, make the calls held back, in their order."""
         self._pauses -= 1
         while self._held_calls and not self._pauses:
             call, args = self._held_calls.popleft()
@@ -130,41 +134,42 @@
 
 
 class MeteredProtocol(asyncio.DatagramProtocol):
-    """Counts what a control's protocol takes."""
+    """Wraps the control's datagram protocol and measures its calls."""
 
     def __init__(self, inner: asyncio.DatagramProtocol, meter: Meter) -> None:
         self._inner, self._meter = inner, meter
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Hand on."""
+        """Forward the transport."""
         self._inner.connection_made(transport)  # type: ignore[arg-type]
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hand on, counted."""
+        """Forward a datagram, measured."""
         self._meter.run_datagram(self._inner.datagram_received, data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Hand on, counted."""
+        """Forward an error, measured."""
         self._meter.run(self._inner.error_received, exc)
 
 
 class MeteredLoop:
-    """What a control sees of the event loop: on the rig's clock, and counted."""
+    """The event loop as the control uses it: on the rig's clock, with every call measured."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, slow: float, meter: Meter) -> None:
         self._loop, self._slow, self._meter = loop, slow, meter
-        self._due: float | None = None  # of the timer that runs now
+        self._due: float | None = None  # due time of the timer that is running
 
     def time(self) -> float:
-        """Seconds."""
+        """Return the loop's time in seconds of the rig's clock."""
         return self._loop.time() / self._slow
 
     def call_later(self, delay: float, call: Callable[..., Any], *args: Any) -> asyncio.TimerHandle:
-        """Call after so long by the rig's clock."""
+        """Schedule a call after `delay` seconds of the rig's clock."""
         now = self._loop.time()
-        # Danger: counted from when a late timer ran, late ticks would stay together for ever: all routers
-        # of a process would tick right after one another, which those of their own machines never do.
-        nearly_on_time = self._due is not None and now - self._due < MIN_COUNTED_LATENESS_S * self._slow
+        # The delay counts from when the running timer was due. Counted from when a late timer ran, late ticks
+        # would stay bunched for ever: all routers of a process would tick right after one another, which
+        # routers on machines of their own never do.
+        nearly_on_time = self._due is not None and now - self._due < MAX_CORRECTED_LATENESS_S * self._slow
         due = (self._due if nearly_on_time and self._due is not None else now) + delay * self._slow
         return self._loop.call_at(due, self._run_timer, due, call, args)
 
@@ -176,21 +181,24 @@
             self._due = None
 
     def call_soon(self, call: Callable[..., Any], *args: Any) -> asyncio.Handle:
-        """Call in the loop's next turn."""
+        """Schedule a call in the loop's next iteration."""
         return self._loop.call_soon(self._meter.run, call, *args)
 
     def create_task(self, work: Any) -> asyncio.Task[Any]:
-        """Binding only: not counted."""
+        """Create a task, unmeasured: the control only binds its socket in one."""
         return self._loop.create_task(work)
 
     async def create_datagram_endpoint(self, make: Callable[[], Any], **args: Any) -> Any:
-        """A socket whose datagrams are counted."""
+        """Create a socket whose datagrams are measured."""
         return await self._loop.create_datagram_endpoint(lambda: MeteredProtocol(make(), self._meter), **args)
 
 
 class ViewReading(NamedTuple):
-    """A router's view in one second. Ages: seconds, of the median server's wait when the router is given the
-    view, and of this and of the oldest one just before the next view replaces it.
+    """A router's load view in one second of the scenario.
+
+    `servers`: servers in the view; ages in seconds: `given_age` of the median response time when the router
+    receives the view, `held_age` and `oldest_age` of the median and the oldest one just before the next view
+    replaces it; `routers`: routers that the view rests on.
     """
 
     second: int
@@ -202,20 +210,20 @@
 
 
 class HeldView(NamedTuple):
-    """A view that its owner was given, when (seconds of the play), and the ages of its waits then (s)."""
+    """A view that a router received at a second of the scenario, and its response times' ages then, s."""
 
     at: float
     ages: list[float]
 
 
 class HollowRouter:
-    """One router's control and its made-up owner."""
+    """One router's control, and the synthetic router that owns it."""
 
     def __init__(self, number: int, listen: Address, process: HollowProcess, light: bool) -> None:
         self.number, self.listen = number, listen
         self.view_readings: list[ViewReading] = []
         self.learnt: dict[int, float] = {}
-        """When it held a dead one for gone, seconds of the play."""
+        """When the router first held each killed member to be gone, seconds of the scenario."""
         self.meter = Meter(lambda: process.play_clock.seconds())
         self.meter.after_call = self._note_deaths
         self.node: PeerNode | None = None
@@ -228,7 +236,7 @@
         self._random = random.Random(f"{process.seed}/{number}")
 
     def start(self, each: tuple[Address, ...], aggregators: tuple[int, ...]) -> None:
-        """Begin."""
+        """Start the control, as a dedicated aggregator if its number is among `aggregators`."""
         self.aggregator = self.number in aggregators
         role = Role.SET_ASIDE if self.aggregator else Role.ROUTER
         process = self._process
@@ -246,22 +254,22 @@
         self.node.start()
 
     def begin(self) -> None:
-        """Forget what was measured before the play."""
+        """Drop what was measured before the scenario."""
         self.meter.spent_ns.clear()
         self.view_readings.clear()
         self._held_view = None
 
     def kill(self) -> None:
-        """Its machine is gone."""
+        """Stop the router as if its machine were lost."""
         self.dead = True
         self.meter.pause()
         if self.node is not None:
             self.node.close()
 
-    # The control's owner
+    # Interface of the control's owner
 
     def take_observations(self) -> Observations:
-        """As many stretches of the made-up stream as have passed since the last call."""
+        """Return the segments of the synthetic stream that have passed since the last call, at least one."""
         began = thread_time_ns()
         now = self._process.clock.ns()
         count = round((now - self._observed_ns) / NS_PER_S / SEGMENT_S)
@@ -274,17 +282,17 @@
         return found
 
     def demands(self) -> dict[str, float]:
-        """Each tenant's calls for the origin a second."""
+        """Return each tenant's demand for the origin, requests a second."""
         return {"public": 12.0, "municipal": 5.0}
 
     def apply_load_snapshot(self, snapshot: LoadSnapshot) -> None:
-        """The view of all: looked at once a second, and not acted on."""
+        """Record the merged view once a second; it has no effect."""
         began = thread_time_ns()
         self._record_view(snapshot.waits)
         self.meter.owner_ns += thread_time_ns() - began
 
     def _record_view(self, waits: Mapping[str, TimedWait]) -> None:
-        """Note the view that is replaced now, as old as it has become."""
+        """Record the view that is replaced now, with the ages it has reached."""
         now = self._process.play_clock.seconds()
         before, self._held_view = (
             self._held_view,
@@ -301,7 +309,7 @@
         )
 
     def _other_routers_in_view(self) -> int:
-        """Other routers that the view rests on."""
+        """Return the number of other routers that the view rests on."""
         if self.node is None:
             return 0
         client = self.node.exchange.client if self.node.exchange is not None else None
@@ -310,7 +318,7 @@
         # A merged view counts every router that reported, this one among them.
         return client.views.reporters(self._process.clock.ns()) - 1
 
-    # What the rig wants to know
+    # Figures for the rig
 
     def _note_deaths(self) -> None:
         if self.node is None or len(self.learnt) == len(self._process.killed):
@@ -320,7 +328,7 @@
                 self.learnt[number] = round(self._process.play_clock.seconds(), 3)
 
     def report(self) -> dict[str, Any]:
-        """All that was measured of it."""
+        """Return what was measured of this router."""
         assert self.node is not None
         states = {} if self.dead else self.node.state_counts()
         return {
@@ -337,24 +345,24 @@
 
 
 class HollowProcess:
-    """What the process is asked to do."""
+    """Handles the parent's requests to a process of hollow routers."""
 
     def __init__(self) -> None:
         self.clock = self.play_clock = SlowClock(0, 1.0)
         self.seed = 0
         self.servers: list[str] = []
         self.segments: dict[bool, list[StreamSegment]] = {}
-        """Of light routers, and of the others."""
+        """By whether a router has the low request rate."""
         self.routers: dict[int, HollowRouter] = {}
         self.killed: set[int] = set()
         self._lag: LagMonitor | None = None
         self._pace_readings: list[float] = []
-        self._memory_bytes = 0  # before there was any router
+        self._memory_bytes = 0  # of the process before its routers exist
         self._cpu_ns = 0
         self._stream_ns = 0
 
     def handlers(self) -> Mapping[str, Handler]:
-        """By verb."""
+        """Return the handlers by verb."""
         return {
             "setup": self.setup,
             "start": self.start,
@@ -376,8 +384,9 @@
         base: int,
         slow: float,
     ) -> dict[str, Any]:
-        """Draw the stream, and choose where each router listens; returns that by number. `light`: those that
-        are asked as little as real routers are.
+        """Draw the stream and choose the routers' listen addresses, which are returned by number.
+
+        `light`: numbers of the routers that have the real routers' low request rate.
         """
         self.clock = self.play_clock = SlowClock(base, slow)
         self.seed = seed
@@ -388,7 +397,7 @@
         }
         self._lag = LagMonitor(asyncio.get_running_loop(), self.clock)
         gc.collect()
-        gc.freeze()  # as `run` does
+        gc.freeze()  # as `holdgw run` does
         self._memory_bytes = resident_bytes(os.getpid())
         probes = [socket.socket(type=socket.SOCK_DGRAM) for _ in numbers]
         for number, probe in zip(numbers, probes, strict=True):
@@ -399,7 +408,7 @@
         return {str(number): router.listen for number, router in self.routers.items()}
 
     async def start(self, each: list[list[Any]], aggregators: int) -> None:
-        """Begin, each a while after the other, so that they do not tell all at the same instants."""
+        """Start the routers spread over a segment, so that they don't all report at the same instants."""
         addresses = tuple((host, port) for host, port in each)
         aggregator_numbers = tuple(range(len(addresses) - aggregators, len(addresses)))
         for router in self.routers.values():
@@ -407,11 +416,11 @@
             await asyncio.sleep(self.clock.machine_seconds(SEGMENT_S) / len(self.routers))
 
     async def begin(self, base: int) -> None:
-        """The play begins: its second 0 is at that reading of the monotonic clock."""
+        """Start the scenario: its second 0 is at `base` of the monotonic clock."""
         assert self._lag is not None
         self.play_clock = SlowClock(base, self.clock.slow)
-        # Danger: a collection of all generations goes through the tables of hundreds of routers, a second in
-        # which none of them runs; a process of one router has no such pause.
+        # A full garbage collection would traverse the tables of hundreds of routers and stop them all for a
+        # second; a process of one router has no such pause.
         gc.collect()
         gc.freeze()
         for router in self.routers.values():
@@ -428,20 +437,20 @@
         return sum(router.meter.owner_ns for router in self.routers.values())
 
     async def kill(self, members: list[int]) -> None:
-        """These die; the others are watched for when they learn of it."""
+        """Kill these members; the others record when they learn of it."""
         for number in members:
             if number in self.routers:
                 self.routers[number].kill()
         self.killed.update(members)
 
     async def hold(self, members: list[int], seconds: float) -> None:
-        """These stand still for so long."""
+        """Pause these members for a time."""
         for number in members:
             if number in self.routers:
                 self._pause_for(self.routers[number], seconds)
 
     async def slow(self, members: list[int], seconds: float, run_ms: int) -> None:
-        """These run for so many ms of each 100."""
+        """Let these members run for `run_ms` of each 100 ms, for a time."""
         until = self.play_clock.seconds() + seconds
         for number in members:
             if number in self.routers:
@@ -459,7 +468,7 @@
         asyncio.get_running_loop().call_later(self.clock.machine_seconds(seconds), router.meter.resume)
 
     async def alive(self) -> dict[str, int]:
-        """How many each living router holds to be alive, itself among them, by number."""
+        """Return how many members each living router holds to be alive, itself included, by number."""
         return {
             str(router.number): router.node.state_counts()["alive"]
             for router in self.routers.values()
@@ -467,7 +476,7 @@
         }
 
     async def report(self) -> dict[str, Any]:
-        """All that was measured."""
+        """Return what was measured of the process and its routers."""
         assert self._lag is not None
         memory = resident_bytes(os.getpid()) - self._memory_bytes
         return {
@@ -483,5 +492,7 @@
 
 
 if __name__ == "__main__":
-    logging.getLogger("holdgw").setLevel(logging.ERROR)  # what each of hundreds notes of its peers
+    logging.getLogger("holdgw").setLevel(
+        logging.ERROR
+    )  # hundreds of routers would each log their peers' changes
     sys.exit(serve(lambda: HollowProcess().handlers()))
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,10 +1,10 @@
-"""Control of many routers at many sites, measured on one machine: `python -m bench.scale [--sizes 50 760]`.
+"""Measures the control traffic of many routers on one machine: `python -m bench.scale [--sizes 50 760]`.
 
-Hollow routers (the real control code with a made-up request stream: 934 requests a second, 8,192 slots, 96
-servers) over real sockets through the laboratory's relay, beside real processes of `run` where the clock need
-not be slowed. docs/scale.md says how to read the figures, and what voids a run.
+Hollow routers run the real control code on a synthetic request stream (934 requests a second, 8,192 slots, 96
+servers) and exchange datagrams over real sockets through the harness's relay. Where the clock need not be
+slowed, real router processes run beside them. docs/scale.md explains the figures and what makes a run void.
 
-Exit code 0: all runs hold; 1: some are void; 2: refused, one line says why; 130: interrupted.
+Exit code 0: all runs are valid; 1: some are void; 2: refused, with the reason in one line; 130: interrupted.
 """
 
 from __future__ import annotations
@@ -39,24 +39,24 @@
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = ROOT / "deploy/balancer.toml"
 DEFAULT_REAL_ROUTERS = 3
-CALIBRATION_ROUTERS = 40  # hollow routers, on a clock that is not slowed
-COST_GROWTH_FACTOR = 1.5  # what a router of a large membership takes, over one of the calibration's
+CALIBRATION_ROUTERS = 40  # hollow routers; the clock is not slowed
+COST_GROWTH_FACTOR = 1.5  # CPU time of a router in a large membership, over that of one in the calibration
 REFUSED, VOID, INTERRUPTED = 2, 1, 130
 PACE_KEYS = ("pace_us", "best_pace_us")
 
 
 class RefusedError(Exception):
-    """This machine can't run that; one line."""
+    """This machine can't run what was asked for; the message is one line."""
 
 
 def inspect_machine() -> Machine:
-    """What this machine has for us."""
+    """Return the cores, memory and descriptors that this process may use."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     return Machine(len(os.sched_getaffinity(0)), memory, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
 def source_commit() -> str:
-    """The commit that the program's sources come from; with a mark where they differ from it."""
+    """Return the last commit that changed holdgw, with "+changes" if the working tree differs from it."""
 
     def git(*words: str) -> str:
         ran = subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=False)
@@ -67,7 +67,7 @@
 
 
 def parse_arguments(words: Sequence[str] | None = None) -> argparse.Namespace:
-    """The command line's."""
+    """Parse the command line."""
     style = argparse.RawDescriptionHelpFormatter
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=style)
     parser.add_argument("--sizes", type=int, nargs="*", default=list(scale_plan.SIZES))
@@ -75,21 +75,27 @@
     parser.add_argument(
         "--real", type=int, default=DEFAULT_REAL_ROUTERS, help="real routers where the clock is not slowed"
     )
-    parser.add_argument("--slow", type=float, default=0.0, help="factor of the clock; 0: by calibration")
-    parser.add_argument("--workers", type=int, default=0, help="processes of hollow routers; 0: by the cores")
-    parser.add_argument("--aggregators", type=int, default=0, help="machines set aside to merge load reports")
-    parser.add_argument("--loss", type=float, default=0.01, help="part of all datagrams that is lost")
+    parser.add_argument(
+        "--slow", type=float, default=0.0, help="factor by which the clock is slowed; 0: calibrated"
+    )
+    parser.add_argument(
+        "--workers", type=int, default=0, help="processes of hollow routers; 0: from the number of cores"
+    )
+    parser.add_argument("--aggregators", type=int, default=0, help="dedicated aggregators of load reports")
+    parser.add_argument("--loss", type=float, default=0.01, help="fraction of datagrams that is lost")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--sources", action="store_true", help="run the sources as they are, without a build")
-    parser.add_argument("--json", type=Path, help="added to: runs that are in it stay")
-    parser.add_argument("--name", default="", help="of the runs, in the picture")
-    parser.add_argument("--svg", type=Path, help="draw the runs of --json, and of --beside")
-    parser.add_argument("--beside", type=Path, nargs="*", default=[], help="more files to draw")
+    parser.add_argument("--sources", action="store_true", help="run the sources without a build")
+    parser.add_argument("--json", type=Path, help="file that runs are appended to")
+    parser.add_argument("--name", default="", help="label of the runs in the figure")
+    parser.add_argument("--svg", type=Path, help="file for a figure of the runs in --json and --beside")
+    parser.add_argument(
+        "--beside", type=Path, nargs="*", default=[], help="more files of runs for the figure"
+    )
     return parser.parse_args(words)
 
 
 class ScaleBenchmark:
-    """All runs that were asked for, one after the other."""
+    """Runs every size that was asked for, one after the other."""
 
     def __init__(self, args: argparse.Namespace, program: Program, status: Callable[[str], None]) -> None:
         self.args, self.program, self.status = args, program, status
@@ -98,10 +104,10 @@
         self.cost = 0.0
 
     def check_sizes(self) -> None:
-        """Raise RefusedError where some size can't be run here, before anything is started."""
+        """Raise RefusedError if this machine can't run one of the sizes, before any process is started."""
         for size in self.args.sizes:
             if size < 2:
-                raise RefusedError(f"{size} routers asked for, 2 are the least")
+                raise RefusedError(f"{size} routers requested, the minimum is 2")
             workers = self.workers(size)
             needed = scale_plan.needs(size + self.args.aggregators, self.args.real, workers, 0.0)
             slow = self.args.slow or 1.0
@@ -109,13 +115,13 @@
                 raise RefusedError(f"{size} routers: {why}")
 
     def workers(self, hollow: int) -> int:
-        """How many processes hollow routers are spread over."""
+        """Return the number of processes that `hollow` hollow routers are spread over."""
         return min(self.args.workers or hollow, scale_plan.worker_count(self.machine, hollow))
 
     async def run_scenario(
         self, participants: Participants, scenario_name: str, slow: float
     ) -> ScenarioResult:
-        """One play, from its start to the end of all its processes."""
+        """Run one scenario, until all of its processes have ended."""
         scenario = scale_plan.build_scenario(
             scenario_name, participants.size, participants.real, participants.aggregators
         )
@@ -133,17 +139,20 @@
             await rig.end()
 
     async def calibrate(self) -> None:
-        """Find what a hollow router takes of a core here, with the rig's own part."""
+        """Measure the share of a core that a hollow router takes here, including the rig's overhead."""
         if not self.cost:
             found = await self.run_scenario(Participants(CALIBRATION_ROUTERS), "calm", 1.0)
             self.cost = found.rig["cpu_percent_whole"] / 100 * COST_GROWTH_FACTOR
 
     def needs(self, size: int, real: int) -> Needs:
-        """What a size takes."""
+        """Return the resources that a run of `size` routers needs."""
         return scale_plan.needs(size, real, self.workers(size), self.cost)
 
     async def size(self, size: int) -> dict[str, Any]:
-        """All plays at a size; real routers take part where the clock need not be slowed."""
+        """Run all scenarios at one size; real routers take part if the clock need not be slowed.
+
+        Raises RefusedError if this machine can't run the size.
+        """
         slow = self.args.slow
         if not slow:
             await self.calibrate()
@@ -169,7 +178,10 @@
 
 
 def real_figures(played: ScenarioResult, without_peers: ScenarioResult, size: int) -> dict[str, Any]:
-    """What real routers took, in calm; control is what those with peers took more than those without."""
+    """Return the medians over the real routers in calm.
+
+    The cost of control is the difference between routers with peers and routers without.
+    """
     with_peers, without = (median(one.cpu for one in result.real) * 100 for result in (played, without_peers))
     memory = median(one.memory for one in played.real) - median(one.memory for one in without_peers.real)
     return {
@@ -186,7 +198,7 @@
 
 
 def format_run(run: dict[str, Any]) -> str:
-    """A run in a few lines."""
+    """Format a run's figures as a few lines of text."""
     rigs = run["rig"].values()
     worst_figures = [max(rig[name] for rig in rigs) for name in ("slow", "lag_p99_ms", "lag_worst_ms")]
     lines = [
@@ -208,7 +220,7 @@
 
 
 def format_window(name: str, one: dict[str, Any]) -> str:
-    """A window's figures in a line."""
+    """Format a window's figures as one line of text."""
     cpu, traffic, view = one["cpu_percent"], one["bytes_both"], one["view"]
     worst = "worst second, p95:"
     return (
@@ -222,7 +234,7 @@
 
 
 def load_results(path: Path | None) -> dict[str, Any]:
-    """What a file holds already."""
+    """Return the results in a file; an empty set of runs if there is none."""
     if path is not None and path.exists():
         found: dict[str, Any] = orjson.loads(path.read_bytes())
         return found
@@ -230,7 +242,7 @@
 
 
 def save_run(args: argparse.Namespace, run: dict[str, Any]) -> None:
-    """Add a run to the file."""
+    """Append a run to the results file."""
     if args.json is None:
         return
     body = load_results(args.json)
@@ -241,7 +253,7 @@
 
 
 def valid_runs(body: dict[str, Any]) -> list[dict[str, Any]]:
-    """Of each size the windows of all runs that hold, the latest where one was played twice; by size."""
+    """Merge the windows of all valid runs by size, in rising order; of a repeated window the latest stays."""
     found: dict[int, dict[str, Any]] = {}
     for run in body["runs"]:
         if run["void"]:
@@ -253,13 +265,13 @@
 
 
 def draw_results(args: argparse.Namespace) -> None:
-    """Draw what the files hold."""
+    """Draw the runs of all results files into one figure."""
     bodies = [load_results(path) for path in (*args.beside, args.json) if path is not None]
     draw_figure({body.get("name") or "runs": valid_runs(body) for body in bodies}, args.svg)
 
 
 async def measure(args: argparse.Namespace, program: Program, status: Status) -> int:
-    """All sizes; returns the exit code. An interrupt ends all that was started."""
+    """Measure all sizes and return the exit code. SIGINT and SIGTERM end every process that was started."""
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
@@ -286,7 +298,7 @@
 
 
 def main() -> int:
-    """Measure, print, draw; returns the exit code."""
+    """Measure, print and draw; returns the exit code."""
     args = parse_arguments()
     if args.sources:
         program = Program("exec " + " ".join(python_with("holdgw.router")), ROOT, str(ROOT))
@@ -305,7 +317,7 @@
         print(f"scale: refused: {error}", file=sys.stderr)
         return REFUSED
     except (asyncio.CancelledError, KeyboardInterrupt):
-        print("scale: interrupted; all that it started is ended", file=sys.stderr)
+        print("scale: interrupted; every process that it started has ended", file=sys.stderr)
         return INTERRUPTED
     if args.svg is not None:
         with contextlib.suppress(FileNotFoundError):
--- a/bench/scale_child.py
+++ b/bench/scale_child.py
@@ -1,4 +1,4 @@
-"""A process of the rig at both its ends: it is asked something in a line of JSON, and answers in one."""
+"""Both ends of a child process of the scale rig: requests and answers are lines of JSON over a socket."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 from holdgw.harness.routers import cpu_seconds, die_with_parent
 
-LINE_BYTES = 64 << 20  # of one answer, at most
+LINE_BYTES = 64 << 20  # the longest answer
 ANSWER_S = 120.0
 
 Handler = Callable[..., Awaitable[Any]]
 
 
 class ChildError(Exception):
-    """A process of the rig failed, or is gone."""
+    """A child process failed, or closed its socket."""
 
 
 class Child:
-    """A process of the rig; whoever starts it ends it."""
+    """The parent's end of a child process. Whoever starts the process ends it."""
 
     def __init__(self, module: str, root: Path, path: str) -> None:
         self.module = module
@@ -40,7 +40,7 @@
         self._lock = asyncio.Lock()
 
     async def start(self) -> None:
-        """Start it. It ends when this process does, in whatever way."""
+        """Start the process. The kernel kills it when this process ends, however that happens."""
         parent_end, child_end = socket.socketpair()
         with child_end:
             self.process = await asyncio.create_subprocess_exec(
@@ -53,13 +53,16 @@
                 cwd=self._root,
                 env={**os.environ, "PYTHONPATH": self._path},
                 stdin=asyncio.subprocess.DEVNULL,
-                start_new_session=True,  # Ctrl-C is for whoever started it
+                start_new_session=True,  # so that Ctrl-C reaches only the parent
                 preexec_fn=die_with_parent,
             )
         self._reader, self._writer = await asyncio.open_connection(sock=parent_end, limit=LINE_BYTES)
 
     async def ask(self, verb: str, **arguments: Any) -> Any:
-        """Have it do something; returns what it answers. Raises ChildError."""
+        """Send a request and return the answer's value.
+
+        Raises ChildError if the child reports an error, closes its socket, or takes longer than ANSWER_S.
+        """
         assert self._reader is not None
         assert self._writer is not None
         async with self._lock:
@@ -69,21 +72,21 @@
             except (OSError, TimeoutError) as error:
                 raise ChildError(f"{self.module}: {verb}: {error!r}") from None
         if not data:
-            raise ChildError(f"{self.module}: gone at {verb}")
+            raise ChildError(f"{self.module}: {verb}: the process closed its socket")
         answer = msgspec.json.decode(data)
         if "error" in answer:
             raise ChildError(f"{self.module}: {verb}: {answer['error']}")
         return answer["value"]
 
     def cpu(self) -> float:
-        """Its CPU seconds so far; 0 where it is gone."""
+        """Return the process's CPU seconds so far; 0 if it has ended."""
         if self.process is not None:
             with contextlib.suppress(OSError, IndexError, ValueError):
                 return cpu_seconds(self.process.pid)
         return 0.0
 
     async def end(self) -> None:
-        """End it now."""
+        """Kill the process and wait for it."""
         if self._writer is not None:
             self._writer.close()
         if self.process is not None:
@@ -107,7 +110,7 @@
 
 
 def serve(make_handlers: Callable[[], Mapping[str, Handler]]) -> int:
-    """Answer whoever is at the other end of the descriptor in the first argument, until it is gone."""
+    """Answer requests on the socket whose descriptor is the first argument, until its other end closes."""
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     sock = socket.socket(fileno=int(sys.argv[1]))
 
--- a/bench/scale_clock.py
+++ b/bench/scale_clock.py
@@ -1,4 +1,4 @@
-"""The rig's clock, slower than the machine's by a factor, and how late a process of the rig was by it."""
+"""The scale rig's clock, which may run slower than the machine's, and its event-loop lag monitor."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 
 NS_PER_S = 1_000_000_000
 LAG_SAMPLE_S = 0.02
-PACE_INTERVAL_S = 0.5  # of the machine's clock
+PACE_INTERVAL_S = 0.5  # by the machine's clock
 PACE_ITERATIONS = 2000
 
 
 def measure_pace() -> float:
-    """How long the machine takes for a fixed piece of work at the moment, microseconds of CPU time.
+    """Return the CPU time that a fixed piece of work takes at the moment, microseconds.
 
-    What runs beside makes the same work take more CPU time; two runs are held against each other by this.
+    Other load on the machine makes the same work take more CPU time; the figure tells whether two runs are
+    comparable.
     """
     began, counts = time.thread_time_ns(), dict.fromkeys(range(64), 0.0)
     for i in range(PACE_ITERATIONS):
@@ -24,28 +25,29 @@
 
 
 class SlowClock(NamedTuple):
-    """A clock that all processes of a run share: it began at the monotonic clock's `base`, and runs slower
-    by the factor `slow`.
+    """A clock that all processes of a run share.
+
+    It started at the monotonic clock's `base` (ns) and runs slower by the factor `slow`.
     """
 
     base: int
     slow: float
 
     def ns(self) -> int:
-        """Nanoseconds now; like the monotonic clock itself where it is not slowed."""
+        """Return nanoseconds now; equal to the monotonic clock if `slow` is 1."""
         return self.base + int((time.monotonic_ns() - self.base) / self.slow)
 
     def seconds(self) -> float:
-        """Seconds since its beginning."""
+        """Return seconds since the clock's start."""
         return (time.monotonic_ns() - self.base) / self.slow / NS_PER_S
 
     def machine_seconds(self, seconds: float) -> float:
-        """How long so many of its seconds last."""
+        """Convert a duration by this clock into seconds of the machine's clock."""
         return seconds * self.slow
 
 
 class LagMonitor:
-    """How late a loop comes to what is due, in seconds of the rig's clock, since `begin`."""
+    """Samples how late an event loop runs its timers, in seconds of the rig's clock."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: SlowClock) -> None:
         self._loop, self._clock = loop, clock
@@ -60,9 +62,9 @@
         self._loop.call_at(self._due, self._sample)
 
     def reset(self) -> None:
-        """Forget what was: the start of a run is not measured."""
+        """Drop the readings so far: the start of a run is not measured."""
         self._readings.clear()
 
     def readings(self) -> list[float]:
-        """All readings, each rounded to 0.1 ms."""
+        """Return all readings since the last reset, each rounded to 0.1 ms."""
         return [round(one, 4) for one in self._readings]
--- a/bench/scale_plan.py
+++ b/bench/scale_plan.py
@@ -1,7 +1,7 @@
-"""What a scale run plays and whether this machine can: sizes, places, faults, limits; pure.
+"""The scale runs' sizes, locations, fault scenarios and resource limits. Pure functions and data.
 
-Sites, zones and regions are the operators': 43 sites in 25 zones in 8 regions. Times are seconds of the rig's
-clock, which may be slower than the machine's by a factor (see `slow_factor`).
+The topology is the operators': 43 sites in 25 zones in 8 regions. Times are seconds of the rig's clock, which
+may run slower than the machine's by a factor (see `slow_factor`).
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 SIZES = (50, 100, 200, 400, 760)
 SITES, ZONES, REGIONS = 43, 25, 8
-SITE_STRIDE = 11  # sites from one number to the next
+SITE_STRIDE = 11  # sites between routers of consecutive numbers
 SERVERS = 96
-LOW_RATE_PER_S = 10.0  # requests a second of each real router, and of hollow ones held against them
+LOW_RATE_PER_S = 10.0  # requests a second of each real router, and of the hollow routers compared with them
 MAX_PROCESSES = 200
-MAX_MEMORY_FRACTION = 0.5  # of the machine's memory, that a run may take
+MAX_MEMORY_FRACTION = 0.5  # of the machine's memory that a run may take
 MAX_WORKERS = 100
 MAX_SLOW_FACTOR = 30.0
-PLANNED_CORE_FRACTION = 0.8  # of a core, that the hollow routers of one process are planned to take
-RESERVED_CORES = 1  # left for the relay and whoever starts the run
+PLANNED_CORE_FRACTION = 0.8  # of a core that the hollow routers of one process may take
+RESERVED_CORES = 1  # for the relay and the parent process
 
-HOLLOW_ROUTER_BYTES = 3_000_000  # planned for each hollow router; what it takes is measured
+HOLLOW_ROUTER_BYTES = 3_000_000  # reserved for each hollow router; the run measures the memory it takes
 PROCESS_BYTES = 80_000_000
-REAL_ROUTER_BYTES = 200_000_000  # planned for a real router, and for a worker of its stand-ins
-HARNESS_PROCESSES = 12  # processes beside real routers: stand-ins, clients and their stage, at most
+REAL_ROUTER_BYTES = 200_000_000  # reserved for a real router, and for a worker of the harness
+HARNESS_PROCESSES = 12  # at most, beside real routers: emulators, clients and their orchestrator
 RESERVED_DESCRIPTORS = 64
-REAL_DESCRIPTORS = 4000  # of the process with the most connections, with real routers
+REAL_DESCRIPTORS = 4000  # of the process with the most connections, when there are real routers
 
 SAME_SITE_DELAY_S, SAME_ZONE_DELAY_S, SAME_REGION_DELAY_S, INTER_REGION_DELAY_S = (
     0.0001,
@@ -39,7 +39,7 @@
 
 
 class Location(NamedTuple):
-    """Where a router stands."""
+    """A router's location in the topology."""
 
     site: int
     zone: int
@@ -47,7 +47,7 @@
 
 
 class Machine(NamedTuple):
-    """What the machine has. `memory`: bytes; `descriptors`: that one process may open."""
+    """The machine's resources. `memory`: bytes; `descriptors`: the limit of one process."""
 
     cores: int
     memory: int
@@ -55,7 +55,7 @@
 
 
 class Needs(NamedTuple):
-    """What a run takes at most. `cores`: on a clock that is not slowed."""
+    """The most that a run takes. `memory`: bytes; `cores`: at a clock that is not slowed."""
 
     processes: int
     memory: int
@@ -64,17 +64,21 @@
 
 
 class FaultKind(Enum):
-    """What is done to the routers."""
+    """A kind of fault. The values are verbs of the hollow process, except CUT, which the relay handles."""
 
     KILL = "kill"
     CUT = "cut"
     SLOW = "slow"
     PAUSE = "hold"
-    """Stand still."""
+    """The process stops running for a while, then resumes."""
 
 
 class FaultStep(NamedTuple):
-    """An act. `members`: whom it befalls, for a cut nobody; `seconds`: for how long, 0 for ever."""
+    """A fault at a time of the scenario.
+
+    `members` are the affected routers, none for a cut; `seconds` is its duration, 0 for ever; `label` names
+    the fault in the figures.
+    """
 
     at: float
     kind: FaultKind
@@ -84,7 +88,7 @@
 
 
 class Window(NamedTuple):
-    """A stretch of a play that figures are given for."""
+    """A span of a scenario, in whole seconds, that figures are reported for."""
 
     name: str
     since: int
@@ -92,7 +96,7 @@
 
 
 class ScaleScenario(NamedTuple):
-    """A time line: steps, the stretches measured, and its length."""
+    """The faults of a run, the windows that are measured, and the run's length in seconds."""
 
     name: str
     steps: tuple[FaultStep, ...]
@@ -101,11 +105,11 @@
 
 
 class LagBounds(NamedTuple):
-    """Bounds past which the rig was late, and its figures are void."""
+    """Bounds on the rig's event-loop lag, seconds; figures of a run that exceeds one are void."""
 
     lag_p99: float = 0.05
     lag_worst: float = 0.15
-    """A membership's tick of 0.1 s that is 0.15 s late finds that its process stood still."""
+    """A membership's 0.1 s tick that runs 0.15 s late takes its own process for one that was paused."""
 
 
 LAG_BOUNDS = LagBounds()
@@ -113,16 +117,14 @@
 
 
 def location_of(number: int) -> Location:
-    """Where the router of a number stands: each site has as many as the others, and numbers that follow one
-    another stand far apart.
-    """
+    """Return a router's location. Sites have equally many routers, and consecutive numbers lie far apart."""
     site = number * SITE_STRIDE % SITES
     zone = site * ZONES // SITES
     return Location(site, zone, zone * REGIONS // ZONES)
 
 
 def one_way_delay(a: int, b: int) -> float:
-    """The least one-way delay between two routers, seconds."""
+    """Return the least one-way delay between two routers, seconds."""
     location, other_location = location_of(a), location_of(b)
     if location.site == other_location.site:
         return SAME_SITE_DELAY_S
@@ -138,14 +140,15 @@
 
 
 def routers_in_region(size: int, region: int) -> tuple[int, ...]:
-    """The routers of a region."""
+    """Return the numbers of a region's routers."""
     return tuple(number for number in range(size) if location_of(number).region == region)
 
 
 def build_scenario(name: str, size: int, real: int, aggregators: int = 0) -> ScaleScenario:
-    """The play of that name for so many routers, of which the first `real` are real: those come to no harm.
+    """Return the scenario of a name for `size` routers.
 
-    Aggregators have the numbers behind the routers'. Raises KeyError where there is no such play.
+    The first `real` routers are real processes and suffer no fault. Aggregators have the numbers after the
+    routers'. Raises KeyError if there is no such scenario.
     """
     if name == "aggregators":
         return _aggregators(size, aggregators)
@@ -160,7 +163,7 @@
 
 
 def _deaths(size: int, real: int) -> ScaleScenario:
-    """One dies; then 8 % (60 of 760) within 5 s, all of neighbouring sites, as when a zone goes."""
+    """One router dies; then 8 % (60 of 760) within 5 s, at neighbouring sites, as in the loss of a zone."""
     first, *others = sorted(range(real, size), key=lambda number: (location_of(number).site, number))
     several = others[: max(round(size * 60 / 760), 1)]
     begin = WARM_UP_S + 8
@@ -178,7 +181,7 @@
 
 
 def _cut(size: int, real: int) -> ScaleScenario:
-    """A region is cut off for 5 s; then a tenth of the routers runs 20 ms of each 100."""
+    """A region is cut off for 5 s; later a tenth of the routers run for 20 ms of each 100."""
     hollow = range(real, size)
     slow = tuple(hollow[:: max(len(hollow) * 10 // size, 10)])
     steps = (
@@ -194,7 +197,7 @@
 
 
 def _aggregators(size: int, count: int) -> ScaleScenario:
-    """An aggregator dies, another stands still for 5 s and wakes, and at last all are gone."""
+    """An aggregator dies, another is paused for 5 s and resumes, and at last all of them die."""
     first, *others = range(size, size + max(count, 2))
     steps = (
         FaultStep(WARM_UP_S, FaultKind.KILL, (first,), label="an aggregator dies"),
@@ -211,17 +214,17 @@
 
 
 def worker_count(machine: Machine, hollow: int) -> int:
-    """How many processes the hollow routers are spread over."""
+    """Return the number of processes that `hollow` hollow routers are spread over."""
     return max(min(machine.cores - RESERVED_CORES, hollow, MAX_WORKERS), 1)
 
 
 def assign_routers(numbers: range, workers: int) -> list[list[int]]:
-    """Which worker has which routers: each as many, and of all sites."""
+    """Return each worker's routers: equally many, and from all sites."""
     return [list(numbers[i::workers]) for i in range(workers)]
 
 
 def needs(size: int, real: int, workers: int, cost: float) -> Needs:
-    """What a run takes; `cost`: seconds of a core that a router's control takes in a second."""
+    """Return the resources of a run; `cost`: CPU seconds that a router's control takes per second."""
     hollow = size - real
     harness_processes = real + HARNESS_PROCESSES if real else 0
     processes = workers + 2 + harness_processes
@@ -233,13 +236,13 @@
 
 
 def slow_factor(needed: Needs, workers: int) -> float:
-    """By how much the rig's clock must be slower than the machine's for the hollow routers to be on time."""
+    """Return the factor, at least 1, by which the clock must be slowed for hollow routers to run on time."""
     factor = needed.cores / (workers * PLANNED_CORE_FRACTION)
     return max(ceil(factor * 4) / 4, 1.0)
 
 
 def refusal(machine: Machine, needed: Needs, slow: float, real: int) -> str:
-    """Why such a run may not begin here, in one line; empty where it may."""
+    """Return in one line why a run can't start on this machine; empty if it can."""
     if needed.processes > MAX_PROCESSES:
         return f"{needed.processes} processes needed, {MAX_PROCESSES} are the most"
     if needed.memory > machine.memory * MAX_MEMORY_FRACTION:
--- a/bench/scale_real.py
+++ b/bench/scale_real.py
@@ -1,6 +1,4 @@
-"""Real routers beside the hollow ones: processes of `run` with clients and stand-in servers, in one
-membership with them.
-"""
+"""Real router processes with clients and emulated servers, in one membership with the hollow routers."""
 
 from __future__ import annotations
 
@@ -40,14 +38,17 @@
 """
 
 JoinMembership = Callable[[dict[int, Address]], Awaitable[tuple[tuple[Address, ...], Address]]]
-"""Given where real routers listen, by number: where all are to be had, in the order of their numbers, and
-the address of all together.
+"""Takes the real routers' listen addresses by number.
+
+Returns the relay's address for each member, in the order of their numbers, and its address for all.
 """
 
 
 class RouterSample(NamedTuple):
-    """What a real router's process and door say: its CPU seconds so far, its memory (bytes), how many it
-    holds to be alive, and of how many others its picture is.
+    """A real router's state at one time, from /proc and its admin endpoint.
+
+    `at`: seconds of the monotonic clock; `cpu`: CPU seconds so far; `memory`: bytes; `alive`: members that
+    the router holds to be alive; `routers_in_view`: other routers that its load view rests on.
     """
 
     at: float
@@ -58,8 +59,9 @@
 
 
 class RealFigures(NamedTuple):
-    """A real router over a stretch: the CPU of its process (share of a core), its memory (bytes), and what
-    its door says.
+    """A real router's figures between two samples.
+
+    `cpu`: share of a core; `memory`: bytes; `alive` and `routers_in_view`: as in the later RouterSample.
     """
 
     cpu: float
@@ -69,7 +71,7 @@
 
 
 class MixedOrchestrator(Orchestrator):
-    """A stage whose routers join the membership of a scale run."""
+    """A harness orchestrator whose routers join the membership of a scale run."""
 
     def __init__(
         self, schedule: Schedule, command: str, root: Path, join: JoinMembership | None, aggregators: int
@@ -88,7 +90,10 @@
 
 
 class RealRouters:
-    """Some real routers and all that they need; whoever starts them ends them."""
+    """Real routers with their clients and emulated servers. Whoever creates the object ends it.
+
+    Without `join` the routers know no peers.
+    """
 
     def __init__(
         self,
@@ -117,16 +122,16 @@
             self.started.set()
 
     async def ready(self) -> None:
-        """Wait until they serve clients; raises what the stage failed by."""
+        """Wait until the routers serve clients; raises the orchestrator's error if it failed."""
         waiting = asyncio.ensure_future(self.started.wait())
         await asyncio.wait((waiting, self._play_task), return_when=asyncio.FIRST_COMPLETED)
         if not waiting.done():
             waiting.cancel()
             await self._play_task
-            raise RuntimeError("the stage was over before it began")
+            raise RuntimeError("the orchestrator ended before the schedule started")
 
     async def sample(self) -> list[RouterSample]:
-        """What each one's process and door say now."""
+        """Read each router's state from /proc and its admin endpoint."""
         samples = []
         for router in self.orchestrator.routers.values():
             at, cpu = time.monotonic(), cpu_run_seconds(router.pid)
@@ -143,13 +148,13 @@
         return samples
 
     async def end(self) -> None:
-        """End all of it now."""
+        """Cancel the run, which ends all of its processes."""
         self._play_task.cancel()
         await asyncio.gather(self._play_task, return_exceptions=True)
 
 
 async def admin_metrics(address: Address) -> dict[str, float]:
-    """What a router's door tells, by name."""
+    """Return the metrics of a router's admin endpoint, by name with labels."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(b"GET /status/metrics HTTP/1.1\r\nHost: bench\r\n\r\n")
@@ -160,12 +165,12 @@
 
 
 def cpu_run_seconds(pid: int) -> float:
-    """How long a process's thread has run so far, finer than the kernel's ticks; raises OSError."""
+    """Return how long a process's main thread has run, more finely than in kernel ticks; raises OSError."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
 def figures_between(before: list[RouterSample], after: list[RouterSample]) -> list[RealFigures]:
-    """The figures of a stretch from what was seen at its two ends."""
+    """Return each router's figures between two samplings of the same routers."""
     return [
         RealFigures(
             (late.cpu - early.cpu) / (late.at - early.at), late.memory, late.alive, late.routers_in_view
--- a/bench/scale_relay.py
+++ b/bench/scale_relay.py
@@ -1,6 +1,4 @@
-"""The process that all datagrams of a scale run pass: the laboratory's relay, and what each router says and
-hears in each second.
-"""
+"""The child process that relays all datagrams of a scale run and counts each router's bytes by second."""
 
 from __future__ import annotations
 
@@ -18,9 +16,9 @@
 
 
 class CountingRelayModel(RelayModel):
-    """All lines, with a region that may be cut off from the others, and what passes counted by second.
+    """The harness's relay model with the scale topology's delays, a region cut off, and bytes by second.
 
-    The relay has the machine's clock: its delays are stretched by as much as the rig's clock is slowed.
+    The relay runs on the machine's clock, so its delays are stretched by the factor of the rig's clock.
     """
 
     def __init__(self, seed: int, loss: float, clock: SlowClock) -> None:
@@ -36,11 +34,11 @@
         self._isolated_until = 0.0
 
     def isolate(self, names: frozenset[str], until: float) -> None:
-        """Nothing passes between these and the others until that second of the rig's clock."""
+        """Drop what these members and the others send each other, until a second of the rig's clock."""
         self._isolated, self._isolated_until = names, until
 
     def carries(self, now: float, a: str, b: str, size: int) -> list[float]:
-        """As the relay's model; and counted."""
+        """Return the delays of a datagram's copies as the base model does, and count its bytes."""
         at = self.clock.seconds()
         self.sent_bytes[a][int(at)] += size
         if at < self._isolated_until and (a in self._isolated) != (b in self._isolated):
@@ -51,7 +49,7 @@
 
 
 class RelayProcess:
-    """What the process is asked to do."""
+    """Handles the parent's requests to the relay process."""
 
     def __init__(self) -> None:
         self.relay: Relay | None = None
@@ -60,13 +58,16 @@
         self.clock = SlowClock(0, 1.0)
 
     def handlers(self) -> Mapping[str, Handler]:
-        """By verb."""
+        """Return the handlers by verb."""
         return {"listen": self.listen, "begin": self.begin, "cut": self.cut, "report": self.report}
 
     async def listen(
         self, ip: str, listens: dict[str, list[Any]], seed: int, loss: float, base: int, slow: float
     ) -> dict[str, Any]:
-        """Listen; returns the address each router is known by, by its number, and all under `all`."""
+        """Start the relay.
+
+        Returns its address for each router under `each`, by number, and its address for all under `all`.
+        """
         self.clock = SlowClock(base, slow)
         loop = asyncio.get_running_loop()
         self.model = CountingRelayModel(seed, loss, self.clock)
@@ -77,7 +78,7 @@
         return {"all": relay_addresses.pop(ALL), "each": relay_addresses}
 
     async def begin(self, base: int) -> None:
-        """The play begins: the clock's second 0 is at that reading of the monotonic clock."""
+        """Start the scenario: the clock's second 0 is at `base` of the monotonic clock."""
         assert self.model is not None
         assert self.lag is not None
         self.clock = self.model.clock = SlowClock(base, self.clock.slow)
@@ -86,12 +87,12 @@
         self.lag.reset()
 
     async def cut(self, members: list[int], seconds: float) -> None:
-        """Cut these off from all others."""
+        """Cut these members off from all others for a time."""
         assert self.model is not None
         self.model.isolate(frozenset(map(str, members)), self.clock.seconds() + seconds)
 
     async def report(self) -> dict[str, Any]:
-        """All that was counted."""
+        """Return what was counted."""
         assert self.model is not None
         assert self.relay is not None
         assert self.lag is not None
--- a/bench/scale_report.py
+++ b/bench/scale_report.py
@@ -1,4 +1,4 @@
-"""What a scale run found: figures by router summed up over the routers, as JSON, and drawn."""
+"""Summarizes a scale run's figures over its routers, converts them for JSON, and draws them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Distribution(NamedTuple):
-    """A figure over all routers."""
+    """The distribution of a figure over all routers."""
 
     least: float
     median: float
@@ -22,34 +22,34 @@
 
 
 def quantile(values: Sequence[float], fraction: float) -> float:
-    """The value that such a part of them is at or under (nearest rank)."""
+    """Return the value at a fraction of the sorted values (nearest rank)."""
     ordered = sorted(values)
     return ordered[min(int(fraction * len(ordered)), len(ordered) - 1)]
 
 
 def distribution(values: Iterable[float]) -> Distribution:
-    """Sum up; raises ValueError where there are none."""
+    """Summarize values of routers; raises ValueError if there are none."""
     found = sorted(values)
     if not found:
-        raise ValueError("no routers to sum up")
+        raise ValueError("no routers to summarize")
     rounded = (round(one, 4) for one in (found[0], median(found), quantile(found, 0.95), found[-1]))
     return Distribution(*rounded)
 
 
 def by_second(counts: Mapping[str, float], window: Window) -> list[float]:
-    """A router's counts in each second of a window."""
+    """Return a router's counts in each second of a window."""
     return [counts.get(str(second), 0.0) for second in range(window.since, window.until)]
 
 
 class Cost(NamedTuple):
-    """A figure a second over all routers: in the mean of a window's seconds, and in each one's worst."""
+    """A figure per second over all routers: each router's mean second and worst second of the window."""
 
     mean: Distribution
     worst: Distribution
 
 
 def cost(by_router: Iterable[Mapping[str, float]], window: Window, unit: float = 1.0) -> Cost:
-    """Sum up what routers spent in a window."""
+    """Summarize what routers spent in a window, divided by `unit`."""
     rows = [by_second(counts, window) for counts in by_router]
     return Cost(
         distribution(sum(row) / len(row) / unit for row in rows),
@@ -58,10 +58,12 @@
 
 
 class View(NamedTuple):
-    """The view over all routers, in a window. Ages: seconds, of the median server's wait when the router is
-    given the view, in the middle one and in the worst of the window's seconds; of this and of the oldest one
-    just before the next view, in the worst. Then the servers it has, and the part of the living routers that
-    it rests on, both at the least.
+    """The quality of the load view in a window, over all routers.
+
+    Ages are in seconds. `given_age` and `worst_age`: age of the median server's response time when the router
+    receives a view, in the median and in the worst of the window's seconds. `held_age` and `oldest_age`: age
+    of the median and of the oldest response time just before the next view, in the worst second. `servers`:
+    the fewest servers in a view. `coverage`: the least fraction of living routers that a view rests on.
     """
 
     given_age: Distribution
@@ -73,7 +75,10 @@
 
 
 def view(routers: Iterable[Mapping[str, Any]], window: Window, alive: int) -> View:
-    """Sum up the pictures; each router's own figure is the worst of the window's seconds."""
+    """Summarize the views; a router's figure is the worst of the window's seconds, `given_age` the median.
+
+    `alive` is the number of living routers.
+    """
     rows = []
     for router in routers:
         seen = [one for one in router["seen"] if window.since <= one[0] < window.until]
@@ -92,20 +97,23 @@
 
 
 class DeathDetection(NamedTuple):
-    """How long after a death the first, and all that live, held it for gone; s, -1: not in the play."""
+    """Seconds from a death until the first and until all living routers hold the member to be gone.
+
+    -1: not observed in the scenario.
+    """
 
     deaths: int
     first_median: float
     all_median: float
     all_worst: float
     unlearnt: int
-    """Deaths that not all learnt of before the play was over."""
+    """Deaths that not all routers had learnt of when the scenario ended."""
 
 
 def death_detection(
     routers: Iterable[Mapping[str, Any]], died: Mapping[int, float], members: Collection[int]
 ) -> DeathDetection:
-    """Sum up how some of the deaths were learnt of."""
+    """Summarize how fast the deaths of `members` were learnt of. `died`: second of death by number."""
     survivors = [router for router in routers if not router["dead"]]
     first, last, unlearnt = [], [], 0
     for number in members:
@@ -129,7 +137,10 @@
 def void_reasons(
     lags: Mapping[str, Sequence[float]], kernel_drop_count: int, unknown_senders: int, silent: int = 0
 ) -> list[str]:
-    """Why the rig's own lateness makes a run's figures worth nothing; empty where they hold."""
+    """Return why a run's figures are void because of the rig itself; empty if they are valid.
+
+    `lags`: lag readings by process, seconds; `silent`: routers that sent nothing.
+    """
     reasons = []
     for name, readings in lags.items():
         if not readings:
@@ -152,7 +163,10 @@
 
 
 def kernel_drops(table: str, ips: Collection[str]) -> int:
-    """Datagrams that full buffers of sockets at these addresses dropped, by the text of /proc/net/udp."""
+    """Count the datagrams that sockets at these addresses dropped at full buffers.
+
+    `table` is the text of /proc/net/udp.
+    """
     wanted = {"".join(f"{int(part):02X}" for part in reversed(ip.split("."))) for ip in ips}
     rows = (row.split() for row in table.splitlines()[1:])
     return sum(int(row[-1]) for row in rows if row[1].split(":")[0] in wanted)
@@ -165,7 +179,7 @@
     died: Mapping[int, float],
     size: int,
 ) -> dict[str, Any]:
-    """A play's figures by window, over the hollow routers that lived through it."""
+    """Return a scenario's figures by window and death, over the hollow routers that survived it."""
     survivors = [
         router for router in hollow if not (router["dead"] or router["light"] or router["aggregator"])
     ]
@@ -194,7 +208,7 @@
 def aggregator_figures(
     hollow: Iterable[Mapping[str, Any]], relay: Mapping[str, Any], window: Window
 ) -> dict[str, Any]:
-    """What the aggregators took; empty where none lived through the play, or there were none."""
+    """Return the cost of the aggregators that survived the scenario; empty if there are none."""
     survivors = [router for router in hollow if router["aggregator"] and not router["dead"]]
     if not survivors:
         return {}
@@ -206,13 +220,13 @@
 
 
 def total_bytes(relay: Mapping[str, Any], name: str) -> dict[str, float]:
-    """What a router said and heard together, by second."""
+    """Return the bytes that a router sent and received, by second."""
     said, heard = relay["said"].get(name, {}), relay["heard"].get(name, {})
     return {second: said.get(second, 0) + heard.get(second, 0) for second in {*said, *heard}}
 
 
 def to_plain(value: Any) -> Any:
-    """Named tuples as maps, for JSON."""
+    """Convert named tuples into maps, for JSON."""
     if hasattr(value, "_asdict"):
         return {name: to_plain(one) for name, one in value._asdict().items()}
     if isinstance(value, Mapping):
@@ -223,7 +237,7 @@
 
 
 def mean_bytes_per_s(relay: Mapping[str, Any], name: str, window: Window) -> float:
-    """What a router said and heard in the mean second of a window."""
+    """Return the bytes per second that a router sent and received in a window, on average."""
     row = by_second(total_bytes(relay, name), window)
     return sum(row) / len(row)
 
@@ -231,7 +245,7 @@
 def light_figures(
     hollow: Iterable[Mapping[str, Any]], relay: Mapping[str, Any], window: Window, size: int
 ) -> dict[str, float]:
-    """The medians over those hollow routers that are asked as little as the real ones; empty without any."""
+    """Return the medians over the hollow routers with the real routers' low rate; empty if there are none."""
     light = [router for router in hollow if router["light"] and not router["dead"]]
     if not light:
         return {}
@@ -253,7 +267,7 @@
 
 
 def _points(runs: Sequence[Mapping[str, Any]], panel: str, window: str) -> list[tuple[int, float, float]]:
-    """Size, median and p95 (of coverage: least) over the routers, in one window."""
+    """Return size, median and p95 (for coverage the minimum) over the routers, in one window."""
     found = []
     for run in runs:
         figures = run["windows"].get(window)
@@ -269,7 +283,7 @@
 
 
 def draw_figure(runs: Mapping[str, Sequence[Mapping[str, Any]]], path: Path) -> None:
-    """The picture: sizes across, each figure a panel, each set of runs a colour, real routers as crosses."""
+    """Draw each figure in a panel over the sizes; each set of runs has a colour, real routers are crosses."""
     import matplotlib as mpl
 
     mpl.use("svg")
--- a/bench/scale_rig.py
+++ b/bench/scale_rig.py
@@ -1,4 +1,4 @@
-"""One play of a scale run: starts its processes, carries the time line out, gathers figures, ends it all."""
+"""Runs one scenario of a scale run: starts the processes, applies the faults, collects the figures."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from bench.scale_report import kernel_drops, light_figures, mean_bytes_per_s, summarize, void_reasons
 from holdgw.wire.address import Address
 
-LOW_RATE_ROUTERS = 10  # hollow routers that are asked as little as the real ones, and held against them
-SLOW_ROUTER_RUN_MS = 20  # of each 100 that a slow router runs
-REAL_MARGIN_S = 60.0  # that a real day is longer than the play beside it: its end is the rig's
+LOW_RATE_ROUTERS = 10  # hollow routers with the real routers' request rate, for comparison with them
+SLOW_ROUTER_RUN_MS = 20  # of each 100 ms
+REAL_MARGIN_S = 60.0  # by which the real routers' schedule outlasts the scenario: the rig ends them
 PROGRESS_INTERVAL_S = 0.2
 
 
 class Program(NamedTuple):
-    """What is run: the command of one real router, and where hollow ones find their code."""
+    """The program under test: a real router's command, its working directory, hollow routers' PYTHONPATH."""
 
     command: str
     root: Path
@@ -33,8 +33,11 @@
 
 
 class Participants(NamedTuple):
-    """Who takes part: routers in the membership, how many of them are real; `apart`: real ones that know no
-    peers and run beside, to tell what peers cost; and machines set aside, with numbers behind the routers'.
+    """The routers and aggregators of a run.
+
+    `size`: routers in the membership; `real`: how many of these are real processes; `standalone`: real
+    routers without peers outside the membership, the baseline for the cost of peers; `aggregators`: dedicated
+    aggregators, with the numbers after the routers'.
     """
 
     size: int
@@ -44,12 +47,12 @@
 
     @property
     def members(self) -> int:
-        """All in the membership."""
+        """The number of members: routers and aggregators."""
         return self.size + self.aggregators
 
 
 class ScenarioResult(NamedTuple):
-    """What a play found. `void`: why its figures are worth nothing."""
+    """The figures of a scenario. `void`: the reasons why they are void; empty if they are valid."""
 
     figures: dict[str, Any]
     real: list[RealFigures]
@@ -60,7 +63,7 @@
 
 
 class Rig:
-    """One play; `end` ends every process that it started."""
+    """Runs one scenario; `end` ends every process that it started."""
 
     def __init__(
         self,
@@ -79,13 +82,14 @@
         self.real: RealRouters | None = None
         self.died: dict[int, float] = {}
         net = f"127.{64 + os.getpid() % 128}.{os.getpid() // 128 % 250}."
-        # Danger: two processes that look for free ports at one address may find the same.
+        # Each hollow process has an address of its own: two processes that look for free ports at one address
+        # may find the same port.
         self._relay_ip = net + "5"
         self._hollow_ips = [f"{net}{100 + i}" for i in range(MAX_WORKERS)]
         self._listens: dict[str, Any] = {}
 
     async def start(self, workers: int) -> None:
-        """Start all processes, and wait until all of them do their part."""
+        """Start all processes and wait until each of them is ready."""
         participants, program = self.participants, self.program
         self.hollow = [Child("bench.hollow", program.root, program.path) for _ in range(workers)]
         for child in (*self.hollow, self.relay):
@@ -148,7 +152,7 @@
         return each, (relay_addresses["all"][0], relay_addresses["all"][1])
 
     async def run(self, progress: Callable[[float], None]) -> ScenarioResult:
-        """Carry the time line out; `progress` is told the second of the play."""
+        """Run the scenario and return its figures; `progress` is called with the second of the scenario."""
         clock = SlowClock(time.monotonic_ns(), self.clock.slow)
         await self._ask_all("begin", base=clock.base)
         samples: list[list[RouterSample]] = []
@@ -191,7 +195,7 @@
         await asyncio.gather(*requests)
 
     async def alive(self) -> dict[int, int]:
-        """How many each living hollow router holds to be alive, by number."""
+        """Return how many members each living hollow router holds to be alive, by number."""
         answers = await asyncio.gather(*(child.ask("alive") for child in self.hollow))
         return {int(number): count for answer in answers for number, count in answer.items()}
 
@@ -249,7 +253,7 @@
         }
 
     async def end(self) -> int:
-        """End every process that was started; returns how many those were, beside the real routers' own."""
+        """End every process that was started; returns their number without the real routers' processes."""
         if self.real is not None:
             await self.real.end()
         children = [child for child in (*self.hollow, self.relay) if child.process is not None]
