--- a/bench/aggregation_figures.py
+++ b/bench/aggregation_figures.py
@@ -1,8 +1,8 @@
-"""Figures of aggregated load reports, in simulated time: how old views truly are, what is counted twice, who
-knows nothing, and what false members move. `bench.figures` prints them, each with its bound.
+"""Figures of aggregated load reports, in simulated time; `bench.figures` prints them, each with its bound.
 
-Servers' waits in these plays tell when they were measured, so that a wait's true age is known wherever it
-goes.
+They tell how far views understate their age, what is counted twice, which routers lack a view, and what
+false members change. Where ages are measured, a server's response time encodes when it was reported, so
+that its true age is known wherever it is passed on.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 MS = 1_000_000
 ROUTERS, SERVERS, SITES = 40, 24, 5
-REQUESTS_PER_S = 20  # requests of each router
+REQUESTS_PER_S = 20  # by each router
 DECAYED_S = 3.6  # seconds of requests that a decayed count holds
-HONEST_MIN_MS, HONEST_RANGE_MS = 20, 10  # what honest servers' waits lie between, where these tell load
+HONEST_MIN_MS, HONEST_RANGE_MS = 20, 10  # range of honest servers' response times
 FALSE_RESPONSE_TIME_MS = 60_000
 WEATHER = PeerWeather(loss=0.02, duplicates=0.05, reordered=0.1)
 
 
 def make_tier(seed: int, aggregators: int = 3, **more: object) -> AggregatedTier:
-    """Forty routers at five sites; lines of 4 and 20 ms."""
+    """Return a tier of 40 routers at five sites, with delays of 4 ms within a site and 20 ms between."""
 
     def one_way_delay(a: str, b: str) -> float:
         return 0.004 if int(a[6:]) % SITES == int(b[6:]) % SITES else 0.02
@@ -36,8 +36,10 @@
 
 
 def watch_ages(tier: AggregatedTier) -> list[float]:
-    """Have waits tell when they were measured; returns the list to which each wait that is handed to
-    decisions adds how much older it is than stated, s.
+    """Make response times encode when they were reported.
+
+    Returns a list that receives, for each response time in a router's view, by how many seconds it is older
+    than the view states.
     """
     tier.wait = lambda _server, now: now // MS * MS
     understated: list[float] = []
@@ -51,7 +53,7 @@
 
 
 def view_age(seed: int) -> float:
-    """By how much a wait is older than stated at the most, s, with one aggregator halted and one killed."""
+    """Return by how many seconds views understate ages at most, with one aggregator halted and one killed."""
     tier = make_tier(seed)
     understated = watch_ages(tier)
     tier.run(8.0)
@@ -63,8 +65,9 @@
 
 
 def double_counting(seed: int) -> float:
-    """Requests in views over those that there are, at the most, while aggregators are parted, and reporters
-    move and restart.
+    """Return the highest ratio of requests in a view to actual requests.
+
+    Meanwhile aggregators are cut off from one another, and reporters change aggregators and restart.
     """
     tier = make_tier(seed)
     highest = 0.0
@@ -90,7 +93,7 @@
 
 
 def replayed(seed: int) -> float:
-    """Waits that are older than stated by over a second, while old datagrams come again."""
+    """Count response times that are over a second older than stated, while old datagrams are replayed."""
     tier = make_tier(seed)
     understated = watch_ages(tier)
     recorded: list[tuple[int, int, bytes]] = []
@@ -111,8 +114,10 @@
 
 
 def uninformed(seed: int) -> float:
-    """Routers that know the wait of under three in four servers, or go by an old view, 8 s after all
-    aggregators are gone, and 6 s after one is back.
+    """Count routers that lack a usable view 8 s after all aggregators died, and 6 s after one has restarted.
+
+    Such a router knows the response times of under three in four servers, or, without aggregators, still uses
+    a merged view, or, with one, is still in fallback.
     """
     tier = make_tier(seed, samples_per_s=4)
     tier.run(8.0)
@@ -127,8 +132,10 @@
 
 
 def without_view(seed: int) -> float:
-    """Routers that fell back though an aggregator was there: one of three killed, one halted for 5 s, all
-    parted from one another, and each cut off from half of the routers.
+    """Count fallbacks of routers although an aggregator was reachable.
+
+    One of three aggregators is killed and one halted for 5 s; later all are cut off from one another, and two
+    of them from half of the routers each.
     """
     tier = make_tier(seed)
     first, second, third = tier.aggregators
@@ -149,8 +156,9 @@
 
 
 def _falsifier(tier: AggregatedTier) -> Callable[[bytes], bytes]:
-    """What a lying aggregator makes of its views, and of what it forwards: every server is full, or none is,
-    and slot 9 alone is asked for.
+    """Return what a false aggregator does to the views it sends and the reports it forwards.
+
+    Every server then reports a response time of 60 s, and all requests are for slot 9.
     """
     wait = FALSE_RESPONSE_TIME_MS * MS
 
@@ -172,8 +180,9 @@
 
 
 def single_false_aggregator(seed: int) -> float:
-    """Waits that a lying aggregator moved beyond what servers told, and slots that it made hot, in a tier
-    where it also forwards falsely and a reporter claims everything.
+    """Count the effects of a false aggregator, which also forwards false reports that claim all requests.
+
+    An effect is a response time in a view above what any server reported, or a view in which slot 9 is hot.
     """
     tier = make_tier(seed, samples_per_s=SERVERS)
     tier.wait = lambda _server, _now: (
--- a/bench/cold_budget.py
+++ b/bench/cold_budget.py
@@ -1,8 +1,9 @@
-"""What all processes together send a cold server: `python -m bench.cold_budget [--seeds 5]`.
+"""Measures what all processes together send to a cold server: `python -m bench.cold_budget [--seeds 5]`.
 
-Decision modules alone, each asked its share of what clients ask; one server of the fleet has just started. In
-each window the settings allow it N calls (fall multiple x what it can do now x the window); the sum of all
-processes must stay within N + 2 x root of N + 2. Shown is the worst window, in roots of N over N.
+Decision modules alone, each with its share of the clients' requests; one server of the fleet has just
+started. In each window the settings allow this server N calls (fall multiple x its present capacity x the
+window); the sum over all processes must stay within N + 2 x root of N + 2. Printed is the worst window, in
+roots of N over N.
 """
 
 from __future__ import annotations
@@ -37,36 +38,42 @@
 from holdgw.simulation.event_queue import EventQueue
 
 ORIGIN = Endpoint("origin:1", kind="store")
-START_S, BEFORE_S, AFTER_S = 100, 12.0, 10.0  # the server's start; play before and after it
+START_S, BEFORE_S, AFTER_S = (
+    100,
+    12.0,
+    10.0,
+)  # the cold server's start, and the time simulated before and after it
 ANSWER_NS, FETCH_NS = 40_000_000, 150_000_000
 DEADLINE_NS = 1_200_000_000
-TENTHS, TENTH_S = 10, 0.5  # a tenth of the processes starts anew each half second
+TENTHS, TENTH_S = 10, 0.5  # a tenth of the processes restarts each half second
 KEYS, ZIPF = 3000, 1.1
 
 
 @dataclass(frozen=True)
 class Case:
-    """A fleet and what befalls it as one of its servers starts."""
+    """A fleet and the faults that accompany the start of one of its servers."""
 
     name: str
     processes: int
     servers: int = 20
     load: float = 0.6
-    """Of what the warm servers can do."""
+    """Of the warm servers' capacity."""
     warm_per_s: float = 50.0
-    """Requests a second, one warm server."""
+    """Capacity of a warm server, requests a second."""
     fall_multiple: float = 4.0
     window_s: float = 2.0
     cold_share: float = 0.3
     cold_s: float = 8.0
     restarts: str = ""
-    """all: every process starts with the server; tenths: a tenth at a time from then; pairs: each twice."""
+    """all: every process restarts with the server; tenths: a tenth at a time from then on; pairs: for each
+    process a new one starts beside the old one.
+    """
     dead_servers: int = 0
-    """Servers that refuse connections from the start on."""
+    """Servers that refuse connections from the cold server's start on."""
     hot_share: float = 0.0
-    """Share of one key, beside the usual ones."""
+    """Share of requests for one key, in addition to the usual keys."""
     timeout_share: float = 0.0
-    """Share of answers that time out, and come again: what is sent is then far more than what is done."""
+    """Share of attempts that time out and are retried, so that far more is sent than is answered."""
 
 
 CASES = [
@@ -95,7 +102,7 @@
 
 
 class ColdStartRun:
-    """One case, one seed."""
+    """A simulation of one case with one seed."""
 
     def __init__(self, case: Case, seed: int) -> None:
         self._events, self._requests = EventQueue(), count()
@@ -105,7 +112,7 @@
         self._refusing = {one.id for one in self._servers if one is not self._cold}
         self._refusing = set(sorted(self._refusing)[: case.dead_servers])
         self._processes = [self._start_process(i) for i in range(case.processes)]
-        self.sent: list[float] = []  # to the cold one, seconds since its start
+        self.sent: list[float] = []  # attempts at the cold server, seconds since its start
         self._is_announced = False
         weights = [1 / (rank + 3) ** ZIPF for rank in range(KEYS)]
         self._cumulative_weights = list(accumulate(weights))
@@ -127,7 +134,10 @@
         return f"k{bisect(self._cumulative_weights, self._rng.random() * self._cumulative_weights[-1])}"
 
     def run(self) -> float:
-        """The worst window: roots of N by which the sum is over N."""
+        """Run the simulation.
+
+        Returns by how many roots of N the attempts exceed N (after the allowance of 2) in the worst window.
+        """
         for at in self._arrivals():
             self._events.at(int(at * NS_PER_S), self._send_request)
         self._events.at(START_S * NS_PER_S, self._start_server)
@@ -189,11 +199,11 @@
         case, window, worst = self.case, deque[float](), -math.inf
         for at in self.sent:
             if at >= case.cold_s:
-                break  # one that is warm does not fall
+                break  # a warm server is not knocked out
             window.append(at)
             while window[0] <= at - case.window_s:
                 window.popleft()
-            age = max(at - case.window_s, 0.0)  # the least that it can do within the window
+            age = max(at - case.window_s, 0.0)  # at the window's start, where the capacity is least
             warmth = min(case.cold_share + (1 - case.cold_share) * age / case.cold_s, 1.0)
             allowed = case.fall_multiple * case.warm_per_s * warmth * case.window_s
             worst = max(worst, (len(window) - 2 - allowed) / math.sqrt(allowed))
@@ -201,7 +211,7 @@
 
 
 def main() -> int:
-    """Print a table; returns 1 where a window was over the bound."""
+    """Print a table; returns 1 if a window exceeded the bound."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=5)
     seeds = parser.parse_args().seeds
--- a/bench/cores.py
+++ b/bench/cores.py
@@ -1,9 +1,9 @@
-"""A router on 1, 2, 4 and 8 cores, with as many relays beside it, in one run.
+"""Measures a router on 1, 2, 4 and 8 cores, compared with as many relay processes, in one run.
 
 `python -m bench.cores [--seconds S] [--counts 1 2 4 8] [--json OUT] [--picture docs/cores.svg]`. Clients and
-nodes have processes of their own on the same machine. Where the workers leave fewer than two cores they share
-them all, and the table says so: from there on the machine is measured, not the router. Each client waits
-for exactly one answer to a request; one too many, a wrong one or a closed connection counts as bad.
+nodes have processes of their own on the same machine. If the workers leave them fewer than two cores, all
+processes share all cores and the table says so: the machine is then the bottleneck, not the router. Each
+client expects exactly one answer to a request; an extra or wrong answer or a closed connection counts as bad.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 
 
 def process_and_children(pid: int) -> list[int]:
-    """The process and those it started."""
+    """Return the ids of a process and its children."""
     children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
     return [pid, *map(int, children)]
 
 
 def main() -> None:
-    """Measure, print, and draw."""
+    """Measure, print and draw."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -59,7 +59,7 @@
     build(ROOT / "deploy/balancer.toml")
     figures: list[tuple[int, bool, Figures]] = []
     for count in args.counts * args.rounds:
-        # The others keep to what the workers leave, where they leave enough; else all share all.
+        # Clients and nodes get the cores that the workers leave, if these are enough; else all share all.
         dedicated = len(all_cores) - count >= 2
         other_cores = all_cores[count:] if dedicated else all_cores
         worker_cores = set(all_cores[:count]) if dedicated else set(all_cores)
@@ -78,7 +78,7 @@
 def run_round(
     count: int, worker_cores: set[int], other_cores: list[int], args: argparse.Namespace
 ) -> list[Figures]:
-    """So many relays, then a router on so many workers, under the same clients and nodes."""
+    """Measure `count` relays, then a router with `count` workers, under the same clients and nodes."""
     children, relays = Children(), Children()
     client_cores = [other_cores[i % len(other_cores)] for i in range(args.clients)]
     found: list[Figures] = []
@@ -103,7 +103,7 @@
         with tempfile.TemporaryDirectory() as folder:
             run = f"PYTHONPATH=.native:. exec {sys.executable} -P -m holdgw run --cores {count}"
             router, address = start_router(Path(folder), discovery, known, worker_cores, run, LIMITS)
-            time.sleep(1.0)  # every worker serves, and the shares are dealt
+            time.sleep(1.0)  # until every worker serves and has its limit shares
             pids = process_and_children(router.pid)
             assert len(pids) == count + 1, pids
             what = f"router x{count}"
@@ -122,7 +122,7 @@
 
 
 def draw(body: list[dict[str, Any]], path: Path) -> None:
-    """Throughput and latency over the number of workers."""
+    """Draw throughput and latency over the number of workers."""
     import matplotlib as mpl
 
     mpl.use("svg")
--- a/bench/each_trouble.py
+++ b/bench/each_trouble.py
@@ -1,7 +1,7 @@
-"""Each trouble between processes by itself, over many seeds: `python -m bench.each_trouble [KINDS]`.
+"""Simulates each kind of inter-process fault alone, on many seeds: `python -m bench.each_trouble [KINDS]`.
 
-The day is laboratory-storm's, its storm of one kind alone, one to three of them; in simulated time, by the
-four rules and the simulation's invariants. Returns 1 if any seed fails.
+The scenario is laboratory-storm with one to three faults of one kind, in simulated time; a seed fails if one
+of the four rules or of the simulation's invariants is violated. Returns 1 if any seed fails.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def main() -> int:
-    """Play and print."""
+    """Run the seeds of each kind and print a table."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/bench/emulator_rate.py
+++ b/bench/emulator_rate.py
@@ -1,9 +1,8 @@
-"""The emulator's highest request rate on this machine: `python -m bench.emulator_rate [--nodes N] [--routers
-N]`.
+"""Measures the emulator's highest request rate on a machine: `python -m bench.emulator_rate [--routers N]`.
 
-Plays quiet days at rising rates, with the same load for each node, until the 99th percentile of the
-emulator's own lag is over 5 ms, one reading is over 40 ms, or the day is void for another reason; prints one
-line a rate.
+Runs the quiet scenario at rising rates, with the same load on each node, until the 99th percentile of the
+emulator's own lag is over 5 ms, one reading is over 40 ms, or the run is void for another reason. Prints a
+line for each rate.
 """
 
 from __future__ import annotations
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,7 +1,8 @@
-"""Figures that tell a fault which breaks no rule, each with the bound that the program keeps to.
+"""Figures that detect faults which violate no rule, each with the bound that the program must meet.
 
-In simulated time, decision modules or memberships alone; `python -m bench.figures [--seeds 4] [NAMES]` prints
-them as the program stands, `bench.mutants` plants faults and plays them again.
+They are measured in simulated time, on decision modules or memberships alone. `python -m bench.figures
+[--seeds 4] [NAMES]` prints them for the unmodified program; `bench.mutants` measures them with planted
+faults.
 """
 
 from __future__ import annotations
@@ -30,14 +31,14 @@
 
 
 def arrival_dispersion(seed: int) -> float:
-    """Variance over mean of a server's arrivals by 100 ms, by news that is 1 s old."""
+    """Return variance over mean of a server's arrivals by 100 ms, with load reports delayed by 1 s."""
     fleet = _fleet(seed, delay=S)
     fleet.run(15.0)
     return fleet.herd(5.0, 15.0)
 
 
 def lasting_loss(seed: int) -> float:
-    """What a server that was over its load for 6 s gets less than before, 6 s after that: 1, nothing."""
+    """Return the fraction of its former requests that a server lacks from 6 s after an overload of 6 s on."""
     fleet = _fleet(seed)
     fleet.run(8.0)
     server = fleet.servers[min(fleet.servers)]
@@ -51,7 +52,7 @@
 
 
 def older_reports_applied(seed: int) -> float:
-    """How often what a router holds of a server's wait goes back to an older word, by news 2 s old."""
+    """Count how often an older report replaces a newer response time, with load reports delayed by 2 s."""
     fleet = _fleet(seed, routers=12, delay=2 * S)
     newest: dict[tuple[int, str], int] = {}
     older_count = 0
@@ -70,7 +71,7 @@
 
 
 def wrongly_dead(seed: int) -> float:
-    """Routers held for dead, when all that were frozen or restarted are back and old datagrams come again."""
+    """Count members wrongly held to be dead after all have resumed or restarted, with datagrams replayed."""
     weather = PeerWeather(loss=0.05, duplicates=0.1, reordered=0.3)
     tier = MembershipTier(24, seed, RelayModel(seed, lambda _a, _b: 0.004, weather))
     recorded: list[tuple[int, int, bytes]] = []
@@ -102,7 +103,7 @@
 
 
 class Figure(NamedTuple):
-    """What is measured, and the most that it may be."""
+    """A measurement, its description, and the highest value allowed. `measure` takes a seed."""
 
     about: str
     measure: Callable[[int], float]
@@ -111,22 +112,24 @@
 
 FIGURES = {
     "herd": Figure("variance over mean of arrivals", arrival_dispersion, 1.4),
-    "stale": Figure("less than before, long after it was over its load", lasting_loss, 0.35),
-    "overruled": Figure("older words that took a newer one's place", older_reports_applied, 0.0),
-    "returned": Figure("routers held for dead that are there", wrongly_dead, 0.0),
-    "view-age": Figure(
-        "seconds that a wait in a view is older than stated", aggregation_figures.view_age, 0.3
-    ),
+    "stale": Figure("fraction of requests lacking long after an overload", lasting_loss, 0.35),
+    "overruled": Figure("older reports that replaced a newer one", older_reports_applied, 0.0),
+    "returned": Figure("living routers held to be dead", wrongly_dead, 0.0),
+    "view-age": Figure("seconds by which a view understates an age", aggregation_figures.view_age, 0.3),
     "counted-twice": Figure(
-        "requests in a view over those that there are", aggregation_figures.double_counting, 1.05
+        "requests in a view over actual requests", aggregation_figures.double_counting, 1.05
+    ),
+    "replayed": Figure("response times that old datagrams brought back", aggregation_figures.replayed, 0.0),
+    "blind": Figure(
+        "routers without a usable view when aggregators are lost", aggregation_figures.uninformed, 0.0
     ),
-    "replayed": Figure("waits that old datagrams brought back", aggregation_figures.replayed, 0.0),
-    "blind": Figure("routers that know little without aggregators", aggregation_figures.uninformed, 0.0),
     "without-view": Figure(
-        "routers without a view though an aggregator is there", aggregation_figures.without_view, 0.0
+        "routers in fallback although an aggregator is reachable", aggregation_figures.without_view, 0.0
     ),
     "one-liar": Figure(
-        "waits and shares that one aggregator's lies moved", aggregation_figures.single_false_aggregator, 0.0
+        "response times and shares changed by one false aggregator",
+        aggregation_figures.single_false_aggregator,
+        0.0,
     ),
 }
 
@@ -136,7 +139,7 @@
 
 
 def main() -> None:
-    """Play all, and print a table."""
+    """Measure the figures and print a table."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -1,13 +1,14 @@
-"""Whether many routers herd, and what hard cases do to the spread: `python -m bench.herd [--jobs 8] [CASES]`.
+"""Measures herding and load spread of many routers: `python -m bench.herd [--jobs 8] [CASES]`.
 
-200 decision modules and what they tell one another, 50 servers that are queues, in simulated time; without
-sockets (`bench.spread` has real processes). Each case is played with reports alone, with the picture but no
-plan of who gives slots up, and with the plan; the old news also with a switch in the plan's place: a slot
-goes to the ranked server that says the shortest wait.
+200 decision modules with their load view and 50 servers that are queues, in simulated time without sockets
+(`bench.spread` has real processes). Each case runs with load reports alone ("reports alone"), with the merged
+view but no slot migration ("picture"), and with slot migration ("plan"). The quiet case and those of
+delayed reports also run with "switch", where a slot goes at once to the ranked server that reports the
+shortest response time.
 
 Columns: herd (variance over mean of a server's arrivals by 100 ms; a Poisson stream has 1.00), busiest and
-idlest server over the mean once the trouble is over, late or refused of all, misses; how much of what it can
-do a cold server was sent in its worst second (it falls at 4.00).
+idlest server over the mean after the fault, fraction of requests late or refused, misses, and cold: requests
+to a cold server in its worst second, over its capacity then (it fails at 4.00).
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 from holdgw.simulation.fleet import Fleet, SimulatedPolicy
 
 S = NS_PER_S
-FAULT_AT_S, RUN_S = 15.0, 45.0  # of the trouble, and of the whole
+FAULT_AT_S, RUN_S = 15.0, 45.0
 ROUTERS, SERVERS, RATE = 200, 50, 600.0
 
 
 def _partition(fleet: Fleet) -> None:
-    """A third of the routers hears only its own for 20 s, and has a hot key of its own."""
+    """Cut a third of the routers off from the others for 20 s, while two keys get 5 % of all reads each."""
     fleet.hot = {"north": 0.05, "south": 0.05}
     fleet.reach = lambda one, other: (one % 3 == 0) == (other % 3 == 0)
 
@@ -58,7 +59,7 @@
 
 
 def _false_router_report(fleet: Fleet) -> None:
-    """One router claims that eighteen slots of its choice are all that anybody asks for."""
+    """Make router 5 claim far more requests than it has, all for MAX_SLOTS slots."""
     fleet.falsify = lambda one, report: (
         LoadReport(one.number, 1, report.samples, 60_000, dict.fromkeys(range(MAX_SLOTS), 3_300))
         if one.number == 5
@@ -85,7 +86,7 @@
 
 
 CASES: dict[str, tuple[dict[str, Any], Callable[[Fleet], None] | None, float, float]] = {
-    # options, trouble, when it comes, and from when on the spread is measured
+    # options, fault, second of the fault, second from which the spread is measured
     "quiet": ({}, None, FAULT_AT_S, FAULT_AT_S),
     "news 1 s old": ({"delay": S}, None, FAULT_AT_S, FAULT_AT_S),
     "news 5 s old": ({"delay": 5 * S}, None, FAULT_AT_S, FAULT_AT_S),
@@ -117,13 +118,13 @@
 
 
 def lowest_wait_rank(_self: slot_rebalancing.SlotRebalancer, _slot: int, ranking: Sequence[Any]) -> int:
-    """Where a slot would be were it the one that says the shortest wait who has it."""
+    """Return the rank of the server that reports the shortest response time, in place of slot migration."""
     count = min(len(ranking), slot_rebalancing.MAX_RECEIVER_RANK)
     return min(range(count), key=lambda i: ranking[i].reported_response_time_ns or math.inf)
 
 
 def run_case(case: str, variant: str, seed: int) -> dict[str, float]:
-    """Play a case."""
+    """Run a case with one variant of the policy; returns its figures by column."""
     options, fault, fault_at_s, since = CASES[case]
     if variant == "picture":
         slot_rebalancing.MAX_MIGRATION_PER_S = 0.0
@@ -163,7 +164,7 @@
 
 
 def main() -> None:
-    """Play all, and print a table."""
+    """Run all cases and print a table."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -1,8 +1,8 @@
-"""What one request costs in the router's own code, without a kernel: `python -m bench.hot_path [--profile]`.
+"""Measures a request's cost in the router's code without the kernel: `python -m bench.hot_path [--profile]`.
 
-A client's bytes go in by `data_received`, an answer of a mirror node comes back at once, and what would be
-written is thrown away: the figure is the own cost of the path. `bench.router_core` has the kernel, the loop
-and its neighbours in it. CPU time of the process, the median of the rounds.
+A client's bytes are passed to `data_received`, a fake node answers at once, and written bytes are discarded,
+so that the figure is the cost of the code path alone; `bench.router_core` includes the kernel and the event
+loop. Printed is the process's CPU time, the median of the rounds.
 """
 
 from __future__ import annotations
@@ -51,35 +51,35 @@
 
 
 class FakeTransport:
-    """Takes what is written; a node's answers each request in the loop's next turn."""
+    """Discards what is written; a node's transport (`answers`) queues itself so that its request is answered."""
 
     def __init__(self, protocol: Any, answers: bool) -> None:
         self.protocol, self.answers, self.written, self.last = protocol, answers, 0, b""
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Nothing to limit."""
+        """Do nothing: writes are never buffered."""
 
     def write(self, data: bytes) -> None:
-        """Take bytes."""
+        """Record the last write, and queue a node's answer."""
         self.written, self.last = self.written + 1, data
         if self.answers:
             PENDING.append(self)
 
     def writelines(self, data: list[bytes]) -> None:
-        """Take several."""
+        """Record one write."""
         self.write(b"")
 
     def is_closing(self) -> bool:
-        """Never."""
+        """Return False."""
         return False
 
     def abort(self) -> None:
-        """Nothing to close."""
+        """Do nothing."""
 
     close = pause_reading = resume_reading = write_eof = abort
 
     def get_write_buffer_size(self) -> int:
-        """Nothing waits."""
+        """Return 0: writes are never buffered."""
         return 0
 
 
@@ -87,7 +87,7 @@
 
 
 def requests(count: int, keys: int) -> list[bytes]:
-    """Commands as clients send them; every id is new."""
+    """Return commands as clients send them, each with a new id."""
     found = []
     for i in range(count):
         key = b"pkg-%06d" % (i * 7919 % keys)
@@ -99,7 +99,7 @@
 async def run_rounds(
     count: int, nodes_count: int, keys: int, profile: cProfile.Profile | None
 ) -> list[float]:
-    """Microseconds of CPU a request, of each round."""
+    """Return the microseconds of CPU time per request, of each round."""
     loop = asyncio.get_running_loop()
     pool = ConnectionPool(loop, nodes_count + 400, 0.12, 10.0)
     dispatcher = Dispatcher(loop, SETTINGS, 7, pool, 20_000)
@@ -112,7 +112,7 @@
         return transport, protocol
 
     class Loop:
-        """The loop, but for connections."""
+        """The event loop, with fake connections."""
 
         def __getattr__(self, name: str) -> Any:
             return fake_connection if name == "create_connection" else getattr(loop, name)
@@ -139,9 +139,9 @@
             for _ in range(1000):
                 if PENDING:
                     break
-                await asyncio.sleep(0)  # a dial
+                await asyncio.sleep(0)  # lets the pool open a connection
             else:
-                raise RuntimeError(f"nothing was sent for {one!r}; the client was told {transport.last!r}")
+                raise RuntimeError(f"no attempt was sent for {one!r}; the client received {transport.last!r}")
             while PENDING:
                 PENDING.pop().protocol.data_received(ANSWER)
         if profile is not None:
@@ -156,7 +156,7 @@
 
 
 def main() -> int:
-    """Measure, or profile."""
+    """Measure and print, with a profile if asked for."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=7)
     parser.add_argument("--nodes", type=int, default=NODES)
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -1,7 +1,7 @@
-"""What the membership costs and how soon it learns: `python -m bench.membership [--sizes 20 200 2000]`.
+"""Measures the membership's traffic and detection times: `python -m bench.membership [--sizes 20 200 2000]`.
 
-In simulated time, memberships alone over the relay's lines: deaths, with and without 5 % of datagrams lost;
-no death, 5 % lost and a tenth of the routers slow (they run 20 ms of each 100).
+Memberships run alone in simulated time over the relay's model: with deaths, at 0 and 5 % of datagrams lost;
+and without a death, at 5 % lost, with a tenth of the routers slow (running 20 ms of each 100).
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 DEATHS = 5
 CALM_S = 10.0
-MAX_LEARN_S = 120.0  # a death that not all have learnt of by then was not learnt
+MAX_LEARN_S = 120.0  # a death that not all have learnt of by then counts as not learnt
 
 
 def one_way_delay(a: str, b: str) -> float:
-    """One way, seconds: within a zone or across."""
+    """Return the one-way delay between two routers, seconds: within a zone or between zones."""
     return 0.0002 if int(a[6:]) % 3 == int(b[6:]) % 3 else 0.004
 
 
 def slow_down(tier: MembershipTier, number: int, run_ms: int) -> None:
-    """One that runs for so many ms of each 100."""
+    """Let a member run for only `run_ms` of each 100 ms."""
 
     def hold() -> None:
         tier.stop(number)
@@ -42,9 +42,10 @@
 def learn_of_deaths(
     tier: MembershipTier, deaths: int, max_s: float, unlearnt: float
 ) -> tuple[list[float], list[float]]:
-    """Kill so many one after the other: seconds until the first, and until all living learn of each.
+    """Kill `deaths` members one after the other.
 
-    A death is waited for `most_s` seconds; `unlearnt` stands where it was not learnt by then.
+    Returns for each death the seconds until the first and until all living members learnt of it, or
+    `unlearnt` if that took more than `max_s` seconds.
     """
     first: list[float] = []
     last: list[float] = []
@@ -67,7 +68,7 @@
 
 
 def measure_deaths(size: int, seed: int, loss: float) -> tuple[list[float], list[float], float]:
-    """Seconds until the first, and until all learn of each of some deaths; bytes a second of a router."""
+    """Return seconds until the first and until all learn of each death, and a router's bytes per second."""
     tier = MembershipTier(size, seed, RelayModel(seed, one_way_delay, PeerWeather(loss=loss)))
     tier.run(CALM_S)
     before, began = sum(tier.bytes.values()), tier.now
@@ -77,7 +78,10 @@
 
 
 def false_suspicions(size: int, seed: int, seconds: float) -> dict[str, float]:
-    """Suspicions and deaths an hour over the tier, nobody being dead; bytes a second of a router."""
+    """Return false suspicions and deaths per hour over the tier, and a router's bytes per second.
+
+    No member dies, 5 % of datagrams are lost and a tenth of the members are slow.
+    """
     tier = MembershipTier(size, seed, RelayModel(seed, one_way_delay, PeerWeather(loss=0.05)))
     slow = set(tier.random.sample(range(size), size // 10))
     for number in slow:
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -1,9 +1,9 @@
-"""How soon the simulation finds planted faults: `python -m bench.mutants [--seeds 200] [--jobs 8] [NAMES]`.
+"""Mutation tests of the simulation: `python -m bench.mutants [--seeds 200] [--jobs 8] [NAMES]`.
 
-Each mutant is the program with one fault written into a copy of its source, loaded in a process of its own.
-Seeds of its scenario (mixed-storm, or one that it names) are played one after the other until one fails;
-where it names a figure of bench.figures, that is played in its place, against the figure's bound, and where
-it names a test, that is run. A mutant whose text no longer fits is an error.
+A mutant is the program with one fault patched into its source as it is loaded, in a process of its own. The
+seeds of its scenario (mixed-storm, or one that it names) run one after the other until one fails. If the
+mutant names a figure of bench.figures, that is measured against its bound instead; if it names a test, that
+is run. A patch whose text no longer occurs exactly once in the source is an error.
 """
 
 from __future__ import annotations
@@ -24,27 +24,27 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 SEEDS = 200
-FIGURE_SEEDS = 4  # a figure is of one piece: what it does not tell on a few seeds it does not tell
+FIGURE_SEEDS = 4  # a figure that doesn't detect a fault on a few seeds doesn't detect it at all
 
 
 class Mutant(NamedTuple):
-    """One fault: in a module, this text becomes that, and so on by pairs; sought on a scenario."""
+    """One fault: a description, patches (module, old text, new text), and what detects it, by default a scenario."""
 
     about: str
     module: str
     old: str
     new: str
     more: tuple[tuple[str, str, str], ...] = ()
-    """(module, old, new)."""
+    """Further patches: (module, old, new)."""
     scenario: str = "mixed-storm"
     figure: str = ""
-    """Sought by this figure of bench.figures, in place of a scenario."""
+    """The figure of bench.figures that detects the fault, instead of a scenario."""
     test: str = ""
-    """Sought by this test, in place of either."""
+    """The test that detects the fault, instead of either."""
 
     @property
     def edits(self) -> tuple[tuple[str, str, str], ...]:
-        """All of them."""
+        """All patches."""
         return ((self.module, self.old, self.new), *self.more)
 
 
@@ -452,23 +452,23 @@
 
 
 class _Loader(SourceFileLoader):
-    """Compiles a module's source with edits; never from or to a cache."""
+    """Compiles a module's source with patches, without the bytecode cache."""
 
     edits: list[tuple[str, str]]
 
     def get_code(self, fullname: str) -> CodeType:
-        """The edited source, compiled."""
+        """Return the patched source, compiled; raises RuntimeError if a patch doesn't apply."""
         path = self.get_filename(fullname)
         text = Path(path).read_text()
         for old, new in self.edits:
             if text.count(old) != 1:
-                raise RuntimeError(f"{old!r} stands {text.count(old)} times in {fullname}")
+                raise RuntimeError(f"{old!r} occurs {text.count(old)} times in {fullname}, not once")
             text = text.replace(old, new)
         return compile(text, path, "exec")
 
 
 class _Finder(MetaPathFinder):
-    """Finds the modules that a mutant edits."""
+    """Finds the modules that a mutant patches."""
 
     def __init__(self, mutant: Mutant) -> None:
         self._mutant = mutant
@@ -476,7 +476,7 @@
     def find_spec(
         self, fullname: str, path: Sequence[str] | None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """The spec of an edited module; None for all others."""
+        """Return the spec of a patched module; None for all others."""
         edits = [(old, new) for module, old, new in self._mutant.edits if module == fullname]
         if not edits:
             return None
@@ -490,16 +490,19 @@
 
 
 def plant(name: str) -> None:
-    """From now on the mutant's modules are loaded with its edits; none may have been loaded yet."""
+    """Load a mutant's modules with its patches from now on.
+
+    Raises RuntimeError if one of them is loaded already.
+    """
     mutant = MUTANTS[name]
     loaded = [module for module, _, _ in mutant.edits if module in sys.modules]
     if loaded:
-        raise RuntimeError(f"{loaded[0]} is loaded already")
+        raise RuntimeError(f"{loaded[0]} was loaded before its patches")
     sys.meta_path.insert(0, _Finder(mutant))
 
 
 def find_failure(mutant: Mutant, seeds: Sequence[int]) -> tuple[int, str]:
-    """The first of these seeds that fails, and how; (0, "") if none does."""
+    """Return the first seed that detects the mutant, and how; (0, "") if none does."""
     if mutant.figure:
         from bench.figures import FIGURES
 
@@ -534,7 +537,7 @@
 
 
 def main() -> int:
-    """Plant all, or one; returns 1 if any was not found."""
+    """Run all or the named mutants; returns 1 if any was not detected."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("names", nargs="*")
     parser.add_argument("--seeds", type=int, default=SEEDS)
--- a/bench/paired.py
+++ b/bench/paired.py
@@ -1,8 +1,9 @@
-"""What a mechanism gains, by paired seeds: `python -m bench.paired SCENARIO [MUTANTS] [--seeds 24]`.
+"""Measures a mechanism's gain by paired seeds: `python -m bench.paired SCENARIO [MUTANTS] [--seeds 24]`.
 
-Every seed is played by the router as it is and by each mutant (bench/mutants.py), in simulated time. Printed
-are, for each figure, the mean as it is, the mean with the mutant, and the mean of the differences with its
-95 % interval. `gain`: the interval lies on the router's side of 0, so the seeds find the mutant by it.
+The unmodified router and each mutant (bench/mutants.py) run every seed in simulated time. Printed are, for
+each figure, the mean of the unmodified router, the mean with the mutant, and the mean of the differences with
+its 95 % interval. `gain`: the interval lies on the unmodified router's side of 0, so the seeds detect the
+mutant by this figure.
 """
 
 from __future__ import annotations
@@ -18,12 +19,16 @@
 from bench.mutants import plant
 
 FIGURE_SIGNS = {"service": 1, "served": 1, "in_aim": 1, "attempts": -1, "fetches": -1, "broken": -1}
-"""The figures, and whether more is better: worth served of all, tries served and in their aim by first tries,
-attempts at nodes and fetches from the store by first tries, rules and invariants broken."""
+"""The figures, with 1 if more is better and -1 if less is.
+
+They are the fraction of worth served, requests served and served within their objective by first attempts of
+clients, attempts at nodes and fetches from the store by first attempts of clients, and violations of rules
+and invariants.
+"""
 
 
 def figures(scenario: str, seed: int, seconds: float) -> dict[str, float]:
-    """Play one seed; its figures."""
+    """Run one seed and return its figures; raises RuntimeError if the run itself fails."""
     from holdgw.harness.report import make_report
     from holdgw.harness.scenario import load_scenario
     from holdgw.harness.schedule import ORIGIN
@@ -56,7 +61,7 @@
 def play_seeds(
     mutant: str, scenario: str, seeds: Sequence[int], jobs: int, seconds: float = 0.0
 ) -> dict[str, np.ndarray]:
-    """Each figure over the seeds, in their order, with the mutant planted; "": the router as it is."""
+    """Return each figure over the seeds, in their order, with a mutant; "": the unmodified router."""
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(jobs, context, _plant_mutant, (mutant,)) as pool:
         rows = list(pool.map(figures, [scenario] * len(seeds), seeds, [seconds] * len(seeds)))
@@ -64,7 +69,7 @@
 
 
 def main() -> None:
-    """Play and print."""
+    """Run the seeds and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("scenario")
     parser.add_argument("mutants", nargs="*")
--- a/bench/peer_cost.py
+++ b/bench/peer_cost.py
@@ -1,16 +1,16 @@
-"""What one router's control part costs alone: `python -m bench.peer_cost --routers 50 100 200 400 760`.
+"""Measures the cost of one router's control: `python -m bench.peer_cost --routers 50 100 200 400 760`.
 
 The membership and the load view of one router run on an injected clock, as `holdgw.peers.gossip` drives
-them, without sockets: a tick each 0.1 s, a load report each 0.3 s. Around them is made up: the router's own
-requests (934 a second, Zipf over a million keys in 8,192 slots), the waits that 96 servers report with each
-answer, and the peers in calm: each probes one member a second, acknowledges at once, and sends its load
-reports to as many others as the protocol does, so that a router receives some 13 a second at any size.
-Nothing is lost.
-
-Printed by simulated second: CPU time of the process by part (encoding and decoding belong to the part that
-needs them; making up the surroundings is not measured), bytes sent and received, and by tracemalloc, in a
-run of its own, the memory that code of `holdgw/peers` holds at the end. With `--json FILE` a line of JSON
-for each size and round. The kernel's cost of a datagram, the event loop's, and the policy's are not in it.
+them, without sockets: a tick each 0.1 s, a load report each 0.3 s. Their surroundings are synthetic: the
+router's own requests (934 a second, Zipf over a million keys in 8,192 slots), the response times that 96
+servers report with each answer, and calm peers: each probes one member a second, acknowledges at once, and
+sends its load reports to as many others as the protocol does, so that a router receives some 13 a second at
+any size. Nothing is lost.
+
+Printed per simulated second: CPU time of the process by part (encoding and decoding belong to the part that
+needs them; the synthetic surroundings are not measured), bytes sent and received, and, by tracemalloc in a
+separate run, the memory that code of `holdgw/peers` holds at the end. `--json FILE` writes a line of JSON for
+each size and round. The costs of the kernel, the event loop and the policy are not included.
 """
 
 from __future__ import annotations
@@ -45,13 +45,13 @@
 WARM_UP_S, MEMORY_S = 12.0, 15.0
 TICK_NS = int(TICK_S * NS_PER_S)
 REPORT_S = REPORT_TICKS * TICK_S
-MEAN_RESPONSE_TIME_NS, RESPONSE_TIME_DEVIATION_NS = 30e6, 8e6  # ns
-DECAYED_S = 3.6  # seconds of requests that a router's decayed count holds: the half life over log 2
+MEAN_RESPONSE_TIME_NS, RESPONSE_TIME_DEVIATION_NS = 30e6, 8e6
+DECAYED_S = 3.6  # seconds of requests that a router's decayed count holds: the half-life over ln 2
 SEED = 1
 
 
 class Load(NamedTuple):
-    """What is drawn from: slots with the sums of their shares, the hottest slots, and servers."""
+    """The distributions of the synthetic load: slots, running sums of shares, hottest slots, servers."""
 
     slots: range
     sums: list[float]
@@ -61,7 +61,7 @@
 
 
 def make_load(servers: int) -> Load:
-    """Zipf shares of the keys, each key in a slot drawn for it."""
+    """Return a load with Zipf shares of the keys, each key in a random slot."""
     rng = random.Random(SEED)
     shares = [0.0] * SLOTS
     for rank in range(1, KEYS + 1):
@@ -74,7 +74,7 @@
 
 
 class ControlPart:
-    """One router's membership and load view amid made-up peers. Its number is 0."""
+    """One router's membership and load view among synthetic peers. Its number is 0."""
 
     def __init__(self, load: Load, routers: int, rate: float, seed: int) -> None:
         self.load, self.routers, self.rate = load, routers, rate
@@ -94,7 +94,7 @@
         self.spent[part] += process_time_ns() - begun
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         for tick in range(round(seconds / TICK_S)):
             self.now += TICK_NS
             self._tick()
@@ -140,7 +140,7 @@
         with self._timed("receive"):
             self.view.receive(load_report.decode(data, self.routers), self.now)
 
-    # What is made up
+    # Synthetic surroundings
 
     def _peer(self) -> int:
         return self.random.randrange(1, self.routers)
@@ -175,7 +175,7 @@
 
 
 def held_bytes(make_control: Callable[[], ControlPart]) -> int:
-    """Memory that code of holdgw/peers holds after a run."""
+    """Return the memory that code of holdgw/peers holds after a run, bytes."""
     tracemalloc.start()
     try:
         control = make_control()
@@ -187,7 +187,7 @@
 
 
 def measure(load: Load, routers: int, rate: float, seconds: float, rounds: int) -> Iterator[dict[str, Any]]:
-    """A row for each round."""
+    """Yield a row of figures for each round."""
     memory = held_bytes(lambda: ControlPart(load, routers, rate, SEED))
     for i in range(rounds):
         control = ControlPart(load, routers, rate, SEED + i)
@@ -214,7 +214,7 @@
 
 
 def format_row(rows: list[dict[str, Any]]) -> str:
-    """One line for a size: medians of the rounds."""
+    """Format the medians of a size's rounds as a table row."""
     first = rows[0]
     cells = [median(row["cpu_ms_per_s"][part] for row in rows) for part in PARTS]
     cells.append(median(row["cpu_ms_per_s_total"] for row in rows))
@@ -230,7 +230,7 @@
 
 
 def main() -> None:
-    """Measure and print a table; medians of the rounds."""
+    """Measure and print a table with the medians of the rounds."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/bench/rehearsal_repeat.py
+++ b/bench/rehearsal_repeat.py
@@ -1,7 +1,7 @@
-"""How far the same day played again comes out the same: `python -m bench.rehearsal_repeat [SCENARIO] [--times
-N]`.
+"""Measures how well a rehearsal repeats: `python -m bench.rehearsal_repeat [SCENARIO] [--times N]`.
 
-Prints service, served and the emulator's lag of each run, and the largest distance from their mean.
+Runs the same schedule several times; prints each run's figures and the emulator's lag, and the largest
+deviation from the mean.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def play_once(deploy: Path, scenario: str, seed: int | None, seconds: float | None) -> dict[str, Any]:
-    """One run, as the figures kept of it."""
+    """Run a scenario once and return its figures."""
     loaded = load_scenario(scenario)
     if seconds is not None:
         loaded = loaded.cut(seconds)
--- a/bench/router_core.py
+++ b/bench/router_core.py
@@ -1,10 +1,9 @@
-"""One router core beside a bare uvloop relay, under the same clients and the same nodes, in one run.
+"""Measures a router on one core and a bare uvloop relay, under the same clients and nodes, in one run.
 
 `make bench`, or `python -m bench.router_core [--seconds S] [--connections C] [--json OUT]`. The router is the
-deploy file's `run`, bound to one core; clients and nodes have the other cores. The relay moves bytes and
-knows nothing: what it does a second is the most that any router in this process model could. At full load
-every connection asks again as soon as it is answered; at half load the same connections ask at half that
-rate, evenly.
+deploy file's `run`, bound to one core; clients and nodes have the other cores. The relay only copies bytes:
+its throughput is the upper bound for any router in this process model. At full load every connection sends a
+request as soon as the last one is answered; at half load the same connections send at half that rate, evenly.
 """
 
 from __future__ import annotations
@@ -53,19 +52,19 @@
 
 
 def bind_to(cores: set[int]) -> None:
-    """Keep this process to some cores."""
+    """Bind this process to some cores, and leave SIGINT to its parent."""
     child_of_orchestrator(cores)
     signal.signal(signal.SIGINT, signal.SIG_IGN)
 
 
 class Children:
-    """Processes that serve until they are killed, each with a pipe through which it says where."""
+    """Child processes that serve until they are killed. Each sends its address through a pipe."""
 
     def __init__(self) -> None:
         self._started: list[Any] = []
 
     def start(self, serve: Callable[..., None], *arguments: Any) -> Any:
-        """Start one; returns what it says first."""
+        """Start a process; returns the first object that it sends through its pipe."""
         parent_end, child_end = CONTEXT.Pipe()
         child = CONTEXT.Process(target=serve, args=(child_end, *arguments), daemon=True)
         child.start()
@@ -73,21 +72,21 @@
         return parent_end.recv()
 
     def kill(self) -> None:
-        """Kill all."""
+        """Kill all processes."""
         started, self._started = self._started, []
         for child in started:
             child.kill()
 
 
 class FastNode(asyncio.Protocol):
-    """Answers every read with a hit, at once: the router is what is measured."""
+    """A node that answers every read with a hit at once, so that only the router is measured."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Keep the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """One answer for each command; probes get theirs."""
+        """Answer each command; health checks get a PONG or a load report."""
         if b"KV.GET" in data:
             self.transport.write(ANSWER * data.count(b"KV.GET"))
         elif b"PING" in data:
@@ -97,7 +96,7 @@
 
 
 def serve_nodes(pipe: Connection, count: int, cores: set[int]) -> None:
-    """A process of nodes."""
+    """Run a process of nodes; sends their addresses through the pipe."""
     bind_to(cores)
 
     async def serve() -> None:
@@ -118,18 +117,18 @@
         self.buffered = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Keep the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Hand it on."""
+        """Forward the data, or buffer it until the other side is connected."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.write(data)
         else:
             self.buffered += data
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Both end together."""
+        """Close the other side too."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.abort()
 
@@ -137,7 +136,10 @@
 def serve_relay(
     pipe: Connection, targets: list[Address], cores: set[int], address: Address = ("127.0.0.1", 0)
 ) -> None:
-    """A process that moves bytes between clients and nodes; others may share its address."""
+    """Run a process that copies bytes between clients and nodes; several may share an address.
+
+    Sends its process id and address through the pipe.
+    """
     bind_to(cores)
 
     async def serve() -> None:
@@ -168,17 +170,17 @@
 
 
 class LoadConnection(asyncio.Protocol):
-    """One connection: a request at a time, at once again or evenly spaced."""
+    """A client's connection with one request at a time, sent back to back or evenly spaced."""
 
     def __init__(self, generator: LoadGenerator) -> None:
         self.generator = generator
         self.transport: asyncio.Transport | None = None
         self.reader = hiredis.Reader()
         self.sent = 0.0
-        self.awaiting_answer = False  # for an answer: there is exactly one to each request
+        self.awaiting_answer = False  # an answer without a request counts as lost
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Keep the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def send_request(self) -> None:
@@ -199,18 +201,18 @@
             self.generator.answered(self, good, time.perf_counter() - self.sent)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The server closed."""
+        """Count a connection that the server closed."""
         self.generator.lost += 1
 
 
 class LoadGenerator:
-    """All of a process's connections. `rate` 0: as fast as they are answered."""
+    """The connections of a client process. `rate`: requests a second; 0: as fast as they are answered."""
 
     def __init__(self, name: str, rate: float) -> None:
         self.rate, self.good, self.bad, self.lost = rate, 0, 0, 0
         self.latencies: list[float] = []
         self.free: list[LoadConnection] = []
-        self.missed = 0  # requests that found no free connection at their time
+        self.missed = 0  # requests that found no free connection when they were due
         self.counting = False
         self._name, self._number = name, 0
         self._info = b"$24\r\nc=fetch,t=public,d=1000\r\n".replace(
@@ -218,14 +220,14 @@
         )
 
     def next(self) -> bytes:
-        """The next request: a new id, keys in turn."""
+        """Return the next request, with a new id and the next key."""
         self._number += 1
         name = b"%b%011d" % (self._name.encode(), self._number)
         key = b"pkg-%06d" % (self._number * 7919 % KEYS)
         return b"*4\r\n$6\r\nKV.GET\r\n$10\r\n%b\r\n$%d\r\n%b\r\n%b" % (key, len(name), name, self._info)
 
     def answered(self, connection: LoadConnection, good: bool, latency: float) -> None:
-        """An answer came."""
+        """Count an answer, and reuse its connection."""
         if self.counting:
             self.good += good
             self.bad += not good
@@ -245,7 +247,7 @@
     seconds: float,
     cores: set[int],
 ) -> None:
-    """A process of clients; sends what it counted through the pipe."""
+    """Run a process of clients; sends "warm" and then its counts through the pipe."""
     bind_to(cores)
 
     async def run() -> None:
@@ -280,7 +282,7 @@
 
 
 async def send_evenly(generator: LoadGenerator) -> None:
-    """Ask evenly, whether or not answers come: a free connection takes each."""
+    """Send requests evenly on free connections, whether or not answers come."""
     begun, made = time.perf_counter(), 0
     while True:
         due = int((time.perf_counter() - begun) * generator.rate)
@@ -295,7 +297,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What one run came to."""
+    """The figures of one measurement; `cpu_us` is per answer."""
 
     what: str
     load: str
@@ -320,7 +322,7 @@
     seconds: float,
     cores: list[int],
 ) -> Figures:
-    """Run the clients, a process on each of these cores, against a server, and read what it took."""
+    """Run clients, a process on each of `cores`, against a server; returns the figures of its processes."""
     pipes, children = [], []
     for i in range(len(cores)):
         parent_end, child_end = CONTEXT.Pipe()
@@ -370,20 +372,20 @@
 
 
 class NullRecorder:
-    """A witness that keeps nothing."""
+    """A recorder of emulator events that discards them."""
 
     def saw(self, record: Record) -> None:
-        """Drop it."""
+        """Do nothing."""
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
-        """Drop it."""
+        """Do nothing."""
 
     def voided(self, key: bytes) -> None:
-        """Drop it."""
+        """Do nothing."""
 
 
 def serve_discovery(pipe: Connection, node_addresses: list[Address], cores: set[int]) -> None:
-    """A process of discovery."""
+    """Run a discovery process; sends its address and the endpoint list through the pipe."""
     bind_to(cores)
 
     async def serve() -> None:
@@ -406,7 +408,11 @@
     run: str | None = None,
     limits: dict[str, int] | None = None,
 ) -> tuple[subprocess.Popen[bytes], Address]:
-    """A router, bound to these cores: the deploy file's `run`, or another command with other limits."""
+    """Start a router on some cores and wait until it serves.
+
+    It runs the deploy file's `run` or another command, with other limits if given. Raises SystemExit if the
+    router doesn't answer within 30 s.
+    """
     address = free_address("127.0.0.1")
     scenario = load_scenario("quiet")
     configured = configuration(scenario, 1, ROUTER, 1, address, discovery, known)
@@ -430,11 +436,11 @@
         if answers_ping(address):
             return process, address
         time.sleep(0.05)
-    raise SystemExit("the router did not get ready")
+    raise SystemExit("the router did not answer PING within 30 s")
 
 
 def answers_ping(address: Address) -> bool:
-    """Whether PING is answered with PONG."""
+    """Return whether the server answers PING with PONG."""
     try:
         with socket.create_connection(address, timeout=1) as connection:
             connection.sendall(b"*1\r\n$4\r\nPING\r\n")
@@ -449,14 +455,14 @@
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--seconds", type=float, default=3.0)
-    parser.add_argument("--rounds", type=int, default=3, help="relay and router take turns so often")
+    parser.add_argument("--rounds", type=int, default=3, help="measurements of relay and router, in turn")
     parser.add_argument("--connections", type=int, default=96)
     parser.add_argument("--json", type=Path)
     args = parser.parse_args()
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 2 + NODE_PROCESSES + CLIENT_PROCESSES:
         raise SystemExit(f"needs {2 + NODE_PROCESSES + CLIENT_PROCESSES} cores, has {len(cores)}")
-    # A router's clients may hold half of its descriptors, two fifths of that between requests.
+    # A router's clients may hold half of its descriptors, and two fifths of those between requests.
     limits = {"memory_mb": 192, "sockets": max(1024, 8 * args.connections)}
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
     client_cores = cores[1 : 1 + CLIENT_PROCESSES]
@@ -493,7 +499,7 @@
 
 
 def show(figures: list[Figures], with_ratio: bool = True) -> None:
-    """Print the table."""
+    """Print the table, with the ratio of router to relay at full load if asked for."""
     table = Table(box=None, header_style="bold")
     for name in Figures.__slots__:
         table.add_column(name.replace("_", " "), justify="left" if name in ("what", "load") else "right")
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -1,13 +1,13 @@
-"""How evenly load is spread when each router sees little: `python -m bench.spread [--svg FILE] [CASES]`.
+"""Measures load spread when each router sees few requests: `python -m bench.spread [--svg FILE] [CASES]`.
 
-Real processes, 200 routers over 100 nodes that have nearly half of what they can do to do, the busiest all
-of it. A quiet day and hard cases, each with reports alone and with peers: the picture that routers make
-together, and the plan that follows from it. Work begun by windows of 5 s, at the busiest and the idlest node
-that is listed and warm, over the mean; the same over all from five seconds after the trouble's end on; how
-long one node stays under half of the mean (of the last 5 s, looked at each second); late answers.
+Real processes: 200 routers over 100 nodes that are nearly half loaded on average, the busiest fully. A quiet
+run and hard cases, each with load reports alone ("reports alone") and with the merged load view and slot
+migration ("peers"). Figures: work begun in windows of 5 s at the busiest and the idlest node that is listed
+and warm, over the mean; the same over the whole time from five seconds after the fault's end on; how long one
+node stays under half of the mean (of the last 5 s, checked each second); late answers.
 
-Beside them two floors for the same asks: `placed`, the same work laid out by one who knows it all ahead (the
-longest first, each to the emptiest), and `chance`, each ask to a node drawn evenly.
+Two baselines for the same requests: `placed`, the work assigned with full knowledge in advance (the longest
+request first, each to the least loaded node), and `chance`, each request at a node drawn evenly.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 WINDOW_S = 5.0
-SETTLE_S = 5.0  # from a trouble's end on until the load has to be level again
+SETTLE_S = 5.0  # from the fault's end until the load must be even again
 SCENARIO = """
 name = "spread"
 length_s = {length}
@@ -54,12 +54,12 @@
 REPORT_FIELDS = (
     "service", "asked", "served", "in_aim", "refused", "failed", "origin_fetches", "attempts", "rules",
     "starved",
-)  # of the report  # fmt: skip
-FAULT_AT_S, RUN_S, FAULT_S = 10.0, 35.0, 10.0  # of the trouble, of the day, and how long most troubles last
+)  # fields of the report  # fmt: skip
+FAULT_AT_S, RUN_S, FAULT_S = 10.0, 35.0, 10.0  # FAULT_S: duration of most faults
 
 
 class Case(NamedTuple):
-    """A trouble, and when it is over."""
+    """A case: fault tables of the scenario, the second when the faults are over, and the run's length, s."""
 
     faults: str = ""
     settled_from: float = FAULT_AT_S + FAULT_S
@@ -67,13 +67,13 @@
 
 
 def fault_table(kind: str, at: float = FAULT_AT_S, **fields: Any) -> str:
-    """A table of the scenario file."""
+    """Return a fault as a table of the scenario file."""
     lines = "".join(f"{name} = {orjson.dumps(value).decode()}\n" for name, value in fields.items())
     return f'[[trouble]]\nkind = "{kind}"\nat = {at}\n{lines}'
 
 
 def drain_third(nodes: int) -> str:
-    """A third of the nodes leaves within 5 s."""
+    """Return drains of a third of the nodes within 5 s."""
     third = nodes // 3
     return "".join(
         fault_table("drain", FAULT_AT_S + i * 0.5, nodes=third // 10 + (i < third % 10), seconds=0.6)
@@ -82,7 +82,7 @@
 
 
 def cases(routers: int, nodes: int) -> dict[str, Case]:
-    """What is played, by name."""
+    """Return the cases by name."""
     cut = fault_table("partition", 5.0, seconds=20, zone="mladost", nodes=0)
     hot_keys = "".join(
         fault_table("hot_key", 5.0, seconds=20, share=0.1, zone=zone) for zone in ("mladost", "lozenets")
@@ -111,7 +111,7 @@
 
 
 class StartedWork(NamedTuple):
-    """Work that a node began."""
+    """Work that a node began, seconds of the schedule."""
 
     at: float
     node: str
@@ -119,7 +119,7 @@
 
 
 def available_nodes(schedule: Schedule, since: float, until: float) -> list[str]:
-    """The nodes that are listed and warm for the whole of that time."""
+    """Return the nodes that are listed and warm for the whole time span."""
     names = set(node_names(schedule.scenario.fleet))
     for step in schedule.faults:
         if step.verb == "create" and step.at + schedule.scenario.node.warm_s <= since:
@@ -130,14 +130,14 @@
 
 
 def extremes_over_mean(work: Mapping[str, float], names: Sequence[str]) -> tuple[float, float]:
-    """The busiest and the idlest of some nodes, over their mean."""
+    """Return the work of the busiest and the idlest of some nodes, over their mean."""
     amounts = [work.get(name, 0.0) for name in names]
     mean = sum(amounts) / len(amounts)
     return (max(amounts) / mean, min(amounts) / mean) if mean else (0.0, 0.0)
 
 
 def work_by_node(begun: Sequence[StartedWork], since: float, until: float) -> dict[str, float]:
-    """Work by node within a time."""
+    """Return the work by node within a time span."""
     totals: dict[str, float] = defaultdict(float)
     for one in begun:
         if since <= one.at < until:
@@ -148,7 +148,7 @@
 def longest_underloaded(
     begun: Sequence[StartedWork], schedule: Schedule, since: float, until: float
 ) -> float:
-    """For how many seconds on end some node's last five were under half of the mean."""
+    """Return for how many seconds in a row some node's work of the last 5 s was under half of the mean."""
     by_second: dict[int, list[StartedWork]] = defaultdict(list)
     for one in begun:
         by_second[int(one.at)].append(one)
@@ -165,7 +165,7 @@
 
 
 def spread(begun: Sequence[StartedWork], schedule: Schedule, settled_from: float) -> dict[str, Any]:
-    """The windows, and all from when the load has to be level again."""
+    """Return the figures by window, and over the time from SETTLE_S after `settled_from` on."""
     length = schedule.scenario.length_s
     since = settled_from + SETTLE_S
     rows = []
@@ -183,7 +183,7 @@
 
 
 def started_work(result: RunResult) -> list[StartedWork]:
-    """What nodes began on the day."""
+    """Return the work that nodes began during the schedule."""
     return [
         StartedWork(one.at - result.begun, one.server, one.work)
         for one in result.history.attempts
@@ -192,7 +192,7 @@
 
 
 def baselines(schedule: Schedule) -> dict[str, list[StartedWork]]:
-    """The same asks as an all-knowing placement, and as pure chance, would lay them out."""
+    """Return the same requests as assigned with full knowledge in advance, and evenly at random."""
     work = workload(schedule.scenario, schedule.seed)
     classes = schedule.scenario.classes
     rng = random.Random(schedule.seed)
@@ -215,7 +215,7 @@
 
 
 def plot(results: dict[str, dict[str, Any]], path: Path) -> None:
-    """The picture."""
+    """Draw the figures by window, a panel for each case."""
     mpl.use("svg")
     mpl.rcParams.update({"svg.hashsalt": "holdgw", "svg.fonttype": "none", "font.size": 8})
     from matplotlib import pyplot as plt
@@ -246,7 +246,7 @@
 
 
 def run_schedule(text: str, seed: int, deploy: Path, logs: Path | None = None) -> RunResult:
-    """Play a day with the program of a deploy file's checkout."""
+    """Run a scenario's schedule with the program of a deploy file's checkout."""
     schedule = draw_schedule(read_scenario(text, "bench"), seed)
 
     async def run() -> RunResult:
@@ -257,7 +257,7 @@
 
 
 def measure_case(text: str, seed: int, deploy: Path, settled_from: float) -> tuple[dict[str, Any], Schedule]:
-    """Play a day; returns what is measured of it, and the day."""
+    """Run a scenario; returns its figures and its schedule."""
     result = run_schedule(text, seed, deploy)
     body = make_report(result).body
     found = {
@@ -273,7 +273,7 @@
 
 
 def format_row(case: str, variant: str, found: dict[str, Any]) -> str:
-    """A row of the table."""
+    """Format a row of the table."""
     if "service" not in found:
         cells = ["-"] * 6
     else:
@@ -305,12 +305,10 @@
     parser.add_argument("--routers", type=int, default=200)
     parser.add_argument("--nodes", type=int, default=100)
     parser.add_argument("--rate", type=float, default=600.0)
-    parser.add_argument(
-        "--speed", type=float, default=0.6, help="of the nodes; at 1 they have a quarter to do"
-    )
+    parser.add_argument("--speed", type=float, default=0.6, help="of the nodes; 1 loads them by a quarter")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--deploy", type=Path, default=ROOT / "deploy/balancer.toml")
-    parser.add_argument("--json", type=Path, help="added to: cases played before stay in it")
+    parser.add_argument("--json", type=Path, help="results file; cases already in it stay")
     parser.add_argument("--svg", type=Path)
     parser.add_argument("cases", nargs="*")
     args = parser.parse_args()
--- a/bench/start.py
+++ b/bench/start.py
@@ -1,13 +1,13 @@
-"""What a cold start of a whole fleet asks of the list service and of the servers: `python -m bench.start`.
+"""Measures the load of a whole fleet's cold start on discovery and on the servers: `python -m bench.start`.
 
-Real processes, 200 routers over 100 nodes, the list asked for at 4 ms a call. At second 10 all routers are
-killed and started at once: with servers warm; in a black start, with all nodes cold and empty and the store
-back after 3 s; with the list service down for the first 5 s. From the kill on, by 100 ms: calls at the list
-service, new connections at the node that gets most of them, those turned away, fetches at the store. Then the
-seconds from the last process's start until 95 % of the calm day's service stands (and stays for a second),
-tries an ask after that, nodes pushed over, requests lost.
+Real processes: 200 routers over 100 nodes, and discovery at 4 ms a call. At second 10 all routers are killed
+and started at once, with warm servers; in a black start, with all nodes cold and empty and the store back
+after 3 s; or with discovery down for the first 5 s. Figures from the kill on, by 100 ms: calls at discovery,
+new connections at the node that gets most of them, refused connections, fetches at the store. Then the
+seconds from the last process's start until 95 % of the calm service is reached for a second, attempts per
+request after that, nodes knocked out, requests lost.
 
-`--beside FOLDER` plays the program of another checkout on the same seeds as well.
+`--beside FOLDER` also runs the program of another checkout, on the same seeds.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 def cases(routers: int, nodes: int) -> dict[str, str]:
-    """Troubles, by case."""
+    """Return the fault tables by case."""
     kill = fault_table("router_restart", KILL_AT_S, routers=routers, together=routers, signal="KILL")
     return {
         "warm servers": kill,
@@ -61,13 +61,16 @@
 
 
 def by_step(times: Iterable[float]) -> list[int]:
-    """Counts by 100 ms from the kill on."""
+    """Count times by 100 ms from the kill on."""
     found = Counter(int((at - KILL_AT_S) / STEP_S) for at in times if at >= KILL_AT_S)
     return [found[i] for i in range(round((RUN_S - KILL_AT_S) / STEP_S))]
 
 
 def recovery_time(served: list[tuple[float, bool]], calm: float, since: float) -> float:
-    """Seconds from then until a second's asks are served as on the calm day; infinity: never."""
+    """Return the seconds from `since` until a second's requests are served as in calm; infinity: never.
+
+    `calm` is the fraction of requests served before the kill.
+    """
     for i in range(round((RUN_S - since) / STEP_S) - round(RECOVERED_FOR_S / STEP_S)):
         at = since + i * STEP_S
         window = [was_served for when, was_served in served if at <= when < at + RECOVERED_FOR_S]
@@ -77,7 +80,7 @@
 
 
 def measure(result: RunResult) -> dict[str, Any]:
-    """What a play asked of whom, and when it was well again."""
+    """Return a run's load on discovery, nodes and store after the kill, and when service recovered."""
     history, begun = result.history, result.begun
     report = make_report(result)
     dials_by_node: dict[str, list[float]] = {}
@@ -127,7 +130,7 @@
 
 
 def plot(results: dict[str, dict[str, Any]], path: Path) -> None:
-    """The picture: a column a case, a line a program."""
+    """Draw the figures, a column for each case and a line for each program."""
     mpl.use("svg")
     mpl.rcParams.update({"svg.hashsalt": "holdgw", "svg.fonttype": "none", "font.size": 8})
     from matplotlib import pyplot as plt
@@ -162,7 +165,7 @@
     parser.add_argument("--nodes", type=int, default=100)
     parser.add_argument("--rate", type=float, default=600.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--beside", type=Path, help="another checkout, built")
+    parser.add_argument("--beside", type=Path, help="another checkout, already built")
     parser.add_argument("--json", type=Path)
     parser.add_argument("--svg", type=Path)
     parser.add_argument("--logs", type=Path)
