--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -51,7 +51,7 @@
 
 
 class FakeTransport:
-    """Discards what is written; a node's transport (`answers`) queues itself so that its request is answered."""
+    """Discards what is written; a node's transport (`answers`) queues itself to have its request answered."""
 
     def __init__(self, protocol: Any, answers: bool) -> None:
         self.protocol, self.answers, self.written, self.last = protocol, answers, 0, b""
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -28,7 +28,7 @@
 
 
 class Mutant(NamedTuple):
-    """One fault: a description, patches (module, old text, new text), and what detects it, by default a scenario."""
+    """One fault: a description, its patches, and what detects it: a scenario unless it names a figure or test."""
 
     about: str
     module: str
