--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -28,7 +28,7 @@
 
 
 class Mutant(NamedTuple):
-    """One fault: a description, its patches, and what detects it: a scenario unless it names a figure or test."""
+    """One fault: a description, its patches, and the scenario, figure or test that detects it."""
 
     about: str
     module: str
@@ -50,7 +50,7 @@
 
 MUTANTS: dict[str, Mutant] = {
     "stall-forgotten": Mutant(
-        "what is read after the process stood still is given its whole time",
+        "requests read after the process was paused get their whole deadline",
         "holdgw.router.event_loop_lag",
         "        if now_ns - self._last_beat_ns > self._max_gap_ns:\n"
         "            return now_ns - self._last_beat_ns\n"
@@ -60,14 +60,14 @@
         scenario="bench/scenarios/laboratory-storm.toml",
     ),
     "stall-not-handed-on": Mutant(
-        "a worker that stood still hands connections on as if all on them had been read",
+        "a worker hands connections over after a pause as if it had read all their data",
         "holdgw.router.client_connection",
         "        handover = ClientHandover(buffered, self.has_sent_command, waited_s, unread_since)",
         "        handover = ClientHandover(buffered, self.has_sent_command, waited_s)",
         scenario="bench/scenarios/cores-storm.toml",
     ),
     "doubled-answer": Mutant(
-        "an answer is given twice after a late reset",
+        "a request is answered twice after a late reset",
         "holdgw.router.attempt",
         "        event = self._end_event(outcome, note, report)\n",
         "        if outcome is Outcome.RESET and request.answered and request.reply.connection.transport:\n"
@@ -83,33 +83,33 @@
         ),
     ),
     "late-repeat": Mutant(
-        "a keyed write is sent again after its window",
+        "a write with an idempotency key is retried after its dedup window",
         "holdgw.policy.retry_policy",
         "is Idempotency.NOT_IDEMPOTENT or self._dedup_time_left_ns(request, now) <= 0:",
         "is Idempotency.NOT_IDEMPOTENT:",
         (("holdgw.router.attempt", "if self._write_by_ns and now_ns >= self._write_by_ns:", "if False:"),),
     ),
     "slow-repeat": Mutant(
-        "a repeat waits for its connection beyond its window",
+        "a retry waits for a connection beyond its dedup window",
         "holdgw.router.dispatcher",
         "        if action.write_within_ns:\n            attempt.write_by(now_ns + action.write_within_ns)\n",
         "",
         scenario="bench/scenarios/short-window.toml",
     ),
     "unsafe-repeat": Mutant(
-        "an unsafe write that may have run is sent again",
+        "a non-idempotent write that may have run is retried",
         "holdgw.policy.retry_policy",
         "is Idempotency.NOT_IDEMPOTENT or self._dedup_time_left_ns(request, now) <= 0:",
         "is Idempotency.IDEMPOTENCY_KEY and self._dedup_time_left_ns(request, now) <= 0:",
     ),
     "refused-after-run": Mutant(
-        "an unsafe write that may have run is refused",
+        "a non-idempotent write that may have run is rejected",
         "holdgw.policy.retry_policy",
         "        return never_ran or rules.idempotency is Idempotency.IDEMPOTENT or dropped_anywhere",
         "        return True",
     ),
     "drain-waits": Mutant(
-        "a drain is heard, but exchanges that wait for a connection are kept",
+        "exchanges that wait for a connection to a draining server are kept",
         "holdgw.router.connection_pool",
         "        waiting = endpoint.waiting\n        endpoint.waiting = deque()\n"
         "        for exchange in waiting:\n"
@@ -130,13 +130,13 @@
         "bench/scenarios/jammed-drain.toml",
     ),
     "drain-unheard": Mutant(
-        "a server that drains is taken for one that is ready",
+        "a draining server counts as ready",
         "holdgw.router.endpoint_list",
         '"draining": EndpointState.DRAINING',
         '"draining": EndpointState.READY',
     ),
     "reset-list-as-delta": Mutant(
-        "a whole list is taken for a change: servers that left it stay",
+        "a full update counts as a delta: servers that left the list stay",
         "holdgw.router.endpoint_list",
         'kind = UpdateKind.FULL if body["reset"] else UpdateKind.DELTA',
         "kind = UpdateKind.DELTA",
@@ -149,38 +149,38 @@
         scenario="bench/scenarios/cold-start.toml",
     ),
     "flight-never-lands": Mutant(
-        "a fetch that ends badly wakes nobody who waits for it",
+        "a failed coalesced fetch doesn't wake the requests that wait for it",
         "holdgw.policy.routing_policy",
         "        if request.leads_fetch:\n            self._complete_fetch(request, stored)\n",
         "        if request.leads_fetch and stored:\n            self._complete_fetch(request, stored)\n",
     ),
     "half-closed-reused": Mutant(
-        "the pool keeps a connection whose other side has closed",
+        "the pool keeps a connection that its peer has half-closed",
         "holdgw.router.endpoint_connection",
         "    def pause_writing(self) -> None:\n",
         "    def eof_received(self) -> bool:\n        return True\n\n    def pause_writing(self) -> None:\n",
     ),
     "given-up-kept": Mutant(
-        "a connection whose exchange was given up is kept open for ever",
+        "a connection whose exchange was abandoned is never closed",
         "holdgw.router.exchange",
         "            if not keeps_connection:\n                connection.close()\n",
         "            if not keeps_connection:\n                connection.retired = True\n",
     ),
     "late-answer-believed": Mutant(
-        "a connection whose exchange was given up goes back to the pool",
+        "a connection whose exchange was abandoned goes back to the pool",
         "holdgw.router.exchange",
         "            if not keeps_connection:\n                connection.close()\n",
         "            if not keeps_connection:\n                pool.connection_released(connection)\n",
     ),
     "owed-believed": Mutant(
-        "a connection that is owed a late answer goes back to the pool before that has come",
+        "a connection goes back to the pool before its late answer has arrived",
         "holdgw.router.connection_pool",
         "        endpoint.awaiting_late_answer[connection] = self._loop.time()\n"
         "        self._dial_for(endpoint)\n",
         "        self.connection_released(connection)\n",
     ),
     "descriptor-miscounted": Mutant(
-        "a descriptor that is free again is not counted so",
+        "a closed connection's descriptor still counts as open",
         "holdgw.router.connection_pool",
         "        self._descriptors -= 1\n        if connection in endpoint.idle:",
         "        if connection in endpoint.idle:",
@@ -192,117 +192,117 @@
         "            self._previous_watch = None",
     ),
     "request-kept": Mutant(
-        "a request that its client left is never forgotten",
+        "a request whose client has disconnected is never released",
         "holdgw.router.dispatcher",
         "        request.answered = True\n        self.open_requests.release_if_done(request)\n"
         "        self.dispatch(RequestCancelled(request.id))",
         "        request.answered = True\n        self.dispatch(RequestCancelled(request.id))",
     ),
     "deadline-unwatched": Mutant(
-        "an attempt has no end of its own",
+        "an attempt has no timeout",
         "holdgw.router.dispatcher",
         "        attempt.time_out_at(due_ns)\n",
         "",
     ),
     "drain-cuts": Mutant(
-        "on SIGTERM connections are closed with requests open",
+        "on SIGTERM connections with open requests are closed",
         "holdgw.router.graceful_shutdown",
         "        while self._clients.connection_count and self._loop.time() < self._end_by_s:\n"
         "            self._close_answered()\n",
         "        while False:\n            self._close_answered()\n",
     ),
     "recent-unbounded": Mutant(
-        "ids of requests that are over are kept without a bound",
+        "the ids of completed requests are kept without a bound",
         "holdgw.router.open_request",
         "            if len(self._recent_ids) > MAX_RECENT_IDS:\n",
         "            if len(self._recent_ids) > MAX_RECENT_IDS**3:\n",
         scenario="storm",
     ),
     "timer-left": Mutant(
-        "the sweep goes on when the router has ended",
+        "the sweep timer still runs after the router has shut down",
         "holdgw.router.dispatcher",
         "        self._sweep_timer.cancel()\n        if self._overdue_check",
         "        if self._overdue_check",
     ),
     "cold-unbounded": Mutant(
-        "a cold server has its share of slots, whatever the load on them",
+        "a cold server gets its share of slots whatever their load",
         "holdgw.policy.routing_policy",
         "            if self._caches.any_warming_up(self._now):\n",
         "            if False:\n",
         scenario="bench/scenarios/cold-start.toml",
     ),
     "all-cold-unbounded": Mutant(
-        "where all servers are cold each is sent whatever comes",
+        "with all servers cold, each gets every request that arrives for it",
         "holdgw.policy.slow_start",
         "        return request.warm_up_draw < capacity * listed / self._endpoints.max_endpoints_listed\n",
         "        return True\n",
         scenario="bench/scenarios/black-start.toml",
     ),
     "hand-forgotten": Mutant(
-        "a server out by hand is used again as soon as discovery says that it is up",
+        "a server under an administrative override is used again as soon as discovery lists it as up",
         "holdgw.operation.endpoint_overrides",
         "        endpoints = tuple(map(self._effective, update.change.endpoints))\n",
         "        endpoints = update.change.endpoints\n",
         scenario="bench/scenarios/by-hand.toml",
     ),
     "module-timers-left": Mutant(
-        "what the module waits for goes on when the router has ended",
+        "the decision module's timers still run after the router has shut down",
         "holdgw.router.dispatcher",
         "        self.timer_wheel.close()\n",
         "",
         scenario="bench/scenarios/restart-amid-misses.toml",
     ),
     "closing-for-ever": Mutant(
-        "a connection being closed to a client that takes nothing is waited for without end",
+        "the close of a connection waits for ever for a client that reads nothing",
         "holdgw.router.client_connection",
         "if self.write_blocked or self.transport.is_closing() or (self._lingering is not None and unsent):\n",
         "if self.write_blocked:\n",
         scenario="bench/scenarios/deaf-clients.toml",
     ),
     "shed-off": Mutant(
-        "a server that reports a long wait gives no slots up",
+        "a server that reports a long response time donates no slots",
         "holdgw.policy.tracked_endpoint",
         "        if response_time_ns > overload_ns:\n",
         "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "bound-off": Mutant(
-        "a server that reports a long wait is sent as much as ever",
+        "a server that reports a long response time gets as many requests as before",
         "holdgw.policy.tracked_endpoint",
         "        if self.reported.over_limit:\n",
         "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "deserted-off": Mutant(
-        "a refused connection where connections rested is no death",
+        "a refused connection after idle connections were closed doesn't count as the server's death",
         "holdgw.policy.endpoint_health",
         "        if result.refused_after_idle_close or ",
         "        if ",
         scenario="bench/scenarios/fleet-join.toml",
     ),
     "draw-off": Mutant(
-        "a hot slot's owners are drawn without what they report",
+        "a hot slot's owners are drawn without regard to their reported response times",
         "holdgw.policy.endpoint_selection",
         "        weight /= max(endpoint.reported_response_time_ns, mean_ns / 2, 1.0)\n",
         "",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "owners-off": Mutant(
-        "a hot slot has no more owners while these are over their load",
+        "a hot slot gets no further owners while its owners are overloaded",
         "holdgw.policy.endpoint_selection",
         "        if load_factor > 1.0:\n",
         "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "lean-off": Mutant(
-        "a server that answers late gives no slots up",
+        "a server that answers late donates no slots",
         "holdgw.policy.routing_policy",
         "        if endpoint.is_donor:\n",
         "        if False:\n",
         scenario="bench/scenarios/fleet-zone.toml",
     ),
     "age-ignored": Mutant(
-        "an old word on a server weighs as much as a new one, and tells for ever",
+        "an old report on a server weighs as much as a new one, and never expires",
         "holdgw.peers.load_view",
         "for at, wait in samples.values() if now - at < MAX_SAMPLE_AGE]",
         "for at, wait in samples.values()]",
@@ -316,7 +316,7 @@
         figure="stale",
     ),
     "switch": Mutant(
-        "a slot goes to the ranked server that says the shortest wait, all at once",
+        "a slot goes at once to the ranked server that reports the shortest response time",
         "holdgw.policy.slot_rebalancing",
         "        if not self._spare_load or not ranking or slot in self._sticky:\n            return 0\n",
         "        if ranking:\n"
@@ -325,28 +325,28 @@
         figure="herd",
     ),
     "incarnation-ignored": Mutant(
-        "a router contradicts its death without a new incarnation",
+        "a router refutes its death without a new incarnation",
         "holdgw.peers.membership",
         "        self._table.own.incarnation = (update.incarnation + 1) % SERIALS\n",
         "        self._table.own.incarnation = update.incarnation\n",
         figure="returned",
     ),
     "own-evidence-below": Mutant(
-        "what others were told goes before a server's newer word to this router",
+        "a peer's report replaces a server's newer report to this router",
         "holdgw.policy.routing_policy",
         "            if endpoint is not None and reported_at_ns > endpoint.reported.at_ns:\n",
         "            if endpoint is not None:\n",
         figure="overruled",
     ),
     "view-age-ignored": Mutant(
-        "what a view says counts as measured when the view arrived",
+        "response times in a view count as measured when the view arrived",
         "holdgw.peers.view_selection",
         "_ReceivedWait(wait, now - view.age - age, now)",
         "_ReceivedWait(wait, now, now)",
         figure="view-age",
     ),
     "counted-twice": Mutant(
-        "an aggregator counts what a reporter told it and what others forwarded of it",
+        "an aggregator counts both a reporter's own report and its forwarded copies",
         "holdgw.peers.report_table",
         "            if sources:\n"
         "                source = self._best_source(reporter, sources, preferred)\n"
@@ -355,35 +355,35 @@
         figure="counted-twice",
     ),
     "no-fallback": Mutant(
-        "a router without a view goes on alone",
+        "a router without a merged view doesn't fall back to its peers",
         "holdgw.peers.aggregation_client",
         "        needed = now - self._viewed_at >= VIEW_MAX_AGE\n",
         "        needed = False\n",
         figure="blind",
     ),
     "sequence-ignored": Mutant(
-        "an older datagram takes a newer one's place",
+        "an older datagram replaces a newer one",
         "holdgw.peers.sequence_gate",
         "            if not is_newer(sequence, self.sequence):\n",
         "            if False:\n",
         figure="replayed",
     ),
     "answers-unwatched": Mutant(
-        "a router goes on reporting to an aggregator that answers nothing",
+        "a router keeps reporting to an aggregator that doesn't answer",
         "holdgw.peers.aggregator_choice",
         "            self._check_answer(link, now)\n",
         "",
         figure="without-view",
     ),
     "first-view-alone": Mutant(
-        "a wait goes by the first of two views, whatever the other and the own sample say",
+        "a response time is taken from the first of two views, whatever the other and the own sample say",
         "holdgw.peers.view_selection",
         "    ordered = sorted(votes)\n    return ordered[(len(ordered) - 1) // 2]\n",
         "    return votes[0]\n",
         figure="one-liar",
     ),
     "gone-attempt-kept": Mutant(
-        "an attempt that waits in a queue outlives its client",
+        "a queued attempt outlives its client",
         "holdgw.router.dispatcher",
         "        if request.last_attempt is not None:\n            request.last_attempt.cancel()\n",
         "",
@@ -397,7 +397,7 @@
         test="tests/router/test_endings.py::test_nothing_begins_for_a_client_that_left_while_waiting_for_a_place",
     ),
     "drain-at-decision": Mutant(
-        "a drain is looked at when a request is decided on, and no more when it is written",
+        "draining is checked when a request is routed, but not when it is written",
         "holdgw.router.connection_pool",
         "        waiting = endpoint.waiting\n        endpoint.waiting = deque()\n"
         "        for exchange in waiting:\n"
@@ -413,7 +413,7 @@
         test="tests/router/test_endings.py::test_a_dial_to_a_server_that_drains_meanwhile_carries_nothing",
     ),
     "close-unread": Mutant(
-        "a connection is closed without reading what is left",
+        "a connection is closed without reading its remaining data",
         "holdgw.router.client_connection",
         "        self.transport.write_eof()\n",
         "        self.transport.close()\n",
@@ -421,14 +421,14 @@
         "test_a_request_that_crosses_the_end_of_a_resting_connection_is_none_and_resets_nothing",
     ),
     "pause-unbounded": Mutant(
-        "pauses between calls to discovery grow without a bound that counts the call's own wait",
+        "the backoff of calls to discovery has no bound that accounts for the call's own wait",
         "holdgw.policy.endpoint_subscription",
         "        return min(NS_PER_S << min(self._failures, MAX_DOUBLINGS), MAX_BACKOFF_NS)\n",
         "        return NS_PER_S << min(self._failures, MAX_DOUBLINGS)\n",
         test="tests/router/test_endings.py::test_the_longest_waits_added_up_stay_within_what_counts_as_told",
     ),
     "reset-is-an-end": Mutant(
-        "a reset ends a body without a length",
+        "a reset counts as the end of a body without a length",
         "holdgw.router.origin_connection",
         "        if exc is None and self.exchange is not None and self._reader.ended():\n",
         "        if self.exchange is not None and self._reader.ended():\n",
@@ -436,14 +436,14 @@
         "test_a_page_without_a_length_ends_with_its_connection_and_not_with_a_reset",
     ),
     "cold-undivided": Mutant(
-        "each router has the whole of a cold server's budget",
+        "each router uses the whole budget of a cold server",
         "holdgw.policy.slow_start",
         "        tokens_per_ns = per_endpoint_ns * capacity * workers\n",
         "        tokens_per_ns = per_endpoint_ns * capacity * workers * self._settings.routers\n",
         test="tests/test_cold_budget.py",
     ),
     "fin-before-answers": Mutant(
-        "a client's connection is closed though commands are unanswered",
+        "a client's connection is closed while commands are unanswered",
         "holdgw.router.client_connection",
         "        if not self.replies and (even_mid_command or not unfinished):",
         "        if even_mid_command or not self._reader.has_partial_command:",
