--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -46,11 +46,11 @@
 class StreamSegment(NamedTuple):
     """A router's observations in 0.3 s of the stream.
 
-    `waits`: by server, the last reported response time and how long before the segment's end it came, ns;
-    `slots`: requests by slot.
+    `response_times`: by server, the last reported response time and how long before the segment's end it
+    came, ns; `slots`: requests by slot.
     """
 
-    waits: dict[str, tuple[float, int]]
+    response_times: dict[str, tuple[float, int]]
     slots: dict[int, int]
 
 
@@ -68,24 +68,26 @@
             slot_of[bisect.bisect(cumulative_weights, rng.random() * cumulative_weights[-1])]
             for _ in range(count)
         )
-        waits = {}
+        response_times = {}
         for i in range(count):
             server = rng.choice(servers)
             age = int((count - i) * SEGMENT_S / count * NS_PER_S)
-            waits[server] = (mean_ns[server] * rng.uniform(0.7, 1.4), age)
-        segments.append(StreamSegment(waits, dict(slots)))
+            response_times[server] = (mean_ns[server] * rng.uniform(0.7, 1.4), age)
+        segments.append(StreamSegment(response_times, dict(slots)))
     return segments
 
 
 def merge_segments(segments: list[StreamSegment], now: int) -> Observations:
     """Return a router's observations in consecutive segments, of which the last ends now (ns)."""
-    waits: dict[str, SampledWait] = {}
+    response_times: dict[str, SampledWait] = {}
     slots: Counter[int] = Counter()
     for i, segment in enumerate(segments):
         end = now - int((len(segments) - 1 - i) * SEGMENT_S * NS_PER_S)
-        waits.update((server, SampledWait(wait, end - age)) for server, (wait, age) in segment.waits.items())
+        response_times.update(
+            (server, SampledWait(wait, end - age)) for server, (wait, age) in segment.response_times.items()
+        )
         slots.update(segment.slots)
-    return Observations(waits, slots)
+    return Observations(response_times, slots)
 
 
 class Meter:
--- a/bench/router_core.py
+++ b/bench/router_core.py
@@ -177,7 +177,7 @@
         self.transport: asyncio.Transport | None = None
         self.reader = hiredis.Reader()
         self.sent = 0.0
-        self.awaiting_answer = False  # an answer without a request counts as lost
+        self.awaiting_answer = False  # each request has one answer; any other counts as lost
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -177,23 +177,27 @@
         return found
 
 
-def real_figures(played: ScenarioResult, without_peers: ScenarioResult, size: int) -> dict[str, Any]:
+def real_figures(in_membership: ScenarioResult, without_peers: ScenarioResult, size: int) -> dict[str, Any]:
     """Return the medians over the real routers in calm.
 
     The cost of control is the difference between routers with peers and routers without.
     """
-    with_peers, without = (median(one.cpu for one in result.real) * 100 for result in (played, without_peers))
-    memory = median(one.memory for one in played.real) - median(one.memory for one in without_peers.real)
+    with_peers, without = (
+        median(one.cpu for one in result.real) * 100 for result in (in_membership, without_peers)
+    )
+    memory = median(one.memory for one in in_membership.real) - median(
+        one.memory for one in without_peers.real
+    )
     return {
-        "routers": len(played.real),
+        "routers": len(in_membership.real),
         "cpu_percent": round(with_peers - without, 3),
         "cpu_percent_with_peers": round(with_peers, 3),
         "cpu_percent_without": round(without, 3),
         "memory_bytes": round(memory),
-        "bytes_both": round(median(played.real_bytes), 1),
-        "coverage": round(100 * (1 + median(one.routers_in_view for one in played.real)) / size, 1),
-        "light_hollow": played.light,
-        "alive_least": min(one.alive for one in played.real),
+        "bytes_both": round(median(in_membership.real_bytes), 1),
+        "coverage": round(100 * (1 + median(one.routers_in_view for one in in_membership.real)) / size, 1),
+        "light_hollow": in_membership.light,
+        "alive_least": min(one.alive for one in in_membership.real),
     }
 
 
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -62,7 +62,7 @@
     """A case: fault tables of the scenario, the second when the faults are over, and the run's length, s."""
 
     faults: str = ""
-    settled_from: float = FAULT_AT_S + FAULT_S
+    faults_end: float = FAULT_AT_S + FAULT_S
     length: float = RUN_S
 
 
@@ -88,7 +88,7 @@
         fault_table("hot_key", 5.0, seconds=20, share=0.1, zone=zone) for zone in ("mladost", "lozenets")
     )
     return {
-        "quiet": Case(settled_from=FAULT_AT_S - SETTLE_S),
+        "quiet": Case(faults_end=FAULT_AT_S - SETTLE_S),
         "a key of 10 %": Case(fault_table("hot_key", seconds=FAULT_S, share=0.1)),
         "ten keys of 3 %": Case(fault_table("hot_key", seconds=FAULT_S, share=0.3, keys=10)),
         "one says it is idle": Case(fault_table("false_report", seconds=25, says="idle"), FAULT_AT_S),
@@ -164,10 +164,10 @@
     return float(longest)
 
 
-def spread(begun: Sequence[StartedWork], schedule: Schedule, settled_from: float) -> dict[str, Any]:
-    """Return the figures by window, and over the time from SETTLE_S after `settled_from` on."""
+def spread(begun: Sequence[StartedWork], schedule: Schedule, faults_end: float) -> dict[str, Any]:
+    """Return the figures by window, and over the time from SETTLE_S after `faults_end` on."""
     length = schedule.scenario.length_s
-    since = settled_from + SETTLE_S
+    since = faults_end + SETTLE_S
     rows = []
     for i in range(int(length / WINDOW_S)):
         first, last = i * WINDOW_S, (i + 1) * WINDOW_S
@@ -256,7 +256,7 @@
     return uvloop.run(run())
 
 
-def measure_case(text: str, seed: int, deploy: Path, settled_from: float) -> tuple[dict[str, Any], Schedule]:
+def measure_case(text: str, seed: int, deploy: Path, faults_end: float) -> tuple[dict[str, Any], Schedule]:
     """Run a scenario; returns its figures and its schedule."""
     result = run_schedule(text, seed, deploy)
     body = make_report(result).body
@@ -267,7 +267,7 @@
         "start_s": body["laboratory"]["start_s"]["all"],
         "memory_mb": body["laboratory"]["routers_memory_mb"],
         "late": [row["served"] - row["in_aim"] for row in body["windows"]],
-        **spread(started_work(result), result.day, settled_from),
+        **spread(started_work(result), result.day, faults_end),
     }
     return found, result.day
 
@@ -327,11 +327,11 @@
                 slowest=args.speed * 0.9, fastest=args.speed * 1.1,
             )  # fmt: skip
             found[variant], schedule = measure_case(
-                text + parameters.faults, args.seed, args.deploy, parameters.settled_from
+                text + parameters.faults, args.seed, args.deploy, parameters.faults_end
             )
             print(format_row(case, variant, found[variant]), flush=True)
         for variant, started in baselines(schedule).items():
-            found[variant] = spread(started, schedule, parameters.settled_from)
+            found[variant] = spread(started, schedule, parameters.faults_end)
             print(format_row(case, variant, found[variant]), flush=True)
         if args.json is not None:
             args.json.write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2))
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -185,7 +185,7 @@
     servers = [f"s{i}" for i in range(96)]
     found = draw_segments(servers, 1, 934.0)
     assert {sum(one.slots.values()) for one in found} == {280}
-    assert {name for one in found for name in one.waits} == set(servers)
+    assert {name for one in found for name in one.response_times} == set(servers)
     total = Counter(dict.fromkeys(range(8192), 0))
     for one in found:
         total.update(one.slots)
@@ -199,7 +199,11 @@
     found = merge_segments([one, other], now)
     assert sum(found.slot_requests.values()) == 560
     for server, (_, at) in found.waits.items():
-        age = other.waits[server][1] if server in other.waits else one.waits[server][1] + NS_PER_S * 3 // 10
+        age = (
+            other.response_times[server][1]
+            if server in other.response_times
+            else one.response_times[server][1] + NS_PER_S * 3 // 10
+        )
         assert now - at == age
 
 
