--- a/bench/herd.py
+++ b/bench/herd.py
@@ -117,7 +117,9 @@
 SWITCH_CASES = ("quiet", "news 1 s old", "news 5 s old", "news 10 s old")
 
 
-def lowest_wait_rank(_self: slot_rebalancing.SlotRebalancer, _slot: int, ranking: Sequence[Any]) -> int:
+def shortest_response_time_rank(
+    _self: slot_rebalancing.SlotRebalancer, _slot: int, ranking: Sequence[Any]
+) -> int:
     """Return the rank of the server that reports the shortest response time, in place of slot migration."""
     count = min(len(ranking), slot_rebalancing.MAX_RECEIVER_RANK)
     return min(range(count), key=lambda i: ranking[i].reported_response_time_ns or math.inf)
@@ -129,7 +131,7 @@
     if variant == "picture":
         slot_rebalancing.MAX_MIGRATION_PER_S = 0.0
     if variant == "switch":
-        slot_rebalancing.SlotRebalancer.receiver_rank = lowest_wait_rank  # type: ignore[method-assign, assignment]
+        slot_rebalancing.SlotRebalancer.receiver_rank = shortest_response_time_rank  # type: ignore[method-assign, assignment]
     fleet = Fleet(
         **{
             "routers": ROUTERS,
