--- a/bench/each_trouble.py
+++ b/bench/each_trouble.py
@@ -1,7 +1,7 @@
-"""Each trouble between processes by itself, over many seeds: `python -m bench.each_trouble [KINDS]`.
+"""Simulates each kind of inter-process fault alone, on many seeds: `python -m bench.each_trouble [KINDS]`.
 
-The day is laboratory-storm's, its storm of one kind alone, one to three of them; in simulated time, by the
-four rules and the simulation's invariants. Returns 1 if any seed fails.
+The scenario is laboratory-storm with one to three faults of one kind, in simulated time; a seed fails if one
+of the four rules or of the simulation's invariants is violated. Returns 1 if any seed fails.
 """
 
 from __future__ import annotations
@@ -23,27 +23,29 @@
 
 
 def main() -> int:
-    """Play and print."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--seeds", type=int, default=500)
-    words.add_argument("--jobs", type=int, default=8)
-    words.add_argument("kinds", nargs="*")
-    told = words.parse_args()
-    day = load_scenario(SCENARIO)
+    """Run the seeds of each kind and print a table."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seeds", type=int, default=500)
+    parser.add_argument("--jobs", type=int, default=8)
+    parser.add_argument("kinds", nargs="*")
+    args = parser.parse_args()
+    base = load_scenario(SCENARIO)
     failed = 0
     print("| trouble | seeds | failed | the first | s |\n| --- | --- | --- | --- | --- |", flush=True)
-    for kind in told.kinds or KINDS:
-        begun = perf_counter()
-        scenario = msgspec.structs.replace(day, name=kind, storm=Storm(count=(1, 3), kinds=(kind,)))
-        found = sorted(
+    for kind in args.kinds or KINDS:
+        started = perf_counter()
+        scenario = msgspec.structs.replace(base, name=kind, storm=Storm(count=(1, 3), kinds=(kind,)))
+        failures = sorted(
             (one.seed, one.fault or one.broken[0].text)
-            for one in search(scenario, range(1, told.seeds + 1), told.jobs)
+            for one in search(scenario, range(1, args.seeds + 1), args.jobs)
             if one.failed
         )
-        failed += len(found)
-        first = f"{found[0][0]}: {found[0][1]}" if found else ""
-        took = perf_counter() - begun
-        print(f"| {kind} | {told.seeds} | {len(found)} | {first} | {took:.0f} |", flush=True)
+        failed += len(failures)
+        first = f"{failures[0][0]}: {failures[0][1]}" if failures else ""
+        elapsed_s = perf_counter() - started
+        print(f"| {kind} | {args.seeds} | {len(failures)} | {first} | {elapsed_s:.0f} |", flush=True)
     return 1 if failed else 0
 
 
--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -1,8 +1,8 @@
-"""What one request costs in the router's own code, without a kernel: `python -m bench.hot_path [--profile]`.
+"""Measures a request's cost in the router's code without the kernel: `python -m bench.hot_path [--profile]`.
 
-A client's bytes go in by `data_received`, an answer of a mirror node comes back at once, and what would be
-written is thrown away: the figure is the own cost of the path. `bench.router_core` has the kernel, the loop
-and its neighbours in it. CPU time of the process, the median of the rounds.
+A client's bytes are passed to `data_received`, a fake node answers at once, and written bytes are discarded,
+so that the figure is the cost of the code path alone; `bench.router_core` includes the kernel and the event
+loop. Printed is the process's CPU time, the median of the rounds.
 """
 
 from __future__ import annotations
@@ -51,35 +51,35 @@
 
 
 class FakeTransport:
-    """Takes what is written; a node's answers each request in the loop's next turn."""
+    """Discards what is written; a node's transport (`answers`) queues itself to have its request answered."""
 
     def __init__(self, protocol: Any, answers: bool) -> None:
         self.protocol, self.answers, self.written, self.last = protocol, answers, 0, b""
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Nothing to limit."""
+        """Do nothing: writes are never buffered."""
 
     def write(self, data: bytes) -> None:
-        """Take bytes."""
+        """Record the last write, and queue a node's answer."""
         self.written, self.last = self.written + 1, data
         if self.answers:
             PENDING.append(self)
 
     def writelines(self, data: list[bytes]) -> None:
-        """Take several."""
+        """Record one write."""
         self.write(b"")
 
     def is_closing(self) -> bool:
-        """Never."""
+        """Return False."""
         return False
 
     def abort(self) -> None:
-        """Nothing to close."""
+        """Do nothing."""
 
     close = pause_reading = resume_reading = write_eof = abort
 
     def get_write_buffer_size(self) -> int:
-        """Nothing waits."""
+        """Return 0: writes are never buffered."""
         return 0
 
 
@@ -87,7 +87,7 @@
 
 
 def requests(count: int, keys: int) -> list[bytes]:
-    """Commands as clients send them; every id is new."""
+    """Return commands as clients send them, each with a new id."""
     found = []
     for i in range(count):
         key = b"pkg-%06d" % (i * 7919 % keys)
@@ -96,74 +96,76 @@
     return found
 
 
-async def rounds(count: int, nodes_count: int, keys: int, profile: cProfile.Profile | None) -> list[float]:
-    """Microseconds of CPU a request, of each round."""
+async def run_rounds(
+    count: int, nodes_count: int, keys: int, profile: cProfile.Profile | None
+) -> list[float]:
+    """Return the microseconds of CPU time per request, of each round."""
     loop = asyncio.get_running_loop()
     pool = ConnectionPool(loop, nodes_count + 400, 0.12, 10.0)
-    host = Dispatcher(loop, SETTINGS, 7, pool, 20_000)
-    clients = ClientListener(loop, host, 400)
+    dispatcher = Dispatcher(loop, SETTINGS, 7, pool, 20_000)
+    clients = ClientListener(loop, dispatcher, 400)
 
-    async def connected(factory: Any, *_address: Any, **_more: Any) -> tuple[Any, Any]:
+    async def fake_connection(factory: Any, *_address: Any, **_more: Any) -> tuple[Any, Any]:
         protocol = factory()
         transport = FakeTransport(protocol, True)
         protocol.connection_made(transport)
         return transport, protocol
 
     class Loop:
-        """The loop, but for connections."""
+        """The event loop, with fake connections."""
 
         def __getattr__(self, name: str) -> Any:
-            return connected if name == "create_connection" else getattr(loop, name)
+            return fake_connection if name == "create_connection" else getattr(loop, name)
 
     pool._loop = Loop()  # type: ignore[assignment]
     nodes = [Endpoint(f"node{i:03d}", "std") for i in range(nodes_count)]
     servers = (*nodes, Endpoint(ORIGIN, "origin"))
     addresses = {server.id: ("127.0.0.1", 1) for server in servers}
-    host.apply_endpoint_update(EndpointUpdate(1, EndpointsChanged(UpdateKind.FULL, servers), addresses))
+    dispatcher.apply_endpoint_update(EndpointUpdate(1, EndpointsChanged(UpdateKind.FULL, servers), addresses))
     from holdgw.router.client_connection import ClientConnection
 
     client = ClientConnection(clients)
     transport = FakeTransport(client, False)
     client.connection_made(transport)  # type: ignore[arg-type]
-    took = []
-    for number in range(count + 1):
+    cpu_us = []
+    for round_number in range(count + 1):
         commands = requests(REQUESTS, keys)
-        commands = [one.replace(b"-0\r\n", b"-%d\r\n" % (number % 10)) for one in commands]
+        commands = [one.replace(b"-0\r\n", b"-%d\r\n" % (round_number % 10)) for one in commands]
         before, written = time.process_time(), transport.written
-        if profile is not None and number:
+        if profile is not None and round_number:
             profile.enable()
         for one in commands:
             client.data_received(one)
             for _ in range(1000):
                 if PENDING:
                     break
-                await asyncio.sleep(0)  # a dial
+                await asyncio.sleep(0)  # lets the pool open a connection
             else:
-                raise RuntimeError(f"nothing was sent for {one!r}; the client was told {transport.last!r}")
+                raise RuntimeError(f"no attempt was sent for {one!r}; the client received {transport.last!r}")
             while PENDING:
                 PENDING.pop().protocol.data_received(ANSWER)
         if profile is not None:
             profile.disable()
-        took.append((time.process_time() - before) / REQUESTS * 1e6)
+        cpu_us.append((time.process_time() - before) / REQUESTS * 1e6)
         assert transport.written - written == REQUESTS, (transport.written - written, REQUESTS)
         await asyncio.sleep(0.01)
     clients.close()
-    host.close()
+    dispatcher.close()
     pool.close()
-    return took[1:]
+    return cpu_us[1:]
 
 
 def main() -> int:
-    """Measure, or profile."""
+    """Measure and print, with a profile if asked for."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=7)
     parser.add_argument("--nodes", type=int, default=NODES)
     parser.add_argument("--keys", type=int, default=KEYS)
     parser.add_argument("--profile", action="store_true")
-    told = parser.parse_args()
-    profile = cProfile.Profile() if told.profile else None
-    took = uvloop.run(rounds(told.rounds, told.nodes, told.keys, profile))
-    print(f"{median(took):.2f} us a request ({min(took):.2f} to {max(took):.2f}, {len(took)} rounds)")
+    args = parser.parse_args()
+    profile = cProfile.Profile() if args.profile else None
+    cpu_us = uvloop.run(run_rounds(args.rounds, args.nodes, args.keys, profile))
+    print(f"{median(cpu_us):.2f} us a request ({min(cpu_us):.2f} to {max(cpu_us):.2f}, {len(cpu_us)} rounds)")
     if profile is not None:
         pstats.Stats(profile).sort_stats("tottime").print_stats(30)
     return 0
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,10 +1,10 @@
-"""Control of many routers at many sites, measured on one machine: `python -m bench.scale [--sizes 50 760]`.
+"""Measures the control traffic of many routers on one machine: `python -m bench.scale [--sizes 50 760]`.
 
-Hollow routers (the real control code with a made-up request stream: 934 requests a second, 8,192 slots, 96
-servers) over real sockets through the laboratory's relay, beside real processes of `run` where the clock need
-not be slowed. docs/scale.md says how to read the figures, and what voids a run.
+Hollow routers run the real control code on a synthetic request stream (934 requests a second, 8,192 slots, 96
+servers) and exchange datagrams over real sockets through the harness's relay. Where the clock need not be
+slowed, real router processes run beside them. docs/scale.md explains the figures and what makes a run void.
 
-Exit code 0: all runs hold; 1: some are void; 2: refused, one line says why; 130: interrupted.
+Exit code 0: all runs are valid; 1: some are void; 2: refused, with the reason in one line; 130: interrupted.
 """
 
 from __future__ import annotations
@@ -31,32 +31,32 @@
 from bench import scale_plan
 from bench.scale_child import ChildError
 from bench.scale_plan import Machine, Needs
-from bench.scale_report import drawn, plain
-from bench.scale_rig import Cast, Played, Program, Rig
+from bench.scale_report import draw_figure, to_plain
+from bench.scale_rig import Participants, Program, Rig, ScenarioResult
 from holdgw.harness.deployment import build, run_command
 from holdgw.router.process import python_command
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = ROOT / "deploy/balancer.toml"
-REAL = 3
-CALIBRATION = 40  # hollow routers, on a clock that is not slowed
-GROWTH = 1.5  # what a router of a large membership takes, over one of the calibration's
+DEFAULT_REAL_ROUTERS = 3
+CALIBRATION_ROUTERS = 40  # hollow routers; the clock is not slowed
+COST_GROWTH_FACTOR = 1.5  # CPU time of a router in a large membership, over that of one in the calibration
 REFUSED, VOID, INTERRUPTED = 2, 1, 130
-PACES = ("pace_us", "best_pace_us")
+PACE_KEYS = ("pace_us", "best_pace_us")
 
 
 class RefusedError(Exception):
-    """This machine can't run that; one line."""
+    """This machine can't run what was asked for; the message is one line."""
 
 
-def look_at_machine() -> Machine:
-    """What this machine has for us."""
+def inspect_machine() -> Machine:
+    """Return the cores, memory and descriptors that this process may use."""
     memory = os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES")
     return Machine(len(os.sched_getaffinity(0)), memory, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
-def commit() -> str:
-    """The commit that the program's sources come from; with a mark where they differ from it."""
+def source_commit() -> str:
+    """Return the last commit that changed holdgw, with "+changes" if the working tree differs from it."""
 
     def git(*words: str) -> str:
         ran = subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=False)
@@ -66,129 +66,153 @@
     return git("log", "-1", "--format=%h", "--", "holdgw") + dirty
 
 
-def options(words: Sequence[str] | None = None) -> argparse.Namespace:
-    """The command line's."""
+def parse_arguments(words: Sequence[str] | None = None) -> argparse.Namespace:
+    """Parse the command line."""
     style = argparse.RawDescriptionHelpFormatter
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=style)
     parser.add_argument("--sizes", type=int, nargs="*", default=list(scale_plan.SIZES))
-    parser.add_argument("--plays", nargs="+", choices=scale_plan.PLAYS, default=["deaths", "cut"])
-    parser.add_argument("--real", type=int, default=REAL, help="real routers where the clock is not slowed")
-    parser.add_argument("--slow", type=float, default=0.0, help="factor of the clock; 0: by calibration")
-    parser.add_argument("--workers", type=int, default=0, help="processes of hollow routers; 0: by the cores")
-    parser.add_argument("--aggregators", type=int, default=0, help="machines set aside to merge load reports")
-    parser.add_argument("--loss", type=float, default=0.01, help="part of all datagrams that is lost")
+    parser.add_argument("--plays", nargs="+", choices=scale_plan.SCENARIOS, default=["deaths", "cut"])
+    parser.add_argument(
+        "--real", type=int, default=DEFAULT_REAL_ROUTERS, help="real routers where the clock is not slowed"
+    )
+    parser.add_argument(
+        "--slow", type=float, default=0.0, help="factor by which the clock is slowed; 0: calibrated"
+    )
+    parser.add_argument(
+        "--workers", type=int, default=0, help="processes of hollow routers; 0: from the number of cores"
+    )
+    parser.add_argument("--aggregators", type=int, default=0, help="dedicated aggregators of load reports")
+    parser.add_argument("--loss", type=float, default=0.01, help="fraction of datagrams that is lost")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--sources", action="store_true", help="run the sources as they are, without a build")
-    parser.add_argument("--json", type=Path, help="added to: runs that are in it stay")
-    parser.add_argument("--name", default="", help="of the runs, in the picture")
-    parser.add_argument("--svg", type=Path, help="draw the runs of --json, and of --beside")
-    parser.add_argument("--beside", type=Path, nargs="*", default=[], help="more files to draw")
+    parser.add_argument("--sources", action="store_true", help="run the sources without a build")
+    parser.add_argument("--json", type=Path, help="file that runs are appended to")
+    parser.add_argument("--name", default="", help="label of the runs in the figure")
+    parser.add_argument("--svg", type=Path, help="file for a figure of the runs in --json and --beside")
+    parser.add_argument(
+        "--beside", type=Path, nargs="*", default=[], help="more files of runs for the figure"
+    )
     return parser.parse_args(words)
 
 
-class Scale:
-    """All runs that were asked for, one after the other."""
+class ScaleBenchmark:
+    """Runs every size that was asked for, one after the other."""
 
-    def __init__(self, told: argparse.Namespace, program: Program, status: Callable[[str], None]) -> None:
-        self.told, self.program, self.status = told, program, status
-        self.machine = look_at_machine()
+    def __init__(self, args: argparse.Namespace, program: Program, status: Callable[[str], None]) -> None:
+        self.args, self.program, self.status = args, program, status
+        self.machine = inspect_machine()
         self.rig: Rig | None = None
         self.cost = 0.0
 
-    def refuse_or_begin(self) -> None:
-        """Raise RefusedError where some size can't be run here, before anything is started."""
-        for size in self.told.sizes:
+    def check_sizes(self) -> None:
+        """Raise RefusedError if this machine can't run one of the sizes, before any process is started."""
+        for size in self.args.sizes:
             if size < 2:
-                raise RefusedError(f"{size} routers asked for, 2 are the least")
+                raise RefusedError(f"{size} routers requested, the minimum is 2")
             workers = self.workers(size)
-            needed = scale_plan.needs(size + self.told.aggregators, self.told.real, workers, 0.0)
-            slow = self.told.slow or 1.0
+            needed = scale_plan.needs(size + self.args.aggregators, self.args.real, workers, 0.0)
+            slow = self.args.slow or 1.0
             if why := scale_plan.refusal(self.machine, needed, slow, 0):
                 raise RefusedError(f"{size} routers: {why}")
 
     def workers(self, hollow: int) -> int:
-        """How many processes hollow routers are spread over."""
-        return min(self.told.workers or hollow, scale_plan.workers_for(self.machine, hollow))
-
-    async def played(self, players: Cast, play: str, slow: float) -> Played:
-        """One play, from its start to the end of all its processes."""
-        line = scale_plan.play(play, players.size, players.real, players.aggregators)
-        rig = self.rig = Rig(players, line, self.program, self.told.seed, self.told.loss, slow)
-        name = f"{players.size} routers, {play}, clock slowed by {slow:g}"
+        """Return the number of processes that `hollow` hollow routers are spread over."""
+        return min(self.args.workers or hollow, scale_plan.worker_count(self.machine, hollow))
+
+    async def run_scenario(
+        self, participants: Participants, scenario_name: str, slow: float
+    ) -> ScenarioResult:
+        """Run one scenario, until all of its processes have ended."""
+        scenario = scale_plan.build_scenario(
+            scenario_name, participants.size, participants.real, participants.aggregators
+        )
+        rig = self.rig = Rig(participants, scenario, self.program, self.args.seed, self.args.loss, slow)
+        description = f"{participants.size} routers, {scenario_name}, clock slowed by {slow:g}"
 
         def progress(at: float) -> None:
-            self.status(f"{name}: {at:.0f} of {line.length} s")
+            self.status(f"{description}: {at:.0f} of {scenario.length} s")
 
         try:
-            self.status(f"{name}: starting")
-            await rig.start(self.workers(players.members - players.real))
+            self.status(f"{description}: starting")
+            await rig.start(self.workers(participants.members - participants.real))
             return await rig.run(progress)
         finally:
             await rig.end()
 
     async def calibrate(self) -> None:
-        """Find what a hollow router takes of a core here, with the rig's own part."""
+        """Measure the share of a core that a hollow router takes here, including the rig's overhead."""
         if not self.cost:
-            found = await self.played(Cast(CALIBRATION), "calm", 1.0)
-            self.cost = found.rig["cpu_percent_whole"] / 100 * GROWTH
+            found = await self.run_scenario(Participants(CALIBRATION_ROUTERS), "calm", 1.0)
+            self.cost = found.rig["cpu_percent_whole"] / 100 * COST_GROWTH_FACTOR
 
     def needs(self, size: int, real: int) -> Needs:
-        """What a size takes."""
+        """Return the resources that a run of `size` routers needs."""
         return scale_plan.needs(size, real, self.workers(size), self.cost)
 
     async def size(self, size: int) -> dict[str, Any]:
-        """All plays at a size; real routers take part where the clock need not be slowed."""
-        slow = self.told.slow
+        """Run all scenarios at one size; real routers take part if the clock need not be slowed.
+
+        Raises RefusedError if this machine can't run the size.
+        """
+        slow = self.args.slow
         if not slow:
             await self.calibrate()
             slow = scale_plan.slow_factor(self.needs(size, 0), self.workers(size))
-        real = self.told.real if slow == 1.0 else 0
+        real = self.args.real if slow == 1.0 else 0
         if why := scale_plan.refusal(self.machine, self.needs(size, real), slow, real):
             raise RefusedError(f"{size} routers: {why}")
         found: dict[str, Any] = {
             "size": size, "windows": {}, "learning": {}, "rig": {}, "void": [], "real": None,
         }  # fmt: skip
-        aggregators = self.told.aggregators
-        for play in self.told.plays:
-            played = await self.played(Cast(size, real, aggregators=aggregators), play, slow)
-            found["windows"] |= plain(played.figures["windows"])
-            found["learning"] |= plain(played.figures["learning"])
-            found["rig"][play] = played.rig
-            found["void"] += [f"{play}: {why}" for why in played.void]
+        aggregators = self.args.aggregators
+        for name in self.args.plays:
+            result = await self.run_scenario(Participants(size, real, aggregators=aggregators), name, slow)
+            found["windows"] |= to_plain(result.figures["windows"])
+            found["learning"] |= to_plain(result.figures["learning"])
+            found["rig"][name] = result.rig
+            found["void"] += [f"{name}: {why}" for why in result.void]
             if real and found["real"] is None:
-                alone = await self.played(Cast(size - real, apart=real), "calm", slow)
-                found["void"] += [f"without peers: {why}" for why in alone.void]
-                found["real"] = real_figures(played, alone, size)
+                standalone = await self.run_scenario(Participants(size - real, standalone=real), "calm", slow)
+                found["void"] += [f"without peers: {why}" for why in standalone.void]
+                found["real"] = real_figures(result, standalone, size)
         return found
 
 
-def real_figures(played: Played, alone: Played, size: int) -> dict[str, Any]:
-    """What real routers took, in calm; control is what those with peers took more than those without."""
-    with_peers, without = (median(one.cpu for one in some.real) * 100 for some in (played, alone))
-    memory = median(one.memory for one in played.real) - median(one.memory for one in alone.real)
+def real_figures(in_membership: ScenarioResult, without_peers: ScenarioResult, size: int) -> dict[str, Any]:
+    """Return the medians over the real routers in calm.
+
+    The cost of control is the difference between routers with peers and routers without.
+    """
+    with_peers, without = (
+        median(one.cpu for one in result.real) * 100 for result in (in_membership, without_peers)
+    )
+    memory = median(one.memory for one in in_membership.real) - median(
+        one.memory for one in without_peers.real
+    )
     return {
-        "routers": len(played.real),
+        "routers": len(in_membership.real),
         "cpu_percent": round(with_peers - without, 3),
         "cpu_percent_with_peers": round(with_peers, 3),
         "cpu_percent_without": round(without, 3),
         "memory_bytes": round(memory),
-        "bytes_both": round(median(played.real_bytes), 1),
-        "coverage": round(100 * (1 + median(one.heard for one in played.real)) / size, 1),
-        "light_hollow": played.light,
-        "alive_least": min(one.alive for one in played.real),
+        "bytes_both": round(median(in_membership.real_bytes), 1),
+        "coverage": round(100 * (1 + median(one.routers_in_view for one in in_membership.real)) / size, 1),
+        "light_hollow": in_membership.light,
+        "alive_least": min(one.alive for one in in_membership.real),
     }
 
 
-def shown(run: dict[str, Any]) -> str:
-    """A run in a few lines."""
+def format_run(run: dict[str, Any]) -> str:
+    """Format a run's figures as a few lines of text."""
     rigs = run["rig"].values()
-    late = [max(rig[name] for rig in rigs) for name in ("slow", "lag_p99_ms", "lag_worst_ms")]
+    worst_figures = [max(rig[name] for rig in rigs) for name in ("slow", "lag_p99_ms", "lag_worst_ms")]
     lines = [
-        "{} routers, clock slowed by {:g}, lag p99 {:.1f} ms, worst {:.1f}: ".format(run["size"], *late)
-        + "pace {:.0f} of {:.0f} us, ".format(*(max(rig[name] for rig in rigs) for name in PACES))
+        "{} routers, clock slowed by {:g}, lag p99 {:.1f} ms, worst {:.1f}: ".format(
+            run["size"], *worst_figures
+        )
+        + "pace {:.0f} of {:.0f} us, ".format(*(max(rig[name] for rig in rigs) for name in PACE_KEYS))
         + ("VOID: " + "; ".join(run["void"]) if run["void"] else "holds")
     ]
-    lines += [shown_window(name, one) for name, one in run["windows"].items()]
+    lines += [format_window(name, one) for name, one in run["windows"].items()]
     for name, one in run["learning"].items():
         lines.append(
             f"  {name}: learnt by the first after {one['first_median']} s, by all {one['all_median']} s "
@@ -199,13 +223,13 @@
     return "\n".join(lines)
 
 
-def shown_window(name: str, one: dict[str, Any]) -> str:
-    """A window's figures in a line."""
-    cpu, spoken, view = one["cpu_percent"], one["bytes_both"], one["view"]
+def format_window(name: str, one: dict[str, Any]) -> str:
+    """Format a window's figures as one line of text."""
+    cpu, traffic, view = one["cpu_percent"], one["bytes_both"], one["view"]
     worst = "worst second, p95:"
     return (
         f"  {name}: control {cpu['mean']['median']:.2f} % ({worst} {cpu['worst']['p95']:.2f}), "
-        f"{spoken['mean']['median']:.0f} bytes a second ({worst} {spoken['worst']['p95']:.0f}), "
+        f"{traffic['mean']['median']:.0f} bytes a second ({worst} {traffic['worst']['p95']:.0f}), "
         f"age {view['given_age']['median']:.2f} s (p95 {view['given_age']['p95']:.2f}; worst second "
         f"{view['worst_age']['median']:.2f}, p95 {view['worst_age']['p95']:.2f}), before the next view "
         f"{view['held_age']['median']:.2f} (p95 {view['held_age']['p95']:.2f}), "
@@ -213,27 +237,27 @@
     )
 
 
-def kept(path: Path | None) -> dict[str, Any]:
-    """What a file holds already."""
+def load_results(path: Path | None) -> dict[str, Any]:
+    """Return the results in a file; an empty set of runs if there is none."""
     if path is not None and path.exists():
         found: dict[str, Any] = orjson.loads(path.read_bytes())
         return found
     return {"runs": []}
 
 
-def keep(told: argparse.Namespace, run: dict[str, Any]) -> None:
-    """Add a run to the file."""
-    if told.json is None:
+def save_run(args: argparse.Namespace, run: dict[str, Any]) -> None:
+    """Append a run to the results file."""
+    if args.json is None:
         return
-    body = kept(told.json)
-    body["name"] = told.name or body.get("name", "")
+    body = load_results(args.json)
+    body["name"] = args.name or body.get("name", "")
     body["runs"].append(run)
-    told.json.parent.mkdir(parents=True, exist_ok=True)
-    told.json.write_bytes(orjson.dumps(body, option=orjson.OPT_INDENT_2) + b"\n")
+    args.json.parent.mkdir(parents=True, exist_ok=True)
+    args.json.write_bytes(orjson.dumps(body, option=orjson.OPT_INDENT_2) + b"\n")
 
 
-def valid(body: dict[str, Any]) -> list[dict[str, Any]]:
-    """Of each size the windows of all runs that hold, the latest where one was played twice; by size."""
+def valid_runs(body: dict[str, Any]) -> list[dict[str, Any]]:
+    """Merge the windows of all valid runs by size, in rising order; of a repeated window the latest stays."""
     found: dict[int, dict[str, Any]] = {}
     for run in body["runs"]:
         if run["void"]:
@@ -244,52 +268,52 @@
     return [found[size] for size in sorted(found)]
 
 
-def draw(told: argparse.Namespace) -> None:
-    """Draw what the files hold."""
-    bodies = [kept(path) for path in (*told.beside, told.json) if path is not None]
-    drawn({body.get("name") or "runs": valid(body) for body in bodies}, told.svg)
+def draw_results(args: argparse.Namespace) -> None:
+    """Draw the runs of all results files into one figure."""
+    bodies = [load_results(path) for path in (*args.beside, args.json) if path is not None]
+    draw_figure({body.get("name") or "runs": valid_runs(body) for body in bodies}, args.svg)
 
 
-async def measure(told: argparse.Namespace, program: Program, status: Status) -> int:
-    """All sizes; returns the exit code. An interrupt ends all that was started."""
+async def measure(args: argparse.Namespace, program: Program, status: Status) -> int:
+    """Measure all sizes and return the exit code. SIGINT and SIGTERM end every process that was started."""
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
     for number in (signal.SIGINT, signal.SIGTERM):
         loop.add_signal_handler(number, task.cancel)
-    scale = Scale(told, program, status.update)
-    scale.refuse_or_begin()
+    scale = ScaleBenchmark(args, program, status.update)
+    scale.check_sizes()
     code = 0
-    for size in told.sizes:
+    for size in args.sizes:
         run = await scale.size(size)
         run |= {
-            "commit": commit(),
+            "commit": source_commit(),
             "at": datetime.now(UTC).isoformat(timespec="seconds"),
-            "machine": plain(scale.machine),
-            "loss": told.loss,
-            "aggregators": told.aggregators,
-            "seed": told.seed,
+            "machine": to_plain(scale.machine),
+            "loss": args.loss,
+            "aggregators": args.aggregators,
+            "seed": args.seed,
             "load_average": os.getloadavg()[0],
         }
-        print(shown(run), flush=True)
-        keep(told, run)
+        print(format_run(run), flush=True)
+        save_run(args, run)
         code = VOID if run["void"] else code
     return code
 
 
 def main() -> int:
-    """Measure, print, draw; returns the exit code."""
-    told = options()
-    if told.sources:
+    """Measure, print and draw; returns the exit code."""
+    args = parse_arguments()
+    if args.sources:
         program = Program("exec " + " ".join(python_command("holdgw.router")), ROOT, str(ROOT))
     else:
         program = Program(run_command(DEPLOY), ROOT, f"{ROOT / '.native'}:{ROOT}")
     code = 0
     try:
         with Console(stderr=True).status("scale") as status:
-            if told.sizes and not told.sources:
+            if args.sizes and not args.sources:
                 build(DEPLOY)
-            code = uvloop.run(measure(told, program, status))
+            code = uvloop.run(measure(args, program, status))
     except ChildError as error:
         print(f"scale: failed: {error}", file=sys.stderr)
         return VOID
@@ -297,11 +321,11 @@
         print(f"scale: refused: {error}", file=sys.stderr)
         return REFUSED
     except (asyncio.CancelledError, KeyboardInterrupt):
-        print("scale: interrupted; all that it started is ended", file=sys.stderr)
+        print("scale: interrupted; every process that it started has ended", file=sys.stderr)
         return INTERRUPTED
-    if told.svg is not None:
+    if args.svg is not None:
         with contextlib.suppress(FileNotFoundError):
-            draw(told)
+            draw_results(args)
     return code
 
 
--- a/bench/scale_clock.py
+++ b/bench/scale_clock.py
@@ -1,4 +1,4 @@
-"""The rig's clock, slower than the machine's by a factor, and how late a process of the rig was by it."""
+"""The scale rig's clock, which may run slower than the machine's, and its event-loop lag monitor."""
 
 from __future__ import annotations
 
@@ -7,62 +7,64 @@
 from typing import NamedTuple
 
 NS_PER_S = 1_000_000_000
-LOOK_S = 0.02
-PACE_S = 0.5  # of the machine's clock
-PACE_TURNS = 2000
+LAG_SAMPLE_S = 0.02
+PACE_INTERVAL_S = 0.5  # by the machine's clock
+PACE_ITERATIONS = 2000
 
 
-def pace() -> float:
-    """How long the machine takes for a fixed piece of work at the moment, microseconds of CPU time.
+def measure_pace() -> float:
+    """Return the CPU time that a fixed piece of work takes at the moment, microseconds.
 
-    What runs beside makes the same work take more CPU time; two runs are held against each other by this.
+    Other load on the machine makes the same work take more CPU time; the figure tells whether two runs are
+    comparable.
     """
     began, counts = time.thread_time_ns(), dict.fromkeys(range(64), 0.0)
-    for turn in range(PACE_TURNS):
-        counts[turn & 63] = counts[turn & 63] * 0.5 + 1.0
+    for i in range(PACE_ITERATIONS):
+        counts[i & 63] = counts[i & 63] * 0.5 + 1.0
     return (time.thread_time_ns() - began) / 1000
 
 
 class SlowClock(NamedTuple):
-    """A clock that all processes of a run share: it began at the monotonic clock's `base`, and runs slower
-    by the factor `slow`.
+    """A clock that all processes of a run share.
+
+    It started at the monotonic clock's `base` (ns) and runs slower by the factor `slow`.
     """
 
     base: int
     slow: float
 
     def ns(self) -> int:
-        """Nanoseconds now; like the monotonic clock itself where it is not slowed."""
+        """Return nanoseconds now; equal to the monotonic clock if `slow` is 1."""
         return self.base + int((time.monotonic_ns() - self.base) / self.slow)
 
     def seconds(self) -> float:
-        """Seconds since its beginning."""
+        """Return seconds since the clock's start."""
         return (time.monotonic_ns() - self.base) / self.slow / NS_PER_S
 
-    def real(self, seconds: float) -> float:
-        """How long so many of its seconds last."""
+    def machine_seconds(self, seconds: float) -> float:
+        """Convert a duration by this clock into seconds of the machine's clock."""
         return seconds * self.slow
 
 
-class Lag:
-    """How late a loop comes to what is due, in seconds of the rig's clock, since `begin`."""
+class LagMonitor:
+    """Samples how late an event loop runs its timers, in seconds of the rig's clock."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: SlowClock) -> None:
         self._loop, self._clock = loop, clock
-        self._found: list[float] = []
+        self._readings: list[float] = []
         self._due = loop.time()
-        self._look()
+        self._sample()
 
-    def _look(self) -> None:
+    def _sample(self) -> None:
         now = self._loop.time()
-        self._found.append(max(now - self._due, 0.0) / self._clock.slow)
-        self._due = now + self._clock.real(LOOK_S)
-        self._loop.call_at(self._due, self._look)
+        self._readings.append(max(now - self._due, 0.0) / self._clock.slow)
+        self._due = now + self._clock.machine_seconds(LAG_SAMPLE_S)
+        self._loop.call_at(self._due, self._sample)
 
-    def begin(self) -> None:
-        """Forget what was: the start of a run is not measured."""
-        self._found.clear()
+    def reset(self) -> None:
+        """Drop the readings so far: the start of a run is not measured."""
+        self._readings.clear()
 
-    def told(self) -> list[float]:
-        """All readings, each rounded to 0.1 ms."""
-        return [round(one, 4) for one in self._found]
+    def readings(self) -> list[float]:
+        """Return all readings since the last reset, each rounded to 0.1 ms."""
+        return [round(one, 4) for one in self._readings]
--- a/bench/scale_real.py
+++ b/bench/scale_real.py
@@ -1,6 +1,4 @@
-"""Real routers beside the hollow ones: processes of `run` with clients and stand-in servers, in one
-membership with them.
-"""
+"""Real router processes with clients and emulated servers, in one membership with the hollow routers."""
 
 from __future__ import annotations
 
@@ -11,7 +9,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from bench.scale_plan import LIGHT_PER_S, SERVERS
+from bench.scale_plan import LOW_RATE_PER_S, SERVERS
 from holdgw.harness.deployment import Peers
 from holdgw.harness.orchestrator import Orchestrator
 from holdgw.harness.routers import resident_bytes
@@ -20,7 +18,7 @@
 from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.wire.address import Address
 
-SETTINGS = """
+SCENARIO = """
 name = "scale"
 length_s = {length}
 [load]
@@ -39,52 +37,63 @@
 lag_ms = 1000.0
 """
 
-Join = Callable[[dict[int, Address]], Awaitable[tuple[tuple[Address, ...], Address]]]
-"""Given where real routers listen, by number: where all are to be had, in the order of their numbers, and
-the address of all together.
+JoinMembership = Callable[[dict[int, Address]], Awaitable[tuple[tuple[Address, ...], Address]]]
+"""Takes the real routers' listen addresses by number.
+
+Returns the relay's address for each member, in the order of their numbers, and its address for all.
 """
 
 
-class Look(NamedTuple):
-    """What a real router's process and door say: its CPU seconds so far, its memory (bytes), how many it
-    holds to be alive, and of how many others its picture is.
+class RouterSample(NamedTuple):
+    """A real router's state at one time, from /proc and its admin endpoint.
+
+    `at`: seconds of the monotonic clock; `cpu`: CPU seconds so far; `memory`: bytes; `alive`: members that
+    the router holds to be alive; `routers_in_view`: other routers that its load view rests on.
     """
 
     at: float
     cpu: float
     memory: int
     alive: int
-    heard: int
+    routers_in_view: int
 
 
 class RealFigures(NamedTuple):
-    """A real router over a stretch: the CPU of its process (share of a core), its memory (bytes), and what
-    its door says.
+    """A real router's figures between two samples.
+
+    `cpu`: share of a core; `memory`: bytes; `alive` and `routers_in_view`: as in the later RouterSample.
     """
 
     cpu: float
     memory: int
     alive: int
-    heard: int
+    routers_in_view: int
 
 
-class MixedStage(Orchestrator):
-    """A stage whose routers join the membership of a scale run."""
+class MixedOrchestrator(Orchestrator):
+    """A harness orchestrator whose routers join the membership of a scale run."""
 
-    def __init__(self, day: Schedule, command: str, root: Path, join: Join | None, aggregators: int) -> None:
-        super().__init__(day, command, root)
+    def __init__(
+        self, schedule: Schedule, command: str, root: Path, join: JoinMembership | None, aggregators: int
+    ) -> None:
+        super().__init__(schedule, command, root)
         self._join, self._aggregator_count = join, aggregators
 
     async def _join_peers(self) -> None:
         assert self._join is not None
         listens = {name: router.peer for name, router in self.routers.items()}
-        each, all_of_them = await self._join(dict(enumerate(listens.values())))
-        set_aside = each[len(each) - self._aggregator_count :]
-        self.peers = {name: Peers(listen, each, all_of_them, set_aside) for name, listen in listens.items()}
+        addresses, shared_address = await self._join(dict(enumerate(listens.values())))
+        aggregators = addresses[len(addresses) - self._aggregator_count :]
+        self.peers = {
+            name: Peers(listen, addresses, shared_address, aggregators) for name, listen in listens.items()
+        }
 
 
 class RealRouters:
-    """Some real routers and all that they need; whoever starts them ends them."""
+    """Real routers with their clients and emulated servers. Whoever creates the object ends it.
+
+    Without `join` the routers know no peers.
+    """
 
     def __init__(
         self,
@@ -93,59 +102,59 @@
         command: str,
         root: Path,
         length: float,
-        join: Join | None,
+        join: JoinMembership | None,
         aggregators: int = 0,
     ) -> None:
-        text = SETTINGS.format(
+        text = SCENARIO.format(
             length=length,
-            rate=LIGHT_PER_S * count,
+            rate=LOW_RATE_PER_S * count,
             nodes=SERVERS,
             routers=count,
             peers=str(join is not None).lower(),
         )
-        day = draw_schedule(read_scenario(text, "bench"), seed)
-        self.stage = MixedStage(day, command, root, join, aggregators)
-        self.begun = asyncio.Event()
-        self._playing = asyncio.ensure_future(self.stage.play(self._progress))
+        schedule = draw_schedule(read_scenario(text, "bench"), seed)
+        self.orchestrator = MixedOrchestrator(schedule, command, root, join, aggregators)
+        self.started = asyncio.Event()
+        self._play_task = asyncio.ensure_future(self.orchestrator.play(self._progress))
 
-    def _progress(self, _stage: Orchestrator, at: float) -> None:
+    def _progress(self, _orchestrator: Orchestrator, at: float) -> None:
         if at >= 0:
-            self.begun.set()
+            self.started.set()
 
     async def ready(self) -> None:
-        """Wait until they serve clients; raises what the stage failed by."""
-        waiting = asyncio.ensure_future(self.begun.wait())
-        await asyncio.wait((waiting, self._playing), return_when=asyncio.FIRST_COMPLETED)
+        """Wait until the routers serve clients; raises the orchestrator's error if it failed."""
+        waiting = asyncio.ensure_future(self.started.wait())
+        await asyncio.wait((waiting, self._play_task), return_when=asyncio.FIRST_COMPLETED)
         if not waiting.done():
             waiting.cancel()
-            await self._playing
-            raise RuntimeError("the stage was over before it began")
-
-    async def look(self) -> list[Look]:
-        """What each one's process and door say now."""
-        found = []
-        for router in self.stage.routers.values():
-            at, cpu = time.monotonic(), ran_seconds(router.pid)
-            figures = await door_figures(router.ops) if self.stage.peers else {}
-            found.append(
-                Look(
+            await self._play_task
+            raise RuntimeError("the orchestrator ended before the schedule started")
+
+    async def sample(self) -> list[RouterSample]:
+        """Read each router's state from /proc and its admin endpoint."""
+        samples = []
+        for router in self.orchestrator.routers.values():
+            at, cpu = time.monotonic(), cpu_run_seconds(router.pid)
+            metrics = await admin_metrics(router.ops) if self.orchestrator.peers else {}
+            samples.append(
+                RouterSample(
                     at,
                     cpu,
                     resident_bytes(router.pid),
-                    int(figures.get('lb_peers{state="alive"}', 0)),
-                    int(figures.get('lb_picture{of="routers"}', 0)),
+                    int(metrics.get('lb_peers{state="alive"}', 0)),
+                    int(metrics.get('lb_picture{of="routers"}', 0)),
                 )
             )
-        return found
+        return samples
 
     async def end(self) -> None:
-        """End all of it now."""
-        self._playing.cancel()
-        await asyncio.gather(self._playing, return_exceptions=True)
+        """Cancel the run, which ends all of its processes."""
+        self._play_task.cancel()
+        await asyncio.gather(self._play_task, return_exceptions=True)
 
 
-async def door_figures(address: Address) -> dict[str, float]:
-    """What a router's door tells, by name."""
+async def admin_metrics(address: Address) -> dict[str, float]:
+    """Return the metrics of a router's admin endpoint, by name with labels."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(b"GET /status/metrics HTTP/1.1\r\nHost: bench\r\n\r\n")
@@ -155,14 +164,16 @@
     return {name: float(value) for name, value in re.findall(r"^(lb_\S+) (\S+)$", text, re.MULTILINE)}
 
 
-def ran_seconds(pid: int) -> float:
-    """How long a process's thread has run so far, finer than the kernel's ticks; raises OSError."""
+def cpu_run_seconds(pid: int) -> float:
+    """Return how long a process's main thread has run, more finely than in kernel ticks; raises OSError."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-def between(before: list[Look], after: list[Look]) -> list[RealFigures]:
-    """The figures of a stretch from what was seen at its two ends."""
+def figures_between(before: list[RouterSample], after: list[RouterSample]) -> list[RealFigures]:
+    """Return each router's figures between two samplings of the same routers."""
     return [
-        RealFigures((late.cpu - early.cpu) / (late.at - early.at), late.memory, late.alive, late.heard)
+        RealFigures(
+            (late.cpu - early.cpu) / (late.at - early.at), late.memory, late.alive, late.routers_in_view
+        )
         for early, late in zip(before, after, strict=True)
     ]
