--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """Readings of one quantity over several sizes; `of` is what the size counts, `unit` is the value's."""
+    """Readings of one quantity over several sizes; `size_unit` and `unit` are those of its points."""
 
     name: str
-    of: str
+    size_unit: str
     unit: str
     points: tuple[Point, ...]
     scale: Scale = Scale.LINEAR
@@ -189,7 +189,7 @@
         return self.amount / found if found > 0 else math.inf
 
 
-def written(measurement: Measurement) -> dict[str, Any]:
+def measurement_to_json(measurement: Measurement) -> dict[str, Any]:
     """A measurement as its JSON object."""
     return {
         "name": measurement.name,
@@ -202,7 +202,7 @@
         "series": [
             {
                 "name": one.name,
-                "of": one.of,
+                "of": one.size_unit,
                 "unit": one.unit,
                 "scale": one.scale.value,
                 "points": [[point.size, point.value] for point in one.points],
@@ -212,7 +212,7 @@
     }
 
 
-def read(told: dict[str, Any]) -> Measurement:
+def measurement_from_json(told: dict[str, Any]) -> Measurement:
     """A measurement of its JSON object; raises KeyError, TypeError or ValueError where it is none."""
     series = tuple(
         Series(
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -148,11 +148,11 @@
     assert isinstance(found.row.figure, Read)
     told = (
         f"{number(line.slope.value)} ({between(line.slope)}) {series.unit}"
-        f"{SCALE_WORDS[line.scale] or ' by ' + series.of}"
+        f"{SCALE_WORDS[line.scale] or ' by ' + series.size_unit}"
     )
     sizes = (
         f"{line.sizes} sizes, {number(line.least_size)} to {number(line.largest_size)} "
-        f"{series.of}, {line.points} readings"
+        f"{series.size_unit}, {line.points} readings"
     )
     stretch = line.stretch(found.row.figure.size)
     return told, number(line.largest_residual), sizes, number(stretch)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -15,7 +15,7 @@
 
 import orjson
 
-from bench.capacity_model import Measurement, Point, Scale, Series, read, written
+from bench.capacity_model import Measurement, Point, Scale, Series, measurement_from_json, measurement_to_json
 
 ROOT = Path(__file__).resolve().parent.parent
 FOLDER = ROOT / "bench/data/slopes"
@@ -46,7 +46,7 @@
     def all(self) -> tuple[Series, ...]:
         """The series with their points."""
         return tuple(
-            Series(one.name, one.of, one.unit, tuple(self._points[name]), one.scale)
+            Series(one.name, one.size_unit, one.unit, tuple(self._points[name]), one.scale)
             for name, one in self._series.items()
         )
 
@@ -95,7 +95,7 @@
 
 def _compact(found: Measurement) -> bytes:
     """A line for each series, so that a difference can be read."""
-    told = written(found)
+    told = measurement_to_json(found)
     series = told.pop("series")
     head = orjson.dumps(told, option=orjson.OPT_INDENT_2)[:-2]
     lines = b",\n".join(b"    " + orjson.dumps(one) for one in series)
@@ -104,7 +104,10 @@
 
 def load(folder: Path = FOLDER) -> dict[str, Measurement]:
     """All measurements that are kept, by name."""
-    return {path.stem: read(orjson.loads(path.read_bytes())) for path in sorted(folder.glob("*.json"))}
+    return {
+        path.stem: measurement_from_json(orjson.loads(path.read_bytes()))
+        for path in sorted(folder.glob("*.json"))
+    }
 
 
 def cpu_of(act: Callable[[], T]) -> tuple[float, T]:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -33,8 +33,8 @@
     Scale,
     Series,
     fit,
-    read,
-    written,
+    measurement_from_json,
+    measurement_to_json,
 )
 from bench.capacity_page import factor, find, number, page, ranking
 from bench.capacity_rows import Absent, Given, Kind, Read, Role, Row, Untold
@@ -313,7 +313,7 @@
 
 def test_a_measurement_comes_back_from_its_json_as_it_was() -> None:
     made = measurement((1, 1), (2, 2), (3, 3), (4, 4))
-    assert read(written(made)) == made
+    assert measurement_from_json(measurement_to_json(made)) == made
 
 
 @pytest.mark.parametrize(
