--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,8 +1,8 @@
-"""Writes docs/CAPACITY.md from the measurements that are kept in bench/data: `python -m bench.capacity`.
+"""Generates docs/CAPACITY.md from the measurements stored in bench/data: `python -m bench.capacity`.
 
-`--check` compares the page with what would be written and ends with code 1 where they differ;
-`--measure NAME` runs one measurement and keeps its JSON (`--list` names them); `requests` and `connections`
-drive the deploy file's `run`, and take some two cores.
+`--check` compares the page with the text that would be written, and exits with code 1 if they differ.
+`--measure NAME` runs one measurement and stores its JSON; `--list` prints the names. The measurements
+`requests` and `connections` drive the deploy file's `run`, and take about two cores.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from bench import capacity_scale
 from bench.capacity_control import CONTROL_ROWS
-from bench.capacity_page import number, page
+from bench.capacity_page import format_number, render
 from bench.capacity_path import PATH_ROWS
 from bench.capacity_text import HEAD, UNKNOWNS
 from bench.slopes import ROOT, load, store
@@ -34,45 +34,47 @@
     "failures": "bench.slopes_failures:measure",
     "regions": "bench.slopes_failures:measure_cut",
 }
-"""Where each measurement is; a module is loaded when it is asked for."""
+"""Module and function of each measurement; the module is imported only when the measurement is run."""
 
 
-def rendered() -> str:
-    """The page as it is to be."""
-    scale = capacity_scale.measured()
+def render_page() -> str:
+    """Return the text of the page for the stored measurements."""
+    scale = capacity_scale.load_measurements()
     rows = (*ROWS, *capacity_scale.rows(scale))
-    return page(HEAD, rows, UNKNOWNS, load() | scale, capacity_scale.lines(number))
+    return render(HEAD, rows, UNKNOWNS, load() | scale, capacity_scale.run_tables(format_number))
 
 
 def measure(name: str) -> None:
-    """Run a measurement and keep what it found."""
+    """Run a measurement and store its result in bench/data."""
     module, function = MEASUREMENTS[name].split(":")
     store(getattr(importlib.import_module(module), function)())
 
 
 def check() -> int:
-    """Whether the page is what would be written; 0: it is."""
-    if PAGE.exists() and PAGE.read_text() == rendered():
+    """Compare the page with the text that would be written; return 0 if they are equal, otherwise 1."""
+    if PAGE.exists() and PAGE.read_text() == render_page():
         return 0
-    print("docs/CAPACITY.md is not what bench/data gives: run python -m bench.capacity", file=sys.stderr)
+    print("docs/CAPACITY.md differs from bench/data: run python -m bench.capacity", file=sys.stderr)
     return 1
 
 
 def main() -> int:
-    """The command line."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--check", action="store_true")
-    words.add_argument("--list", action="store_true")
-    words.add_argument("--measure", choices=sorted(MEASUREMENTS))
-    told = words.parse_args()
-    if told.check:
+    """Run the command line and return its exit code."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--check", action="store_true")
+    parser.add_argument("--list", action="store_true")
+    parser.add_argument("--measure", choices=sorted(MEASUREMENTS))
+    options = parser.parse_args()
+    if options.check:
         return check()
-    if told.list:
+    if options.list:
         print("\n".join(MEASUREMENTS))
-    elif told.measure:
-        measure(told.measure)
+    elif options.measure:
+        measure(options.measure)
     else:
-        PAGE.write_text(rendered())
+        PAGE.write_text(render_page())
     return 0
 
 
--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -1,9 +1,9 @@
-"""What a size takes, worked out from measured slopes; pure: measured points in, lines and estimates out.
+"""Linear regression over measured series, to estimate figures at sizes that were not measured.
 
-A line is fitted by ordinary least squares (scipy.stats.linregress) over all points of a series, repeats
-among them. Its slope has the 95 % interval of Student's t with n - 2 degrees of freedom; what the line says
-at a size has the interval of the mean response there (Draper and Smith, Applied Regression Analysis, 3rd ed.,
-section 1.4).
+The functions are pure. A line is fitted by ordinary least squares (scipy.stats.linregress) over all points
+of a series, including repeated readings at one size. The slope has the 95 % confidence interval of Student's
+t with n - 2 degrees of freedom; an estimate at a size has the interval of the mean response there (Draper
+and Smith, Applied Regression Analysis, 3rd ed., section 1.4).
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from scipy import stats  # type: ignore[import-untyped]
 
 CONFIDENCE = 0.95
-SIZES_LEAST = 4  # different sizes that a line rests on
+MIN_SIZES = 4  # distinct sizes needed to fit a line
 
 
 class FitError(Exception):
-    """No line can be fitted; one plain sentence says why."""
+    """A series has too few sizes to fit a line; the message names the series and the counts."""
 
 
 class Scale(Enum):
-    """By what of its size a quantity is taken to grow."""
+    """The function of the size in which a quantity is assumed to be linear."""
 
     LINEAR = "linear"
     LOG2 = "log2"
@@ -33,7 +33,7 @@
     INVERSE_ROOT = "inverse root"
 
 
-SCALES: dict[Scale, Callable[[float], float]] = {
+SCALE_FUNCTIONS: dict[Scale, Callable[[float], float]] = {
     Scale.LINEAR: float,
     Scale.LOG2: math.log2,
     Scale.INVERSE: lambda size: 1.0 / size,
@@ -51,7 +51,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Series:
-    """Readings of one quantity over several sizes; `size_unit` and `unit` are those of its points."""
+    """Readings of one quantity at several sizes.
+
+    Attributes:
+        name: Name of the quantity, unique in its measurement.
+        size_unit: What the size counts, such as "routers".
+        unit: Unit of the values.
+        points: All readings, including repeated ones at one size.
+        scale: The function of the size in which the fit is linear.
+    """
 
     name: str
     size_unit: str
@@ -62,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Measurement:
-    """What one command measured, on what, and when."""
+    """The series that one command measured, with the program version, date and machine."""
 
     name: str
     command: str
@@ -70,32 +78,33 @@
     date: str
     cores: int
     compiled: bool
-    """Whether the decisions ran compiled."""
+    """Whether the compiled build of the policy modules ran, rather than their Python sources."""
     pace: float
-    """Processor time of a fixed loop beside it, ms: on a busy machine all processor times are as much longer.
-    0: not noted.
+    """Processor time of a fixed reference loop, ms; 0 if it was not recorded.
+
+    On a busy machine all processor times are longer by the same factor as this one.
     """
     series: tuple[Series, ...]
 
     def find(self, name: str) -> Series:
-        """The series of that name; raises KeyError."""
-        for one in self.series:
-            if one.name == name:
-                return one
+        """Return the series with this name; raises KeyError if there is none."""
+        for series in self.series:
+            if series.name == name:
+                return series
         raise KeyError(f"{self.name}: no series {name!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class Interval:
-    """A value with its 95 % interval."""
+    """A value with its 95 % confidence interval."""
 
     value: float
     low: float
     high: float
 
-    def scaled(self, factor: float, plus: float) -> Interval:
-        """So many times as much, and a constant more; `factor` is positive."""
-        return Interval(self.value * factor + plus, self.low * factor + plus, self.high * factor + plus)
+    def scaled(self, factor: float, offset: float) -> Interval:
+        """Return the interval times `factor`, which must be positive, plus `offset`."""
+        return Interval(self.value * factor + offset, self.low * factor + offset, self.high * factor + offset)
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,68 +115,71 @@
     slope: Interval
     intercept: float
     largest_residual: float
-    """Of all points, in the value's unit."""
+    """Largest absolute residual over all points, in the unit of the values."""
     points: int
     sizes: int
-    least_size: float
+    smallest_size: float
     largest_size: float
     mean_scaled: float
-    spread: float
-    """Sum of the squared distances of the scaled sizes from their mean."""
-    deviation: float
-    """Standard deviation of the residuals, n - 2 degrees of freedom."""
-
-    def at(self, size: float) -> Interval:
-        """What the line says at a size, with the interval of the mean response there."""
-        scaled = SCALES[self.scale](size)
+    scaled_sum_of_squares: float
+    """Sum of the squared deviations of the scaled sizes from their mean (Sxx)."""
+    residual_deviation: float
+    """Standard deviation of the residuals, with n - 2 degrees of freedom."""
+
+    def estimate(self, size: float) -> Interval:
+        """Return the fitted value at a size, with the interval of the mean response there."""
+        scaled = SCALE_FUNCTIONS[self.scale](size)
         value = self.intercept + self.slope.value * scaled
-        away = (scaled - self.mean_scaled) ** 2 / self.spread
-        half = quantile(self.points) * self.deviation * math.sqrt(1.0 / self.points + away)
-        return Interval(value, value - half, value + half)
-
-    def stretch(self, size: float) -> float:
-        """How far a size is beyond what was measured: over the largest, under the smallest; 1 between."""
-        if size < self.least_size:
-            return self.least_size / size
+        distance_term = (scaled - self.mean_scaled) ** 2 / self.scaled_sum_of_squares
+        half_width = (
+            t_quantile(self.points) * self.residual_deviation * math.sqrt(1.0 / self.points + distance_term)
+        )
+        return Interval(value, value - half_width, value + half_width)
+
+    def extrapolation_factor(self, size: float) -> float:
+        """Return the factor by which a size lies above or below the measured range; 1.0 within it."""
+        if size < self.smallest_size:
+            return self.smallest_size / size
         return max(size / self.largest_size, 1.0)
 
 
-def quantile(points: int) -> float:
-    """Student's t for the two-sided 95 % interval of a line through so many points."""
+def t_quantile(points: int) -> float:
+    """Return Student's t for a two-sided 95 % interval of a line that is fitted to `points` points."""
     return float(stats.t.ppf((1.0 + CONFIDENCE) / 2.0, points - 2))
 
 
 def fit(series: Series) -> Fit:
-    """The line through a series; raises FitError where it rests on fewer than four sizes."""
+    """Fit a line to a series; raises FitError if it has fewer than `MIN_SIZES` distinct sizes."""
     sizes = {point.size for point in series.points}
-    if len(sizes) < SIZES_LEAST:
-        raise FitError(f"{series.name}: {len(sizes)} sizes, {SIZES_LEAST} are needed")
-    scaled = [SCALES[series.scale](point.size) for point in series.points]
+    if len(sizes) < MIN_SIZES:
+        raise FitError(f"{series.name}: {len(sizes)} sizes, {MIN_SIZES} are needed")
+    scaled = [SCALE_FUNCTIONS[series.scale](point.size) for point in series.points]
     values = [point.value for point in series.points]
-    found = stats.linregress(scaled, values)
-    slope, intercept = float(found.slope), float(found.intercept)
-    residuals = [value - intercept - slope * at for at, value in zip(scaled, values, strict=True)]
+    regression = stats.linregress(scaled, values)
+    slope, intercept = float(regression.slope), float(regression.intercept)
+    residuals = [value - intercept - slope * x for x, value in zip(scaled, values, strict=True)]
     mean = sum(scaled) / len(scaled)
-    deviation = math.sqrt(sum(one * one for one in residuals) / (len(values) - 2))
-    spread = sum((at - mean) ** 2 for at in scaled)
-    half = quantile(len(values)) * deviation / math.sqrt(spread)  # found.stderr is nan where all are equal
+    deviation = math.sqrt(sum(residual * residual for residual in residuals) / (len(values) - 2))
+    sum_of_squares = sum((x - mean) ** 2 for x in scaled)
+    # regression.stderr is nan if all values are equal.
+    half_width = t_quantile(len(values)) * deviation / math.sqrt(sum_of_squares)
     return Fit(
         scale=series.scale,
-        slope=Interval(slope, slope - half, slope + half),
+        slope=Interval(slope, slope - half_width, slope + half_width),
         intercept=intercept,
         largest_residual=max(map(abs, residuals)),
         points=len(values),
         sizes=len(sizes),
-        least_size=min(sizes),
+        smallest_size=min(sizes),
         largest_size=max(sizes),
         mean_scaled=mean,
-        spread=spread,
-        deviation=deviation,
+        scaled_sum_of_squares=sum_of_squares,
+        residual_deviation=deviation,
     )
 
 
 class Bound(Enum):
-    """Which side of a need is wanted."""
+    """Whether a need is an upper or a lower bound."""
 
     AT_MOST = "at most"
     AT_LEAST = "at least"
@@ -175,22 +187,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """What the size asks for, or allows."""
+    """A bound that a figure has to meet at the planned size."""
 
     amount: float
     bound: Bound
-    whose: str
-    """Where the amount comes from, in a few words."""
+    source: str
+    """Where the amount comes from, as the page shows it in brackets."""
+
+    def gap(self, value: float) -> float:
+        """Return the factor by which a value misses the need.
+
+        Args:
+            value: The value, in the unit of `amount`.
 
-    def gap(self, found: float) -> float:
-        """By what factor what is found misses the need: over 1 it does. Infinity: there is nothing."""
+        Returns:
+            A ratio that is over 1 if the need is missed; infinity if at least `amount` is needed and the
+            value is 0 or less.
+        """
         if self.bound is Bound.AT_MOST:
-            return found / self.amount
-        return self.amount / found if found > 0 else math.inf
+            return value / self.amount
+        return self.amount / value if value > 0 else math.inf
 
 
 def measurement_to_json(measurement: Measurement) -> dict[str, Any]:
-    """A measurement as its JSON object."""
+    """Convert a measurement to the JSON object that is stored in bench/data/slopes."""
     return {
         "name": measurement.name,
         "command": measurement.command,
@@ -201,36 +221,36 @@
         "pace_ms": measurement.pace,
         "series": [
             {
-                "name": one.name,
-                "of": one.size_unit,
-                "unit": one.unit,
-                "scale": one.scale.value,
-                "points": [[point.size, point.value] for point in one.points],
+                "name": series.name,
+                "of": series.size_unit,
+                "unit": series.unit,
+                "scale": series.scale.value,
+                "points": [[point.size, point.value] for point in series.points],
             }
-            for one in measurement.series
+            for series in measurement.series
         ],
     }
 
 
-def measurement_from_json(told: dict[str, Any]) -> Measurement:
-    """A measurement of its JSON object; raises KeyError, TypeError or ValueError where it is none."""
+def measurement_from_json(body: dict[str, Any]) -> Measurement:
+    """Convert a stored JSON object back; raises KeyError, TypeError or ValueError if it is malformed."""
     series = tuple(
         Series(
-            one["name"],
-            one["of"],
-            one["unit"],
-            tuple(Point(float(size), float(value)) for size, value in one["points"]),
-            Scale(one["scale"]),
+            entry["name"],
+            entry["of"],
+            entry["unit"],
+            tuple(Point(float(size), float(value)) for size, value in entry["points"]),
+            Scale(entry["scale"]),
         )
-        for one in told["series"]
+        for entry in body["series"]
     )
     return Measurement(
-        told["name"],
-        told["command"],
-        told["commit"],
-        told["date"],
-        int(told["cores"]),
-        bool(told["compiled"]),
-        float(told.get("pace_ms", 0.0)),
+        body["name"],
+        body["command"],
+        body["commit"],
+        body["date"],
+        int(body["cores"]),
+        bool(body["compiled"]),
+        float(body.get("pace_ms", 0.0)),
         series,
     )
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -1,4 +1,4 @@
-"""Renders docs/CAPACITY.md from rows and measurements; pure."""
+"""Renders docs/CAPACITY.md as Markdown from the rows and the stored measurements, without I/O."""
 
 from __future__ import annotations
 
@@ -7,31 +7,49 @@
 from dataclasses import dataclass
 
 from bench.capacity_model import Bound, Fit, Interval, Measurement, Need, Scale, Series, fit
-from bench.capacity_rows import Absent, Given, Read, Role, Row, Said, Unknown, Untold
+from bench.capacity_rows import (
+    AbsentFigure,
+    ComputedFigure,
+    FittedFigure,
+    Role,
+    Row,
+    TextFigure,
+    Unknown,
+    UnknownFigure,
+)
 
-DIGITS = 3
-NOUGHT = 1e-12  # rounding of a fit
-SCALE_WORDS = {
+SIGNIFICANT_DIGITS = 3
+ZERO_TOLERANCE = 1e-12  # smaller absolute values are rounding errors of a fit
+SCALE_SUFFIXES = {
     Scale.LINEAR: "",
     Scale.LOG2: " a doubling",
     Scale.INVERSE: " times 1/size",
     Scale.INVERSE_ROOT: " times 1/root of size",
 }
 NOT_MEASURED = "not measured"
-NONE = "nothing carries it"
-RANKED = (
+NO_MECHANISM_TEXT = "nothing carries it"
+RANKING_NOTE = (
     "What today's decisions rest on goes before what nothing decides by yet, each by its factor: the next "
     "mechanism is the first line's. A line says how far it is missed at the size, not how hard it is to mend."
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What a row comes to. `value` is None where there is no figure."""
+class ResolvedRow:
+    """A row with the figure that its measurement gives.
+
+    Attributes:
+        row: The row.
+        value: The figure in the row's unit: the mean of the readings at the row's size if there are any,
+            otherwise the fitted value; None if there is no figure.
+        interval: The fitted figure at the row's size, with its interval; None if it isn't from a fit.
+        fit: The line that was fitted to `series`.
+        series: The measured series.
+        command: The command or the calculation that gave the figure, as the page shows it.
+    """
 
     row: Row
     value: float | None
-    """Read at that very size where it was measured there, else what the line says."""
     interval: Interval | None
     fit: Fit | None
     series: Series | None
@@ -39,203 +57,228 @@
 
     @property
     def gap(self) -> float | None:
-        """By what factor the need is missed; None where there is no need or no figure."""
+        """The factor by which the need is missed; None if the row has no need or no figure."""
         if self.row.need is None:
             return None
-        if isinstance(self.row.figure, Absent):
+        if isinstance(self.row.figure, AbsentFigure):
             return math.inf
         return None if self.value is None else self.row.need.gap(self.value)
 
 
-def find(row: Row, measurements: Mapping[str, Measurement]) -> Found:
-    """Work a row out."""
+def resolve(row: Row, measurements: Mapping[str, Measurement]) -> ResolvedRow:
+    """Look up or calculate the figure of a row.
+
+    Raises:
+        KeyError: The row's measurement has no such series.
+        FitError: The series has too few sizes.
+    """
     figure = row.figure
-    if isinstance(figure, Given):
-        return Found(row, figure.value, None, None, None, f"arithmetic: {figure.how}")
-    if not isinstance(figure, Read) or figure.measurement not in measurements:
-        return Found(row, None, None, None, None, "-")
+    if isinstance(figure, ComputedFigure):
+        return ResolvedRow(row, figure.value, None, None, None, f"arithmetic: {figure.how}")
+    if not isinstance(figure, FittedFigure) or figure.measurement not in measurements:
+        return ResolvedRow(row, None, None, None, None, "-")
     measurement = measurements[figure.measurement]
     series = measurement.find(figure.series)
     line = fit(series)
-    interval = line.at(figure.size).scaled(figure.times, figure.plus)
-    there = [point.value for point in series.points if point.size == figure.size]
-    value = sum(there) / len(there) * figure.times + figure.plus if there else interval.value
-    return Found(row, value, interval, line, series, f"`{measurement.command}`")
+    interval = line.estimate(figure.size).scaled(figure.factor, figure.offset)
+    readings = [point.value for point in series.points if point.size == figure.size]
+    value = sum(readings) / len(readings) * figure.factor + figure.offset if readings else interval.value
+    return ResolvedRow(row, value, interval, line, series, f"`{measurement.command}`")
 
 
-def number(value: float) -> str:
-    """Three significant digits, with commas; powers of ten under a thousandth."""
+def format_number(value: float) -> str:
+    """Format a number with three significant digits and commas between thousands; two digits below 0.001."""
     if not math.isfinite(value):
         return str(value)
-    if abs(value) < NOUGHT:
+    if abs(value) < ZERO_TOLERANCE:
         return "0"
     exponent = math.floor(math.log10(abs(value)))
-    if exponent < -DIGITS:
+    if exponent < -SIGNIFICANT_DIGITS:
         return f"{value:.2g}"
-    rounded = round(value, DIGITS - 1 - exponent)
-    decimals = max(DIGITS - 1 - exponent, 0)
+    rounded = round(value, SIGNIFICANT_DIGITS - 1 - exponent)
+    decimals = max(SIGNIFICANT_DIGITS - 1 - exponent, 0)
     text = f"{rounded:,.{decimals}f}"
     return text.rstrip("0").rstrip(".") if decimals else text
 
 
-def factor(gap: float | None) -> str:
-    """A gap as the page shows it."""
+def format_gap(gap: float | None) -> str:
+    """Format a gap as the page shows it."""
     if gap is None:
         return "-"
-    return NONE if math.isinf(gap) else number(gap)
+    return NO_MECHANISM_TEXT if math.isinf(gap) else format_number(gap)
 
 
-def between(interval: Interval) -> str:
-    """The two ends."""
-    return f"{number(interval.low)} to {number(interval.high)}"
+def format_interval(interval: Interval) -> str:
+    """Format an interval as its two ends."""
+    return f"{format_number(interval.low)} to {format_number(interval.high)}"
 
 
-def table(head: Sequence[str], lines: Iterable[Sequence[str]]) -> list[str]:
-    """A table's lines."""
+def markdown_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> list[str]:
+    """Return the lines of a Markdown table."""
     return [
         f"| {' | '.join(head)} |",
         f"|{' --- |' * len(head)}",
-        *(f"| {' | '.join(cells)} |" for cells in lines),
+        *(f"| {' | '.join(cells)} |" for cells in rows),
     ]
 
 
-def needed(need: Need | None) -> str:
-    """What a need says."""
+def format_need(need: Need | None) -> str:
+    """Format a need with its bound and source."""
     if need is None:
         return "-"
-    word = "most" if need.bound is Bound.AT_MOST else "least"
-    return f"{word} {number(need.amount)} ({need.whose})"
+    bound = "most" if need.bound is Bound.AT_MOST else "least"
+    return f"{bound} {format_number(need.amount)} ({need.source})"
 
 
-def amount(found: Found) -> str:
-    """The figure with its unit."""
-    figure = found.row.figure
-    if isinstance(figure, Absent):
+def format_figure(resolved: ResolvedRow) -> str:
+    """Format a row's figure with its unit, or the reason why there is none."""
+    figure = resolved.row.figure
+    if isinstance(figure, AbsentFigure):
         return "**none**"
-    if isinstance(figure, Said):
+    if isinstance(figure, TextFigure):
         return figure.text
-    if isinstance(figure, Untold):
+    if isinstance(figure, UnknownFigure):
         return f"see {figure.unknown}"
-    if found.value is None:
+    if resolved.value is None:
         return NOT_MEASURED
-    return f"**{number(found.value)}** {found.row.unit}"
+    return f"**{format_number(resolved.value)}** {resolved.row.unit}"
 
 
-def figures(found: Sequence[Found]) -> list[str]:
-    """A role's figures."""
-    return table(
+def figure_table(resolved: Sequence[ResolvedRow]) -> list[str]:
+    """Return the table of a role's figures and their gaps."""
+    return markdown_table(
         ("row", "of", "what", "at the size", "line, 95 %", "need", "gap"),
         (
             (
-                one.row.number,
-                one.row.kind.value,
-                one.row.what,
-                amount(one),
-                "-" if one.interval is None else between(one.interval),
-                needed(one.row.need),
-                factor(one.gap),
+                entry.row.number,
+                entry.row.kind.value,
+                entry.row.what,
+                format_figure(entry),
+                "-" if entry.interval is None else format_interval(entry.interval),
+                format_need(entry.row.need),
+                format_gap(entry.gap),
             )
-            for one in found
+            for entry in resolved
         ),
     )
 
 
-def slope(found: Found) -> tuple[str, str, str, str]:
-    """Slope, residual, sizes and stretch."""
-    line, series = found.fit, found.series
+def source_cells(resolved: ResolvedRow) -> tuple[str, str, str, str]:
+    """Return the cells for slope, largest residual, measured sizes and extrapolation factor."""
+    line, series = resolved.fit, resolved.series
     if line is None or series is None:
         return "-", "-", "-", "-"
-    assert isinstance(found.row.figure, Read)
-    told = (
-        f"{number(line.slope.value)} ({between(line.slope)}) {series.unit}"
-        f"{SCALE_WORDS[line.scale] or ' by ' + series.size_unit}"
+    assert isinstance(resolved.row.figure, FittedFigure)
+    slope = (
+        f"{format_number(line.slope.value)} ({format_interval(line.slope)}) {series.unit}"
+        f"{SCALE_SUFFIXES[line.scale] or ' by ' + series.size_unit}"
     )
     sizes = (
-        f"{line.sizes} sizes, {number(line.least_size)} to {number(line.largest_size)} "
+        f"{line.sizes} sizes, {format_number(line.smallest_size)} to {format_number(line.largest_size)} "
         f"{series.size_unit}, {line.points} readings"
     )
-    stretch = line.stretch(found.row.figure.size)
-    return told, number(line.largest_residual), sizes, number(stretch)
+    extrapolation = line.extrapolation_factor(resolved.row.figure.size)
+    return slope, format_number(line.largest_residual), sizes, format_number(extrapolation)
 
 
-def sources(found: Sequence[Found]) -> list[str]:
-    """Where a role's figures come from."""
-    return table(
+def source_table(resolved: Sequence[ResolvedRow]) -> list[str]:
+    """Return the table of the fits and commands behind a role's figures."""
+    return markdown_table(
         ("row", "slope (95 %)", "largest residual", "measured at", "stretched, times", "command"),
-        ((one.row.number, *slope(one), one.command) for one in found if one.value is not None),
+        (
+            (entry.row.number, *source_cells(entry), entry.command)
+            for entry in resolved
+            if entry.value is not None
+        ),
     )
 
 
-def carriers(found: Sequence[Found]) -> list[str]:
-    """What carries a role's needs, and what would bend its lines."""
-    return table(
+def mechanism_table(resolved: Sequence[ResolvedRow]) -> list[str]:
+    """Return the table of the mechanisms behind a role's figures, and of the caveats of the fits."""
+    return markdown_table(
         ("row", "carried by", "what would bend the line"),
-        ((one.row.number, one.row.carried_by, one.row.bends) for one in found),
+        ((entry.row.number, entry.row.mechanism, entry.row.caveat) for entry in resolved),
     )
 
 
-def ranking(found: Sequence[Found]) -> list[str]:
-    """Gaps by factor: what decides today first."""
-    gaps = [one for one in found if one.gap is not None and one.gap > 1.0]
-    gaps.sort(key=lambda one: (not one.row.decides, -(one.gap or 0.0)))
-    return table(
+def ranking_table(resolved: Sequence[ResolvedRow]) -> list[str]:
+    """Return the table of missed needs: rows that affect decisions first, then by falling gap."""
+    gaps = [entry for entry in resolved if entry.gap is not None and entry.gap > 1.0]
+    gaps.sort(key=lambda entry: (not entry.row.affects_decisions, -(entry.gap or 0.0)))
+    return markdown_table(
         ("rank", "decides today", "gap", "what", "row", "carried by"),
         (
             (
-                str(place),
-                "yes" if one.row.decides else "no",
-                factor(one.gap),
-                one.row.what,
-                one.row.number,
-                one.row.carried_by,
+                str(rank),
+                "yes" if entry.row.affects_decisions else "no",
+                format_gap(entry.gap),
+                entry.row.what,
+                entry.row.number,
+                entry.row.mechanism,
             )
-            for place, one in enumerate(gaps, 1)
+            for rank, entry in enumerate(gaps, 1)
         ),
     )
 
 
-def unknowns(listed: Sequence[Unknown]) -> list[str]:
-    """What may not be worked out here."""
-    return table(
+def unknown_table(unknowns: Sequence[Unknown]) -> list[str]:
+    """Return the table of properties that one machine can't show."""
+    return markdown_table(
         ("", "what", "why not here", "how it is found out in service"),
-        ((one.number, one.what, one.why, one.how) for one in listed),
+        ((unknown.number, unknown.what, unknown.why, unknown.how) for unknown in unknowns),
     )
 
 
-def measured(measurements: Mapping[str, Measurement]) -> list[str]:
-    """What was run, where and when."""
-    return table(
+def measurement_table(measurements: Mapping[str, Measurement]) -> list[str]:
+    """Return the table of the measurements: command, program version, date and machine."""
+    return markdown_table(
         ("command", "on", "when (UTC)", "cores", "decisions", "pace, ms"),
         (
             (
-                f"`{one.command}`",
-                one.commit,
-                one.date,
-                str(one.cores),
-                "compiled" if one.compiled else "sources",
-                number(one.pace) if one.pace else "not noted",
+                f"`{measurement.command}`",
+                measurement.commit,
+                measurement.date,
+                str(measurement.cores),
+                "compiled" if measurement.compiled else "sources",
+                format_number(measurement.pace) if measurement.pace else "not noted",
             )
-            for one in measurements.values()
+            for measurement in measurements.values()
         ),
     )
 
 
-def page(
+def render(
     head: str,
     rows: Sequence[Row],
-    listed: Sequence[Unknown],
+    unknowns: Sequence[Unknown],
     measurements: Mapping[str, Measurement],
     scale: Sequence[str] = (),
 ) -> str:
-    """The whole page; `scale`: the lines of the scale runs' table."""
-    found = [find(row, measurements) for row in rows]
-    parts = [head.strip(), "", "## Gaps, what already decides today first", "", RANKED, "", *ranking(found)]
+    """Return the text of the whole page.
+
+    Args:
+        head: Markdown before the first section, with the title.
+        rows: All rows, in the order of the page.
+        unknowns: The properties that one machine can't show.
+        measurements: The stored measurements by name.
+        scale: Lines of the section on the scale runs.
+    """
+    resolved = [resolve(row, measurements) for row in rows]
+    parts = [
+        head.strip(),
+        "",
+        "## Gaps, what already decides today first",
+        "",
+        RANKING_NOTE,
+        "",
+        *ranking_table(resolved),
+    ]
     for role in Role:
-        mine = [one for one in found if one.row.role is role]
-        parts += ["", f"## {role.value}", "", *figures(mine)]
-        parts += ["", "Where these come from:", "", *sources(mine)]
-        parts += ["", "What carries them:", "", *carriers(mine)]
-    parts += ["", "## What may not be worked out from one machine", "", *unknowns(listed)]
+        of_role = [entry for entry in resolved if entry.row.role is role]
+        parts += ["", f"## {role.value}", "", *figure_table(of_role)]
+        parts += ["", "Where these come from:", "", *source_table(of_role)]
+        parts += ["", "What carries them:", "", *mechanism_table(of_role)]
+    parts += ["", "## What may not be worked out from one machine", "", *unknown_table(unknowns)]
     parts += ["", "## Scale runs", *scale]
-    parts += ["", "## The runs", "", *measured(measurements)]
+    parts += ["", "## The runs", "", *measurement_table(measurements)]
     return "\n".join(parts) + "\n"
--- a/bench/capacity_path.py
+++ b/bench/capacity_path.py
@@ -1,16 +1,16 @@
-"""Rows of docs/CAPACITY.md: a router's request path, and a cache server as routers burden it."""
+"""Rows of docs/CAPACITY.md for a router's request path and the load of all routers on a cache server."""
 
 from __future__ import annotations
 
 from bench.capacity_rows import (
-    MEAN_BYTES,
+    MEAN_VALUE_BYTES,
     REQUESTS_PER_S,
     ROUTERS,
+    ROUTERS_PER_ZONE,
     SERVERS,
-    ZONE_ROUTERS,
-    Given,
+    ComputedFigure,
+    FittedFigure,
     Kind,
-    Read,
     Role,
     Row,
     at_least,
@@ -22,65 +22,65 @@
 from holdgw.router.connection_pool import MAX_CONNECTIONS_PER_ENDPOINT
 from holdgw.router.descriptor_limits import CLIENT_DESCRIPTOR_FRACTION, OWN_DESCRIPTORS
 
-ONE_CORE = at_most(1.0, "one process is one core; `--cores` has no peers")
+ONE_CORE_NEED = at_most(1.0, "one process is one core; `--cores` has no peers")
 US_TO_CORES = REQUESTS_PER_S / 1e6
-ANSWER_MS = 50.0  # assumed: what an answer takes at a server and on the way, with its value
-OPEN = REQUESTS_PER_S * ANSWER_MS / 1e3
-FOR_SERVERS = (DEFAULT_MAX_DESCRIPTORS - OWN_DESCRIPTORS - MAX_REJECTING_CONNECTIONS) * (
+RESPONSE_TIME_MS = 50.0  # assumed time for a complete answer with its value: at the server and on the network
+OPEN_VALUES = REQUESTS_PER_S * RESPONSE_TIME_MS / 1e3  # Little's law
+SERVER_DESCRIPTORS = (DEFAULT_MAX_DESCRIPTORS - OWN_DESCRIPTORS - MAX_REJECTING_CONNECTIONS) * (
     1 - CLIENT_DESCRIPTOR_FRACTION
 )
-MEAN_MB = MEAN_BYTES / 1e6
-EVEN = at_most(1.1, "ours: a tenth over the mean")
+MEAN_VALUE_MB = MEAN_VALUE_BYTES / 1e6
+EVEN_LOAD_NEED = at_most(1.1, "ours: a tenth over the mean")
 
-CORE_BENDS = "longer lines and TLS; a machine busy with other work; many small reads of slow senders"
-STREAMS = (
+CPU_CAVEAT = "longer lines and TLS; a machine busy with other work; many small reads of slow senders"
+STREAMING = (
     "streams of 64 KiB reads: `router/cache_connection.py`, `router/client_connection.py`; cores: `cores/`"
 )
-POOL = "pool, 16 a server at most: `router/connection_pool.py`"
+CONNECTION_POOL = "pool, 16 a server at most: `router/connection_pool.py`"
 
 
-def cost(number: str, what: str, series: str, megabytes: float) -> Row:
-    """Processor time of one request by its value's length."""
+def request_cost(number: str, what: str, series: str, megabytes: float) -> Row:
+    """Return the row for the processor time of a request whose value has this length in megabytes."""
     return Row(
         number,
         Role.PATH,
         Kind.PROCESSOR,
         what,
         "us a request",
-        Read("requests", series, megabytes),
-        CORE_BENDS,
-        STREAMS,
+        FittedFigure("requests", series, megabytes),
+        CPU_CAVEAT,
+        STREAMING,
     )
 
 
 REQUEST_ROWS = (
-    cost("P1", "a request of 1 KB", "held value", 0.001),
-    cost("P2", "a request of 64 KB", "held value", 0.064),
-    cost("P3", "a request of 458 KB", "long value", MEAN_MB),
-    cost("P4", "a request of 4 MB", "long value", 4.0),
+    request_cost("P1", "a request of 1 KB", "held value", 0.001),
+    request_cost("P2", "a request of 64 KB", "held value", 0.064),
+    request_cost("P3", "a request of 458 KB", "long value", MEAN_VALUE_MB),
+    request_cost("P4", "a request of 4 MB", "long value", 4.0),
     Row(
         "P5",
         Role.PATH,
         Kind.PROCESSOR,
         "934 requests a second of 458 KB, 3.4 Gbit/s",
         "cores",
-        Read("requests", "long value", MEAN_MB, US_TO_CORES),
-        "values under 64 KiB cost less a request and more a MB; " + CORE_BENDS,
-        STREAMS,
-        ONE_CORE,
-        decides=True,
+        FittedFigure("requests", "long value", MEAN_VALUE_MB, US_TO_CORES),
+        "values under 64 KiB cost less a request and more a MB; " + CPU_CAVEAT,
+        STREAMING,
+        ONE_CORE_NEED,
+        affects_decisions=True,
     ),
     Row(
         "P6",
         Role.PATH,
         Kind.MEMORY,
-        f"long values open: {OPEN:.0f} (934/s x 50 ms, assumed)",
+        f"long values open: {OPEN_VALUES:.0f} (934/s x 50 ms, assumed)",
         "MB",
-        Read("requests", "memory by long values open", OPEN),
+        FittedFigure("requests", "memory by long values open", OPEN_VALUES),
         "clients that read slowly keep values open for longer",
         "64 KiB a value, an eighth of memory unsent: `router/reply.py`, `router/client_listener.py`",
         at_most(DEFAULT_MEMORY_MIB, "limits.memory_mb, default"),
-        decides=True,
+        affects_decisions=True,
     ),
     Row(
         "P7",
@@ -88,11 +88,11 @@
         Kind.MEMORY,
         "connections to 96 servers, 16 each (most)",
         "MB",
-        Read("connections", "memory of connections", SERVERS * MAX_CONNECTIONS_PER_ENDPOINT, 1e-3),
+        FittedFigure("connections", "memory of connections", SERVERS * MAX_CONNECTIONS_PER_ENDPOINT, 1e-3),
         "the kernel's buffers are not in it",
-        POOL,
+        CONNECTION_POOL,
         at_most(DEFAULT_MEMORY_MIB, "limits.memory_mb, default"),
-        decides=True,
+        affects_decisions=True,
     ),
     Row(
         "P8",
@@ -100,11 +100,11 @@
         Kind.DESCRIPTORS,
         "to 96 servers at rest, answers in 20 ms",
         "descriptors",
-        Read("connections", "at rest by servers", SERVERS, SERVERS),
+        FittedFigure("connections", "at rest by servers", SERVERS, SERVERS),
         "answers that take longer (P9); bursts",
-        POOL,
-        at_most(FOR_SERVERS, "limits.sockets, default, servers' part"),
-        decides=True,
+        CONNECTION_POOL,
+        at_most(SERVER_DESCRIPTORS, "limits.sockets, default, servers' part"),
+        affects_decisions=True,
     ),
     Row(
         "P9",
@@ -112,11 +112,11 @@
         Kind.DESCRIPTORS,
         "to 96 servers at rest, answers in 50 ms",
         "descriptors",
-        Read("connections", "at rest by answer time", ANSWER_MS, SERVERS),
+        FittedFigure("connections", "at rest by answer time", RESPONSE_TIME_MS, SERVERS),
         "16 a server is the most; answer times with a long tail",
-        POOL,
-        at_most(FOR_SERVERS, "limits.sockets, default, servers' part"),
-        decides=True,
+        CONNECTION_POOL,
+        at_most(SERVER_DESCRIPTORS, "limits.sockets, default, servers' part"),
+        affects_decisions=True,
     ),
     Row(
         "P10",
@@ -124,11 +124,11 @@
         Kind.DESCRIPTORS,
         "1 s after its restart",
         "descriptors",
-        Read("connections", "after a start", 1, SERVERS),
+        FittedFigure("connections", "after a start", 1, SERVERS),
         "dials that take longer than over loopback: requests wait, and dial",
-        POOL,
-        at_most(FOR_SERVERS, "limits.sockets, default, servers' part"),
-        decides=True,
+        CONNECTION_POOL,
+        at_most(SERVER_DESCRIPTORS, "limits.sockets, default, servers' part"),
+        affects_decisions=True,
     ),
     Row(
         "P11",
@@ -136,9 +136,9 @@
         Kind.MESSAGES,
         "bytes given to clients",
         "Gbit/s",
-        Given(REQUESTS_PER_S * MEAN_BYTES * 8 / 1e9, "934 x 458 KB"),
+        ComputedFigure(REQUESTS_PER_S * MEAN_VALUE_BYTES * 8 / 1e9, "934 x 458 KB"),
         "as many come from servers: the line carries both",
-        STREAMS,
+        STREAMING,
     ),
 )
 
@@ -149,11 +149,11 @@
         Kind.STATE,
         f"busiest of 96 servers over the mean, {SLOTS:,} slots",
         "times the mean",
-        Read("slots", "excess by servers", SERVERS, plus=1.0),
+        FittedFigure("slots", "excess by servers", SERVERS, offset=1.0),
         "grows with the root of servers over slots, not in a line; hot keys come on top",
         "weighted rendezvous: `SlotTable` in `policy/slot_table.py`",
-        EVEN,
-        decides=True,
+        EVEN_LOAD_NEED,
+        affects_decisions=True,
     ),
     Row(
         "P13",
@@ -161,10 +161,10 @@
         Kind.STATE,
         "busiest of 96 servers over the mean, 65,536 slots",
         "times the mean",
-        Read("slots", "excess by slots", 65_536, plus=1.0),
+        FittedFigure("slots", "excess by slots", 65_536, offset=1.0),
         "as P12",
         "`SLOTS` in `policy/slot_table.py`, 8,192 today",
-        EVEN,
+        EVEN_LOAD_NEED,
     ),
     Row(
         "P14",
@@ -172,7 +172,7 @@
         Kind.PROCESSOR,
         "one slot ranked over 96 servers",
         "us",
-        Read("slots", "rank a slot", SERVERS),
+        FittedFigure("slots", "rank a slot", SERVERS),
         "a machine busy with other work; sources that run uncompiled",
         "when first asked for: `SlotTable.rank`, `policy/slot_table.py`",
     ),
@@ -182,7 +182,7 @@
         Kind.PROCESSOR,
         f"all {SLOTS:,} slots ranked, as after a start",
         "ms",
-        Read("slots", "rank all", SLOTS),
+        FittedFigure("slots", "rank all", SLOTS),
         "as P14",
         "slot by slot as asked for: `SlotTable`, `policy/slot_table.py`",
     ),
@@ -192,7 +192,7 @@
         Kind.PROCESSOR,
         "all 65,536 slots ranked",
         "ms",
-        Read("slots", "rank all", 65_536),
+        FittedFigure("slots", "rank all", 65_536),
         "as P14",
         "as P15",
     ),
@@ -202,7 +202,7 @@
         Kind.PROCESSOR,
         f"one of 96 servers leaves, all {SLOTS:,} slots asked for again",
         "ms",
-        Read("slots", "one server leaves", SLOTS),
+        FittedFigure("slots", "one server leaves", SLOTS),
         "over 64 changes at a time every slot is ranked anew (P15)",
         "`MAX_PENDING_CHANGES` in `policy/slot_table.py`",
     ),
@@ -212,7 +212,7 @@
         Kind.STATE,
         "slots that move as one of 96 leaves",
         "of all slots",
-        Read("slots", "moves by servers", SERVERS),
+        FittedFigure("slots", "moves by servers", SERVERS),
         "none known: the same for any number of slots",
         "rendezvous hashing moves what the server had, and no more",
     ),
@@ -222,11 +222,11 @@
         Kind.MEMORY,
         f"table of {SLOTS:,} slots over 96 servers",
         "MB",
-        Read("slots", "table memory", SLOTS),
+        FittedFigure("slots", "table memory", SLOTS),
         "after changes a slot holds up to 20 servers in place of 12",
         "`SlotTable`, `policy/slot_table.py`",
         at_most(DEFAULT_MEMORY_MIB, "limits.memory_mb, default"),
-        decides=True,
+        affects_decisions=True,
     ),
     Row(
         "P20",
@@ -234,7 +234,7 @@
         Kind.MEMORY,
         "table of 65,536 slots over 96 servers",
         "MB",
-        Read("slots", "table memory", 65_536),
+        FittedFigure("slots", "table memory", 65_536),
         "as P19",
         "as P19",
         at_most(DEFAULT_MEMORY_MIB, "limits.memory_mb, default"),
@@ -248,11 +248,11 @@
         Kind.MEMORY,
         "decisions' tables, all 8,192 slots in use: as many for 2.7 billion objects",
         "MB",
-        Read("keys", "router memory", SLOTS),
+        FittedFigure("keys", "router memory", SLOTS),
         "servers (12 to 20 ranked a slot); requests open; not objects",
         "`PopularityCounter`, `SlotTable`, flights by request: `policy/routing_policy.py`",
         at_most(DEFAULT_MEMORY_MIB, "limits.memory_mb, default"),
-        decides=True,
+        affects_decisions=True,
     ),
     Row(
         "P22",
@@ -260,7 +260,7 @@
         Kind.PROCESSOR,
         "decisions for a request, all slots in use",
         "us a request",
-        Read("keys", "router time", SLOTS),
+        FittedFigure("keys", "router time", SLOTS),
         "the first request of a slot ranks it (P14)",
         "`policy/routing_policy.py`",
     ),
@@ -270,11 +270,11 @@
         Kind.STATE,
         "slot that turns hot (2 %): what the sketch misses of it, 256 counters, 16,000 requests",
         "of all requests",
-        Read("keys", "error by stream", 16_000),
+        FittedFigure("keys", "error by stream", 16_000),
         "1/257 at the most, proved for any stream (Agarwal and others, 2012)",
         "`peers/heavy_hitters.py`; counts fade by half in 2.5 s",
         at_most(0.01, "ours: half of a hot slot's 2 %"),
-        decides=True,
+        affects_decisions=True,
     ),
     Row(
         "P24",
@@ -282,7 +282,7 @@
         Kind.STATE,
         "slot that turns hot (2 %): what the sketch misses of it, 1,024 counters, 8,000 requests",
         "of all requests",
-        Read("keys", "error by counters", 1_024),
+        FittedFigure("keys", "error by counters", 1_024),
         "as P23",
         "`COUNTERS` in `peers/heavy_hitters.py`, 256 today",
     ),
@@ -292,7 +292,7 @@
         Kind.PROCESSOR,
         "sketch of 256 counters",
         "us a request",
-        Read("keys", "sketch time", 256),
+        FittedFigure("keys", "sketch time", 256),
         "counters are sorted once a batch of 0.3 s",
         "`peers/heavy_hitters.py`",
     ),
@@ -305,11 +305,11 @@
         Kind.STATE,
         "sum of 760 limits, origin well, demand twice the quota",
         "of the quota",
-        Read("limits", "mean over quota", ROUTERS),
+        FittedFigure("limits", "mean over quota", ROUTERS),
         "each limit is a whole call a window of up to 20 s: small quotas round badly",
         "`OriginLimiter` in `policy/origin_limiter.py`: quota / routers, nothing is exchanged",
         at_least(0.9, "ours"),
-        decides=True,
+        affects_decisions=True,
     ),
     Row(
         "P27",
@@ -317,11 +317,11 @@
         Kind.STATE,
         "sum of 760 limits, origin well, worst second",
         "of the quota",
-        Read("limits", "worst second over quota", ROUTERS),
+        FittedFigure("limits", "worst second over quota", ROUTERS),
         "as P26",
         "as P26",
         at_most(1.25, "ours"),
-        decides=True,
+        affects_decisions=True,
     ),
     Row(
         "P28",
@@ -329,11 +329,11 @@
         Kind.STATE,
         "sum of 760 limits where the origin bears half of the quota",
         "of what it bears",
-        Read("limits", "mean over capacity", ROUTERS),
+        FittedFigure("limits", "mean over capacity", ROUTERS),
         "how the origin tells that it is full: here by a bad answer past its rate",
         "cuts by own bad answers: `OriginLimiter.cut`, `policy/origin_limiter.py`",
         at_most(1.1, "ours"),
-        decides=True,
+        affects_decisions=True,
     ),
     Row(
         "P29",
@@ -341,11 +341,11 @@
         Kind.STATE,
         "sum of 760 limits, origin at half, worst second",
         "of what it bears",
-        Read("limits", "worst over capacity", ROUTERS),
+        FittedFigure("limits", "worst over capacity", ROUTERS),
         "as P28",
         "as P28",
         at_most(1.25, "ours"),
-        decides=True,
+        affects_decisions=True,
     ),
     Row(
         "P30",
@@ -353,11 +353,11 @@
         Kind.STATE,
         "sum of 760 limits, demand uneven (exponential) and as much as the quota",
         "of the quota",
-        Read("limits", "mean at skewed demand", ROUTERS),
+        FittedFigure("limits", "mean at skewed demand", ROUTERS),
         "the law by which demand lies over routers",
         "`Suppressor`: a router can't use what another leaves; demand is reported and used by nothing",
         at_least(0.9, "ours"),
-        decides=True,
+        affects_decisions=True,
     ),
 )
 
@@ -368,7 +368,7 @@
         Kind.MESSAGES,
         "requests at each",
         "a second",
-        Given(REQUESTS_PER_S * ROUTERS / SERVERS, "934 x 760 / 96"),
+        ComputedFigure(REQUESTS_PER_S * ROUTERS / SERVERS, "934 x 760 / 96"),
         "the busiest has P12 more, and its hot keys",
         "slots: `policy/slot_table.py`; levels by load: `policy/slot_rebalancing.py`",
     ),
@@ -378,7 +378,9 @@
         Kind.MESSAGES,
         "bytes given by each",
         "Gbit/s",
-        Given(REQUESTS_PER_S * MEAN_BYTES * 8 / 1e9 * ROUTERS / SERVERS, "934 x 458 KB x 760 / 96"),
+        ComputedFigure(
+            REQUESTS_PER_S * MEAN_VALUE_BYTES * 8 / 1e9 * ROUTERS / SERVERS, "934 x 458 KB x 760 / 96"
+        ),
         "as S1; misses come on top, from the origin and to the server",
         "as S1",
     ),
@@ -388,9 +390,9 @@
         Kind.DESCRIPTORS,
         "connections at rest, answers in 20 ms",
         "connections",
-        Read("connections", "at rest by servers", SERVERS, ROUTERS),
+        FittedFigure("connections", "at rest by servers", SERVERS, ROUTERS),
         "answers that take longer (S4): Little's law",
-        POOL + "; idle ones close at 0.6 of the server's limit",
+        CONNECTION_POOL + "; idle ones close at 0.6 of the server's limit",
     ),
     Row(
         "S4",
@@ -398,9 +400,9 @@
         Kind.DESCRIPTORS,
         "connections at rest, answers in 50 ms",
         "connections",
-        Read("connections", "at rest by answer time", ANSWER_MS, ROUTERS),
+        FittedFigure("connections", "at rest by answer time", RESPONSE_TIME_MS, ROUTERS),
         "16 from each router are the most",
-        POOL,
+        CONNECTION_POOL,
     ),
     Row(
         "S5",
@@ -408,9 +410,9 @@
         Kind.DESCRIPTORS,
         "the most that routers may open",
         "connections",
-        Given(ROUTERS * MAX_CONNECTIONS_PER_ENDPOINT, "760 x 16"),
+        ComputedFigure(ROUTERS * MAX_CONNECTIONS_PER_ENDPOINT, "760 x 16"),
         "long values and late answers are not counted in the 16",
-        POOL + "; places are not dealt out over routers",
+        CONNECTION_POOL + "; places are not dealt out over routers",
     ),
     Row(
         "S6",
@@ -418,7 +420,7 @@
         Kind.DESCRIPTORS,
         "new ones in the first second after a router's restart",
         "connections",
-        Read("connections", "after a start", 1),
+        FittedFigure("connections", "after a start", 1),
         "as P10",
         "none but the 16 a server: no bound on all dials together",
     ),
@@ -426,9 +428,9 @@
         "S7",
         Role.SERVER,
         Kind.DESCRIPTORS,
-        f"new ones in the first second after all routers of a zone start together ({ZONE_ROUTERS:.0f})",
+        f"new ones in the first second after all routers of a zone start together ({ROUTERS_PER_ZONE:.0f})",
         "connections",
-        Read("connections", "after a start", ZONE_ROUTERS),
+        FittedFigure("connections", "after a start", ROUTERS_PER_ZONE),
         "a full accept queue, and routers that wait for one another's cores",
         "as S6",
     ),
@@ -438,7 +440,7 @@
         Kind.DESCRIPTORS,
         "new ones after a zone's start, at the busiest server",
         "connections",
-        Read("connections", "after a start, busiest", ZONE_ROUTERS),
+        FittedFigure("connections", "after a start, busiest", ROUTERS_PER_ZONE),
         "as S7",
         "as S6",
     ),
@@ -448,7 +450,7 @@
         Kind.MEMORY,
         "the most that routers may open (S5), at a router's price of a connection",
         "MB",
-        Read("connections", "memory of connections", ROUTERS * MAX_CONNECTIONS_PER_ENDPOINT, 1e-3),
+        FittedFigure("connections", "memory of connections", ROUTERS * MAX_CONNECTIONS_PER_ENDPOINT, 1e-3),
         "the server's own program has its own price: not ours to measure",
         "none: the server's own limits",
     ),
@@ -458,7 +460,7 @@
         Kind.STATE,
         "busiest over the mean, by slots alone",
         "times the mean",
-        Read("slots", "excess by servers", SERVERS, plus=1.0),
+        FittedFigure("slots", "excess by servers", SERVERS, offset=1.0),
         "as P12",
         "as P12",
     ),
@@ -468,7 +470,7 @@
         Kind.PROCESSOR,
         "values through one, at a router's price of a byte (long values)",
         "cores",
-        Read("requests", "long value", MEAN_MB, US_TO_CORES * ROUTERS / SERVERS),
+        FittedFigure("requests", "long value", MEAN_VALUE_MB, US_TO_CORES * ROUTERS / SERVERS),
         "the server's own program has its own price: not ours to measure",
         "none: the server's own limits",
     ),
--- a/bench/capacity_text.py
+++ b/bench/capacity_text.py
@@ -1,4 +1,4 @@
-"""What docs/CAPACITY.md says beside its tables: its head, and what one machine can't tell."""
+"""Texts of docs/CAPACITY.md: its first section, and the properties that one machine can't show."""
 
 from __future__ import annotations
 
