--- a/bench/capacity_rows.py
+++ b/bench/capacity_rows.py
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbsentFigure:
-    """No mechanism provides what the row asks for, so there is no figure; a need of the row has an infinite gap."""
+    """No mechanism provides what the row describes, so it has no figure; the gap to its need is infinite."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/bench/site_variant.py
+++ b/bench/site_variant.py
@@ -1,9 +1,10 @@
-"""Other deployments: an overlay (deploy/sites/NAME.toml) laid over the operators' site file.
+"""Generates site files of other deployments from overlays (deploy/sites/NAME.toml) on the operators' one.
 
-`make sites` writes each one's whole site file to deploy/sites/made/, and the bench's names and key beside it.
-An overlay holds what differs. A table in it replaces single settings; a list of tables (classes, tenants)
-replaces the whole list, and an entry with `like = "NAME"` begins as a copy of the site's entry of that name.
-A setting that the site file has nowhere in that place is refused with its name.
+`make sites` writes the complete site file of each overlay to deploy/sites/made/, and copies the names and the
+key that the bench expects next to it. An overlay holds only the settings that differ. A table replaces single
+settings. A list of tables (classes, tenants) replaces the whole list; an entry with `like = "NAME"` starts as
+a copy of the site file's entry of that name. A setting that the site file doesn't have at that place is
+rejected, and the error names it.
 """
 
 from __future__ import annotations
@@ -18,85 +19,111 @@
 import tomli_w
 
 ROOT = Path(__file__).resolve().parent.parent
-KIT = ROOT.parent / "given" / "kit" / "sites"
-SITE = "sofia-pkg-mirror.toml"
-BESIDE = ("real.json", "wire.json", "unlock.txt")
+KIT_SITES = ROOT.parent / "given" / "kit" / "sites"
+BASE_SITE = "sofia-pkg-mirror.toml"
+COPIED_FILES = ("real.json", "wire.json", "unlock.txt")
 OVERLAYS = ROOT / "deploy" / "sites"
-MADE = OVERLAYS / "made"
+OUTPUT = OVERLAYS / "made"
 
 Table = dict[str, Any]
 
 
 class SiteError(Exception):
-    """The variant can't be made; the text is one plain line."""
+    """A variant can't be generated; the message is one line."""
 
 
 def _is_tables(value: Any) -> bool:
-    return isinstance(value, list) and bool(value) and all(isinstance(one, dict) for one in value)
+    return isinstance(value, list) and bool(value) and all(isinstance(item, dict) for item in value)
 
 
-def _entry(base: list[Table], overlay: Table, where: str) -> Table:
-    """One entry of a list of tables: a copy of the one that it is like, with what differs."""
+def _apply_to_entry(base: list[Table], overlay: Table, where: str) -> Table:
+    """Return an entry of a list of tables: a copy of the entry that `like` names, with the changes."""
     like = overlay.get("like")
-    named = [one for one in base if one.get("name") == like]
-    if like is not None and not named:
-        raise SiteError(f"{where}: the site file has none that is named {like!r}")
+    matches = [entry for entry in base if entry.get("name") == like]
+    if like is not None and not matches:
+        raise SiteError(f"{where}: the site file has no entry named {like!r}")
     known: Table = {}
-    for one in base:  # what any of them has may be set
-        known.update(one)
+    for entry in base:  # a setting of any entry may be set in this one
+        known.update(entry)
     changes = {key: value for key, value in overlay.items() if key != "like"}
-    lay_over(known, changes, where)  # refuses what none has
-    return lay_over(
-        named[0] | {k: known[k] for k in changes if k not in named[0]} if named else {}, changes, where, known
+    apply_overlay(known, changes, where)  # rejects settings that no entry has
+    return apply_overlay(
+        matches[0] | {key: known[key] for key in changes if key not in matches[0]} if matches else {},
+        changes,
+        where,
+        known,
     )
 
 
-def lay_over(base: Table, overlay: Table, where: str = "", known: Table | None = None) -> Table:
-    """The base with the overlay's settings; raises SiteError for one that is not among the known ones."""
+def apply_overlay(base: Table, overlay: Table, where: str = "", known: Table | None = None) -> Table:
+    """Return a copy of a table with the settings of an overlay.
+
+    Args:
+        base: The table of the site file.
+        overlay: The settings that differ.
+        where: Dotted name of the table for error messages; empty for the whole file.
+        known: The settings that the overlay may set; those of `base` if None.
+
+    Raises:
+        SiteError: A setting isn't known, or is a table or a list of tables where the known one isn't, or the
+            reverse, or a `like` names no entry.
+    """
     known = base if known is None else known
-    found = dict(base)
+    merged = dict(base)
     for key, value in overlay.items():
         name = f"{where}.{key}" if where else key
         if key not in known:
             raise SiteError(f"{name}: the site file has no such setting")
-        there = known[key]
-        if isinstance(value, dict) != isinstance(there, dict) or _is_tables(value) != _is_tables(there):
-            raise SiteError(f"{name}: the site file has another kind of setting there")
+        present = known[key]
+        if isinstance(value, dict) != isinstance(present, dict) or _is_tables(value) != _is_tables(present):
+            raise SiteError(f"{name}: the site file has a setting of another kind here")
         if isinstance(value, dict):
-            found[key] = lay_over(base.get(key, {}), value, name, there)
+            merged[key] = apply_overlay(base.get(key, {}), value, name, present)
         elif _is_tables(value):
-            found[key] = [_entry(there, one, name) for one in value]
+            merged[key] = [_apply_to_entry(present, entry, name) for entry in value]
         else:
-            found[key] = value
-    return found
+            merged[key] = value
+    return merged
+
+
+def write_variant(overlay: Path, kit: Path = KIT_SITES, made: Path = OUTPUT) -> Path:
+    """Write one variant's site file and copy the files that the bench expects next to it.
+
+    Args:
+        overlay: The overlay file.
+        kit: Folder of the operators' site file and of the files to copy.
+        made: Folder to write to; it is created if missing.
 
+    Returns:
+        The path of the site file, which has the overlay's name.
 
-def make(overlay: Path, kit: Path = KIT, made: Path = MADE) -> Path:
-    """Write one variant's site file, and beside it what the bench wants there; returns where it is."""
-    site = kit / SITE
+    Raises:
+        SiteError: The operators' site file is missing, or the overlay can't be read or applied.
+    """
+    site = kit / BASE_SITE
     if not site.is_file():
-        raise SiteError(f"the operators' kit is not here: no {SITE} to lay {overlay.name} over")
+        raise SiteError(f"the operators' kit is not here: {BASE_SITE} is needed for {overlay.name}")
     try:
-        told = lay_over(tomllib.loads(site.read_text()), tomllib.loads(overlay.read_text()))
+        merged = apply_overlay(tomllib.loads(site.read_text()), tomllib.loads(overlay.read_text()))
     except (OSError, tomllib.TOMLDecodeError) as error:
         raise SiteError(f"{overlay.name}: {error}") from None
     made.mkdir(parents=True, exist_ok=True)
-    for name in BESIDE:
+    for name in COPIED_FILES:
         shutil.copyfile(kit / name, made / name)
     path = made / overlay.name
-    path.write_text(tomli_w.dumps(told))
+    path.write_text(tomli_w.dumps(merged))
     return path
 
 
 def main() -> int:
-    """Make all variants, or those named; returns 1 where one can't be made."""
+    """Write all variants, or those that are named; return 1 if one can't be generated."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("names", nargs="*", help="overlays; all of them where none is named")
+    parser.add_argument("names", nargs="*", help="names of overlays without suffix; all of them by default")
     names = parser.parse_args().names
     overlays = [OVERLAYS / f"{name}.toml" for name in names] or sorted(OVERLAYS.glob("*.toml"))
     try:
         for overlay in overlays:
-            print(make(overlay).relative_to(ROOT))
+            print(write_variant(overlay).relative_to(ROOT))
     except SiteError as error:
         print(f"sites: {error}", file=sys.stderr)
         return 1
--- a/tests/test_site_variant.py
+++ b/tests/test_site_variant.py
@@ -1,4 +1,4 @@
-"""The tool that lays a variant's settings over the operators' site file."""
+"""Tests of the tool that applies overlays to the operators' site file."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.site_variant import BESIDE, OVERLAYS, SITE, SiteError, lay_over, make
+from bench.site_variant import BASE_SITE, COPIED_FILES, OVERLAYS, SiteError, apply_overlay, write_variant
 
 BASE = {
     "name": "first",
@@ -20,17 +20,17 @@
 }
 
 
-def test_what_is_named_differs_and_the_rest_stays() -> None:
+def test_only_settings_of_the_overlay_differ() -> None:
     overlay = {
         "prices": {"waste": 0.1},
         "tier": [{"like": "t", "conn": {"idle_s": 60}}],
         "class": [{"like": "main", "name": "other", "effect": "keyed", "window_ms": 400}],
     }
-    told = lay_over(BASE, overlay)
-    assert told["name"] == "first"
-    assert told["prices"] == {"waste": 0.1, "origin": 0.15}
-    assert told["tier"] == [{**BASE["tier"][0], "conn": {"idle_s": 60, "cap": [1, 2]}}]  # type: ignore[index]
-    assert told["class"] == [{"name": "other", "share": 1, "effect": "keyed", "window_ms": 400}]
+    merged = apply_overlay(BASE, overlay)
+    assert merged["name"] == "first"
+    assert merged["prices"] == {"waste": 0.1, "origin": 0.15}
+    assert merged["tier"] == [{**BASE["tier"][0], "conn": {"idle_s": 60, "cap": [1, 2]}}]  # type: ignore[index]
+    assert merged["class"] == [{"name": "other", "share": 1, "effect": "keyed", "window_ms": 400}]
 
 
 @pytest.mark.parametrize(
@@ -44,24 +44,26 @@
         ({"prices": 3}, "prices"),
     ],
 )
-def test_what_the_site_file_has_not_is_refused_with_its_name(overlay: dict[str, object], named: str) -> None:
+def test_settings_that_the_site_file_lacks_are_rejected_by_name(
+    overlay: dict[str, object], named: str
+) -> None:
     with pytest.raises(SiteError, match=named):
-        lay_over(BASE, overlay)
+        apply_overlay(BASE, overlay)
 
 
-def test_without_the_kit_it_says_so_in_one_line(tmp_path: Path) -> None:
-    with pytest.raises(SiteError, match="kit is not here") as told:
-        make(OVERLAYS / "one-tenant.toml", tmp_path / "none", tmp_path / "made")
-    assert "\n" not in str(told.value)
+def test_without_the_kit_the_error_is_one_line(tmp_path: Path) -> None:
+    with pytest.raises(SiteError, match="kit is not here") as raised:
+        write_variant(OVERLAYS / "one-tenant.toml", tmp_path / "none", tmp_path / "made")
+    assert "\n" not in str(raised.value)
 
 
-def test_the_site_file_stands_beside_what_the_bench_wants(tmp_path: Path) -> None:
+def test_the_site_file_is_written_next_to_the_files_that_the_bench_expects(tmp_path: Path) -> None:
     kit, made = tmp_path / "kit", tmp_path / "made"
     kit.mkdir()
-    for name in BESIDE:
+    for name in COPIED_FILES:
         (kit / name).write_text(name)
-    (kit / SITE).write_text('name = "first"\n[prices]\nwaste = 0.04\n')
+    (kit / BASE_SITE).write_text('name = "first"\n[prices]\nwaste = 0.04\n')
     (tmp_path / "v.toml").write_text('name = "v"\n')
-    path = make(tmp_path / "v.toml", kit, made)
+    path = write_variant(tmp_path / "v.toml", kit, made)
     assert tomllib.loads(path.read_text()) == {"name": "v", "prices": {"waste": 0.04}}
-    assert sorted(one.name for one in made.iterdir()) == sorted([*BESIDE, "v.toml"])
+    assert sorted(file.name for file in made.iterdir()) == sorted([*COPIED_FILES, "v.toml"])
