--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -201,8 +201,8 @@
             value: The value, in the unit of `amount`.
 
         Returns:
-            A ratio that is over 1 if the need is missed; infinity if at least `amount` is needed and the
-            value is 0 or less.
+            value / amount for an upper bound, amount / value for a lower one: over 1 if the need is missed.
+            Infinity if `amount` is a lower bound and the value is 0 or less.
         """
         if self.bound is Bound.AT_MOST:
             return value / self.amount
