--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,10 +1,12 @@
-"""Every run of the tests draws the same examples: a verdict must not hang on chance.
+"""Pytest configuration: reproducible hypothesis examples, test order, and the list of known failures.
 
-KNOWN-RED.txt at the root names at most three faults that are not fixed yet, a line each (test or command:
-cause; issue). A listed test is expected to fail, strictly: one that passes has to be taken off the list.
-Where a test fails only now and then, its line names one assertion of it in brackets (`test [assertion]:
-cause; issue`): a failure of this assertion is reported as expected, every other failure of the test counts,
-and so does a pass. The run prints the list.
+Hypothesis draws the same examples in every run, so that a result does not depend on chance.
+
+KNOWN-RED.txt at the repository's root lists at most three faults that are not fixed yet, one per line (test
+or command: cause; issue). A listed test is marked as a strict expected failure: a test that passes has to be
+removed from the list. For a test that fails intermittently, the line names one of its assertions in brackets
+(`test [assertion]: cause; issue`): a failure of this assertion is reported as expected, while any other
+failure of the test and a pass are reported as usual. Each run prints the list.
 """
 
 from __future__ import annotations
@@ -25,50 +27,50 @@
     "test_simulation_play",
     "test_harness",
 )
-LISTED = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST_RED = 3
-NOW_AND_THEN = re.compile(r"(\S+) \[(.+)\]")
-"""A test, and the one assertion of it that is known to fail now and then."""
+KNOWN_RED_FILE = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_RED = 3
+INTERMITTENT = re.compile(r"(\S+) \[(.+)\]")
+"""Matches a test id and the one assertion of this test that is known to fail intermittently."""
 
 settings.register_profile("same", derandomize=True, deadline=None)
 settings.load_profile("same")
 
 
 def known_red() -> dict[str, str]:
-    """The tests that are known to fail, with the cause and the issue."""
-    lines = LISTED.read_text().splitlines() if LISTED.exists() else []
+    """Return the entries of KNOWN-RED.txt: the cause and the issue by test or command."""
+    lines = KNOWN_RED_FILE.read_text().splitlines() if KNOWN_RED_FILE.exists() else []
     red = {}
     for line in filter(None, lines):
         test, _, cause = line.partition(": ")
         if not cause:
             raise pytest.UsageError(f"KNOWN-RED.txt: no cause in {line!r}")
         red[test] = cause
-    if len(red) > MOST_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(red)} tests, {MOST_RED} at most")
+    if len(red) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"KNOWN-RED.txt: {len(red)} tests, {MAX_KNOWN_RED} at most")
     return red
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Begin with what takes longest: the suite ends when the last of several processes does."""
+    """Run the longest test files first, since the suite ends when the last worker process does."""
 
-    def place(item: pytest.Item) -> int:
+    def position(item: pytest.Item) -> int:
         name = item.path.stem
         return LONGEST_FIRST.index(name) if name in LONGEST_FIRST else len(LONGEST_FIRST)
 
-    items.sort(key=place)
+    items.sort(key=position)
     red = known_red()
     for item in items:
         if item.nodeid in red:
             item.add_marker(pytest.mark.xfail(strict=True, reason=red[item.nodeid]))
 
 
-def fails_as_known(item: pytest.Item, call: pytest.CallInfo[None]) -> str | None:
-    """The cause in the list, where the test failed by the assertion that its line names; None otherwise."""
+def known_failure_cause(item: pytest.Item, call: pytest.CallInfo[None]) -> str | None:
+    """Return the listed cause if the test failed by the assertion that its line names, else None."""
     if call.when != "call" or call.excinfo is None or not call.excinfo.errisinstance(AssertionError):
         return None
     raised = call.excinfo.traceback[-1]
     for listed, cause in known_red().items():
-        named = NOW_AND_THEN.fullmatch(listed)
+        named = INTERMITTENT.fullmatch(listed)
         if named is None or named[1] != item.nodeid or raised.path != item.path:
             continue
         if re.fullmatch(re.escape(f"assert {named[2]}") + r"(, \w+)?", str(raised.statement).strip()):
@@ -80,15 +82,15 @@
 def pytest_runtest_makereport(
     item: pytest.Item, call: pytest.CallInfo[None]
 ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-    """Report a known failure of one assertion as expected."""
+    """Report the failure of an assertion listed in KNOWN-RED.txt as an expected failure."""
     report = yield
-    if (cause := fails_as_known(item, call)) is not None:
+    if (cause := known_failure_cause(item, call)) is not None:
         report.outcome = "skipped"
         report.wasxfail = cause
     return report
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print what is known to fail."""
+    """Print the known failures."""
     for test, cause in known_red().items():
         terminalreporter.write_line(f"KNOWN RED {test}: {cause}")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -41,7 +41,7 @@
 from bench.capacity_text import HEAD, UNKNOWNS
 from bench.slopes import ROOT, load, store
 from holdgw.policy import NS_PER_S
-from tests.test_architecture import imports
+from tests.test_architecture import imported_names
 
 SIZES = (50, 100, 200, 400, 760)
 
@@ -307,7 +307,7 @@
 
 def test_what_runs_imports_neither_the_generator_nor_its_libraries() -> None:
     for path in sorted((ROOT / "holdgw").rglob("*.py")):
-        used = {name.split(".")[0] for name in imports(path.read_text())}
+        used = {name.split(".")[0] for name in imported_names(path.read_text())}
         assert not used & {"bench", "scipy", "numpy"}, path
 
 
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -1,4 +1,4 @@
-"""What keeps the code readable and no linter rule holds: short functions, plain comments."""
+"""Readability rules beyond the linter: short functions, plain comments, wire names in one module each."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 MAX_FUNCTION_LINES = 40
-NOT_DONE = {"emulators", "harness", "simulation"}
+EXEMPT_PACKAGES = {"emulators", "harness", "simulation"}
 """Packages whose functions may still be longer (docs/ROADMAP.md, "What readers still stumble over")."""
 
 
 def long_functions(text: str) -> list[str]:
-    """Functions of a source that have more lines than they may."""
+    """Return the names of functions in a source text that exceed MAX_FUNCTION_LINES."""
     return [
         node.name
         for node in ast.walk(ast.parse(text))
@@ -23,28 +23,28 @@
     ]
 
 
-def done_sources() -> list[Path]:
+def checked_sources() -> list[Path]:
     sources = sorted((ROOT / "holdgw").rglob("*.py"))
-    return [path for path in sources if path.relative_to(ROOT / "holdgw").parts[0] not in NOT_DONE]
+    return [path for path in sources if path.relative_to(ROOT / "holdgw").parts[0] not in EXEMPT_PACKAGES]
 
 
-@pytest.mark.parametrize("path", done_sources(), ids=lambda path: str(path.relative_to(ROOT)))
+@pytest.mark.parametrize("path", checked_sources(), ids=lambda path: str(path.relative_to(ROOT)))
 def test_functions_are_short(path: Path) -> None:
     assert long_functions(path.read_text()) == []
 
 
-def test_a_long_function_is_seen() -> None:
+def test_a_long_function_is_detected() -> None:
     body = "    pass\n" * MAX_FUNCTION_LINES
     assert long_functions(f"def f():\n{body}") == ["f"]
     assert long_functions(f"def f():\n{body[: -len('    pass') - 1]}") == []
 
 
-def test_comments_say_the_failure_in_plain_english() -> None:
-    formula = ("Danger:", "could do harm")
+def test_comments_use_no_stock_phrases_for_failures() -> None:
+    stock_phrases = ("Danger:", "could do harm")
     found = [
         str(path.relative_to(ROOT))
         for path in sorted((ROOT / "holdgw").rglob("*.py"))
-        if any(words in path.read_text() for words in formula)
+        if any(phrase in path.read_text() for phrase in stock_phrases)
     ]
     assert found == []
 
@@ -70,12 +70,12 @@
         '"lb_',
     ),
 }
-"""By module: how it reads or writes names of the operations pages; no other module of a router does."""
+"""By module: code that reads or writes names documented for operators; no other router module contains it."""
 EDGE_PACKAGES = ("cores", "operation", "peers", "policy", "router", "wire")
 
 
 @pytest.mark.parametrize("module", sorted(WIRE_NAMES))
-def test_a_name_of_the_wire_stands_in_one_module_only(module: str) -> None:
+def test_a_wire_name_appears_in_one_module_only(module: str) -> None:
     for name in WIRE_NAMES[module]:
         found = {
             str(path.relative_to(ROOT))
--- a/tests/test_suite.py
+++ b/tests/test_suite.py
@@ -1,4 +1,4 @@
-"""How the suite is spread over processes: tests of one group run in one process, one after the other."""
+"""Properties of the test run itself: test groups under pytest-xdist, and known failures (conftest.py)."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 def test_tests_of_a_group_run_in_one_process(tmp_path: Path) -> None:
-    """A pytest newer than pytest-xdist knows ran them in all processes at once, and said nothing."""
+    """A pytest newer than pytest-xdist supports ran a group in all processes at once, without a warning."""
     (tmp_path / "test_grouped.py").write_text(GROUPED)
-    words = ("-q", "-n", str(WORKERS), "--dist", "loadgroup", "-p", "no:cacheprovider", "--rootdir", ".")
+    options = ("-q", "-n", str(WORKERS), "--dist", "loadgroup", "-p", "no:cacheprovider", "--rootdir", ".")
     environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")}
-    done = subprocess.run(
-        [sys.executable, "-m", "pytest", *words, "."],
+    result = subprocess.run(
+        [sys.executable, "-m", "pytest", *options, "."],
         cwd=tmp_path,
         env=environment,
         capture_output=True,
         text=True,
         check=False,
     )
-    assert done.returncode == 0, done.stdout + done.stderr
+    assert result.returncode == 0, result.stdout + result.stderr
     ran = {path.name: path.read_text() for path in tmp_path.glob("ran-*")}
     assert sorted(ran) == [f"ran-{number}" for number in range(4)]
     assert len(set(ran.values())) == 1, ran
@@ -46,7 +46,7 @@
 tests/test_red.py::test_by_another_assertion [3 - 1 <= 1]: too far apart; issue 0
 tests/test_red.py::test_passing [3 - 1 <= 1]: too far apart; issue 0
 """
-RED = """
+RED_TESTS = """
 def test_by_the_named_assertion():
     shown = "figures"
     assert 3 - 1 <= 1, shown
@@ -65,16 +65,16 @@
 """
 
 
-def test_a_known_failure_is_passed_over_by_its_one_assertion_only(tmp_path: Path) -> None:
-    """A listed test fails by every assertion but the one that its line names, and may pass."""
+def test_a_known_failure_is_expected_by_its_one_assertion_only(tmp_path: Path) -> None:
+    """A listed test may pass, and fails by any assertion except the one that its line names."""
     (tmp_path / "tests").mkdir()
     (tmp_path / "KNOWN-RED.txt").write_text(KNOWN_RED)
-    (tmp_path / "tests/test_red.py").write_text(RED)
+    (tmp_path / "tests/test_red.py").write_text(RED_TESTS)
     shutil.copy(Path(__file__).with_name("conftest.py"), tmp_path / "tests")
     environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")}
-    words = ("-q", "-rfx", "-p", "no:cacheprovider", "--rootdir", ".", "-n", "1")
+    options = ("-q", "-rfx", "-p", "no:cacheprovider", "--rootdir", ".", "-n", "1")
     ran = subprocess.run(
-        [sys.executable, "-m", "pytest", *words, "tests"],
+        [sys.executable, "-m", "pytest", *options, "tests"],
         cwd=tmp_path,
         env=environment,
         capture_output=True,
