--- a/tests/processes/test_aggregation.py
+++ b/tests/processes/test_aggregation.py
@@ -1,4 +1,4 @@
-"""Eight routers and two machines set aside to aggregate, each a process: killed, frozen, parted, all gone."""
+"""Eight routers and two dedicated aggregators as processes: killed, frozen, partitioned, all lost."""
 
 from __future__ import annotations
 
@@ -16,152 +16,160 @@
 from holdgw.harness.scenario import read_scenario
 from holdgw.harness.schedule import PEERS
 from holdgw.harness.schedule_drawing import draw_schedule
-from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
-from tests.processes.test_peers import figures
+from tests.processes.test_faults import ROOT, ROUTER, SCENARIO, assert_rules_hold
+from tests.processes.test_peers import fetch_metrics
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("processes, peers")]
 
 ROUTERS = 8
 SERVERS = 'lb_picture{of="servers"}'
 LIMIT_S = 60.0
-Figures = dict[str, float]
-Seen = dict[str, Figures]
-Scene = Callable[["Table"], Awaitable[None]]
+Metrics = dict[str, float]
+MetricsByRouter = dict[str, Metrics]
+Steps = Callable[["ScenarioRun"], Awaitable[None]]
 
 
-class Table:
-    """A day that runs, its figures, and its aggregators."""
+class ScenarioRun:
+    """A running scenario, with access to its routers' metrics and its two aggregators."""
 
-    def __init__(self, stage: Orchestrator) -> None:
-        self.stage = stage
-        self.first, self.second = stage.aggregators.values()
+    def __init__(self, orchestrator: Orchestrator) -> None:
+        self.orchestrator = orchestrator
+        self.first, self.second = orchestrator.aggregators.values()
 
-    async def until(self, second: float) -> None:
-        """Wait until this second of the day."""
-        await asyncio.sleep(max(self.stage.begun + second - self.stage.clock(), 0.0))
+    async def wait_until(self, second: float) -> None:
+        """Wait until this second of the run."""
+        await asyncio.sleep(max(self.orchestrator.begun + second - self.orchestrator.clock(), 0.0))
 
-    async def doors(self) -> Seen:
-        """Every router's figures now."""
-        routers = list(self.stage.routers.values())
-        found = await asyncio.gather(*(figures(router.ops) for router in routers))
+    async def router_metrics(self) -> MetricsByRouter:
+        """Return the current metrics of every router."""
+        routers = list(self.orchestrator.routers.values())
+        found = await asyncio.gather(*(fetch_metrics(router.ops) for router in routers))
         return {router.name: told for router, told in zip(routers, found, strict=True)}
 
-    async def soon(self, holds: Callable[[Seen], bool]) -> Seen:
-        """Every router's figures, once they are like that; an error, with the last, if they never are."""
-        seen: Seen = {}
+    async def wait_for_metrics(self, condition: Callable[[MetricsByRouter], bool]) -> MetricsByRouter:
+        """Return every router's metrics once the condition holds; fail with the last ones after LIMIT_S."""
+        seen: MetricsByRouter = {}
         for _ in range(int(LIMIT_S / 0.25)):
-            seen = await self.doors()
-            if holds(seen):
+            seen = await self.router_metrics()
+            if condition(seen):
                 return seen
             await asyncio.sleep(0.25)
         raise AssertionError(seen)
 
 
-def view(found: Figures, of: str) -> float:
+def view_metric(found: Metrics, of: str) -> float:
+    """Return one of a router's metrics of its load view."""
     return found[f'lb_view{{of="{of}"}}']
 
 
-def all_covered(seen: Seen) -> bool:
-    """Every router goes by views that rest on all."""
-    return all(view(one, "reporters") == ROUTERS and not view(one, "fallback") for one in seen.values())
+def views_cover_all_routers(seen: MetricsByRouter) -> bool:
+    """Return whether every router uses views that cover the reports of all routers."""
+    return all(
+        view_metric(one, "reporters") == ROUTERS and not view_metric(one, "fallback") for one in seen.values()
+    )
 
 
-def play(scene: Scene, length: float, logs: Path, peers: str = "") -> None:
-    """Play a day through which the scene goes; the rules hold, whatever the scene does."""
-    text = DAY.format(length=length) + f"[peers]\nallowed = true\naggregators = 2\n{peers}"
+def run_scenario(steps: Steps, length: float, logs: Path, peers: str = "") -> None:
+    """Run a scenario of `length` seconds beside the steps, and assert that no rule is broken."""
+    text = SCENARIO.format(length=length) + f"[peers]\nallowed = true\naggregators = 2\n{peers}"
 
     async def main() -> None:
-        stage = Orchestrator(draw_schedule(read_scenario(text, "test"), 1), ROUTER, ROOT, logs)
-        playing = asyncio.ensure_future(stage.play())
-        while not stage.begun and not playing.done():
+        orchestrator = Orchestrator(draw_schedule(read_scenario(text, "test"), 1), ROUTER, ROOT, logs)
+        scenario_task = asyncio.ensure_future(orchestrator.play())
+        while not orchestrator.begun and not scenario_task.done():
             await asyncio.sleep(0.05)
-        acting = asyncio.ensure_future(scene(Table(stage)))
-        await asyncio.wait((playing, acting), return_when=asyncio.FIRST_COMPLETED)
-        await asyncio.wait_for(acting, LIMIT_S)
-        kept(make_report(await asyncio.wait_for(playing, 90.0)))
+        steps_task = asyncio.ensure_future(steps(ScenarioRun(orchestrator)))
+        await asyncio.wait((scenario_task, steps_task), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait_for(steps_task, LIMIT_S)
+        assert_rules_hold(make_report(await asyncio.wait_for(scenario_task, 90.0)))
 
     uvloop.run(main())
 
 
-def changes(logs: Path) -> dict[str, list[str]]:
-    """By router, what it logged of its fallback."""
+def fallback_changes(logs: Path) -> dict[str, list[str]]:
+    """Return, by router, the changes of its fallback that it logged."""
     return {
         path.stem: re.findall(r"peers: fallback to gossip change=(\w+)", path.read_text())
         for path in logs.glob("router*.log")
     }
 
 
-def test_one_aggregator_killed_leaves_every_router_a_view_that_rests_on_all(tmp_path: Path) -> None:
-    async def scene(table: Table) -> None:
-        await table.soon(
+def test_after_one_aggregator_is_killed_every_router_has_a_view_of_all_reports(tmp_path: Path) -> None:
+    async def steps(run: ScenarioRun) -> None:
+        await run.wait_for_metrics(
             lambda seen: (
-                all_covered(seen) and all(one['lb_picture{of="servers"}'] == 9 for one in seen.values())
+                views_cover_all_routers(seen)
+                and all(one['lb_picture{of="servers"}'] == 9 for one in seen.values())
             )
         )
-        table.first.tell(signal.SIGKILL)
-        await table.until(8.0)
-        for name, one in (await table.soon(all_covered)).items():
-            assert view(one, "fallbacks") == 0, name
-            assert view(one, "age_ms") < 5000, name
+        run.first.tell(signal.SIGKILL)
+        await run.wait_until(8.0)
+        for name, one in (await run.wait_for_metrics(views_cover_all_routers)).items():
+            assert view_metric(one, "fallbacks") == 0, name
+            assert view_metric(one, "age_ms") < 5000, name
 
-    play(scene, 9.0, tmp_path, "loss = 0.02\nduplicates = 0.05\nreordered = 0.2\n")
-    assert changes(tmp_path) == {f"router0{i}": [] for i in range(ROUTERS)}
+    run_scenario(steps, 9.0, tmp_path, "loss = 0.02\nduplicates = 0.05\nreordered = 0.2\n")
+    assert fallback_changes(tmp_path) == {f"router0{i}": [] for i in range(ROUTERS)}
 
 
-def test_an_aggregator_frozen_for_five_seconds_wakes_with_nothing_old(tmp_path: Path) -> None:
-    async def scene(table: Table) -> None:
-        await table.soon(all_covered)
-        table.first.tell(signal.SIGSTOP)
+def test_an_aggregator_frozen_for_five_seconds_sends_no_stale_view_after_resuming(tmp_path: Path) -> None:
+    async def steps(run: ScenarioRun) -> None:
+        await run.wait_for_metrics(views_cover_all_routers)
+        run.first.tell(signal.SIGSTOP)
         await asyncio.sleep(5.0)
-        table.first.tell(signal.SIGCONT)
-        for name, one in (await table.soon(all_covered)).items():
-            assert view(one, "fallbacks") == 0, name
-            assert view(one, "age_ms") < 5000, name
-        woken = await figures(table.first.ops)
-        assert view(woken, "halts") >= 1
-        # What routers told it meanwhile was of unknown age when it was read.
-        assert woken['lb_peers_dropped{why="stalled"}'] >= 1, woken
-
-    play(scene, 12.0, tmp_path)
-
-
-def test_with_all_aggregators_gone_routers_fall_back_and_come_back_with_the_first(tmp_path: Path) -> None:
-    async def scene(table: Table) -> None:
-        await table.soon(all_covered)
-        table.first.tell(signal.SIGKILL)
-        table.second.tell(signal.SIGKILL)
-        seen = await table.soon(lambda seen: all(view(one, "fallback") for one in seen.values()))
+        run.first.tell(signal.SIGCONT)
+        for name, one in (await run.wait_for_metrics(views_cover_all_routers)).items():
+            assert view_metric(one, "fallbacks") == 0, name
+            assert view_metric(one, "age_ms") < 5000, name
+        resumed = await fetch_metrics(run.first.ops)
+        assert view_metric(resumed, "halts") >= 1
+        # The age of reports that arrived while it was frozen is unknown when they are read.
+        assert resumed['lb_peers_dropped{why="stalled"}'] >= 1, resumed
+
+    run_scenario(steps, 12.0, tmp_path)
+
+
+def test_routers_fall_back_without_aggregators_and_return_with_the_first(tmp_path: Path) -> None:
+    async def steps(run: ScenarioRun) -> None:
+        await run.wait_for_metrics(views_cover_all_routers)
+        run.first.tell(signal.SIGKILL)
+        run.second.tell(signal.SIGKILL)
+        seen = await run.wait_for_metrics(
+            lambda seen: all(view_metric(one, "fallback") for one in seen.values())
+        )
         for name, one in seen.items():
-            assert view(one, "reporters") == 0, name
-        alone = await table.soon(
+            assert view_metric(one, "reporters") == 0, name
+        on_gossip = await run.wait_for_metrics(
             lambda seen: all(one['lb_picture{of="routers"}'] >= 1 for one in seen.values())
         )
-        assert all(one['lb_picture{of="servers"}'] > 0 for one in alone.values())
-        await table.stage.start_aggregator(table.second)
-        for name, one in (await table.soon(all_covered)).items():
-            assert view(one, "fallbacks") == 1, name
+        assert all(one['lb_picture{of="servers"}'] > 0 for one in on_gossip.values())
+        await run.orchestrator.start_aggregator(run.second)
+        for name, one in (await run.wait_for_metrics(views_cover_all_routers)).items():
+            assert view_metric(one, "fallbacks") == 1, name
 
-    play(scene, 16.0, tmp_path)
-    assert changes(tmp_path) == {f"router0{i}": ["entered", "left"] for i in range(ROUTERS)}
+    run_scenario(steps, 16.0, tmp_path)
+    assert fallback_changes(tmp_path) == {f"router0{i}": ["entered", "left"] for i in range(ROUTERS)}
 
 
-def test_two_aggregators_that_do_not_see_each_other_count_nothing_twice(tmp_path: Path) -> None:
-    async def scene(table: Table) -> None:
-        await table.soon(all_covered)
-        parted = {"a": ["aggregator00"], "b": ["aggregator01"], "way": "both", "seconds": 60.0}
-        await table.stage.relay.ask("partition", PEERS, parted)
+def test_two_partitioned_aggregators_count_nothing_twice(tmp_path: Path) -> None:
+    async def steps(run: ScenarioRun) -> None:
+        await run.wait_for_metrics(views_cover_all_routers)
+        partition = {"a": ["aggregator00"], "b": ["aggregator01"], "way": "both", "seconds": 60.0}
+        await run.orchestrator.relay.ask("partition", PEERS, partition)
         await asyncio.sleep(4.0)
-        for name, one in (await table.soon(all_covered)).items():
-            assert view(one, "reporters") == ROUTERS, name
-            # 120 requests a second, counted over some 3.6 s: not twice that.
+        for name, one in (await run.wait_for_metrics(views_cover_all_routers)).items():
+            assert view_metric(one, "reporters") == ROUTERS, name
+            # 120 requests a second, counted over about 3.6 s, which is 432; counted twice they exceed 600.
             assert one['lb_picture{of="requests"}'] < 600, (name, one)
-        # Then each sees but half of the routers: both views are thin, and still no router is without one.
+        # Then each reaches only half of the routers: both views cover half, and still every router has one.
         half = {"a": ["aggregator00"], "b": [f"router0{i}" for i in range(4)], "way": "both", "seconds": 60.0}
-        await table.stage.relay.ask("partition", PEERS, half)
+        await run.orchestrator.relay.ask("partition", PEERS, half)
         other = {**half, "a": ["aggregator01"], "b": [f"router0{i}" for i in range(4, 8)]}
-        await table.stage.relay.ask("partition", PEERS, other)
-        seen = await table.soon(lambda seen: all(view(one, "reporters") == 4 for one in seen.values()))
-        assert not any(view(one, "fallbacks") for one in seen.values()), seen
+        await run.orchestrator.relay.ask("partition", PEERS, other)
+        seen = await run.wait_for_metrics(
+            lambda seen: all(view_metric(one, "reporters") == 4 for one in seen.values())
+        )
+        assert not any(view_metric(one, "fallbacks") for one in seen.values()), seen
 
-    play(scene, 16.0, tmp_path)
-    assert not any(changes(tmp_path).values())
+    run_scenario(steps, 16.0, tmp_path)
+    assert not any(fallback_changes(tmp_path).values())
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -1,8 +1,8 @@
-"""Eight routers and two aggregators, each a process, amid false ones: a reporter that lies and replays, a
-lying aggregator, a router that is killed and started again.
+"""Eight routers and two aggregators as processes, with a false reporter, a false aggregator or a restart.
 
-Each router writes down what it was told by servers and what it goes by (tests/watching_router.py). So the
-bounds of docs/design-aggregation.md, "What one false member moves", are judged on what true routers observed.
+Each router logs the response times that servers report to it and the load snapshots that it applies
+(tests/watching_router.py). From these logs the tests check the bounds of docs/design-aggregation.md, "What
+one false member moves", against what correct routers observed.
 """
 
 from __future__ import annotations
@@ -46,55 +46,57 @@
 from holdgw.peers.sequenced_report import MAX_SAMPLES, MAX_SLOTS, SequencedReport
 from holdgw.peers.timing import NS_PER_S
 from tests.helpers import MS
-from tests.processes.test_aggregation import LIMIT_S, ROUTERS, Seen, changes, view
-from tests.processes.test_faults import DAY, ROOT, kept
-from tests.processes.test_peers import figures
+from tests.processes.test_aggregation import LIMIT_S, ROUTERS, MetricsByRouter, fallback_changes, view_metric
+from tests.processes.test_faults import ROOT, SCENARIO, assert_rules_hold
+from tests.processes.test_peers import fetch_metrics
 from tests.watching_router import OBSERVED, SNAPSHOT
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("processes, faults")]
 
 WATCHING = f"exec {sys.executable} -m tests.watching_router"
-REPORTER, AGGREGATOR, RESTARTED = "router07", "aggregator00", "router06"
+FAKED_ROUTER, FAKED_AGGREGATOR, RESTARTED = "router07", "aggregator00", "router06"
 TICK_S, REPORT_TICKS = 0.1, 10
-PESTER_S, LYING_S = 0.05, 6.0
-LIE = 60_000 * MS  # a server's wait that none has
-HUGE = 0xFFFF  # the most that a report can claim
-WINDOW_S = 7.0  # before a snapshot, in which all that it rests on was observed
+ATTACK_INTERVAL_S, ATTACK_S = 0.05, 6.0
+FALSE_RESPONSE_TIME = 60_000 * MS  # ns, a response time that no server reports
+MAX_CLAIM = 0xFFFF  # the most requests that a report can claim
+WINDOW_S = 7.0  # before a snapshot; everything that it is based on was observed in this time
 SLOTS = 8192
-OLD, OTHER, FORGED, FORWARDED = range(8000, 8004)
-"""Slots that no key of the day has: by these it is seen which of its datagrams a false member moved."""
-NAMED = frozenset(range(8000, 8020))
-CLAIMED = range(8004, 8020)
-"""Slots that a lying aggregator claims to be all that is asked for."""
+TRUE_SLOT, OTHER_BOOT_ID_SLOT, FORGED_SLOT, FORWARDED_SLOT = range(8000, 8004)
+"""Slots without keys in the scenario, each used by one kind of datagram of a false reporter as a marker."""
+MARKER_SLOTS = frozenset(range(8000, 8020))
+CLAIMED_SLOTS = range(8004, 8020)
+"""Slots that a false aggregator claims to receive all requests."""
 Alter = Callable[[int, bytes], list[bytes]]
-Scene = Callable[["FalseStage"], Awaitable[None]]
+Steps = Callable[["AdversaryOrchestrator"], Awaitable[None]]
 
 
-class Speaker(asyncio.DatagramProtocol):
-    """One member, spoken for by the test from its own address: true until `alter` changes what it sends."""
+class FakedMember(asyncio.DatagramProtocol):
+    """A member that the test runs at the member's address; correct until `alter` changes what it sends."""
 
-    def __init__(self, number: int, among: Peers, zone: int, role: Role) -> None:
-        now, size = time.monotonic_ns(), len(among.each)
-        self.number, self.among = number, among
-        self.aggregators = [among.each.index(one) for one in among.aggregators]
+    def __init__(self, number: int, peers_config: Peers, zone: int, role: Role) -> None:
+        now, size = time.monotonic_ns(), len(peers_config.each)
+        self.number, self.peers_config = number, peers_config
+        self.aggregators = [peers_config.each.index(one) for one in peers_config.aggregators]
         self.membership = Membership(number, size, zone, number, now)
         self.load_view = LoadView(number, self.membership.boot_id)
         place = ExchangeConfig(number, size, self.aggregators, role, int(TICK_S * 1000) * MS)
         self.exchange = AggregatedExchange(place, self.membership, self.load_view, number, now)
         self.alter: Alter = lambda _to, data: [data]
         self.slots: dict[int, int] = {}
-        """What it observes in a second, by slot."""
+        """Requests that it reports to observe per second, by slot."""
         self.sent: list[tuple[int, bytes]] = []
         self.views: list[tuple[float, ViewPart]] = []
         self.boot_ids: dict[int, int] = {}
-        """Of other members, as their messages tell."""
-        self._numbers = {address: number for number, address in enumerate(among.each)}
+        """Other members' boot ids from their messages, by member number."""
+        self._numbers = {address: number for number, address in enumerate(peers_config.each)}
         self._transport: asyncio.DatagramTransport | None = None
 
-    async def speak(self) -> None:
-        """Say what a member says, until cancelled."""
+    async def run(self) -> None:
+        """Take part in membership and send load reports, until cancelled."""
         loop = asyncio.get_running_loop()
-        self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=self.among.listen)
+        self._transport, _ = await loop.create_datagram_endpoint(
+            lambda: self, local_addr=self.peers_config.listen
+        )
         try:
             for tick in range(1 << 30):
                 now = time.monotonic_ns()
@@ -111,482 +113,516 @@
         source, now = self._numbers[addr[0], addr[1]], time.monotonic_ns()
         with suppress(DecodeError):
             if merged_view.is_view(data):
-                self.views.append((time.monotonic(), merged_view.decode(data, len(self.among.each))))
+                self.views.append((time.monotonic(), merged_view.decode(data, len(self.peers_config.each))))
             if self.exchange.handles(data):
                 self._send_all(self.exchange.receive(data, source, now))
             else:
-                message = datagram.decode(data, len(self.among.each))
+                message = datagram.decode(data, len(self.peers_config.each))
                 self.boot_ids[message.sender] = message.boot_id
                 self._send_messages(self.membership.receive(message, now))
 
     def _send_messages(self, sends: list[Send]) -> None:
         for send in sends:
-            self.say(send.to, datagram.encode(send.message))
+            self.send(send.to, datagram.encode(send.message))
 
     def _send_all(self, out: list[Outgoing]) -> None:
         for one in out:
             for data in self.alter(one.to, one.data):
-                self.say(one.to, data)
+                self.send(one.to, data)
 
-    def say(self, to: int, data: bytes) -> None:
-        """Send a datagram as it is."""
+    def send(self, to: int, data: bytes) -> None:
+        """Send a datagram unchanged."""
         self.sent.append((to, data))
         if self._transport is not None and not self._transport.is_closing():
-            self._transport.sendto(data, self.among.each[to])
+            self._transport.sendto(data, self.peers_config.each[to])
 
 
-class FalseStage(Orchestrator):
-    """The process of one member, if any is named, has no peers, or is not started: the test speaks for it."""
+class AdversaryOrchestrator(Orchestrator):
+    """Runs the scenario with one member, if any is named, replaced by the test.
 
-    speaker: Speaker
+    The process of a replaced router has no peers; the process of a replaced aggregator is not started.
+    """
+
+    member: FakedMember
 
-    def __init__(self, day: Schedule, logs: Path, spoken: str | None) -> None:
-        super().__init__(day, WATCHING, ROOT, logs)
-        self._spoken = spoken
-        self.lied_from = self.lied_until = 0.0
-        self.scene_over = asyncio.Event()
-        """Until then the routers run on, however late the scene is."""
+    def __init__(self, schedule: Schedule, logs: Path, faked_name: str | None) -> None:
+        super().__init__(schedule, WATCHING, ROOT, logs)
+        self._faked_name = faked_name
+        self.attack_began = self.attack_ended = 0.0
+        self.steps_finished = asyncio.Event()
+        """The routers run until this is set, however late the steps are."""
 
     @property
-    def true(self) -> dict[str, RouterProcess]:
-        """Routers that speak for themselves."""
-        return {name: router for name, router in self.routers.items() if name != self._spoken}
+    def correct_routers(self) -> dict[str, RouterProcess]:
+        """All routers except a faked one."""
+        return {name: router for name, router in self.routers.items() if name != self._faked_name}
 
     async def _join_peers(self) -> None:
         await super()._join_peers()
-        if self._spoken is not None:
-            number = member_names(self.day.scenario).index(self._spoken)
-            role = Role.SET_ASIDE if self._spoken == AGGREGATOR else Role.ROUTER
+        if self._faked_name is not None:
+            number = member_names(self.day.scenario).index(self._faked_name)
+            role = Role.SET_ASIDE if self._faked_name == FAKED_AGGREGATOR else Role.ROUTER
             zone = number % len(self.day.scenario.fleet.zones)
-            self.speaker = Speaker(number, self.peers.pop(self._spoken), zone, role)
-            self.spawn(self.speaker.speak())
+            self.member = FakedMember(number, self.peers.pop(self._faked_name), zone, role)
+            self.spawn(self.member.run())
 
     async def start_aggregator(self, machine: RouterProcess) -> None:
-        if machine.name != self._spoken:
+        if machine.name != self._faked_name:
             await super().start_aggregator(machine)
 
     async def until_over(self, progress: Callable[[float], None] = lambda _at: None) -> None:
         await super().until_over(progress)
-        await self.scene_over.wait()
+        await self.steps_finished.wait()
 
-    async def until(self, second: float) -> None:
-        """Wait until this second of the day."""
+    async def wait_until(self, second: float) -> None:
+        """Wait until this second of the run."""
         await asyncio.sleep(max(self.begun + second - self.clock(), 0.0))
 
-    async def doors(self) -> Seen:
-        """Every true router's figures now."""
-        found = await asyncio.gather(*(figures(one.ops) for one in self.true.values()))
-        return dict(zip(self.true, found, strict=True))
+    async def router_metrics(self) -> MetricsByRouter:
+        """Return the current metrics of every correct router."""
+        found = await asyncio.gather(*(fetch_metrics(one.ops) for one in self.correct_routers.values()))
+        return dict(zip(self.correct_routers, found, strict=True))
 
-    async def soon(self, holds: Callable[[Seen], bool]) -> Seen:
-        """Every true router's figures, once they are like that; an error if they never are."""
-        seen: Seen = {}
+    async def wait_for_metrics(self, condition: Callable[[MetricsByRouter], bool]) -> MetricsByRouter:
+        """Return all correct routers' metrics once the condition holds; fail after LIMIT_S."""
+        seen: MetricsByRouter = {}
         for _ in range(int(LIMIT_S / 0.25)):
-            seen = await self.doors()
-            if holds(seen):
+            seen = await self.router_metrics()
+            if condition(seen):
                 return seen
             await asyncio.sleep(0.25)
         raise AssertionError(seen)
 
-    async def covered(self) -> Seen:
-        """Wait until every true router goes by views that rest on all routers, each counted once."""
-        seen = await self.soon(lambda seen: all(view(one, "reporters") >= ROUTERS for one in seen.values()))
-        assert all(view(one, "reporters") == ROUTERS for one in seen.values()), seen
+    async def wait_for_full_views(self) -> MetricsByRouter:
+        """Wait until every correct router uses views that cover all routers, each counted once."""
+        seen = await self.wait_for_metrics(
+            lambda seen: all(view_metric(one, "reporters") >= ROUTERS for one in seen.values())
+        )
+        assert all(view_metric(one, "reporters") == ROUTERS for one in seen.values()), seen
         return seen
 
-    async def lie(self, lies: Callable[[], Iterator[tuple[int, bytes]]]) -> list[Seen]:
-        """Say these lies every PESTER_S for LYING_S; returns figures read meanwhile."""
-        self.lied_from, seen = time.monotonic(), [await self.doors()]
-        reading = asyncio.ensure_future(self.doors())
-        while time.monotonic() - self.lied_from < LYING_S:
-            for to, data in lies():
-                self.speaker.say(to, data)
+    async def attack(
+        self, false_datagrams: Callable[[], Iterator[tuple[int, bytes]]]
+    ) -> list[MetricsByRouter]:
+        """Send these datagrams every ATTACK_INTERVAL_S for ATTACK_S; return the metrics read meanwhile."""
+        self.attack_began, seen = time.monotonic(), [await self.router_metrics()]
+        reading = asyncio.ensure_future(self.router_metrics())
+        while time.monotonic() - self.attack_began < ATTACK_S:
+            for to, data in false_datagrams():
+                self.member.send(to, data)
             if reading.done():
                 seen.append(reading.result())
-                reading = asyncio.ensure_future(self.doors())
-            await asyncio.sleep(PESTER_S)
+                reading = asyncio.ensure_future(self.router_metrics())
+            await asyncio.sleep(ATTACK_INTERVAL_S)
         seen.append(await reading)
-        self.lied_until = time.monotonic()
+        self.attack_ended = time.monotonic()
         return seen
 
 
-def play(scene: Scene, length: float, logs: Path, spoken: str | None) -> FalseStage:
-    """Play a day through which the scene goes; the rules hold, whatever the scene does."""
-    text = DAY.format(length=length) + "[peers]\nallowed = true\naggregators = 2\n"
-    stage = FalseStage(draw_schedule(read_scenario(text, "test"), 1), logs, spoken)
+def run_scenario(steps: Steps, length: float, logs: Path, faked_name: str | None) -> AdversaryOrchestrator:
+    """Run a scenario of `length` seconds beside the steps, and assert that no rule is broken."""
+    text = SCENARIO.format(length=length) + "[peers]\nallowed = true\naggregators = 2\n"
+    orchestrator = AdversaryOrchestrator(draw_schedule(read_scenario(text, "test"), 1), logs, faked_name)
 
     async def main() -> None:
-        playing = asyncio.ensure_future(stage.play())
-        while not stage.begun and not playing.done():
+        scenario_task = asyncio.ensure_future(orchestrator.play())
+        while not orchestrator.begun and not scenario_task.done():
             await asyncio.sleep(0.05)
-        acting = asyncio.ensure_future(scene(stage))
-        acting.add_done_callback(lambda _: stage.scene_over.set())
-        await asyncio.wait((playing, acting), return_when=asyncio.FIRST_COMPLETED)
-        await asyncio.wait_for(acting, LIMIT_S)
-        kept(make_report(await asyncio.wait_for(playing, 90.0)))
+        steps_task = asyncio.ensure_future(steps(orchestrator))
+        steps_task.add_done_callback(lambda _: orchestrator.steps_finished.set())
+        await asyncio.wait((scenario_task, steps_task), return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait_for(steps_task, LIMIT_S)
+        assert_rules_hold(make_report(await asyncio.wait_for(scenario_task, 90.0)))
 
     uvloop.run(main())
-    return stage
+    return orchestrator
 
 
-# What true routers wrote down
+# Logs of correct routers
 
 
 @dataclass(slots=True)
-class Written:
-    """One line of a router's log: what it observed, or what it goes by."""
+class LogRecord:
+    """One line of a router's log: its observations, or a load snapshot that it applied."""
 
     name: str
     at: float
-    told: dict[str, Any]
+    fields: dict[str, Any]
 
     @property
     def shares(self) -> dict[int, float]:
-        """Slots' shares that it goes by."""
-        return {int(slot): share for slot, share in self.told["shares"].items()}
+        """The snapshot's share of all requests by slot."""
+        return {int(slot): share for slot, share in self.fields["shares"].items()}
 
 
 @dataclass(slots=True)
 class Records:
-    """What all true routers observed, and what they went by."""
+    """The observations and the applied load snapshots of all correct routers."""
 
-    observed: list[Written] = field(default_factory=list)
-    snapshots: list[Written] = field(default_factory=list)
+    observed: list[LogRecord] = field(default_factory=list)
+    snapshots: list[LogRecord] = field(default_factory=list)
 
     @staticmethod
     def read(logs: Path) -> Records:
         found = Records()
         for path in logs.glob("router*.log"):
             for line in path.read_text().splitlines():
-                for mark, into in ((OBSERVED, found.observed), (SNAPSHOT, found.snapshots)):
-                    if line.startswith(mark):
-                        told = orjson.loads(line.removeprefix(mark))
-                        into.append(Written(path.stem, told.pop("at"), told))
+                for prefix, into in ((OBSERVED, found.observed), (SNAPSHOT, found.snapshots)):
+                    if line.startswith(prefix):
+                        fields = orjson.loads(line.removeprefix(prefix))
+                        into.append(LogRecord(path.stem, fields.pop("at"), fields))
         return found
 
-    def asked_slots(self) -> set[int]:
-        """All slots that any true router was asked for."""
-        return {int(slot) for one in self.observed for slot in one.told["slots"]}
+    def requested_slots(self) -> set[int]:
+        """Return all slots for which any correct router received requests."""
+        return {int(slot) for one in self.observed for slot in one.fields["slots"]}
 
-    def band(self, server: str, at: float) -> tuple[float, float] | None:
-        """The lowest and the highest wait that true routers were told by a server in the WINDOW_S before, ns.
+    def response_time_range(self, server: str, at: float) -> tuple[float, float] | None:
+        """Return the least and greatest response time, ns, of a server at correct routers in WINDOW_S.
 
-        None where in some second of it, from the first that a server told anything, no more than half of all
-        routers were told anything by this one: half of the reports that count at an aggregator may have been
-        forwarded, and of one true sample beside a false one the lower counts, whichever that is.
+        Returns None if, in some second of this time since any server's first report, at most half of all
+        routers received a response time of this server: half of the reports that count at an aggregator may
+        have been forwarded, and of one true and one false sample the lower counts, whichever it is.
         """
-        told = [
-            (one.at, one.name, one.told["waits"][server])
+        samples = [
+            (one.at, one.name, one.fields["waits"][server])
             for one in self.observed
-            if at - WINDOW_S <= one.at <= at and server in one.told["waits"]
+            if at - WINDOW_S <= one.at <= at and server in one.fields["waits"]
         ]
         seconds = defaultdict[int, set[str]](set)
-        for when, name, _ in told:
+        for when, name, _ in samples:
             seconds[int(at - when)].add(name)
-        begun = min(one.at for one in self.observed if one.told["waits"])
+        begun = min(one.at for one in self.observed if one.fields["waits"])
         if any(len(seconds[second]) <= ROUTERS / 2 for second in range(int(min(WINDOW_S, at - begun)))):
             return None
-        waits = [wait for _, _, wait in told]
+        waits = [wait for _, _, wait in samples]
         return min(waits), max(waits)
 
     def requests(self, at: float) -> float:
-        """The most that true routers' counts of requests, with decay, can come to in a view at that time: of
-        each its greatest count in the WINDOW_S before.
+        """Return the greatest sum of correct routers' decayed request counts in a view at that time.
+
+        Each router contributes its greatest count in the WINDOW_S before.
         """
-        counted = defaultdict[str, list[Written]](list)
+        counted = defaultdict[str, list[LogRecord]](list)
         for one in self.observed:
             if one.at <= at:
                 counted[one.name].append(one)
-        return sum(_greatest_count(told, at - WINDOW_S) for told in counted.values())
+        return sum(_greatest_count(lines, at - WINDOW_S) for lines in counted.values())
 
 
-def _greatest_count(told: list[Written], since: float) -> float:
-    total, before, greatest = 0.0, told[0].at, 0.0
-    for one in sorted(told, key=lambda one: one.at):
+def _greatest_count(lines: list[LogRecord], since: float) -> float:
+    total, before, greatest = 0.0, lines[0].at, 0.0
+    for one in sorted(lines, key=lambda one: one.at):
         total *= math.pow(0.5, (one.at - before) / COUNT_HALF_LIFE_S)
-        total += sum(one.told["slots"].values())
+        total += sum(one.fields["slots"].values())
         before = one.at
         if one.at >= since:
             greatest = max(greatest, total)
     return greatest
 
 
-def check_waits(records: Records, snapshots: list[Written]) -> None:
-    """Every server's wait that a true router goes by is within what true ones were told; not below it where
-    the server told this router itself lately, since without an own sample the lower of two views counts.
+def check_response_times(records: Records, snapshots: list[LogRecord]) -> None:
+    """Assert that response times in the snapshots lie within those that correct routers observed.
+
+    The lower bound applies only where the router has a recent sample of its own from the server: without one,
+    the lower of two views counts.
     """
-    judged = 0
+    checked = 0
     for one in snapshots:
-        for server, wait in one.told["waits"].items():
-            band = records.band(server, one.at)
-            if band is None:
+        for server, wait in one.fields["waits"].items():
+            allowed = records.response_time_range(server, one.at)
+            if allowed is None:
                 continue
-            assert wait <= band[1], (one.name, server, band, one)
-            if server not in one.told["own_waits"]:
+            assert wait <= allowed[1], (one.name, server, allowed, one)
+            if server not in one.fields["own_waits"]:
                 continue
-            judged += 1
-            # A report and a view tell whole milliseconds.
-            assert wait >= band[0] - MS, (one.name, server, band, one)
-    assert judged > ROUTERS, "hardly any wait was judged"
+            checked += 1
+            # Reports and views carry whole milliseconds.
+            assert wait >= allowed[0] - MS, (one.name, server, allowed, one)
+    assert checked > ROUTERS, "too few response times were checked"
 
 
-# A reporter
+# A false reporter
 
 
 class FalseReporter:
-    """Lies, replays, speaks under another incarnation, under others' numbers, and as if it aggregated."""
+    """Sends false, replayed and forged reports.
+
+    Forged reports carry another boot id or another router's number, or are forwarded like an aggregator's.
+    """
 
-    def __init__(self, speaker: Speaker, servers: list[str]) -> None:
-        self.speaker, self.random = speaker, random.Random(1)
+    def __init__(self, member: FakedMember, servers: list[str]) -> None:
+        self.member, self.random = member, random.Random(1)
         self.servers = [hash_server(name) for name in servers]
-        self.recorded = [data for _, data in speaker.sent if sequenced_report.is_sequenced_report(data)]
+        self.recorded = [data for _, data in member.sent if sequenced_report.is_sequenced_report(data)]
         self.claimed: list[int] = []
         self.named = self.servers[0]
-        size = len(speaker.among.each)
+        size = len(member.peers_config.each)
         self.sequence = max(sequenced_report.decode(data, size).sequence for data in self.recorded)
 
     def report(self, boot_id: int, slots: dict[int, int], sender: int | None = None) -> LoadReport:
-        """Every server is dead slow, or idle; one is named again and again."""
+        """Return a report of all servers as very slow or as idle, with one of them repeated."""
         named = [*self.servers, *[self.named] * (MAX_SAMPLES - len(self.servers))]
-        wait = LIE if self.sequence // 40 % 2 else 0
+        wait = FALSE_RESPONSE_TIME if self.sequence // 40 % 2 else 0
         samples = tuple(ServerSample(server, wait, 0) for server in named)
-        return LoadReport(self.speaker.number if sender is None else sender, boot_id, samples, HUGE, slots)
+        return LoadReport(
+            self.member.number if sender is None else sender, boot_id, samples, MAX_CLAIM, slots
+        )
 
-    def lies(self) -> Iterator[tuple[int, bytes]]:
-        """What it says to both aggregators at once."""
-        speaker, true_id = self.speaker, self.speaker.membership.boot_id
+    def false_datagrams(self) -> Iterator[tuple[int, bytes]]:
+        """Return one round of datagrams, the same to both aggregators."""
+        member, true_id = self.member, self.member.membership.boot_id
         self.sequence += 1
-        if self.sequence % 60 == 0 or not self.claimed:  # every slot in turn, each for as long as views take
-            self.claimed = self.random.sample(range(min(NAMED)), MAX_SLOTS)
+        if self.sequence % 60 == 0 or not self.claimed:  # other slots every 60 rounds, as long as views take
+            self.claimed = self.random.sample(range(min(MARKER_SLOTS)), MAX_SLOTS)
             self.named = self.random.choice(self.servers)
-        said = [
+        datagrams = [
             sequenced_report.encode(
-                SequencedReport(self.sequence, self.report(true_id, dict.fromkeys(self.claimed, HUGE)))
+                SequencedReport(self.sequence, self.report(true_id, dict.fromkeys(self.claimed, MAX_CLAIM)))
             )
         ]
-        said += self.random.choices(self.recorded, k=4) * 2
+        datagrams += self.random.choices(self.recorded, k=4) * 2
         newest = (1 << 20) + self.sequence
-        other = self.report(self.random.choice((true_id ^ 1, true_id ^ 2)), {OTHER: HUGE})
-        said.append(sequenced_report.encode(SequencedReport(newest, other)))
+        other = self.report(self.random.choice((true_id ^ 1, true_id ^ 2)), {OTHER_BOOT_ID_SLOT: MAX_CLAIM})
+        datagrams.append(sequenced_report.encode(SequencedReport(newest, other)))
         victim = self.random.randrange(ROUTERS - 1)
-        if victim in speaker.boot_ids:
-            boot_id = speaker.boot_ids[victim]
-            forged = self.report(boot_id, {FORGED: HUGE}, victim)
-            said.append(sequenced_report.encode(SequencedReport(newest, forged)))
+        if victim in member.boot_ids:
+            boot_id = member.boot_ids[victim]
+            forged = self.report(boot_id, {FORGED_SLOT: MAX_CLAIM}, victim)
+            datagrams.append(sequenced_report.encode(SequencedReport(newest, forged)))
             claims = sequenced_report.encode(
-                SequencedReport(newest, self.report(boot_id, {FORWARDED: HUGE}, victim))
+                SequencedReport(newest, self.report(boot_id, {FORWARDED_SLOT: MAX_CLAIM}, victim))
             )
-            said.append(sequenced_report.forward(claims, speaker.number))
-            said.append(sequenced_report.forward(claims, speaker.aggregators[0]))
-        for to in speaker.aggregators:
-            yield from ((to, data) for data in said)
+            datagrams.append(sequenced_report.forward(claims, member.number))
+            datagrams.append(sequenced_report.forward(claims, member.aggregators[0]))
+        for to in member.aggregators:
+            yield from ((to, data) for data in datagrams)
 
 
-def test_a_reporter_that_lies_replays_and_takes_other_names_counts_once_and_within_its_bounds(
+def test_a_reporter_with_false_replayed_and_forged_reports_counts_once_and_within_bounds(
     tmp_path: Path,
 ) -> None:
-    """The bounds: "one rank among the samples of all", and of requests and slots "8 times the median
-    reporter's, and 0.3 of all": with eight reporters the last is the narrower.
+    """A false reporter's samples count as one rank of all samples.
+
+    Its requests and slots count for at most 8 times the median reporter's, and for at most 0.3 of all; with
+    eight reporters the latter bound is the narrower.
     """
-    seen: list[Seen] = []
+    seen: list[MetricsByRouter] = []
     dropped: list[dict[str, float]] = []
 
-    async def scene(stage: FalseStage) -> None:
-        speaker = stage.speaker
-        speaker.slots = {OLD: 15}
-        await stage.covered()
-        await stage.until(2.5)
-        false = FalseReporter(speaker, node_names(stage.day.scenario.fleet))
+    async def steps(orchestrator: AdversaryOrchestrator) -> None:
+        member = orchestrator.member
+        member.slots = {TRUE_SLOT: 15}
+        await orchestrator.wait_for_full_views()
+        await orchestrator.wait_until(2.5)
+        false = FalseReporter(member, node_names(orchestrator.day.scenario.fleet))
         assert len(false.recorded) >= 3
-        speaker.alter = lambda _to, data: [] if sequenced_report.is_sequenced_report(data) else [data]
-        speaker.views.clear()
-        seen.extend(await stage.lie(false.lies))
-        seen.append(await stage.covered())
-        dropped.extend([await figures(one.ops) for one in stage.aggregators.values()])
+        member.alter = lambda _to, data: [] if sequenced_report.is_sequenced_report(data) else [data]
+        member.views.clear()
+        seen.extend(await orchestrator.attack(false.false_datagrams))
+        seen.append(await orchestrator.wait_for_full_views())
+        dropped.extend([await fetch_metrics(one.ops) for one in orchestrator.aggregators.values()])
 
-    stage = play(scene, 8.5, tmp_path, REPORTER)
+    orchestrator = run_scenario(steps, 8.5, tmp_path, FAKED_ROUTER)
     for found in (found for one in seen for found in one.values()):
-        assert view(found, "reporters") <= ROUTERS, found
-        assert view(found, "fallbacks") == 0, found
+        assert view_metric(found, "reporters") <= ROUTERS, found
+        assert view_metric(found, "fallbacks") == 0, found
     records = Records.read(tmp_path)
-    lied = [one for one in records.snapshots if stage.lied_from <= one.at <= stage.lied_until]
-    check_waits(records, lied)
-    unasked = set(range(SLOTS)) - records.asked_slots()
-    for at, one in stage.speaker.views:
+    under_attack = [
+        one for one in records.snapshots if orchestrator.attack_began <= one.at <= orchestrator.attack_ended
+    ]
+    check_response_times(records, under_attack)
+    unrequested = set(range(SLOTS)) - records.requested_slots()
+    for at, one in orchestrator.member.views:
         assert one.reporters <= ROUTERS, one
         assert one.requests <= most_requests(records, at), one
-        check_shares(one.slot_shares, unasked, MAX_ROUTER_SHARE)
-    for written in lied:
-        assert written.told["requests"] <= most_requests(records, written.at), written
-        check_shares(written.shares, unasked, MAX_ROUTER_SHARE)
+        check_shares(one.slot_shares, unrequested, MAX_ROUTER_SHARE)
+    for record in under_attack:
+        assert record.fields["requests"] <= most_requests(records, record.at), record
+        check_shares(record.shares, unrequested, MAX_ROUTER_SHARE)
     claimed = [
-        one.slot_shares[slot] for _, one in stage.speaker.views for slot in unasked & set(one.slot_shares)
+        one.slot_shares[slot]
+        for _, one in orchestrator.member.views
+        for slot in unrequested & set(one.slot_shares)
     ]
-    assert max(claimed) > 0.1, "none of its claims counted"
-    check_marks([one for _, one in stage.speaker.views])
+    assert max(claimed) > 0.1, "no view contains any of its claims"
+    check_markers([one for _, one in orchestrator.member.views])
     for found in dropped:
         for why in ("forged", "replayed", "unexpected"):
             assert found.get(f'lb_peers_dropped{{why="{why}"}}', 0) > 20, (why, found)
 
 
 def most_requests(records: Records, at: float) -> float:
-    """All requests, of which a false reporter's are MAX_ROUTER_SHARE; reports tell whole ones."""
+    """Return the most requests in a view, MAX_ROUTER_SHARE of them false; reports carry whole requests."""
     return (records.requests(at) + ROUTERS) / (1.0 - MAX_ROUTER_SHARE)
 
 
-def check_shares(shares: Mapping[int, float], unasked: set[int], bound: float) -> None:
-    """No slot that no true router was asked for has more of all requests."""
-    assert all(share <= bound + SHARE_STEP for slot, share in shares.items() if slot in unasked), shares
+def check_shares(shares: Mapping[int, float], unrequested: set[int], bound: float) -> None:
+    """Assert that no slot without requests at correct routers has a greater share than the bound."""
+    assert all(share <= bound + SHARE_STEP for slot, share in shares.items() if slot in unrequested), shares
+
 
+def check_markers(views: list[ViewPart]) -> None:
+    """Assert that the slot of its true reports disappears from views once its false reports arrive.
 
-def check_marks(views: list[ViewPart]) -> None:
-    """What it reported truly is in no view any more, once its lies are; and what it sent under another
-    incarnation, another's number or as an aggregator never is.
+    No view ever contains the slots that it sent with another boot id, with another router's number or as an
+    aggregator.
     """
-    marks = defaultdict[tuple[int, int], set[int]](set)
+    markers = defaultdict[tuple[int, int], set[int]](set)
     for one in views:
-        marks[one.aggregator, one.sequence] |= NAMED & set(one.slot_shares)
-    for aggregator in {aggregator for aggregator, _ in marks}:
-        found = [marks[key] for key in sorted(marks) if key[0] == aggregator]
-        lies_from = next(place for place, one in enumerate(found) if not one)
-        assert not any(found[lies_from:]), found
-        assert not any(one - {OLD} for one in found), found
-    assert len({aggregator for aggregator, _ in marks}) == 2
+        markers[one.aggregator, one.sequence] |= MARKER_SLOTS & set(one.slot_shares)
+    for aggregator in {aggregator for aggregator, _ in markers}:
+        found = [markers[key] for key in sorted(markers) if key[0] == aggregator]
+        attack_seen_from = next(place for place, one in enumerate(found) if not one)
+        assert not any(found[attack_seen_from:]), found
+        assert not any(one - {TRUE_SLOT} for one in found), found
+    assert len({aggregator for aggregator, _ in markers}) == 2
 
 
-# An aggregator
+# A false aggregator
 
 
 class FalseAggregator:
-    """Answers with false views, forwards what nobody reported, and replays what it said when it was true."""
+    """Answers with false views, forwards forged reports, and replays views from before the attack."""
 
-    def __init__(self, speaker: Speaker, servers: list[str]) -> None:
-        self.speaker, self.random, self.count = speaker, random.Random(1), 0
+    def __init__(self, member: FakedMember, servers: list[str]) -> None:
+        self.member, self.random, self.count = member, random.Random(1), 0
         self.servers = [hash_server(name) for name in servers]
-        self.recorded = [(to, data) for to, data in speaker.sent if merged_view.is_view(data)]
-        self.size = len(speaker.among.each)
-        (self.other,) = set(speaker.aggregators) - {speaker.number}
+        self.recorded = [(to, data) for to, data in member.sent if merged_view.is_view(data)]
+        self.size = len(member.peers_config.each)
+        (self.other,) = set(member.aggregators) - {member.number}
 
     @property
     def full(self) -> bool:
-        """Whether it now claims that every server is dead slow, and that there are requests without end; else
-        that there is nothing to do.
-        """
+        """Whether it currently claims that all servers are very slow and requests abound, or the opposite."""
         return self.count // 40 % 2 == 0
 
     def false_view(self, changes: dict[str, Any]) -> bytes:
-        """A view of every server at one extreme, and of slots that nobody asked for alone."""
-        waits = tuple(ServerSample(server, LIE if self.full else 0, 0) for server in self.servers)
-        reporters = HUGE if self.count // 80 % 2 else ROUTERS
-        told: dict[str, Any] = {
-            "aggregator": self.speaker.number,
-            "boot_id": self.speaker.membership.boot_id,
+        """Return a view with all servers at one extreme, and with requests for unrequested slots only."""
+        waits = tuple(
+            ServerSample(server, FALSE_RESPONSE_TIME if self.full else 0, 0) for server in self.servers
+        )
+        reporters = MAX_CLAIM if self.count // 80 % 2 else ROUTERS
+        fields: dict[str, Any] = {
+            "aggregator": self.member.number,
+            "boot_id": self.member.membership.boot_id,
             "sequence": (1 << 20) + self.count,
             "reporters": reporters,
             "requests": (1 << 32) - 1 if self.full else 0,
             **changes,
         }
-        part = ViewPart(age=0, part=0, parts=1, waits=waits, slot_shares=dict.fromkeys(CLAIMED, 1.0), **told)
+        part = ViewPart(
+            age=0, part=0, parts=1, waits=waits, slot_shares=dict.fromkeys(CLAIMED_SLOTS, 1.0), **fields
+        )
         return merged_view.finish(merged_view.encode_body(part), 0)
 
     def false_report(self, reporter: int) -> bytes:
-        """What it forwards as the newest report of a router."""
-        samples = tuple(ServerSample(server, LIE if self.full else 0, 0) for server in self.servers)
-        asked = HUGE if self.full else 0
-        boot_id = self.speaker.boot_ids[reporter]
-        report = LoadReport(reporter, boot_id, samples, asked, dict.fromkeys(CLAIMED, asked))
-        said = sequenced_report.encode(SequencedReport((1 << 20) + self.count, report))
-        return sequenced_report.forward(said, self.speaker.number)
+        """Return a forged report that it forwards as the newest of a router."""
+        samples = tuple(
+            ServerSample(server, FALSE_RESPONSE_TIME if self.full else 0, 0) for server in self.servers
+        )
+        asked = MAX_CLAIM if self.full else 0
+        boot_id = self.member.boot_ids[reporter]
+        report = LoadReport(reporter, boot_id, samples, asked, dict.fromkeys(CLAIMED_SLOTS, asked))
+        encoded = sequenced_report.encode(SequencedReport((1 << 20) + self.count, report))
+        return sequenced_report.forward(encoded, self.member.number)
 
     def alter(self, _to: int, data: bytes) -> list[bytes]:
-        """What it makes of a true answer, and of what it should forward."""
+        """Replace views that it sends by false ones, and drop reports that it should forward."""
         if merged_view.is_view(data):
             return [self.false_view({})]
         return [] if sequenced_report.is_forwarded_report(data) else [data]
 
-    def lies(self) -> Iterator[tuple[int, bytes]]:
-        """What it says unasked."""
+    def false_datagrams(self) -> Iterator[tuple[int, bytes]]:
+        """Return one round of datagrams that answer no request."""
         self.count += 1
         for to, data in self.random.sample(self.recorded, 2):
             yield from ((to, data), (to, data))
         to = self.random.randrange(ROUTERS)
-        boot_id = self.speaker.membership.boot_id ^ 1
+        boot_id = self.member.membership.boot_id ^ 1
         yield to, self.false_view({"boot_id": boot_id})
         yield to, self.false_view({})
-        if self.other in self.speaker.boot_ids:
+        if self.other in self.member.boot_ids:
             yield (
                 to,
-                self.false_view({"aggregator": self.other, "boot_id": self.speaker.boot_ids[self.other]}),
+                self.false_view({"aggregator": self.other, "boot_id": self.member.boot_ids[self.other]}),
             )
         for reporter in range(ROUTERS):
-            if reporter in self.speaker.boot_ids:
+            if reporter in self.member.boot_ids:
                 yield self.other, self.false_report(reporter)
 
 
-def test_a_lying_aggregator_beside_a_true_one_moves_no_router_beyond_its_bounds(tmp_path: Path) -> None:
-    """The bounds: "a wait moves to the other of honest view and own sample at most; no slot becomes hot, none
-    that is hot here is hidden; requests in all stay between honest view and own estimate". The honest view is
-    moved by what is forwarded to it "within the rest's quartiles", and a slot's share to 0.005.
+def test_a_false_aggregator_beside_a_correct_one_moves_no_router_beyond_the_bounds(tmp_path: Path) -> None:
+    """A response time moves at most to the other of the correct view's value and the router's own sample.
+
+    No slot becomes hot, and no slot that is hot at this router is hidden; the total of requests stays between
+    the correct view's and the router's own estimate. Forwarded reports move the correct view within the
+    quartiles of the other reports, and raise a slot's share to at most 0.005.
     """
-    seen: list[Seen] = []
+    seen: list[MetricsByRouter] = []
 
-    async def scene(stage: FalseStage) -> None:
-        speaker = stage.speaker
-        await stage.covered()
-        await stage.until(2.5)
-        false = FalseAggregator(speaker, node_names(stage.day.scenario.fleet))
+    async def steps(orchestrator: AdversaryOrchestrator) -> None:
+        member = orchestrator.member
+        await orchestrator.wait_for_full_views()
+        await orchestrator.wait_until(2.5)
+        false = FalseAggregator(member, node_names(orchestrator.day.scenario.fleet))
         assert len(false.recorded) >= ROUTERS
-        speaker.alter = false.alter
-        seen.extend(await stage.lie(false.lies))
+        member.alter = false.alter
+        seen.extend(await orchestrator.attack(false.false_datagrams))
 
-    stage = play(scene, 8.5, tmp_path, AGGREGATOR)
-    other = stage.speaker.aggregators[1]
+    orchestrator = run_scenario(steps, 8.5, tmp_path, FAKED_AGGREGATOR)
+    other = orchestrator.member.aggregators[1]
     records = Records.read(tmp_path)
-    lied = [one for one in records.snapshots if stage.lied_from <= one.at <= stage.lied_until]
-    judged = [one for one in lied if other in one.told["fresh"]]
-    unasked = set(range(SLOTS)) - records.asked_slots()
-    assert len(judged) > len(lied) / 2, "hardly any router had the true one's view"
-    check_waits(records, judged)
-    for written in judged:
-        told, true = written.told, records.requests(written.at)
-        # The lying one's part of the reports counts for at most twice the others' mean reporter each.
-        own = told["own_requests"] * len(stage.peers["router00"].each)
-        assert told["requests"] <= max(MAX_MEAN_RATIO * (true + ROUTERS), own), (written, true)
-        check_shares(written.shares, unasked, MIN_SLOT_SHARE)
-        for slot, count in told["own_slots"].items():
-            assert written.shares[int(slot)] >= count / told["requests"] * 0.999, (slot, written)
+    under_attack = [
+        one for one in records.snapshots if orchestrator.attack_began <= one.at <= orchestrator.attack_ended
+    ]
+    checked = [one for one in under_attack if other in one.fields["fresh"]]
+    unrequested = set(range(SLOTS)) - records.requested_slots()
+    assert len(checked) > len(under_attack) / 2, "too few snapshots use the correct aggregator's view"
+    check_response_times(records, checked)
+    for record in checked:
+        fields, true_requests = record.fields, records.requests(record.at)
+        # Each report that the false aggregator forwarded counts for at most twice the others' mean.
+        own = fields["own_requests"] * len(orchestrator.peers["router00"].each)
+        assert fields["requests"] <= max(MAX_MEAN_RATIO * (true_requests + ROUTERS), own), (
+            record,
+            true_requests,
+        )
+        check_shares(record.shares, unrequested, MIN_SLOT_SHARE)
+        for slot, count in fields["own_slots"].items():
+            assert record.shares[int(slot)] >= count / fields["requests"] * 0.999, (slot, record)
     for found in (found for one in seen for found in one.values()):
-        assert view(found, "reporters") <= len(stage.peers["router00"].each), found
-        assert view(found, "fallbacks") == 0, found
-    assert not any(changes(tmp_path).values())
+        assert view_metric(found, "reporters") <= len(orchestrator.peers["router00"].each), found
+        assert view_metric(found, "fallbacks") == 0, found
+    assert not any(fallback_changes(tmp_path).values())
     for found in seen[-1].values():
         assert found.get('lb_peers_dropped{why="forged"}', 0) > 5, found
         assert found.get('lb_peers_dropped{why="replayed"}', 0) > 20, found
 
 
-# A router that is killed, and starts again
+# A router that is killed and restarted
 
 
-def test_a_router_killed_and_started_again_is_counted_again_and_nothing_twice(tmp_path: Path) -> None:
-    """Its new process has another boot_id, and its sequence numbers begin again."""
-    seen: list[Seen] = []
+def test_a_router_killed_and_restarted_is_counted_again_and_nothing_twice(tmp_path: Path) -> None:
+    """The new process has another boot id and restarts its sequence numbers."""
+    seen: list[MetricsByRouter] = []
 
-    async def scene(stage: FalseStage) -> None:
-        await stage.covered()
-        await stage.carry_out(ScheduledFault(0.0, "restart", RESTARTED, {"signal": "KILL"}))
+    async def steps(orchestrator: AdversaryOrchestrator) -> None:
+        await orchestrator.wait_for_full_views()
+        await orchestrator.carry_out(ScheduledFault(0.0, "restart", RESTARTED, {"signal": "KILL"}))
         again = time.monotonic()
-        # What its first process reported counts for 3 s, and a view for as long.
+        # Reports of its first process count for 3 s, and a view is used for as long.
         while time.monotonic() < again + 2 * REPORT_MAX_AGE / NS_PER_S:
-            seen.append(await stage.doors())
-            await asyncio.sleep(PESTER_S)
-        seen.append(await stage.covered())
+            seen.append(await orchestrator.router_metrics())
+            await asyncio.sleep(ATTACK_INTERVAL_S)
+        seen.append(await orchestrator.wait_for_full_views())
 
-    stage = play(scene, 8.5, tmp_path, None)
-    assert stage.routers[RESTARTED].starts == 2
+    orchestrator = run_scenario(steps, 8.5, tmp_path, None)
+    assert orchestrator.routers[RESTARTED].starts == 2
     assert len(seen) > 10
     for found in (found for one in seen for found in one.values()):
-        assert view(found, "reporters") <= ROUTERS, found
-        assert view(found, "fallbacks") == 0, found
-        # 120 requests a second, counted over some 3.6 s: not twice that.
+        assert view_metric(found, "reporters") <= ROUTERS, found
+        assert view_metric(found, "fallbacks") == 0, found
+        # 120 requests a second, counted over about 3.6 s, which is 432; counted twice they exceed 600.
         assert found['lb_picture{of="requests"}'] < 600, found
-    assert not any(changes(tmp_path).values())
+    assert not any(fallback_changes(tmp_path).values())
--- a/tests/processes/test_odd_peers.py
+++ b/tests/processes/test_odd_peers.py
@@ -1,4 +1,7 @@
-"""Eight routers, each a process, three of them odd: one lies, one has another name, one another list."""
+"""Eight router processes, three of them faulty members.
+
+One sends false reports, one uses another member's number, one has another member list.
+"""
 
 from __future__ import annotations
 
@@ -19,104 +22,117 @@
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
 from holdgw.peers.load_encoding import ServerSample
 from holdgw.peers.load_report import MAX_SERVERS, MAX_SLOTS, LoadReport, hash_server
-from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
-from tests.processes.test_peers import figures
+from tests.processes.test_faults import ROOT, ROUTER, SCENARIO, assert_rules_hold
+from tests.processes.test_peers import fetch_metrics
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("processes, peers")]
 
-LIAR, TWIN, ASTRAY = "router07", "router06", "router05"
-TRUE = [f"router0{i}" for i in range(5)]
-ACCUSES_S, READ_S, LENGTH_S = 4.0, 11.0, 12.5
+FALSE_REPORTER, IMPERSONATOR, MISCONFIGURED = "router07", "router06", "router05"
+CORRECT = [f"router0{i}" for i in range(5)]
+ACCUSATIONS_END_S, METRICS_READ_S, LENGTH_S = 4.0, 11.0, 12.5
+
 
+class FaultyMemberOrchestrator(Orchestrator):
+    """Starts the routers with three faulty members.
 
-class OddStage(Orchestrator):
-    """The liar's own process has no peers: the test speaks from its address."""
+    The process of FALSE_REPORTER runs without peers; the test sends from its address instead.
+    """
 
-    among: Peers
+    peers_config: Peers
 
     async def _join_peers(self) -> None:
         await super()._join_peers()
-        self.among = self.peers.pop(LIAR)
-        astray = self.peers[ASTRAY]
-        self.peers[ASTRAY] = replace(astray, each=(*astray.each[1:], astray.each[0]))
+        self.peers_config = self.peers.pop(FALSE_REPORTER)
+        misconfigured = self.peers[MISCONFIGURED]
+        self.peers[MISCONFIGURED] = replace(
+            misconfigured, each=(*misconfigured.each[1:], misconfigured.each[0])
+        )
 
     async def _configure(self, router: Any) -> None:
-        if router.name == TWIN:
+        if router.name == IMPERSONATOR:
             write = router.configure
-            router.configure = lambda told: write(told | {"settings": told["settings"] | {"me": 4}})
+            router.configure = lambda settings: write(
+                settings | {"settings": settings["settings"] | {"me": 4}}
+            )
         await super()._configure(router)
 
 
-class Liar(asyncio.DatagramProtocol):
-    """Says every 20 ms what is false, or noise, or what it heard; and counts what it was told."""
+class FalseReporter(asyncio.DatagramProtocol):
+    """Sends false reports, random bytes and replayed datagrams every 20 ms, and keeps received datagrams."""
 
-    def __init__(self, among: Peers) -> None:
-        self.among, self.random = among, random.Random(1)
-        self.heard: list[bytes] = []
-        self.said = 0
+    def __init__(self, peers_config: Peers) -> None:
+        self.peers_config, self.random = peers_config, random.Random(1)
+        self.received: list[bytes] = []
+        self.sent = 0
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.heard = [*self.heard[-99:], data]
+        self.received = [*self.received[-99:], data]
 
-    def lies(self, accuses: bool) -> list[bytes]:
+    def false_datagrams(self, with_accusations: bool) -> list[bytes]:
         full = tuple(
-            ServerSample(hash_server(name), 60_000_000_000, 0) for name in node_names(DRAWN.scenario.fleet)
+            ServerSample(hash_server(name), 60_000_000_000, 0) for name in node_names(SCHEDULE.scenario.fleet)
         )
         slots = dict.fromkeys(self.random.sample(range(8192), MAX_SLOTS), 60_000)
         found = [
             load_report.encode(LoadReport(7, 1, full[:MAX_SERVERS], 60_000, slots)),
             self.random.randbytes(self.random.randrange(1, 257)),
-            *self.random.sample(self.heard, min(2, len(self.heard))),
+            *self.random.sample(self.received, min(2, len(self.received))),
         ]
-        if accuses:
+        if with_accusations:
             dead = tuple(MemberUpdate(number, MemberState.GONE, 3, 0) for number in range(5))
             found.append(datagram.encode(Message(MessageKind.UPDATES, 7, 1, 9, 0, 1, 0, dead)))
         return found
 
-    async def lie(self, transport: asyncio.DatagramTransport, begun: float, clock: Any) -> None:
+    async def send_repeatedly(self, transport: asyncio.DatagramTransport, begun: float, clock: Any) -> None:
         while True:
-            for data in self.lies(clock() - begun < ACCUSES_S):
-                transport.sendto(data, self.among.each[self.random.randrange(5)])
-                self.said += 1
+            for data in self.false_datagrams(clock() - begun < ACCUSATIONS_END_S):
+                transport.sendto(data, self.peers_config.each[self.random.randrange(5)])
+                self.sent += 1
             await asyncio.sleep(0.02)
 
 
-DRAWN = draw_schedule(read_scenario(DAY.format(length=LENGTH_S) + "[peers]\nallowed = true\n", "test"), 1)
+SCHEDULE = draw_schedule(
+    read_scenario(SCENARIO.format(length=LENGTH_S) + "[peers]\nallowed = true\n", "test"), 1
+)
 
 
-def test_one_that_lies_one_under_anothers_name_and_one_with_another_list_harm_nobody() -> None:
-    """Read at every true router's door amid the lies about load, once those about routers have ended."""
+def test_false_reports_a_wrong_member_number_and_a_wrong_member_list_harm_no_router() -> None:
+    """The correct routers' metrics are read amid false load reports, after the false member updates end."""
     seen: dict[str, dict[str, float]] = {}
 
-    async def scene() -> None:
-        late = asyncio.Event()
-        stage = OddStage(DRAWN, ROUTER, ROOT)
-        playing = asyncio.create_task(stage.play(lambda _, at: late.set() if at > READ_S else None))
-        while not stage.begun:
+    async def run() -> None:
+        read_time_reached = asyncio.Event()
+        orchestrator = FaultyMemberOrchestrator(SCHEDULE, ROUTER, ROOT)
+        running = asyncio.create_task(
+            orchestrator.play(lambda _, at: read_time_reached.set() if at > METRICS_READ_S else None)
+        )
+        while not orchestrator.begun:
             await asyncio.sleep(0.05)
         loop = asyncio.get_running_loop()
-        transport, liar = await loop.create_datagram_endpoint(
-            lambda: Liar(stage.among), local_addr=stage.among.listen
+        transport, reporter = await loop.create_datagram_endpoint(
+            lambda: FalseReporter(orchestrator.peers_config), local_addr=orchestrator.peers_config.listen
+        )
+        sending = asyncio.create_task(
+            reporter.send_repeatedly(transport, orchestrator.begun, orchestrator.clock)
         )
-        lying = asyncio.create_task(liar.lie(transport, stage.begun, stage.clock))
-        await asyncio.wait_for(late.wait(), 60.0)
-        for name in TRUE:
-            seen[name] = await asyncio.wait_for(figures(stage.routers[name].ops), 20.0)
-        lying.cancel()
+        await asyncio.wait_for(read_time_reached.wait(), 60.0)
+        for name in CORRECT:
+            seen[name] = await asyncio.wait_for(fetch_metrics(orchestrator.routers[name].ops), 20.0)
+        sending.cancel()
         transport.close()
-        assert liar.said > 1000
-        assert liar.heard, "nobody spoke to it: its lies did not come either"
-        played = await asyncio.wait_for(playing, 90.0)
-        kept(make_report(played))
-        assert all(life.code == 0 for life in played.history.lives)
+        assert reporter.sent > 1000
+        assert reporter.received, "it received no datagram, so its own may not have arrived either"
+        result = await asyncio.wait_for(running, 90.0)
+        assert_rules_hold(make_report(result))
+        assert all(life.code == 0 for life in result.history.lives)
 
-    uvloop.run(scene())
+    uvloop.run(run())
     for name, found in seen.items():
-        # The true ones hold one another for alive: each contradicts what was said of it. The twin's and the
-        # astray one's words are not taken for anybody's.
+        # The correct routers regard one another as alive, since each refutes the updates that call it gone.
+        # Datagrams of the impersonator and of the misconfigured member are accepted in no member's name.
         assert found['lb_peers{state="alive"}'] >= 5, (name, found)
         assert found['lb_peers_dropped{why="forged"}'] > 10, (name, found)
         assert sum(found.get(f'lb_peers_dropped{{why="{why}"}}', 0) for why in ("version", "checksum")) > 10
-        # One that claims 60,000 requests counts for three tenths of all; a server's wait is the median.
+        # A member that claims 60,000 requests counts for 0.3 of all; a server's response time is the median.
         assert 50 < found['lb_picture{of="requests"}'] < 1500, (name, found)
         assert found['lb_picture{of="servers"}'] == 9
--- a/tests/processes/test_peers.py
+++ b/tests/processes/test_peers.py
@@ -1,4 +1,4 @@
-"""Eight routers that know one another, each a process: one lost, three frozen, two parted, one restarted."""
+"""Eight router processes in one membership: one lost, three frozen, two partitioned, one restarted."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from holdgw.harness.scenario import read_scenario
 from holdgw.harness.schedule_drawing import draw_schedule
 from tests.helpers import trouble
-from tests.processes.test_faults import DAY, ROOT, ROUTER, kept
+from tests.processes.test_faults import ROOT, ROUTER, SCENARIO, assert_rules_hold
 
 pytestmark = [pytest.mark.processes, pytest.mark.xdist_group("processes, peers")]
 
-TROUBLES = (
+FAULTS = (
     "[peers]\nallowed = true\nloss = 0.05\nduplicates = 0.05\nreordered = 0.2\n"
     + trouble("machine_loss", 0.3, routers=["router07"])
     + trouble("partition", 0.3, seconds=30, nodes=0, routers=["router00"], peers=["router01"])
@@ -28,37 +28,43 @@
 RESTARTED = "router06"
 
 
-def test_a_lost_router_is_gone_for_all_and_nobody_else_is(tmp_path: Path) -> None:
-    scenario = read_scenario(DAY.format(length=11.0) + TROUBLES, "test")
-    day = draw_schedule(scenario, 1)
+def test_a_lost_router_is_gone_for_all_and_no_other_router_is(tmp_path: Path) -> None:
+    scenario = read_scenario(SCENARIO.format(length=11.0) + FAULTS, "test")
+    schedule = draw_schedule(scenario, 1)
 
-    async def scene() -> None:
-        played = await asyncio.wait_for(play(day, ROUTER, ROOT, keep_logs=tmp_path), 90.0)
-        kept(make_report(played))
+    async def run() -> None:
+        result = await asyncio.wait_for(play(schedule, ROUTER, ROOT, keep_logs=tmp_path), 90.0)
+        assert_rules_hold(make_report(result))
 
-    uvloop.run(scene())
-    said = {
+    uvloop.run(run())
+    logged = {
         path.stem: re.findall(r"peers: member changed router=(\d+) state=(\w+)", path.read_text())
         for path in tmp_path.glob("router*.log")
     }
-    assert len(said) == 8
-    for name, words in said.items():
+    assert len(logged) == 8
+    for name, changes in logged.items():
         if name in ("router07", RESTARTED):
             continue
-        assert ("7", "gone") in words, (name, words)
-        assert ("6", "left") in words, (name, words)
-        assert ("6", "alive") in words, (name, words)  # without a clock or a disk
-    assert not [word for words in said.values() for word in words if word[1] == "gone" and word[0] != "7"]
-
-
-ALONE = (
+        assert ("7", "gone") in changes, (name, changes)
+        assert ("6", "left") in changes, (name, changes)
+        assert ("6", "alive") in changes, (name, changes)  # its restart needs neither a clock nor a disk
+    assert not [
+        change
+        for changes in logged.values()
+        for change in changes
+        if change[1] == "gone" and change[0] != "7"
+    ]
+
+
+ISOLATION = (
     "[peers]\nallowed = true\n"
     + trouble("partition", 0.1, seconds=30, nodes=0, routers=["router00"], peers=7)
     + trouble("freeze", 1.0, seconds=1.0, routers=["router05"])
 )
 
 
-async def figures(address: tuple[str, int]) -> dict[str, float]:
+async def fetch_metrics(address: tuple[str, int]) -> dict[str, float]:
+    """Return the `lb_` metrics that the admin endpoint at an address serves, by name with labels."""
     reader, writer = await asyncio.open_connection(*address)
     writer.write(b"GET /status/metrics HTTP/1.1\r\nHost: a\r\n\r\n")
     text = (await reader.read()).decode()
@@ -67,32 +73,32 @@
 
 
 def test_routers_share_one_load_view_and_one_that_is_cut_off_keeps_its_own() -> None:
-    """Read at every router's door amid the day, once what was heard before the cut is forgotten."""
+    """All routers' metrics are read during the run, once reports from before the partition have expired."""
     seen: dict[str, dict[str, float]] = {}
 
-    async def scene() -> None:
-        stages: list[Orchestrator] = []
-        late = asyncio.Event()
+    async def run() -> None:
+        orchestrators: list[Orchestrator] = []
+        read_time_reached = asyncio.Event()
 
-        def progress(stage: Orchestrator, at: float) -> None:
-            stages[:] = [stage]
+        def progress(orchestrator: Orchestrator, at: float) -> None:
+            orchestrators[:] = [orchestrator]
             if at > 11.0:
-                late.set()
+                read_time_reached.set()
 
-        day = draw_schedule(read_scenario(DAY.format(length=12.5) + ALONE, "test"), 1)
-        playing = asyncio.create_task(play(day, ROUTER, ROOT, progress))
-        await asyncio.wait_for(late.wait(), 60.0)
-        for name, router in stages[0].routers.items():
-            seen[name] = await asyncio.wait_for(figures(router.ops), 20.0)
-        kept(make_report(await asyncio.wait_for(playing, 90.0)))
+        schedule = draw_schedule(read_scenario(SCENARIO.format(length=12.5) + ISOLATION, "test"), 1)
+        running = asyncio.create_task(play(schedule, ROUTER, ROOT, progress))
+        await asyncio.wait_for(read_time_reached.wait(), 60.0)
+        for name, router in orchestrators[0].routers.items():
+            seen[name] = await asyncio.wait_for(fetch_metrics(router.ops), 20.0)
+        assert_rules_hold(make_report(await asyncio.wait_for(running, 90.0)))
 
-    uvloop.run(scene())
+    uvloop.run(run())
     assert seen["router00"]['lb_picture{of="routers"}'] == 0
     for name in (f"router0{i}" for i in range(1, 8)):
         assert seen[name]['lb_picture{of="routers"}'] >= 5, seen[name]
         assert seen[name]['lb_picture{of="servers"}'] == 9
         assert seen[name]['lb_picture{of="requests"}'] > 2 * seen["router00"]['lb_picture{of="requests"}']
-    # Those that hear one another have the same plan of who gives slots up.
+    # Routers that receive one another's reports compute the same plan of which endpoints give slots up.
     giving = [seen[name]['lb_levels{of="giving"}'] for name in sorted(seen) if name != "router00"]
     assert min(giving) >= 1, seen
     assert max(giving) - min(giving) <= 3, seen
--- a/tests/processes/test_scale.py
+++ b/tests/processes/test_scale.py
@@ -1,4 +1,4 @@
-"""Forty hollow routers and three real ones in one membership; what is judged is counted, never timed."""
+"""Forty hollow routers and three real ones in one membership; assertions are on counts, never on times."""
 
 from __future__ import annotations
 
@@ -24,19 +24,21 @@
 
 HOLLOW, REAL = 40, 3
 SIZE = HOLLOW + REAL
-WITHIN_S = 60.0  # an emergency brake for a loaded machine, not what is judged
+WITHIN_S = 60.0  # a limit on hangs that a loaded machine does not reach; no assertion depends on it
 PROGRAM = Program(ROUTER, ROOT, str(ROOT))
 COMMAND = [sys.executable, "-m", "bench.scale", "--sources", "--slow", "1"]
 
 
-async def until(holds: Callable[[], Awaitable[bool]]) -> None:
+async def until(condition: Callable[[], Awaitable[bool]]) -> None:
+    """Poll until the condition holds; time out after WITHIN_S."""
     async with asyncio.timeout(WITHIN_S):
-        while not await holds():
+        while not await condition():
             await asyncio.sleep(0.2)
 
 
 @asynccontextmanager
 async def rig(play: Play) -> AsyncIterator[Rig]:
+    """Start hollow and real routers, with a clock that is not slowed; end them all on exit."""
     found = Rig(Cast(SIZE, REAL), play, PROGRAM, seed=1, loss=0.01, slow=1.0)
     try:
         await found.start(workers=2)
@@ -45,7 +47,7 @@
         await found.end()
 
 
-def test_hollow_and_real_routers_are_one_membership_hear_of_all_and_learn_of_a_death() -> None:
+def test_hollow_and_real_routers_form_one_membership_and_all_learn_of_a_death() -> None:
     killed = SIZE - 1
     play = Play(
         "test",
@@ -54,24 +56,24 @@
         6,
     )
 
-    async def scene() -> None:
+    async def steps() -> None:
         async with rig(play) as found:
             assert found.real is not None
 
-            async def all_hold(count: int) -> bool:
+            async def all_have_alive(count: int) -> bool:
                 assert found.real is not None
                 hollow = list((await found.alive()).values())
                 real = [one.alive for one in await found.real.look()]
                 return set(hollow + real) == {count} and len(real) == REAL
 
-            async def real_ones_hear_most() -> bool:
+            async def real_routers_receive_most() -> bool:
                 assert found.real is not None
                 return all(one.heard >= 0.75 * SIZE for one in await found.real.look())
 
-            await until(lambda: all_hold(SIZE))
-            await until(real_ones_hear_most)
+            await until(lambda: all_have_alive(SIZE))
+            await until(real_routers_receive_most)
             played = await found.run(lambda _at: None)
-            await until(lambda: all_hold(SIZE - 1))
+            await until(lambda: all_have_alive(SIZE - 1))
         calm = played.figures["windows"]["calm"]
         assert calm["view"].servers.least == 96
         assert calm["view"].coverage.least >= 0.6
@@ -83,10 +85,10 @@
         assert played.rig["dropped_by_routers"] == {}
         assert played.rig["memory_bytes_per_router"] < 32 << 20
 
-    uvloop.run(scene())
+    uvloop.run(steps())
 
 
-def test_more_routers_than_the_machine_has_room_for_are_refused_in_one_line_with_exit_code_2() -> None:
+def test_more_routers_than_the_machine_can_run_are_refused_in_one_line_with_exit_code_2() -> None:
     ran = subprocess.run(
         [*COMMAND, "--sizes", "43", "1000000"], cwd=ROOT, capture_output=True, text=True, timeout=WITHIN_S
     )
@@ -96,8 +98,8 @@
     assert ran.stderr.strip().count("\n") == 0
 
 
-def below(pid: int) -> set[int]:
-    """All processes that one started, and theirs."""
+def descendants(pid: int) -> set[int]:
+    """Return the ids of all descendants of a process."""
     found = [pid]
     for parent in found:
         try:
@@ -107,15 +109,16 @@
     return set(found[1:])
 
 
-def wait_until(holds: Callable[[], bool]) -> None:
+def wait_until(condition: Callable[[], bool]) -> None:
+    """Poll until the condition holds; fail after WITHIN_S."""
     due = time.monotonic() + WITHIN_S
-    while not holds():
+    while not condition():
         assert time.monotonic() < due
         time.sleep(0.1)
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_an_interrupt_ends_all_that_was_started_hollow_and_real(number: signal.Signals) -> None:
+def test_an_interrupt_ends_all_hollow_and_real_routers(number: signal.Signals) -> None:
     with subprocess.Popen(
         [*COMMAND, "--sizes", "23", "--plays", "calm", "--real", str(REAL)],
         cwd=ROOT,
@@ -126,9 +129,9 @@
     ) as running:
         try:
             cores = len(os.sched_getaffinity(0))
-            # Its hollow routers' processes, the relay, the stand-ins' workers, and the real routers.
-            wait_until(lambda: len(below(running.pid)) >= max(min(cores - 1, 20), 1) + 1 + 4 + REAL)
-            started = below(running.pid)
+            # Processes: hollow routers' workers, the relay, four of emulated endpoints, and the real routers.
+            wait_until(lambda: len(descendants(running.pid)) >= max(min(cores - 1, 20), 1) + 1 + 4 + REAL)
+            started = descendants(running.pid)
             running.send_signal(number)
             _, said = running.communicate(timeout=WITHIN_S)
         finally:
