--- a/tests/processes/test_endings.py
+++ b/tests/processes/test_endings.py
@@ -1,7 +1,7 @@
-"""Three routers, each a process, amid loopback peers: their end, clients that leave, a silent watch.
+"""Three router processes among loopback peers: shutdown, clients that disconnect, a silent watch.
 
-Nothing here is asserted about how fast, so a loaded machine gives the same verdict; what counts is what each
-side saw, and in which order.
+No assertion depends on speed, so a loaded machine gives the same result: the tests check what each side
+received, and in which order.
 """
 
 from __future__ import annotations
@@ -26,30 +26,31 @@
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 ROUTERS = 3
-SOCKETS = 256  # descriptors of a router, held to by the kernel
-Dialled = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+SOCKETS = 256  # descriptors of a router, enforced by the kernel
+Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class Fleet:
-    """The routers, two cache servers whose answers wait for `go`, and the list service."""
+    """The routers, two cache servers that answer only while `answers_allowed` is set, and discovery."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
-        self.go = asyncio.Event()
+        self.answers_allowed = asyncio.Event()
         self.caches = [Cache(self._answer), Cache(self._answer)]
         self.agent = Mute([])
         self.processes: list[asyncio.subprocess.Process] = []
         self.addresses: list[tuple[str, int]] = []
 
     async def _answer(self, _: list[bytes]) -> bytes | None:
-        await self.go.wait()
+        await self.answers_allowed.wait()
         return HIT
 
     @property
     def seen(self) -> list[str]:
+        """Request ids in the order in which each cache server received them."""
         return [words[2].decode() for cache in self.caches for words in cache.seen]
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         for cache in self.caches:
             await cache.start()
         self.agent.instances = [entry(f"s{i}", cache.port) for i, cache in enumerate(self.caches)]
@@ -61,15 +62,15 @@
 
     async def _start(self, number: int) -> None:
         classes = [{"name": "read", "aimNs": 5 * S, "giveUpNs": 30 * S, "semantics": "retryable"}]
-        told = {
+        config = {
             "name": f"n{number}",
-            "listen": "127.0.0.1:1",  # the socket that is passed goes before
+            "listen": "127.0.0.1:1",  # the passed socket takes precedence
             "discovery": f"127.0.0.1:{self.agent.port}",
             "settings": {"classes": classes, "balancers": ROUTERS},
             "limits": {"sockets": SOCKETS},
         }
         path = self.folder / f"{number}.json"
-        path.write_bytes(orjson.dumps(told))
+        path.write_bytes(orjson.dumps(config))
         with socket.create_server(("127.0.0.1", 0), backlog=512) as held:
             self.addresses.append(held.getsockname())
             process = await asyncio.create_subprocess_exec(
@@ -83,7 +84,7 @@
         self.processes.append(process)
 
     async def ping(self, address: tuple[str, int]) -> None:
-        """Until the router has a list, and has read all that came before this."""
+        """Wait until the router has an endpoint list and has read everything that arrived before."""
         async with asyncio.timeout(LIMIT_S):
             answer = b""
             while answer != b"+PONG\r\n":
@@ -92,17 +93,20 @@
                 answer = await reader.readline()
                 writer.close()
 
-    async def dial(self, number: int, data: bytes = b"") -> Dialled:
+    async def connect(self, number: int, data: bytes = b"") -> Connection:
+        """Connect to a router and send these bytes."""
         reader, writer = await asyncio.open_connection(*self.addresses[number])
         writer.write(data)
         return reader, writer
 
-    async def begun(self, count: int) -> None:
+    async def wait_for_requests(self, count: int) -> None:
+        """Wait until the cache servers have received `count` requests."""
         async with asyncio.timeout(LIMIT_S):
             while len(self.seen) < count:
                 await asyncio.sleep(0.005)
 
     async def end(self) -> None:
+        """Kill the remaining routers and stop all peers."""
         for process in self.processes:
             if process.returncode is None:
                 process.kill()
@@ -113,136 +117,137 @@
 
 
 @contextlib.asynccontextmanager
-async def fleet(folder: Path) -> AsyncIterator[Fleet]:
-    play = Fleet(folder)
-    await play.begin()
+async def running_fleet(folder: Path) -> AsyncIterator[Fleet]:
+    """Start the routers and their peers; end them on exit."""
+    fleet = Fleet(folder)
+    await fleet.start()
     try:
-        yield play
+        yield fleet
     finally:
-        await play.end()
+        await fleet.end()
 
 
-def test_routers_that_are_told_to_end_answer_what_they_took_and_take_no_more(tmp_path: Path) -> None:
+def test_routers_in_graceful_shutdown_answer_accepted_requests_and_accept_no_more(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as play:
-            play.go.set()
-            rests = [await play.dial(i, read(f"rest{i}", f"a{i}", 20_000)) for i in range(ROUTERS)]
-            for reader, _ in rests:
+        async with running_fleet(tmp_path) as fleet:
+            fleet.answers_allowed.set()
+            idle_clients = [await fleet.connect(i, read(f"rest{i}", f"a{i}", 20_000)) for i in range(ROUTERS)]
+            for reader, _ in idle_clients:
                 assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
-            play.go.clear()
-            busy, halves, silent = [], [], []
+            fleet.answers_allowed.clear()
+            busy, partial, silent = [], [], []
             for i in range(ROUTERS):
                 two = read(f"one{i}", f"b{i}", 20_000) + read(f"two{i}", f"c{i}", 20_000)
-                busy.append(await play.dial(i, two + read(f"never{i}")[:20]))
-                halves.append(await play.dial(i, read(f"half{i}")[:20]))
-                silent.append(await play.dial(i))
-            await play.begun(3 * ROUTERS)
-            for process in play.processes:
+                busy.append(await fleet.connect(i, two + read(f"never{i}")[:20]))
+                partial.append(await fleet.connect(i, read(f"half{i}")[:20]))
+                silent.append(await fleet.connect(i))
+            await fleet.wait_for_requests(3 * ROUTERS)
+            for process in fleet.processes:
                 process.send_signal(signal.SIGTERM)
-            for process in play.processes:
+            for process in fleet.processes:
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
-            for i, (reader, writer) in enumerate(rests):
-                # No reset, which would be an exception: an end between requests.
+            for i, (reader, writer) in enumerate(idle_clients):
+                # An orderly close between requests; a reset would raise an exception.
                 assert await asyncio.wait_for(reader.read(), LIMIT_S) == b""
                 with contextlib.suppress(OSError):
-                    writer.write(read(f"late{i}"))  # it goes on sending, and never closes
-            for reader, _ in halves + silent:
+                    writer.write(read(f"late{i}"))  # this client keeps sending and never closes
+            for reader, _ in partial + silent:
                 assert await asyncio.wait_for(reader.read(), LIMIT_S) == b""
-            play.go.set()
+            fleet.answers_allowed.set()
             for reader, _ in busy:
                 assert await asyncio.wait_for(reader.read(), LIMIT_S) == SERVED * 2
-            for process in play.processes:
+            for process in fleet.processes:
                 assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
-            assert not [one for one in play.seen if one.startswith(("late", "half", "never"))]
-            assert len(play.seen) == len(set(play.seen)) == 3 * ROUTERS
-            for _, writer in rests + busy + halves + silent:
+            assert not [one for one in fleet.seen if one.startswith(("late", "half", "never"))]
+            assert len(fleet.seen) == len(set(fleet.seen)) == 3 * ROUTERS
+            for _, writer in idle_clients + busy + partial + silent:
                 writer.close()
 
     run(test)
 
 
-def test_a_router_killed_amid_its_drain_gives_no_part_of_an_answer_and_hinders_no_other(
+def test_a_router_killed_during_its_drain_sends_no_partial_answer_and_affects_no_other(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as play:
-            play.go.set()
-            rests = [await play.dial(i, read(f"rest{i}", f"a{i}", 20_000)) for i in range(ROUTERS)]
-            for reader, _ in rests:
+        async with running_fleet(tmp_path) as fleet:
+            fleet.answers_allowed.set()
+            idle_clients = [await fleet.connect(i, read(f"rest{i}", f"a{i}", 20_000)) for i in range(ROUTERS)]
+            for reader, _ in idle_clients:
                 assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
-            play.go.clear()
+            fleet.answers_allowed.clear()
             two = [read(f"one{i}", "b", 20_000) + read(f"two{i}", "c", 20_000) for i in range(ROUTERS)]
-            busy = [await play.dial(i, both) for i, both in enumerate(two)]
-            await play.begun(3 * ROUTERS)
-            for process in play.processes:
+            busy = [await fleet.connect(i, both) for i, both in enumerate(two)]
+            await fleet.wait_for_requests(3 * ROUTERS)
+            for process in fleet.processes:
                 process.send_signal(signal.SIGTERM)
-            for reader, _ in rests:
-                assert await asyncio.wait_for(reader.read(), LIMIT_S) == b""  # each is in its drain
-            play.processes[0].kill()
-            assert await asyncio.wait_for(play.processes[0].wait(), LIMIT_S) == -signal.SIGKILL
+            for reader, _ in idle_clients:
+                assert await asyncio.wait_for(reader.read(), LIMIT_S) == b""  # the router drains
+            fleet.processes[0].kill()
+            assert await asyncio.wait_for(fleet.processes[0].wait(), LIMIT_S) == -signal.SIGKILL
             with contextlib.suppress(ConnectionResetError):
                 assert await asyncio.wait_for(busy[0][0].read(), LIMIT_S) == b""
-            await play._start(0)  # its successor, beside the others' drain
-            await play.ping(play.addresses[-1])
-            again = await play.dial(-1, read("again", "b"))
-            play.go.set()
-            assert await asyncio.wait_for(again[0].readexactly(len(SERVED)), LIMIT_S) == SERVED
+            await fleet._start(0)  # its replacement starts while the others drain
+            await fleet.ping(fleet.addresses[-1])
+            after_restart = await fleet.connect(-1, read("again", "b"))
+            fleet.answers_allowed.set()
+            assert await asyncio.wait_for(after_restart[0].readexactly(len(SERVED)), LIMIT_S) == SERVED
             for reader, _ in busy[1:]:
                 assert await asyncio.wait_for(reader.read(), LIMIT_S) == SERVED * 2
-            for process in play.processes[1:ROUTERS]:
+            for process in fleet.processes[1:ROUTERS]:
                 assert await asyncio.wait_for(process.wait(), LIMIT_S) == 0
-            assert len(play.seen) == len(set(play.seen)) == 3 * ROUTERS + 1
-            for _, writer in [*rests, *busy, again]:
+            assert len(fleet.seen) == len(set(fleet.seen)) == 3 * ROUTERS + 1
+            for _, writer in [*idle_clients, *busy, after_restart]:
                 writer.close()
 
     run(test)
 
 
-def test_hundreds_of_clients_that_leave_have_nothing_begun_for_them(tmp_path: Path) -> None:
+def test_no_attempts_are_sent_for_hundreds_of_clients_that_disconnected(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as play:
-            leavers: list[Dialled] = []
+        async with running_fleet(tmp_path) as fleet:
+            departing: list[Connection] = []
             for i in range(ROUTERS):
-                for n in range(80):  # far more than there are places at the servers
-                    leavers.append(await play.dial(i, read(f"gone{i}-{n}", f"k{n}", 20_000)))
-            places = MAX_CONNECTIONS_PER_ENDPOINT * len(play.caches) * ROUTERS
-            await play.begun(places)
-            for _, writer in leavers:
+                for n in range(80):  # far more than the routers' connections to the servers
+                    departing.append(await fleet.connect(i, read(f"gone{i}-{n}", f"k{n}", 20_000)))
+            connections = MAX_CONNECTIONS_PER_ENDPOINT * len(fleet.caches) * ROUTERS
+            await fleet.wait_for_requests(connections)
+            for _, writer in departing:
                 writer.close()
             for _ in range(2):
-                for address in play.addresses:
-                    await play.ping(address)
-            begun = len(play.seen)
-            assert begun == places
-            play.go.set()
+                for address in fleet.addresses:
+                    await fleet.ping(address)
+            received = len(fleet.seen)
+            assert received == connections
+            fleet.answers_allowed.set()
             for i in range(ROUTERS):
-                reader, writer = await play.dial(i, read(f"new{i}", "k1"))
+                reader, writer = await fleet.connect(i, read(f"new{i}", "k1"))
                 assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
                 writer.close()
-            assert sorted(set(play.seen) - {one for one in play.seen if one.startswith("gone")}) == [
+            assert sorted(set(fleet.seen) - {one for one in fleet.seen if one.startswith("gone")}) == [
                 f"new{i}" for i in range(ROUTERS)
             ]
-            assert len(play.seen) == begun + ROUTERS
+            assert len(fleet.seen) == received + ROUTERS
 
     run(test)
 
 
-def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_no_news_and_no_dial_out(
+def test_idle_clients_using_all_descriptors_block_neither_discovery_nor_dials(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as play:
-            play.go.set()
-            await asyncio.wait_for(play.agent.watched.wait(), LIMIT_S)
-            play.agent.mute = 1 << 30
-            idle = [await play.dial(i) for _ in range(SOCKETS) for i in range(ROUTERS)]
-            # It comes back, and knows one server alone, to which no router has a connection.
-            new = Cache(play._answer)
+        async with running_fleet(tmp_path) as fleet:
+            fleet.answers_allowed.set()
+            await asyncio.wait_for(fleet.agent.watched.wait(), LIMIT_S)
+            fleet.agent.mute = 1 << 30
+            idle = [await fleet.connect(i) for _ in range(SOCKETS) for i in range(ROUTERS)]
+            # Discovery comes back and lists only one server, to which no router has a connection.
+            new = Cache(fleet._answer)
             await new.start()
-            play.agent.instances = [entry("s9", new.port)]
-            play.agent.generation += 1
-            play.agent.mute = 0
+            fleet.agent.instances = [entry("s9", new.port)]
+            fleet.agent.generation += 1
+            fleet.agent.mute = 0
             async with asyncio.timeout(LIMIT_S):
                 asked = 0
                 for i in range(ROUTERS):
@@ -250,12 +255,12 @@
                     while not served:
                         asked += 1
                         before = len(new.seen)
-                        reader, writer = await play.dial(i, read(f"n{asked}", f"k{asked}"))
+                        reader, writer = await fleet.connect(i, read(f"n{asked}", f"k{asked}"))
                         with contextlib.suppress(OSError, EOFError):
                             served = await reader.readexactly(len(SERVED)) == SERVED
                         served = served and len(new.seen) > before
                         writer.close()
-            for process in play.processes:
+            for process in fleet.processes:
                 assert process.returncode is None
             for _, writer in idle:
                 writer.close()
@@ -264,30 +269,32 @@
     run(test)
 
 
-def test_routers_whose_watches_are_silent_and_whose_calls_fail_hear_of_a_drain(tmp_path: Path) -> None:
+def test_routers_learn_of_a_drain_despite_silent_watches_and_failed_calls(tmp_path: Path) -> None:
     async def test() -> None:
-        async with fleet(tmp_path) as play:
-            play.go.set()
-            await asyncio.wait_for(play.agent.watched.wait(), LIMIT_S)
-            drains = entry("s0", play.caches[0].port, state="draining")
-            play.agent.instances = [drains, *play.agent.instances[1:]]
-            play.agent.generation += 1
-            play.agent.mute, play.agent.refuse = ROUTERS, ROUTERS  # what they ask next fails as well
-            asked = play.agent.wholes
+        async with running_fleet(tmp_path) as fleet:
+            fleet.answers_allowed.set()
+            await asyncio.wait_for(fleet.agent.watched.wait(), LIMIT_S)
+            drains = entry("s0", fleet.caches[0].port, state="draining")
+            fleet.agent.instances = [drains, *fleet.agent.instances[1:]]
+            fleet.agent.generation += 1
+            fleet.agent.mute, fleet.agent.refuse = ROUTERS, ROUTERS  # the routers' next calls fail as well
+            asked = fleet.agent.wholes
             async with asyncio.timeout(LIMIT_S):
-                while play.agent.refuse or play.agent.mute or play.agent.wholes < asked + 3 * ROUTERS:
+                while fleet.agent.refuse or fleet.agent.mute or fleet.agent.wholes < asked + 3 * ROUTERS:
                     await asyncio.sleep(0.01)
-            # Every router asks again and again, and what it is given it has by the next word on its line.
+            # Every router repeats its call, and has applied an answer by the next message on its connection.
             served = 0
             async with asyncio.timeout(LIMIT_S):
                 while served < ROUTERS:
-                    before = len(play.caches[0].seen)
+                    before = len(fleet.caches[0].seen)
                     for i in range(ROUTERS):
                         for n in range(40):
-                            reader, writer = await play.dial(i, read(f"x{served}-{i}-{n}-{before}", f"k{n}"))
+                            reader, writer = await fleet.connect(
+                                i, read(f"x{served}-{i}-{n}-{before}", f"k{n}")
+                            )
                             assert await reader.readexactly(len(SERVED)) == SERVED
                             writer.close()
-                    served = ROUTERS if len(play.caches[0].seen) == before else 0
-            assert len(play.caches[1].seen) >= 40 * ROUTERS
+                    served = ROUTERS if len(fleet.caches[0].seen) == before else 0
+            assert len(fleet.caches[1].seen) >= 40 * ROUTERS
 
     run(test)
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""The router as the deploy file starts it, held to what the whole fleet's clock asks of a process."""
+"""The router as the deploy file starts it, under the process restrictions of the whole fleet's clock."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 RUN = run_command(ROOT / "deploy/balancer.toml")
 
-# Sets a filter of system calls on itself and becomes what `run` says: new processes end it (clone that is no
-# thread, fork, vfork), io_uring, splice and sendfile are not there, and clone3 is not either, as threads can
-# do without. Numbers and records as in Linux' headers for x86-64.
+# Installs a system call filter on itself and executes `run`. Creating a process (fork, vfork, clone without
+# CLONE_THREAD) kills it; io_uring, splice and sendfile fail with ENOSYS, and so does clone3, which threads do
+# not need. System call numbers and structures are those of the Linux headers for x86-64.
 LAUNCHER = """
 import ctypes, os, struct, sys
 LOAD, EQUAL, SET, RETURN = 0x20, 0x15, 0x45, 0x06
@@ -45,13 +45,13 @@
 """
 
 
-class Started:
-    """A router with one cache server and discovery, started as the platform starts it."""
+class RouterProcess:
+    """A router process with one cache server and discovery, started the way the platform starts it."""
 
     def __init__(self, folder: Path, root: Path = ROOT, command: str = RUN) -> None:
         self.folder, self.root, self.command = folder, root, command
 
-    async def begin(self, filtered: bool = True) -> None:
+    async def start(self, filtered: bool = True) -> None:
         async def answer(_: list[bytes]) -> bytes:
             return HIT
 
@@ -78,8 +78,8 @@
             start_new_session=True,
         )
 
-    async def serves(self) -> None:
-        """Have one read served."""
+    async def serve_one_read(self) -> None:
+        """Wait until the router is ready, and have one read served."""
         async with asyncio.timeout(LIMIT_S):
             while True:
                 with contextlib.suppress(OSError):
@@ -88,19 +88,19 @@
                 assert self.process.returncode is None, "the router ended"
                 await asyncio.sleep(0.02)
             answer = b""
-            while answer != b"+PONG\r\n":  # a router is asked once it says so
+            while answer != b"+PONG\r\n":  # the router answers PING once it is ready
                 writer.write(command(b"PING"))
                 answer = await reader.readline()
             writer.write(read("r1", "k", 4000))
             assert await reader.readexactly(len(SERVED)) == SERVED
             writer.close()
 
-    async def ended(self) -> str:
-        """End it by SIGTERM; returns what it logged."""
+    async def terminate(self) -> str:
+        """End the router by SIGTERM and return its log."""
         self.process.send_signal(signal.SIGTERM)
-        _, told = await asyncio.wait_for(self.process.communicate(), LIMIT_S)
+        _, log = await asyncio.wait_for(self.process.communicate(), LIMIT_S)
         assert self.process.returncode == 0
-        return told.decode()
+        return log.decode()
 
     def stop(self) -> None:
         if self.process.returncode is None:
@@ -109,32 +109,37 @@
         self.cache.stop()
 
 
-def inodes(pid: int, table: str) -> dict[str, list[str]]:
-    """The sockets of a table of the kernel, by inode."""
+def sockets_by_inode(pid: int, table: str) -> dict[str, list[str]]:
+    """Return the rows of one of the kernel's socket tables by inode."""
     column = {"unix": 6}.get(table, 9)
     rows = [line.split() for line in Path(f"/proc/{pid}/net/{table}").read_text().splitlines()[1:]]
     return {row[column]: row for row in rows}
 
 
-def broken_terms(pid: int) -> list[str]:
-    """Which terms it breaks: one process with threads only, linked dynamically, allowed kinds of sockets."""
+def violations(pid: int) -> list[str]:
+    """Return broken restrictions: no child process, a dynamic C library, only allowed kinds of sockets."""
     found = []
     for task in Path(f"/proc/{pid}/task").iterdir():
         found += [f"child {child}" for child in (task / "children").read_text().split()]
     if not any(name in Path(f"/proc/{pid}/maps").read_text() for name in ("/libc.so.6", "/libc-")):
         found.append("no C library")
     ours = [os.readlink(path) for path in Path(f"/proc/{pid}/fd").iterdir()]
-    held = [name[8:-1] for name in ours if name.startswith("socket:")]
-    known = inodes(pid, "tcp") | inodes(pid, "udp")
-    own = {inode for inode, row in inodes(pid, "unix").items() if len(row) == 7}  # without a name: wake-ups
-    found += [f"a socket of another kind {inode}" for inode in held if inode not in known.keys() | own]
+    own_sockets = [name[8:-1] for name in ours if name.startswith("socket:")]
+    inet_sockets = sockets_by_inode(pid, "tcp") | sockets_by_inode(pid, "udp")
+    # Unix sockets without a name are allowed: they serve as wake-ups.
+    own = {inode for inode, row in sockets_by_inode(pid, "unix").items() if len(row) == 7}
+    found += [
+        f"socket of a forbidden kind {inode}"
+        for inode in own_sockets
+        if inode not in inet_sockets.keys() | own
+    ]
     return found + [f"holds {name}" for name in ours if "io_uring" in name]
 
 
-def tasks_at_work(pid: int) -> list[str]:
-    """The threads that don't wait."""
-    told = [path.read_text() for path in Path(f"/proc/{pid}/task").glob("*/stat")]
-    return [text for text in told if text.rpartition(")")[2].split()[0] != "S"]
+def running_threads(pid: int) -> list[str]:
+    """Return the status lines of threads that are not sleeping."""
+    log = [path.read_text() for path in Path(f"/proc/{pid}/task").glob("*/stat")]
+    return [text for text in log if text.rpartition(")")[2].split()[0] != "S"]
 
 
 @pytest.fixture(scope="module")
@@ -143,21 +148,23 @@
 
 
 @pytest.mark.usefixtures("built")
-@pytest.mark.xdist_group("compiled")  # the copy is made once, by whoever comes first
-@pytest.mark.skipif(platform.machine() != "x86_64", reason="the filter's numbers are those of x86-64")
-def test_run_is_one_compiled_process_that_needs_nothing_the_fleets_clock_refuses(
+@pytest.mark.xdist_group("compiled")  # the copy is built once, by the first test that needs it
+@pytest.mark.skipif(
+    platform.machine() != "x86_64", reason="the filter's system call numbers are those of x86-64"
+)
+def test_run_is_one_compiled_process_without_forbidden_system_calls(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        router = Started(tmp_path)
-        await router.begin()
+        router = RouterProcess(tmp_path)
+        await router.start()
         try:
-            await router.serves()
-            assert broken_terms(router.process.pid) == []
+            await router.serve_one_read()
+            assert violations(router.process.pid) == []
             async with asyncio.timeout(LIMIT_S):
-                while tasks_at_work(router.process.pid):  # one that spins never rests
+                while running_threads(router.process.pid):  # a thread in a busy loop never sleeps
                     await asyncio.sleep(0.01)
-            assert f"compiled: {len(native.MODULES)} of " in await router.ended()
+            assert f"compiled: {len(native.MODULES)} of " in await router.terminate()
         finally:
             router.stop()
 
@@ -165,33 +172,33 @@
 
 
 @pytest.mark.usefixtures("built")
-@pytest.mark.xdist_group("compiled")  # a router that starts while an old copy is being replaced can't import
-def test_a_run_that_is_not_the_process_itself_is_seen(tmp_path: Path) -> None:
+@pytest.mark.xdist_group("compiled")  # a router that starts while the copy is being replaced can't import it
+def test_a_run_command_that_forks_the_router_is_detected(tmp_path: Path) -> None:
     async def test() -> None:
-        router = Started(tmp_path, command=RUN.replace("exec ", "") + "; true")
-        await router.begin(filtered=False)
+        router = RouterProcess(tmp_path, command=RUN.replace("exec ", "") + "; true")
+        await router.start(filtered=False)
         try:
-            await router.serves()
-            assert [text for text in broken_terms(router.process.pid) if text.startswith("child")]
+            await router.serve_one_read()
+            assert [text for text in violations(router.process.pid) if text.startswith("child")]
         finally:
             router.stop()
 
     run(test)
 
 
-def test_a_router_without_a_compiled_copy_says_so(tmp_path: Path) -> None:
+def test_a_router_without_a_compiled_copy_logs_it(tmp_path: Path) -> None:
     async def test() -> None:
         for name in ("holdgw", ".venv"):
             (tmp_path / name).symlink_to(ROOT / name)
-        router = Started(tmp_path, root=tmp_path)
-        await router.begin(filtered=False)
+        router = RouterProcess(tmp_path, root=tmp_path)
+        await router.start(filtered=False)
         try:
-            await router.serves()
-            told = await router.ended()
-            assert "uncompiled: all " in told
-            # And what these few settings leave off.
-            assert "settings: off are origin (" in told
-            assert "load_reports (reports tell nothing" in told
+            await router.serve_one_read()
+            log = await router.terminate()
+            assert "uncompiled: all " in log
+            # The router also logs which functions this minimal configuration leaves off.
+            assert "settings: off are origin (" in log
+            assert "load_reports (reports tell nothing" in log
         finally:
             router.stop()
 
