--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""docs/CAPACITY.md is what its generator makes of the kept data; the fit and the stretch on made-up data."""
+"""docs/CAPACITY.md against its generator and the stored data; fits, figures and ranking on made-up data."""
 
 from __future__ import annotations
 
@@ -58,15 +58,15 @@
     return Row("X1", Role.CONTROL, Kind.STATE, "it", "ms", figure, "-", "-", need, decides)
 
 
-def test_the_page_is_what_the_generator_makes_of_the_kept_data() -> None:
+def test_the_page_is_what_the_generator_makes_of_the_stored_data() -> None:
     assert PAGE.read_text() == rendered()
 
 
-def test_a_reading_that_changes_changes_the_page() -> None:
-    kept = load()
-    first = kept["lists"].series[0]
+def test_a_changed_reading_changes_the_page() -> None:
+    stored = load()
+    first = stored["lists"].series[0]
     changed = replace(first, points=(replace(first.points[0], value=1e6), *first.points[1:]))
-    other = {**kept, "lists": replace(kept["lists"], series=(changed, *kept["lists"].series[1:]))}
+    other = {**stored, "lists": replace(stored["lists"], series=(changed, *stored["lists"].series[1:]))}
     assert page(HEAD, ROWS, UNKNOWNS, other) != PAGE.read_text()
 
 
@@ -78,16 +78,16 @@
         Scale.INVERSE: lambda x: 1 / x,
         Scale.INVERSE_ROOT: lambda x: x**-0.5,
     }
-    scaled = laws[scale]
-    found = fit(series([(x, 7.0 + 3.0 * scaled(x)) for x in SIZES], scale))
+    law = laws[scale]
+    found = fit(series([(x, 7.0 + 3.0 * law(x)) for x in SIZES], scale))
     assert found.slope.value == pytest.approx(3.0)
     assert found.intercept == pytest.approx(7.0)
     assert found.largest_residual < 1e-9
-    assert found.at(1520).value == pytest.approx(7.0 + 3.0 * scaled(1520))
+    assert found.at(1520).value == pytest.approx(7.0 + 3.0 * law(1520))
 
 
-def test_the_interval_is_the_textbooks() -> None:
-    # By hand: means 2.5 and 2.75, Sxx 5, slope 1.1, residuals -0.1, 0.8, -1.3, 0.6; s^2 = 2.7 / 2;
+def test_the_confidence_interval_matches_a_calculation_by_hand() -> None:
+    # Means 2.5 and 2.75, Sxx 5, slope 1.1, residuals -0.1, 0.8, -1.3, 0.6; s^2 = 2.7 / 2;
     # t(0.975, 2) = 4.3027.
     found = fit(series([(1, 1.0), (2, 3.0), (3, 2.0), (4, 5.0)]))
     assert found.slope.value == pytest.approx(1.1)
@@ -97,7 +97,7 @@
     assert found.at(8).high - found.at(8).value == pytest.approx(half, rel=1e-4)
 
 
-def test_the_interval_holds_the_true_slope_as_often_as_it_says() -> None:
+def test_the_confidence_interval_covers_the_true_slope_at_its_nominal_rate() -> None:
     held = 0
     for seed in range(200):
         draw = random.Random(seed)
@@ -112,7 +112,7 @@
     assert fit(series([*points, (200.0, 450.0)])).largest_residual == pytest.approx(50.0, rel=0.1)
 
 
-def test_a_quantity_that_does_not_change_has_a_slope_of_nothing_with_no_width() -> None:
+def test_a_constant_quantity_has_slope_zero_and_an_interval_of_no_width() -> None:
     found = fit(series([(float(x), 2.0) for x in SIZES] * 3))
     assert (found.slope.value, found.slope.low, found.slope.high) == (0.0, 0.0, 0.0)
 
@@ -122,23 +122,23 @@
         fit(series([(50, 1.0), (100, 2.0), (200, 3.0)] * 5))
 
 
-def test_the_stretch_is_beyond_what_was_measured_either_way_and_one_between() -> None:
+def test_the_stretch_is_the_factor_of_extrapolation_and_one_within_the_measured_range() -> None:
     line = fit(series([(float(x), float(x)) for x in SIZES]))
     assert line.stretch(7600) == pytest.approx(10.0)
     assert line.stretch(760) == line.stretch(300) == line.stretch(50) == 1.0
     assert line.stretch(5) == pytest.approx(10.0)
 
 
-def test_a_figure_is_the_mean_of_the_readings_there_and_else_the_lines() -> None:
-    kept = {"made": measurement((1, 1), (2, 2), (3, 3), (4, 4), (4, 6))}
-    there = find(row(Read("made", "made up", 4, times=10)), kept)
+def test_a_figure_is_the_mean_of_the_readings_at_its_size_or_else_the_fitted_value() -> None:
+    stored = {"made": measurement((1, 1), (2, 2), (3, 3), (4, 4), (4, 6))}
+    there = find(row(Read("made", "made up", 4, times=10)), stored)
     assert there.value == pytest.approx(50.0)
-    beyond = find(row(Read("made", "made up", 8, times=10)), kept)
+    beyond = find(row(Read("made", "made up", 8, times=10)), stored)
     assert beyond.fit is not None
     assert beyond.value == pytest.approx(10 * beyond.fit.at(8).value)
 
 
-def test_a_gap_is_what_is_taken_over_what_is_allowed_and_what_is_needed_over_what_there_is() -> None:
+def test_a_gap_is_the_use_over_the_limit_or_the_need_over_the_capacity() -> None:
     assert Need(2.0, Bound.AT_MOST, "").gap(5.0) == pytest.approx(2.5)
     assert Need(0.9, Bound.AT_LEAST, "").gap(0.18) == pytest.approx(5.0)
     assert Need(0.9, Bound.AT_LEAST, "").gap(0.0) == math.inf
@@ -146,7 +146,7 @@
     assert factor(absent.gap) == "nothing carries it"
 
 
-def test_what_decides_today_is_ranked_first_and_what_meets_its_need_not_at_all() -> None:
+def test_deciding_rows_are_ranked_first_and_rows_that_meet_their_need_are_left_out() -> None:
     need = Need(1.0, Bound.AT_MOST, "")
     rows = [
         row(Absent(), need),
@@ -162,23 +162,23 @@
     ]
 
 
-def test_a_row_without_its_measurement_says_so() -> None:
+def test_a_row_without_its_measurement_is_shown_as_not_measured() -> None:
     assert find(row(Read("never run", "it", 4)), {}).value is None
     assert "not measured" in page("", [row(Read("never run", "it", 4))], [], {})
 
 
-def test_each_role_has_rows_of_each_kind_under_numbers_of_their_own() -> None:
+def test_each_role_has_rows_of_each_kind_with_unique_numbers() -> None:
     assert {(one.role, one.kind) for one in ROWS} == {(role, kind) for role in Role for kind in Kind}
     assert len({one.number for one in ROWS}) == len(ROWS)
 
 
 def test_each_row_reads_a_series_of_a_measurement_that_can_be_run() -> None:
-    kept = load()
+    stored = load()
     for one in ROWS:
         if isinstance(one.figure, Read):
             assert one.figure.measurement in MEASUREMENTS, one.number
-            if one.figure.measurement in kept:
-                kept[one.figure.measurement].find(one.figure.series)
+            if one.figure.measurement in stored:
+                stored[one.figure.measurement].find(one.figure.series)
         if isinstance(one.figure, Untold):
             assert one.figure.unknown in {unknown.number for unknown in UNKNOWNS}
 
@@ -202,33 +202,33 @@
     }
 
 
-def test_scale_runs_that_are_void_are_left_out_and_four_sizes_that_hold_give_rows(tmp_path: Path) -> None:
+def test_void_scale_runs_are_left_out_and_four_valid_sizes_give_rows(tmp_path: Path) -> None:
     runs = [scale_run(size, size / 1000, []) for size in SIZES[:4]]
-    voided = scale_run(760, 9.0, ["late"])
-    (tmp_path / "scale-a.json").write_text(json.dumps({"name": "a", "runs": [*runs, voided]}))
+    void_run = scale_run(760, 9.0, ["late"])
+    (tmp_path / "scale-a.json").write_text(json.dumps({"name": "a", "runs": [*runs, void_run]}))
     (tmp_path / "scale-b.json").write_text(json.dumps({"name": "b", "runs": runs[:3]}))
-    kept = capacity_scale.measured(tmp_path)
-    assert set(kept) == {"scale-a"}
-    rows = capacity_scale.rows(kept, tmp_path)
+    stored = capacity_scale.measured(tmp_path)
+    assert set(stored) == {"scale-a"}
+    rows = capacity_scale.rows(stored, tmp_path)
     assert [one.number for one in rows] == ["H1a", "H1c", "H1e", "H1f"]
-    assert find(rows[0], kept).value == pytest.approx(0.76)
+    assert find(rows[0], stored).value == pytest.approx(0.76)
     text = "\n".join(capacity_scale.lines(number, tmp_path))
     assert "Void and left out: 760 (late)" in text
     assert "| 760 |" not in text
 
 
-def test_a_measurement_is_kept_in_a_file_that_gives_it_back(tmp_path: Path) -> None:
+def test_a_stored_measurement_is_loaded_unchanged(tmp_path: Path) -> None:
     made = measurement((1, 1), (2, 2), (3, 3), (4, 4))
     store(made, tmp_path)
     assert load(tmp_path) == {"made": made}
 
 
-def test_the_busiest_servers_excess_is_over_the_mean_of_all_even_those_with_nothing() -> None:
+def test_the_mean_for_the_busiest_servers_excess_includes_servers_without_slots() -> None:
     assert slopes_slots.excess(["a", "a", "a", "b"], 4) == pytest.approx(2.0)
     assert slopes_slots.excess(["a", "b", "c", "d"], 4) == pytest.approx(0.0)
 
 
-def test_only_the_slots_of_the_server_that_leaves_move() -> None:
+def test_only_the_slots_of_the_removed_server_move() -> None:
     ranked = slopes_slots.table(12, 1)
     before = slopes_slots.owners(ranked, 500)
     ranked.update([], [before[0]])
@@ -242,24 +242,24 @@
     assert 0 <= slopes_keys.error(64, 2_000, seed) <= 1 / 65
 
 
-def test_keys_are_of_just_so_many_slots() -> None:
+def test_keys_fall_into_the_requested_number_of_slots() -> None:
     keys = slopes_keys.keys_of(256)
     slots = Counter(slopes_keys.slot(int(key.removeprefix("object-"))) for key in keys)
     assert slots == dict.fromkeys(range(256), slopes_keys.KEYS_A_SLOT)
 
 
-def test_calls_are_summed_up_after_the_warm_up_alone() -> None:
+def test_calls_are_counted_after_the_warm_up_only() -> None:
     begin = int(slopes_limits.WARM_S * NS_PER_S)
     times = [5, begin, begin + 1, begin + 2 * NS_PER_S]
     assert slopes_limits.sums(times) == (3 / slopes_limits.SPAN_S, 2.0)
 
 
-def test_an_even_demand_is_twice_the_quota_and_a_skewed_one_as_much_as_it() -> None:
+def test_even_demand_sums_to_twice_the_quota_and_skewed_demand_to_the_quota() -> None:
     assert sum(slopes_limits.even(50)) == pytest.approx(2 * slopes_limits.QUOTA)
     assert sum(slopes_limits.skewed(50, 1)) == pytest.approx(slopes_limits.QUOTA)
 
 
-def test_routers_lie_in_43_sites_25_zones_and_8_regions() -> None:
+def test_routers_are_spread_over_43_sites_25_zones_and_8_regions() -> None:
     assert {slopes_tier.zone(n) for n in range(760)} == set(range(25))
     sizes = Counter(slopes_tier.region(n) for n in range(760))
     assert set(sizes) == set(range(8))
@@ -268,7 +268,7 @@
     assert slopes_tier.delay("router00", "router01") == slopes_tier.ACROSS_S
 
 
-def test_what_a_second_brought_counts_bytes_said_and_heard() -> None:
+def test_bytes_per_second_count_sent_and_received_bytes() -> None:
     tier = slopes_tier.make(8, 1, loss=0.0)
     seconds = slopes_tier.Seconds(tier)
     before = sum(tier.bytes.values())
@@ -279,7 +279,7 @@
     assert seconds.messages > 0
 
 
-def test_a_change_is_everywhere_when_the_last_router_has_it() -> None:
+def test_a_change_is_complete_when_the_last_router_has_it() -> None:
     tier = slopes_tier.make(8, 1, loss=0.0)
     told = slopes_membership.Told(tier)
     told.change(3)
@@ -305,13 +305,13 @@
     assert (load_.good, load_.wrong) == (2, 1)
 
 
-def test_what_runs_imports_neither_the_generator_nor_its_libraries() -> None:
+def test_the_program_imports_neither_the_generator_nor_its_libraries() -> None:
     for path in sorted((ROOT / "holdgw").rglob("*.py")):
         used = {name.split(".")[0] for name in imported_names(path.read_text())}
         assert not used & {"bench", "scipy", "numpy"}, path
 
 
-def test_a_measurement_comes_back_from_its_json_as_it_was() -> None:
+def test_a_measurement_survives_conversion_to_json() -> None:
     made = measurement((1, 1), (2, 2), (3, 3), (4, 4))
     assert read(written(made)) == made
 
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -1,4 +1,7 @@
-"""What all processes together send a server that has just started: N + 2 x root of N + 2 a window at most."""
+"""The requests that all processes together send a server that has just started.
+
+With N requests allowed to it per window, the sum is at most N + 2 * sqrt(N) + 2.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 from bench.cold_budget import CASES, Case, Play
 
-TOLD = [
+NAMES = [
     "with all processes, 1",
     "one starts, 4",
     "a tenth at a time, 20",
@@ -18,8 +21,8 @@
 ]
 
 
-@pytest.mark.parametrize("case", [case for case in CASES if case.name in TOLD], ids=lambda case: case.name)
-def test_the_sum_of_all_processes_stays_within_what_a_cold_server_bears(case: Case) -> None:
+@pytest.mark.parametrize("case", [case for case in CASES if case.name in NAMES], ids=lambda case: case.name)
+def test_all_processes_together_stay_within_the_budget_of_a_cold_server(case: Case) -> None:
     play = Play(case, seed=1)
     assert play.run() <= 2.0
-    assert len(play.sent) > 3  # it is sent something
+    assert len(play.sent) > 3  # the server received requests
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -1,4 +1,4 @@
-"""Faults that break no rule are told by figures, each within its bound as the program stands."""
+"""Figures that detect faults which break no rule; the unmodified program stays within their bounds."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 @pytest.mark.parametrize("name", ["incarnation-ignored", "own-evidence-below", "age-ignored", *AGGREGATION])
-def test_a_planted_fault_is_over_its_figures_bound(name: str) -> None:
-    which = MUTANTS[name].figure
-    figure = FIGURES[which]
+def test_a_planted_fault_exceeds_the_bound_of_its_figure(name: str) -> None:
+    figure_name = MUTANTS[name].figure
+    figure = FIGURES[figure_name]
     planted = (
         f"from bench.mutants import plant; plant({name!r})\n"
-        f"from bench.figures import FIGURES\nprint(FIGURES[{which!r}].play(1))"
+        f"from bench.figures import FIGURES\nprint(FIGURES[{figure_name!r}].play(1))"
     )
     assert figure.play(1) <= figure.most < float(in_a_process(planted, "0"))
 
 
-def test_every_figure_is_some_mutants() -> None:
+def test_every_figure_belongs_to_a_mutant() -> None:
     assert {mutant.figure for mutant in MUTANTS.values() if mutant.figure} == set(FIGURES)
--- a/tests/test_mutants.py
+++ b/tests/test_mutants.py
@@ -1,4 +1,4 @@
-"""Faults of endings and of cold servers' budget, planted: each is found by the test that it names."""
+"""Planted faults of shutdown and of the cold servers' budget: each is detected by the test that it names."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 @pytest.mark.parametrize("name", [name for name, mutant in MUTANTS.items() if mutant.test])
-def test_a_planted_fault_is_found_by_its_test(name: str) -> None:
+def test_a_planted_fault_is_detected_by_its_test(name: str) -> None:
     _, line, _ = _in_a_process(name, 1)
     assert line == f"1\t{MUTANTS[name].test} fails"
--- a/tests/test_peer_cost.py
+++ b/tests/test_peer_cost.py
@@ -1,4 +1,4 @@
-"""The measurement of one router's control part: what its rows hold, by counts and not by times."""
+"""The measurement of one router's membership and load reports: the counts in its rows, not the times."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     assert row["routers"] == 20
     assert set(row["cpu_ms_per_s"]) == set(PARTS)
     assert row["cpu_ms_per_s_total"] == pytest.approx(sum(row["cpu_ms_per_s"].values()), abs=0.001)
-    assert row["routers_in_view"] == 19  # each sends to four others in 0.3 s
+    assert row["routers_in_view"] == 19  # in 0.3 s each router sends to four others
     assert 2500 < row["bytes_per_s"]["sent"] < 3700
     assert 2500 < row["bytes_per_s"]["received"] < 4700
     assert row["tables"]["servers heard of"] == 24
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""The pure parts of the scale runs: places, time lines, limits of the machine, figures summed up."""
+"""The pure parts of the scale runs: locations, timelines, limits of the machine, summary figures."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 WINDOW = Window("calm", 10, 13)
 
 
-def test_routers_stand_at_43_sites_in_25_zones_in_8_regions_as_many_at_each() -> None:
+def test_routers_are_spread_evenly_over_43_sites_in_25_zones_and_8_regions() -> None:
     places = [place(number) for number in range(760)]
     assert {len({one[i] for one in places}) for i in range(3)} == {43, 25, 8}
     assert set(Counter(one.site for one in places).values()) == {17, 18}
@@ -30,7 +30,7 @@
     assert all(region_of[one.zone] == one.region for one in places)
 
 
-def test_a_line_is_as_long_both_ways_and_longer_the_further_apart_its_ends_are() -> None:
+def test_the_delay_is_the_same_in_both_directions_and_grows_with_distance() -> None:
     assert line(0, 43) < line(0, 4) < line(0, 16) < line(0, 1)
     assert [place(n).region for n in (0, 43, 4, 16)] == [0] * 4
     assert len({place(number).region for number in range(760, 764)}) == 4
@@ -39,15 +39,15 @@
 
 @pytest.mark.parametrize("size", scale_plan.SIZES)
 @pytest.mark.parametrize("name", scale_plan.PLAYS)
-def test_a_play_lasts_under_40_seconds_has_its_windows_within_and_harms_no_real_router(
+def test_a_play_is_under_40_seconds_contains_its_windows_and_affects_no_real_router(
     name: str, size: int
 ) -> None:
     found = play(name, size, real=3, aggregators=4)
     assert found.length < 40
     assert all(0 <= one.since < one.until <= found.length for one in found.windows)
     assert all(0 <= step.at < found.length for step in found.steps)
-    befallen = {member for step in found.steps for member in step.members}
-    assert befallen <= set(range(size, size + 4) if name == "aggregators" else range(3, size))
+    affected = {member for step in found.steps for member in step.members}
+    assert affected <= set(range(size, size + 4) if name == "aggregators" else range(3, size))
 
 
 def test_at_760_one_router_dies_and_then_60_within_five_seconds() -> None:
@@ -63,19 +63,19 @@
     assert len(slow.members) == 76
 
 
-def test_aggregators_die_and_stand_still_and_no_router_is_touched() -> None:
+def test_aggregators_are_killed_and_paused_and_no_router_is_affected() -> None:
     found = play("aggregators", 760, 0, 4)
     assert {member for step in found.steps for member in step.members} == set(range(760, 764))
     assert [step.act for step in found.steps] == [Act.KILL, Act.HOLD, Act.KILL]
 
 
-def test_every_router_has_one_process_and_no_process_has_many_more_than_another() -> None:
+def test_every_router_has_one_process_and_routers_are_divided_evenly() -> None:
     shares = spread(range(3, 760), 7)
     assert sorted(number for share in shares for number in share) == list(range(3, 760))
     assert max(map(len, shares)) - min(map(len, shares)) <= 1
 
 
-def test_five_sizes_are_allowed_on_a_machine_that_has_enough() -> None:
+def test_all_sizes_are_allowed_on_a_machine_with_enough_resources() -> None:
     for size in scale_plan.SIZES:
         assert not refusal(BIG, needs(size, 3, 8, 0.02), 1.0, 3)
 
@@ -91,7 +91,7 @@
         (BIG, 760, 1.0, 190, "processes"),
     ],
 )
-def test_what_the_machine_lacks_is_refused_in_one_line_that_names_it(
+def test_a_run_beyond_the_machine_is_refused_in_one_line_that_names_the_resource(
     machine: Machine, size: int, slow: float, real: int, word: str
 ) -> None:
     why = refusal(machine, needs(size, real, 6, 0.05), slow, real)
@@ -99,7 +99,7 @@
     assert "\n" not in why
 
 
-def test_a_run_takes_half_of_the_memory_and_200_processes_at_the_most() -> None:
+def test_a_run_uses_at_most_half_of_the_memory_and_200_processes() -> None:
     needed = needs(760, 3, 6, 0.05)
     just = BIG._replace(memory=needed.memory * 2)
     assert not refusal(just, needed, 1.0, 3)
@@ -108,7 +108,7 @@
     assert refusal(BIG, needed._replace(processes=201), 1.0, 3)
 
 
-def test_the_clock_is_slowed_by_as_much_as_cores_are_missing_and_never_run_faster() -> None:
+def test_the_clock_is_slowed_in_proportion_to_missing_cores_and_never_sped_up() -> None:
     workers = 8
     few, many = (scale_plan.needs(size, 0, workers, 0.05) for size in (50, 760))
     assert scale_plan.slow_factor(few, workers) == 1.0
@@ -117,7 +117,7 @@
     assert factor == pytest.approx(many.cores / (workers * scale_plan.BUSY_PART), abs=0.25)
 
 
-def test_a_slowed_clock_runs_slower_by_its_factor_and_starts_where_the_machine_s_stands(
+def test_a_slowed_clock_starts_at_the_machines_time_and_is_slower_by_its_factor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = SlowClock(5 * NS_PER_S, 4.0)
@@ -127,27 +127,27 @@
     assert clock.real(2.0) == 8.0
 
 
-# What a hollow router takes
+# CPU time and pauses of a hollow router
 
 
-def spinning(monkeypatch: pytest.MonkeyPatch) -> Callable[[int], None]:
-    """Replaces the thread's CPU clock; the function returned lets it run on."""
+def replace_cpu_clock(monkeypatch: pytest.MonkeyPatch) -> Callable[[int], None]:
+    """Replace the thread's CPU clock; return a function that advances it by nanoseconds."""
     spent = [0]
 
-    def spin(ns: int) -> None:
+    def advance(ns: int) -> None:
         spent[0] += ns
 
     monkeypatch.setattr("bench.hollow.thread_time_ns", lambda: spent[0])
-    return spin
+    return advance
 
 
-def test_the_made_up_stream_s_cpu_time_is_not_counted_as_control(monkeypatch: pytest.MonkeyPatch) -> None:
-    spin = spinning(monkeypatch)
+def test_cpu_time_of_the_generated_stream_is_not_counted_as_control(monkeypatch: pytest.MonkeyPatch) -> None:
+    advance = replace_cpu_clock(monkeypatch)
     meter = Meter(lambda: 3.7)
 
     def tick() -> None:
-        spin(100)
-        spin(40)  # the stream
+        advance(100)
+        advance(40)  # the generated stream
         meter.owner += 40
 
     meter.run(tick)
@@ -155,7 +155,7 @@
     assert meter.spent == {3: 200}
 
 
-def test_a_router_that_stands_still_does_all_later_in_order_and_loses_what_its_socket_can_t_keep() -> None:
+def test_a_paused_router_runs_deferred_calls_in_order_and_drops_datagrams_beyond_its_buffer() -> None:
     meter = Meter(lambda: 0.0)
     done: list[str] = []
     meter.hold()
@@ -183,7 +183,7 @@
     assert found == stretches(servers, 1, 934.0)
 
 
-def test_a_router_asked_later_has_as_many_more_requests_each_at_its_time() -> None:
+def test_two_stretches_together_have_the_requests_and_sample_times_of_both() -> None:
     one, other = stretches([f"s{i}" for i in range(96)], 1, 934.0)[:2]
     now = 100 * NS_PER_S
     found = together([one, other], now)
@@ -193,10 +193,10 @@
         assert now - at == age
 
 
-# Figures
+# Summary figures
 
 
-def test_a_window_s_cost_is_given_in_the_mean_and_in_each_router_s_worst_second() -> None:
+def test_the_cost_of_a_window_is_given_as_mean_and_as_each_routers_worst_second() -> None:
     routers = [{"9": 99.0, "10": 1.0, "11": 2.0, "12": 3.0, "13": 99.0}, {"10": 9.0}]
     found = cost(routers, WINDOW)
     assert found.mean == (2.0, 2.5, 3.0, 3.0)
@@ -209,7 +209,7 @@
     assert quantile([5.0], 0.95) == 5.0
 
 
-def test_a_view_is_told_by_its_worst_second_and_over_the_routers_that_live() -> None:
+def test_view_figures_use_the_worst_second_and_count_live_routers_only() -> None:
     seen = [
         (9, 0, 9.0, 9.0, 9.0, 1),
         (10, 96, 0.5, 0.8, 2.0, 50),
@@ -225,7 +225,7 @@
     assert found.coverage.median == 0.5
 
 
-def test_a_death_counts_as_learnt_by_all_only_when_each_that_lives_has_learnt_of_it() -> None:
+def test_a_death_is_learnt_by_all_only_once_every_live_router_has_learnt_of_it() -> None:
     def router(dead: bool = False, **learnt: float) -> dict[str, object]:
         return {"dead": dead, "learnt": {name[1:]: at for name, at in learnt.items()}}
 
@@ -235,18 +235,18 @@
     assert found == (2, 7.0, 7.5, 7.5, 1)
 
 
-def test_a_late_rig_and_a_full_buffer_void_a_run_and_what_is_in_time_does_not() -> None:
-    well = [0.001] * 990 + [0.049] * 9 + [0.149]
-    assert why_void({"relay": well}, 0, 0) == []
-    assert len(why_void({"relay": [*well, 0.151]}, 0, 0)) == 1
+def test_a_late_rig_or_a_full_buffer_voids_a_run_and_punctual_readings_do_not() -> None:
+    punctual = [0.001] * 990 + [0.049] * 9 + [0.149]
+    assert why_void({"relay": punctual}, 0, 0) == []
+    assert len(why_void({"relay": [*punctual, 0.151]}, 0, 0)) == 1
     assert len(why_void({"relay": [0.051] * 100}, 0, 0)) == 1
     assert len(why_void({"relay": []}, 0, 0)) == 1
-    assert len(why_void({"relay": well}, 1, 0)) == 1
-    assert len(why_void({"relay": well}, 0, 1)) == 1
-    assert len(why_void({"relay": well}, 0, 0, silent=1)) == 1
+    assert len(why_void({"relay": punctual}, 1, 0)) == 1
+    assert len(why_void({"relay": punctual}, 0, 1)) == 1
+    assert len(why_void({"relay": punctual}, 0, 0, silent=1)) == 1
 
 
-def test_the_kernel_s_drops_are_read_of_the_run_s_own_sockets_alone() -> None:
+def test_kernel_drops_are_read_for_the_runs_own_sockets_only() -> None:
     rest = "00000000:0000 07 00000000:00000000 00:00000000 00000000     0        0 4 2 0"
     table = (
         "   sl  local_address rem_address   st tx_queue rx_queue tr tm->when retrnsmt uid timeout inode ref\n"
@@ -256,9 +256,9 @@
     assert kernel_drops(table, ["127.64.0.5"]) == 3
 
 
-def test_the_dead_the_light_and_the_aggregators_are_not_in_the_routers_figures() -> None:
-    line_of_time = play("calm", 4, 0)
-    (window,) = line_of_time.windows
+def test_figures_of_routers_leave_out_dead_and_light_ones_and_aggregators() -> None:
+    timeline = play("calm", 4, 0)
+    (window,) = timeline.windows
     seconds = [str(second) for second in range(window.since, window.until)]
 
     def router(number: int, ns: float, *, dead: bool = False, light: bool = False) -> dict[str, object]:
@@ -274,8 +274,8 @@
 
     hollow = [router(0, 2e7), router(1, 9e7, dead=True), router(2, 9e7, light=True), router(3, 4e7)]
     hollow.append(router(4, 8e7))
-    spoken = {str(number): dict.fromkeys(seconds, 1000 * (number + 1)) for number in range(5)}
-    found = summed_up(line_of_time, hollow, {"said": spoken, "heard": spoken}, {1: 1.0}, 4)
+    bytes_by_member = {str(number): dict.fromkeys(seconds, 1000 * (number + 1)) for number in range(5)}
+    found = summed_up(timeline, hollow, {"said": bytes_by_member, "heard": bytes_by_member}, {1: 1.0}, 4)
     figures = found["windows"]["calm"]
     assert figures["cpu_percent"].mean[0::3] == (2.0, 4.0)
     assert figures["bytes_both"].mean[0::3] == (2000.0, 8000.0)
@@ -284,8 +284,8 @@
     assert figures["aggregators"]["bytes_both"].mean.most == 10_000.0
 
 
-class Recorded:
-    """Stands for an event loop: notes what is to be called when, and runs it at a time of its own."""
+class RecordingLoop:
+    """Stands in for an event loop: records calls and their due times, and runs them on a clock of its own."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -305,7 +305,7 @@
 
 
 def test_a_tick_that_ran_late_does_not_move_the_next_unless_it_was_late_by_a_tick() -> None:
-    recorded = Recorded()
+    recorded = RecordingLoop()
     loop = MeteredLoop(cast(asyncio.AbstractEventLoop, recorded), 4.0, Meter(lambda: 0.0))
 
     def tick() -> None:
@@ -318,7 +318,7 @@
     assert recorded.due[-1] == pytest.approx(101.3 + 0.4)
 
 
-def test_of_each_size_all_windows_that_hold_are_drawn_and_no_void_one() -> None:
+def test_all_valid_windows_of_each_size_are_drawn_and_no_void_one() -> None:
     def run(size: int, window: str, figure: int, *, void: bool = False) -> dict[str, object]:
         return {"size": size, "windows": {window: figure}, "void": ["late"] * void, "real": None}
 
--- a/tests/test_site_variant.py
+++ b/tests/test_site_variant.py
@@ -1,4 +1,4 @@
-"""The tool that lays a variant's settings over the operators' site file."""
+"""The tool that overlays a variant's settings on the operators' site file."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 }
 
 
-def test_what_is_named_differs_and_the_rest_stays() -> None:
+def test_an_overlay_changes_the_named_settings_only() -> None:
     overlay = {
         "prices": {"waste": 0.1},
         "tier": [{"like": "t", "conn": {"idle_s": 60}}],
@@ -44,18 +44,18 @@
         ({"prices": 3}, "prices"),
     ],
 )
-def test_what_the_site_file_has_not_is_refused_with_its_name(overlay: dict[str, object], named: str) -> None:
+def test_an_unknown_setting_is_refused_by_name(overlay: dict[str, object], named: str) -> None:
     with pytest.raises(SiteError, match=named):
         lay_over(BASE, overlay)
 
 
-def test_without_the_kit_it_says_so_in_one_line(tmp_path: Path) -> None:
+def test_a_missing_kit_is_reported_in_one_line(tmp_path: Path) -> None:
     with pytest.raises(SiteError, match="kit is not here") as told:
         make(OVERLAYS / "one-tenant.toml", tmp_path / "none", tmp_path / "made")
     assert "\n" not in str(told.value)
 
 
-def test_the_site_file_stands_beside_what_the_bench_wants(tmp_path: Path) -> None:
+def test_the_site_file_is_written_beside_the_files_that_the_bench_needs(tmp_path: Path) -> None:
     kit, made = tmp_path / "kit", tmp_path / "made"
     kit.mkdir()
     for name in BESIDE:
