--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -57,7 +57,7 @@
 FAKED_ROUTER, FAKED_AGGREGATOR, RESTARTED = "router07", "aggregator00", "router06"
 TICK_S, REPORT_TICKS = 0.1, 10
 ATTACK_INTERVAL_S, ATTACK_S = 0.05, 6.0
-FALSE_RESPONSE_TIME = 60_000 * MS  # ns, a response time that no server reports
+FALSE_RESPONSE_TIME_NS = 60_000 * MS  # a response time that no server reports
 MAX_CLAIM = 0xFFFF  # the most requests that a report can claim
 WINDOW_S = 7.0  # before a snapshot; everything that it is based on was observed in this time
 SLOTS = 8192
@@ -363,7 +363,7 @@
     def report(self, boot_id: int, slots: dict[int, int], sender: int | None = None) -> LoadReport:
         """Return a report of all servers as very slow or as idle, with one of them repeated."""
         named = [*self.servers, *[self.named] * (MAX_SAMPLES - len(self.servers))]
-        wait = FALSE_RESPONSE_TIME if self.sequence // 40 % 2 else 0
+        wait = FALSE_RESPONSE_TIME_NS if self.sequence // 40 % 2 else 0
         samples = tuple(ServerSample(server, wait, 0) for server in named)
         return LoadReport(
             self.member.number if sender is None else sender, boot_id, samples, MAX_CLAIM, slots
@@ -500,7 +500,7 @@
     def false_view(self, changes: dict[str, Any]) -> bytes:
         """Return a view with all servers at one extreme, and with requests for unrequested slots only."""
         waits = tuple(
-            ServerSample(server, FALSE_RESPONSE_TIME if self.full else 0, 0) for server in self.servers
+            ServerSample(server, FALSE_RESPONSE_TIME_NS if self.full else 0, 0) for server in self.servers
         )
         reporters = MAX_CLAIM if self.count // 80 % 2 else ROUTERS
         fields: dict[str, Any] = {
@@ -519,7 +519,7 @@
     def false_report(self, reporter: int) -> bytes:
         """Return a forged report that it forwards as the newest of a router."""
         samples = tuple(
-            ServerSample(server, FALSE_RESPONSE_TIME if self.full else 0, 0) for server in self.servers
+            ServerSample(server, FALSE_RESPONSE_TIME_NS if self.full else 0, 0) for server in self.servers
         )
         asked = MAX_CLAIM if self.full else 0
         boot_id = self.member.boot_ids[reporter]
--- a/tests/processes/test_scale.py
+++ b/tests/processes/test_scale.py
@@ -129,7 +129,7 @@
     ) as running:
         try:
             cores = len(os.sched_getaffinity(0))
-            # Processes: hollow routers' workers, the relay, four of emulated endpoints, and the real routers.
+            # Processes: hollow routers, the relay, four workers of emulated endpoints, and the real routers.
             wait_until(lambda: len(descendants(running.pid)) >= max(min(cores - 1, 20), 1) + 1 + 4 + REAL)
             started = descendants(running.pid)
             running.send_signal(number)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -131,11 +131,11 @@
 
 def test_a_figure_is_the_mean_of_the_readings_at_its_size_or_else_the_fitted_value() -> None:
     stored = {"made": measurement((1, 1), (2, 2), (3, 3), (4, 4), (4, 6))}
-    there = find(row(Read("made", "made up", 4, times=10)), stored)
-    assert there.value == pytest.approx(50.0)
-    beyond = find(row(Read("made", "made up", 8, times=10)), stored)
-    assert beyond.fit is not None
-    assert beyond.value == pytest.approx(10 * beyond.fit.at(8).value)
+    measured = find(row(Read("made", "made up", 4, times=10)), stored)
+    assert measured.value == pytest.approx(50.0)
+    extrapolated = find(row(Read("made", "made up", 8, times=10)), stored)
+    assert extrapolated.fit is not None
+    assert extrapolated.value == pytest.approx(10 * extrapolated.fit.at(8).value)
 
 
 def test_a_gap_is_the_use_over_the_limit_or_the_need_over_the_capacity() -> None:
--- a/tests/test_site_variant.py
+++ b/tests/test_site_variant.py
@@ -26,11 +26,11 @@
         "tier": [{"like": "t", "conn": {"idle_s": 60}}],
         "class": [{"like": "main", "name": "other", "effect": "keyed", "window_ms": 400}],
     }
-    told = lay_over(BASE, overlay)
-    assert told["name"] == "first"
-    assert told["prices"] == {"waste": 0.1, "origin": 0.15}
-    assert told["tier"] == [{**BASE["tier"][0], "conn": {"idle_s": 60, "cap": [1, 2]}}]  # type: ignore[index]
-    assert told["class"] == [{"name": "other", "share": 1, "effect": "keyed", "window_ms": 400}]
+    merged = lay_over(BASE, overlay)
+    assert merged["name"] == "first"
+    assert merged["prices"] == {"waste": 0.1, "origin": 0.15}
+    assert merged["tier"] == [{**BASE["tier"][0], "conn": {"idle_s": 60, "cap": [1, 2]}}]  # type: ignore[index]
+    assert merged["class"] == [{"name": "other", "share": 1, "effect": "keyed", "window_ms": 400}]
 
 
 @pytest.mark.parametrize(
@@ -50,9 +50,9 @@
 
 
 def test_a_missing_kit_is_reported_in_one_line(tmp_path: Path) -> None:
-    with pytest.raises(SiteError, match="kit is not here") as told:
+    with pytest.raises(SiteError, match="kit is not here") as error:
         make(OVERLAYS / "one-tenant.toml", tmp_path / "none", tmp_path / "made")
-    assert "\n" not in str(told.value)
+    assert "\n" not in str(error.value)
 
 
 def test_the_site_file_is_written_beside_the_files_that_the_bench_needs(tmp_path: Path) -> None:
