--- a/bench/aggregation_figures.py
+++ b/bench/aggregation_figures.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers import merged_view, sequenced_report
 from holdgw.peers.load_encoding import ServerSample
 from holdgw.peers.load_report import hash_server
@@ -22,7 +22,7 @@
 COUNTED_S = 3.6  # seconds of requests that a decayed count holds
 WELL_MS, BAND_MS = 20, 10  # what honest servers' waits lie between, where these tell load
 LIE_MS = 60_000
-WEATHER = PeerWeather(loss=0.02, duplicates=0.05, reordered=0.1)
+WEATHER = PeerNetworkConditions(loss=0.02, duplicates=0.05, reordered=0.1)
 
 
 def tier(seed: int, aggregators: int = 3, **more: object) -> AggregatedTier:
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -13,7 +13,7 @@
 from typing import Any, NamedTuple
 
 from bench import aggregation_figures
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers.datagram import MemberState
 from holdgw.peers.timing import NS_PER_S
 from holdgw.simulation.fleet import Fleet, SimulatedPolicy
@@ -71,7 +71,7 @@
 
 def returned(seed: int) -> float:
     """Routers held for dead, when all that were frozen or restarted are back and old datagrams come again."""
-    weather = PeerWeather(loss=0.05, duplicates=0.1, reordered=0.3)
+    weather = PeerNetworkConditions(loss=0.05, duplicates=0.1, reordered=0.3)
     tier = MembershipTier(24, seed, RelayModel(seed, lambda _a, _b: 0.004, weather))
     said: list[tuple[int, int, bytes]] = []
     say = tier.say
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -11,7 +11,7 @@
 from math import inf
 from time import perf_counter
 
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers.datagram import MemberState
 from holdgw.simulation.membership_tier import MembershipTier
 
@@ -68,7 +68,7 @@
 
 def deaths(size: int, seed: int, loss: float) -> tuple[list[float], list[float], float]:
     """Seconds until the first, and until all learn of each of some deaths; bytes a second of a router."""
-    tier = MembershipTier(size, seed, RelayModel(seed, line, PeerWeather(loss=loss)))
+    tier = MembershipTier(size, seed, RelayModel(seed, line, PeerNetworkConditions(loss=loss)))
     tier.run(CALM_S)
     before, began = sum(tier.bytes.values()), tier.now
     first, last = learn_of_deaths(tier, DEATHS, LEARN_MOST_S, unlearnt=inf)
@@ -78,7 +78,7 @@
 
 def falsely(size: int, seed: int, seconds: float) -> dict[str, float]:
     """Suspicions and deaths an hour over the tier, nobody being dead; bytes a second of a router."""
-    tier = MembershipTier(size, seed, RelayModel(seed, line, PeerWeather(loss=0.05)))
+    tier = MembershipTier(size, seed, RelayModel(seed, line, PeerNetworkConditions(loss=0.05)))
     slow = set(tier.random.sample(range(size), size // 10))
     for number in slow:
         slow_down(tier, number, 20)
--- a/bench/router_core.py
+++ b/bench/router_core.py
@@ -360,9 +360,9 @@
 
 
 class Nobody:
-    """A witness that keeps nothing."""
+    """A recorder that keeps nothing."""
 
-    def saw(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Drop it."""
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
--- a/bench/scale_relay.py
+++ b/bench/scale_relay.py
@@ -14,7 +14,7 @@
 from bench.scale_child import Handler, serve
 from bench.scale_clock import Lag, SlowClock
 from holdgw.emulators.relay import ALL, Relay
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 
 
 class CountedLines(RelayModel):
@@ -25,7 +25,7 @@
 
     def __init__(self, seed: int, loss: float, clock: SlowClock) -> None:
         super().__init__(
-            seed, lambda a, b: clock.real(scale_plan.line(int(a), int(b))), PeerWeather(loss=loss)
+            seed, lambda a, b: clock.real(scale_plan.line(int(a), int(b))), PeerNetworkConditions(loss=loss)
         )
         self.said: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
         self.heard: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
@@ -37,13 +37,13 @@
         """Nothing passes between these and the others until that second of the rig's clock."""
         self._apart, self._apart_until = names, until
 
-    def carries(self, now: float, a: str, b: str, size: int) -> list[float]:
+    def delivery_delays(self, now: float, a: str, b: str, size: int) -> list[float]:
         """As the relay's model; and counted."""
         at = self.clock.seconds()
         self.said[a][int(at)] += size
         if at < self._apart_until and (a in self._apart) != (b in self._apart):
             return []
-        delays = super().carries(now, a, b, size)
+        delays = super().delivery_delays(now, a, b, size)
         self.heard[b][int(at)] += size * len(delays)
         return delays
 
--- a/bench/slopes_lists.py
+++ b/bench/slopes_lists.py
@@ -20,7 +20,7 @@
 from bench.slopes import REPEATS, ROUTERS, Readings, cpu_of, measurement
 from holdgw.emulators.discovery import DiscoveryServer
 from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
-from holdgw.emulators.records import Called, Record
+from holdgw.emulators.records import DiscoveryCall, Record
 from holdgw.harness.deployment import Peers, configuration
 from holdgw.harness.scenario import load_scenario
 from holdgw.policy import RequestClass, RoutingPolicy, Settings
@@ -85,14 +85,14 @@
 
 
 class Calls:
-    """A witness that counts calls."""
+    """A recorder that counts calls."""
 
     def __init__(self) -> None:
         self.count = 0
 
-    def saw(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Count a call."""
-        self.count += isinstance(record, Called)
+        self.count += isinstance(record, DiscoveryCall)
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
         """Drop it."""
--- a/bench/slopes_tier.py
+++ b/bench/slopes_tier.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Collection
 from typing import Any
 
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers.membership import Membership
 from holdgw.simulation.membership_tier import MembershipTier
 
@@ -43,7 +43,7 @@
 
 def make(size: int, seed: int, loss: float = LOSS) -> MembershipTier:
     """So many routers that know one another, after a calm stretch."""
-    tier = MembershipTier(size, seed, RelayModel(seed, delay, PeerWeather(loss=loss)))
+    tier = MembershipTier(size, seed, RelayModel(seed, delay, PeerNetworkConditions(loss=loss)))
     tier.run(CALM_S)
     return tier
 
--- a/bench/start.py
+++ b/bench/start.py
@@ -99,7 +99,7 @@
         "calls": by_step(one.at - begun for one in history.calls),
         "dials at the busiest node": steps[busiest],
         "dials": by_step(at for times in dials.values() for at in times),
-        "turned away": by_step(one.at - begun for one in history.dials if not one.taken),
+        "turned away": by_step(one.at - begun for one in history.dials if not one.accepted),
         "fetches": by_step(
             one.at - begun for one in history.attempts if one.server == ORIGIN and not one.idempotency
         ),
@@ -114,7 +114,7 @@
         "calm": round(calm, 4),
         "recovered_s": round(wait, 2),
         "tries_after": round(len(sent) / asks, 3) if asks else 0.0,
-        "whole_lists": sum(one.whole for one in calls),
+        "whole_lists": sum(one.full for one in calls),
         "starts": len(lives),
         "served_by_second": [
             round(sum(here) / len(here), 3) if (here := [g for at, g in served if i <= at < i + 1]) else 0.0
--- a/holdgw/emulators/discovery.py
+++ b/holdgw/emulators/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's sockets: the whole list, watches, and who has been told what (PROTOCOL, "Discovery").
+"""Discovery's sockets: the full list, watches, and who has been told what (PROTOCOL, "Discovery").
 
 Pushed: an agent beside each router, one listener a router. Asked: one service, and a router is known by the
 listener it connects to as well, so that what it was told can be judged; its calls are worked off in turn.
@@ -15,16 +15,23 @@
 
 from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
 from holdgw.emulators.fault_proxy import ProxiedConnection, Way
-from holdgw.emulators.listeners import Alarm, Clock, Host, Listeners, reset
-from holdgw.emulators.records import Called, Deaf, Had, Odd, Told, Witness
+from holdgw.emulators.listeners import Clock, Host, Listeners, ModelTimer, reset_connection
+from holdgw.emulators.records import (
+    DiscoveryCall,
+    DiscoveryCut,
+    EndpointStateAvailable,
+    EndpointStateSent,
+    ProtocolViolation,
+    Recorder,
+)
 from holdgw.wire.address import Address, format_address
 from holdgw.wire.http import HttpError, HttpRequest, RequestReader, response
 
 LIST_PATH = "/registry/instances"
-MOST_WAIT_MS = 60_000
-OLD_ADDRESS_S = 1.5  # in which the address before a move still answers what is connected there
+MAX_WAIT_MS = 60_000
+OLD_ADDRESS_OPEN_S = 1.5  # in which the address before a move still answers what is connected there
 
-Where = Callable[[str, str], Address]
+AddressLookup = Callable[[str, str], Address]
 """The address of a server for a router: (router, server)."""
 
 
@@ -38,7 +45,7 @@
         self._wait: asyncio.TimerHandle | None = None
         self._index = 0
         self.watching = False
-        self.left = 0.0
+        self.held_since = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -51,29 +58,29 @@
     def data_received(self, data: bytes) -> None:
         try:
             for request in self._reader.read(data):
-                self._asked(request)
+                self._handle_request(request)
         except (HttpError, ValueError) as error:
-            self.server.odd(str(error))
+            self.server.record_violation(str(error))
             self.abort()
 
-    def _asked(self, request: HttpRequest) -> None:
+    def _handle_request(self, request: HttpRequest) -> None:
         target = urlsplit(request.target.decode("latin-1"))
         if request.method != b"GET" or target.path != LIST_PATH:
             raise ValueError(f"asked for {target.path}")
         query = dict(parse_qsl(target.query))
         if self.watching:
             raise ValueError("a second call before the first one's answer")
-        self.server.called(self, query)
+        self.server.handle_call(self, query)
 
     def wait(self, index: int, milliseconds: int) -> None:
         """Answer once there is something newer, or when the time is up."""
         self._index, self.watching = index, True
-        if self.news():
+        if self.answer_if_newer():
             return
-        delay = min(milliseconds, MOST_WAIT_MS) / 1000
+        delay = min(milliseconds, MAX_WAIT_MS) / 1000
         self._wait = self.server.loop.call_later(delay, self.answer, False, [])
 
-    def news(self) -> bool:
+    def answer_if_newer(self) -> bool:
         """Answer a watch if there is something newer; returns whether it did."""
         if not self.watching:
             return False
@@ -90,10 +97,10 @@
             return
         answer = response(200, self.server.body(self.router, reset, entries))
         if isinstance(self.transport, ProxiedConnection):
-            self.transport.write(answer, lambda: self.server.told(self, reset, entries))
+            self.transport.write(answer, lambda: self.server.record_sent(self, reset, entries))
         else:
             self.transport.write(answer)
-            self.server.told(self, reset, entries)
+            self.server.record_sent(self, reset, entries)
 
     def fail(self) -> None:
         """The call fails."""
@@ -108,7 +115,7 @@
             self._wait = None
 
     def abort(self) -> None:
-        reset(self.transport)
+        reset_connection(self.transport)
 
 
 class DiscoveryServer:
@@ -118,22 +125,27 @@
         self,
         model: DiscoveryModel,
         routers: Iterable[str],
-        where: Where,
-        witness: Witness,
+        address_of: AddressLookup,
+        recorder: Recorder,
         clock: Clock,
         ip: str = "127.0.0.1",
         call_s: float = 0.0,
-        gated: bool = False,
+        proxied: bool = False,
     ) -> None:
         self.model, self.loop = model, asyncio.get_running_loop()
         self.connections: dict[_Connection, None] = {}
-        self._routers, self._where, self._witness, self._clock = list(routers), where, witness, clock
-        self._ip, self._call_s, self._gated = ip, call_s, gated
+        self._routers, self._address_of, self._recorder, self._clock = (
+            list(routers),
+            address_of,
+            recorder,
+            clock,
+        )
+        self._ip, self._call_s, self._proxied = ip, call_s, proxied
         self._listeners: dict[str, Listeners] = {}
-        self._known: dict[str, dict[str, None]] = {}  # what each router was told to be there
-        self._alarm = Alarm(self.loop, clock, self._rings)
+        self._known_endpoints: dict[str, dict[str, None]] = {}  # what each router was told to be there
+        self._timer = ModelTimer(self.loop, clock, self._answer_watches)
         self._down_until = float("-inf")
-        self._cut: dict[str, tuple[Way, float]] = {}  # each router's line: which way, and until when
+        self._blocked: dict[str, tuple[Way, float]] = {}  # each router's line: which way, and until when
         self._free_at = float("-inf")  # when the one service has worked off the calls so far
 
     async def start(self) -> dict[str, Address]:
@@ -144,42 +156,42 @@
 
     async def listen(self, router: str) -> Address:
         """Listen for a router at a new address; the one before takes no new connection, and closes later."""
-        listeners = Listeners(Host(self._ip, gated=self._gated), self._clock)
+        listeners = Listeners(Host(self._ip, proxied=self._proxied), self._clock)
         await listeners.open(lambda _: _Connection(self, router))
         old = self._listeners.get(router)
         if old is not None:
             old.close()
             for connection in [one for one in self.connections if one.router == router]:
-                self.loop.call_later(OLD_ADDRESS_S, connection.abort)
+                self.loop.call_later(OLD_ADDRESS_OPEN_S, connection.abort)
         self._listeners[router] = listeners
-        way, until = self._cut.get(router, ("both", 0.0))
+        way, until = self._blocked.get(router, ("both", 0.0))
         if until > self._clock():
             listeners.block(way, until - self._clock())
         return listeners.addresses[""]
 
     def close(self) -> None:
         """The day is over."""
-        self._alarm.close()
+        self._timer.close()
         for listeners in self._listeners.values():
             listeners.end()
         for connection in list(self.connections):
             connection.abort()
 
-    def odd(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         """Something came that no router should send."""
-        self._witness.saw(Odd("discovery", self._clock(), text))
+        self._recorder.record(ProtocolViolation("discovery", self._clock(), text))
 
     # Troubles
 
     def change(self, entry: Entry) -> None:
         """The list changes."""
         self.model.change(self._clock(), entry)
-        self._rings()
+        self._answer_watches()
 
     def set_state(self, server: str, state: State) -> None:
         """A listed server changes its state; for one that is not listed nothing is left to tell."""
         self.model.set_state(self._clock(), server, state)
-        self._rings()
+        self._answer_watches()
 
     def late(self, extra: float, seconds: float) -> None:
         """Changes from now on come later than usual."""
@@ -199,17 +211,17 @@
     def block(self, router: str, way: Way, seconds: float) -> None:
         """Cut the line between a router and discovery for so long."""
         now = self._clock()
-        self._cut[router] = way, now + seconds
+        self._blocked[router] = way, now + seconds
         self._listeners[router].block(way, seconds)
-        self._witness.saw(Deaf(router, now, now + seconds))
+        self._recorder.record(DiscoveryCut(router, now, now + seconds))
 
     # Calls
 
-    def called(self, connection: _Connection, query: dict[str, str]) -> None:
+    def handle_call(self, connection: _Connection, query: dict[str, str]) -> None:
         """One call; where discovery is asked, calls are worked off in turn."""
         now = self._clock()
         down = now < self._down_until
-        self._witness.saw(Called(connection.router, now, "index" not in query, down))
+        self._recorder.record(DiscoveryCall(connection.router, now, "index" not in query, down))
         if down:
             connection.fail()
             return
@@ -221,27 +233,27 @@
 
     def _serve(self, connection: _Connection, query: dict[str, str]) -> None:
         # This call also brings other routers' views up to date; their watches have to be answered first.
-        self._rings()
+        self._answer_watches()
         if "index" in query:
             connection.wait(int(query["index"]), int(query.get("wait", "0")))
         else:
             connection.answer(True, list(self.model.views[connection.router].entries.values()))
 
-    def _take_in(self) -> set[str]:
+    def _advance_views(self) -> set[str]:
         came = self.model.advance(self._clock())
         for router, changes in came.items():
             for change in changes:
                 entry = change.entry
-                self._witness.saw(Had(router, entry.id, entry.state.value, change.at))
-        self._alarm.set(self.model.next_due())
+                self._recorder.record(EndpointStateAvailable(router, entry.id, entry.state.value, change.at))
+        self._timer.set(self.model.next_due())
         return set(came)
 
-    def _rings(self) -> None:
-        came = self._take_in()
+    def _answer_watches(self) -> None:
+        came = self._advance_views()
         if self._clock() < self._down_until:
             return
         for connection in [one for one in self.connections if one.router in came]:
-            connection.news()
+            connection.answer_if_newer()
 
     def body(self, router: str, reset: bool, entries: list[Entry]) -> bytes:
         """The list in discovery's form."""
@@ -255,7 +267,7 @@
             "instances": [
                 {
                     "instanceId": entry.id,
-                    "hostPort": format_address(self._where(router, entry.id)),
+                    "hostPort": format_address(self._address_of(router, entry.id)),
                     "zone": entry.zone,
                     "machineType": entry.kind,
                     "cell": entry.cell,
@@ -267,18 +279,18 @@
             ],
         }
 
-    def told(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
+    def record_sent(self, connection: _Connection, full: bool, entries: list[Entry]) -> None:
         """Remember what was written to a router."""
         router, now = connection.router, self._clock()
         view = self.model.views[router]
-        known = self._known.setdefault(router, {})
+        known = self._known_endpoints.setdefault(router, {})
         for entry in entries:
             since = view.since.get(entry.id, now)
-            self._witness.saw(Told(router, entry.id, entry.state.value, now, since, whole))
-        if whole:
-            # A whole list also tells, by leaving them out, which servers are gone.
+            self._recorder.record(EndpointStateSent(router, entry.id, entry.state.value, now, since, full))
+        if full:
+            # A full list also tells, by leaving them out, which servers are gone.
             for server in [name for name in known if name not in {entry.id for entry in entries}]:
-                self._witness.saw(Told(router, server, State.REMOVED.value, now, now, whole))
+                self._recorder.record(EndpointStateSent(router, server, State.REMOVED.value, now, now, full))
             known.clear()
         for entry in entries:
             if entry.state is State.REMOVED:
--- a/holdgw/emulators/discovery_model.py
+++ b/holdgw/emulators/discovery_model.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-MOST_CHANGES = 4096  # kept for watches; an older version gets the whole list
+MAX_CHANGES = 4096  # kept for watches; an older version gets the whole list
 
 
 class State(Enum):
@@ -53,34 +53,34 @@
         self.entries = {entry.id: entry for entry in entries}
         self.version = version
         self.since = dict.fromkeys(self.entries, now)  # when the view had the present state
-        self.changes: deque[Change] = deque(maxlen=MOST_CHANGES)
+        self.changes: deque[Change] = deque(maxlen=MAX_CHANGES)
         self.oldest = version  # watches from an older version get the whole list
-        self._coming: deque[tuple[float, int, Entry]] = deque()
-        self._held_until = float("-inf")
+        self._pending: deque[tuple[float, int, Entry]] = deque()
+        self._frozen_until = float("-inf")
 
-    def expect(self, due: float, version: int, entry: Entry) -> None:
+    def schedule(self, due: float, version: int, entry: Entry) -> None:
         """A change will come at `due`, or behind the one before it."""
-        if self._coming:
-            due = max(due, self._coming[-1][0])
-        self._coming.append((due, version, entry))
+        if self._pending:
+            due = max(due, self._pending[-1][0])
+        self._pending.append((due, version, entry))
 
-    def hold(self, until: float) -> None:
+    def freeze(self, until: float) -> None:
         """Nothing comes in before `until`."""
-        self._held_until = max(self._held_until, until)
+        self._frozen_until = max(self._frozen_until, until)
 
     def advance(self, now: float) -> list[Change]:
         """Take in what is due; returns it."""
         came = []
-        while self._coming and max(self._coming[0][0], self._held_until) <= now:
-            due, version, entry = self._coming.popleft()
-            change = Change(version, entry, max(due, self._held_until))
+        while self._pending and max(self._pending[0][0], self._frozen_until) <= now:
+            due, version, entry = self._pending.popleft()
+            change = Change(version, entry, max(due, self._frozen_until))
             if entry.state is State.REMOVED:
                 self.entries.pop(entry.id, None)
             else:
                 self.entries[entry.id] = entry
             self.since[entry.id] = change.at
             self.version = version
-            if len(self.changes) == MOST_CHANGES:
+            if len(self.changes) == MAX_CHANGES:
                 self.oldest = self.changes[0].version
             self.changes.append(change)
             came.append(change)
@@ -88,7 +88,7 @@
 
     def next_due(self) -> float | None:
         """When the next change is due."""
-        return max(self._coming[0][0], self._held_until) if self._coming else None
+        return max(self._pending[0][0], self._frozen_until) if self._pending else None
 
     def newer_than(self, version: int) -> tuple[bool, list[Entry]]:
         """What a watch from `version` gets: (whole list or not, entries), each server once."""
@@ -123,7 +123,7 @@
             self._entries[entry.id] = entry
         extra = self._extra if now < self._extra_until else 0.0
         for name, view in self.views.items():
-            view.expect(now + self._delay(name, self.version) + extra, self.version, entry)
+            view.schedule(now + self._delay(name, self.version) + extra, self.version, entry)
 
     def set_state(self, now: float, server: str, state: State) -> bool:
         """A listed server changes its state; False: it is not listed."""
@@ -140,7 +140,7 @@
     def stale(self, now: float, seconds: float, views: Iterable[str]) -> None:
         """Those views stand still for so many seconds."""
         for name in views:
-            self.views[name].hold(now + seconds)
+            self.views[name].freeze(now + seconds)
 
     def advance(self, now: float) -> dict[str, list[Change]]:
         """Bring all views up to `now`; returns the views in which something came."""
--- a/holdgw/emulators/faults.py
+++ b/holdgw/emulators/faults.py
@@ -21,30 +21,30 @@
 
 
 @dataclass(slots=True)
-class Shares:
-    """Shares of the answers that are spoilt, each from 0 to 1."""
+class FaultShares:
+    """Shares of answers that get a fault, each from 0 to 1."""
 
     reset: float = 0.0
     garble: float = 0.0
     silence: float = 0.0
 
-    def of(self, seed: int, server: str, request: bytes, attempt: int) -> Fault:
+    def draw(self, seed: int, server: str, request: bytes, attempt: int) -> Fault:
         """The fate of one answer; `attempt` counts the request's attempts at this server."""
         if not (self.reset or self.garble or self.silence):
             return Fault.NONE
-        drawn = unit(seed, "fault", server, request, attempt)
+        remainder = unit(seed, "fault", server, request, attempt)
         for fault, share in (
             (Fault.RESET, self.reset),
             (Fault.GARBLE, self.garble),
             (Fault.SILENCE, self.silence),
         ):
-            if drawn < share:
+            if remainder < share:
                 return fault
-            drawn -= share
+            remainder -= share
         return Fault.NONE
 
 
-NOISE = (
+MALFORMED_RESP = (
     b"\xff\xfe\x00 no answer of any kind\r\n",
     b"*3\r\n$4\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n",
     b"*3\r\n$3000000000\r\nvalue",
@@ -52,7 +52,7 @@
     b"$99999999999999999999\r\n",
 )
 """Spoilt RESP answers: noise, a wrong length, one of 3 GB, a broken header, a length out of bounds."""
-HTTP_NOISE = (
+MALFORMED_HTTP = (
     b"\xff\xfe\x00 no answer of any kind\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nvalue",
     b"HTTP/1.1 banana\r\n\r\n",
--- a/holdgw/emulators/listeners.py
+++ b/holdgw/emulators/listeners.py
@@ -13,10 +13,10 @@
 from holdgw.emulators.fault_proxy import LINGER_NONE, FaultProxy, ProxiedListener, Way
 from holdgw.wire.address import Address
 
-SHORT_S = 0.0007  # delays under this are left out: a timer of the loop is no finer than a millisecond
+MIN_DELAY_S = 0.0007  # delays under this are left out: a timer of the loop is no finer than a millisecond
 
 Clock = Callable[[], float]
-ByLine = Mapping[str, float]
+LinkDelays = Mapping[str, float]
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,11 +26,11 @@
     """
 
     ip: str = "127.0.0.1"
-    lines: ByLine = field(default_factory=lambda: {"": 0.0})
-    gated: bool = False
+    links: LinkDelays = field(default_factory=lambda: {"": 0.0})
+    proxied: bool = False
 
 
-def reset(transport: asyncio.BaseTransport | None) -> None:
+def reset_connection(transport: asyncio.BaseTransport | None) -> None:
     """End a connection as the death of its process does: by a reset, whatever is unsent or unread."""
     if transport is None:
         return
@@ -41,11 +41,11 @@
     cast(asyncio.Transport, transport).abort()
 
 
-class Alarm:
+class ModelTimer:
     """One timer that is set to the model's next event; setting it later than it stands costs nothing."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, ring: Callable[[], None]) -> None:
-        self._loop, self._clock, self._ring = loop, clock, ring
+    def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, on_due: Callable[[], None]) -> None:
+        self._loop, self._clock, self._on_due = loop, clock, on_due
         self._timer: asyncio.TimerHandle | None = None
         self._due = 0.0
 
@@ -58,11 +58,11 @@
                 return  # it rings earlier and is set anew then
             self._timer.cancel()
         self._due = due
-        self._timer = self._loop.call_later(max(due - self._clock(), 0.0), self._rings)
+        self._timer = self._loop.call_later(max(due - self._clock(), 0.0), self._fire)
 
-    def _rings(self) -> None:
+    def _fire(self) -> None:
         self._timer = None
-        self._ring()
+        self._on_due()
 
     def close(self) -> None:
         """Never ring again."""
@@ -81,37 +81,37 @@
         """Whether its process runs, and takes what comes in."""
         self._clock = clock
         self._servers: list[asyncio.Server] = []
-        self._gated: dict[str, ProxiedListener] = {}
+        self._proxied: dict[str, ProxiedListener] = {}
 
     async def open(self, protocol: Callable[[float], asyncio.Protocol]) -> None:
         """Listen; `protocol` makes one for a connection over a line with that one-way delay."""
         loop = asyncio.get_running_loop()
-        for line, delay in self.host.lines.items():
-            port = self.addresses[line][1] if line in self.addresses else 0
+        for link, delay in self.host.links.items():
+            port = self.addresses[link][1] if link in self.addresses else 0
             make = partial(protocol, delay)
-            if self.host.gated:
-                if line not in self._gated:
-                    self._gated[line] = ProxiedListener(FaultProxy(loop, self._clock))
-                self.addresses[line] = self._gated[line].open((self.host.ip, port), make)
+            if self.host.proxied:
+                if link not in self._proxied:
+                    self._proxied[link] = ProxiedListener(FaultProxy(loop, self._clock))
+                self.addresses[link] = self._proxied[link].open((self.host.ip, port), make)
                 continue
             server = await loop.create_server(make, self.host.ip, port, backlog=512)
             self._servers.append(server)
-            self.addresses[line] = (self.host.ip, server.sockets[0].getsockname()[1])
+            self.addresses[link] = (self.host.ip, server.sockets[0].getsockname()[1])
         self.is_open = True
 
-    def take(self, other: Listeners) -> None:
+    def adopt_addresses(self, other: Listeners) -> None:
         """Listen, when opened, where another's stand-in did that has gone, over the same lines."""
         self.addresses = dict(other.addresses)
-        self._gated = other._gated
+        self._proxied = other._proxied
 
-    def gate(self, line: str) -> FaultProxy:
+    def proxy(self, link: str) -> FaultProxy:
         """What may cut a line; raises KeyError where no line may be cut."""
-        return self._gated[line].gate
+        return self._proxied[link].proxy
 
-    def block(self, way: Way, seconds: float, lines: Iterable[str] | None = None) -> None:
+    def block(self, way: Way, seconds: float, links: Iterable[str] | None = None) -> None:
         """Cut lines, or all there are, for so long."""
-        for line in self.host.lines if lines is None else lines:
-            self.gate(line).block(way, seconds)
+        for link in self.host.links if links is None else links:
+            self.proxy(link).block(way, seconds)
 
     def close(self) -> None:
         """Refuse connections from now on; where a line is cut, from when it is back."""
@@ -119,19 +119,19 @@
         servers, self._servers = self._servers, []
         for server in servers:
             server.close()
-        for one in self._gated.values():
+        for one in self._proxied.values():
             one.close()
 
     def end(self) -> None:
         """The day is over."""
         self.close()
-        for one in self._gated.values():
+        for one in self._proxied.values():
             one.end()
 
 
-def after(loop: asyncio.AbstractEventLoop, delay: float, call: Callable[[], None]) -> None:
+def call_after(loop: asyncio.AbstractEventLoop, delay: float, call: Callable[[], None]) -> None:
     """Call after a line's delay; lines too short for a timer are no delay."""
-    if delay < SHORT_S:
+    if delay < MIN_DELAY_S:
         call()
     else:
         loop.call_later(delay, call)
--- a/holdgw/emulators/lru_cache.py
+++ b/holdgw/emulators/lru_cache.py
@@ -11,7 +11,7 @@
 
 from holdgw.emulators.seeded_draws import unit
 
-MOST_REMEMBERED = 100_000  # keys whose loss is remembered
+MAX_REMEMBERED_REMOVALS = 100_000  # keys whose loss is remembered
 
 
 class MissReason(Enum):
@@ -21,75 +21,75 @@
     """Not since the process started: wanted for the first time here, or lost with the last process."""
     EVICTED = "evicted"
     FLUSHED = "flushed"
-    VOIDED = "voided"
+    INVALIDATED = "voided"
     EXPIRED = "expired"
 
 
 class LruCache:
-    """Copies by key. Sizes are bytes; `lasts` is how long a copy is good, 0 for ever."""
-
-    def __init__(self, memory: int, lasts: float = 0.0) -> None:
-        if memory < 0 or lasts < 0:
-            raise ValueError("memory and lasts must be at least 0")
-        self._memory, self._lasts = memory, lasts
-        self._kept: OrderedDict[bytes, tuple[int, float]] = OrderedDict()  # size, stored at
-        self._lost: OrderedDict[bytes, MissReason] = OrderedDict()
+    """Copies by key. Sizes are bytes; `ttl` is how long a copy is good, 0 for ever."""
+
+    def __init__(self, memory: int, ttl: float = 0.0) -> None:
+        if memory < 0 or ttl < 0:
+            raise ValueError("memory and ttl must be at least 0")
+        self._memory, self._ttl = memory, ttl
+        self._entries: OrderedDict[bytes, tuple[int, float]] = OrderedDict()  # size, stored at
+        self._removed: OrderedDict[bytes, MissReason] = OrderedDict()
         self.used = 0
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._entries)
 
     def __contains__(self, key: bytes) -> bool:
-        return key in self._kept
+        return key in self._entries
 
-    def look(self, key: bytes, now: float) -> int | None:
+    def get(self, key: bytes, now: float) -> int | None:
         """The size of the copy, which counts as used; None: not kept, and `why` tells the reason."""
-        held = self._kept.get(key)
+        held = self._entries.get(key)
         if held is None:
             return None
         size, stored = held
-        if self._lasts and now - stored >= self._lasts:
-            self._lose(key, MissReason.EXPIRED)
+        if self._ttl and now - stored >= self._ttl:
+            self._remove(key, MissReason.EXPIRED)
             return None
-        self._kept.move_to_end(key)
+        self._entries.move_to_end(key)
         return size
 
-    def why(self, key: bytes) -> MissReason:
+    def miss_reason(self, key: bytes) -> MissReason:
         """Why a key that is not kept is missing."""
-        return self._lost.get(key, MissReason.NEVER)
+        return self._removed.get(key, MissReason.NEVER)
 
     def put(self, key: bytes, size: int, now: float) -> None:
         """Keep a copy; what was used longest ago makes room. One larger than the memory is not kept."""
         if size > self._memory:
             return
-        old = self._kept.pop(key, None)
+        old = self._entries.pop(key, None)
         if old is not None:
             self.used -= old[0]
-        self._lost.pop(key, None)
-        self._kept[key] = (size, now)
+        self._removed.pop(key, None)
+        self._entries[key] = (size, now)
         self.used += size
         while self.used > self._memory:
-            self._lose(next(iter(self._kept)), MissReason.EVICTED)
+            self._remove(next(iter(self._entries)), MissReason.EVICTED)
 
-    def void(self, key: bytes) -> bool:
+    def invalidate(self, key: bytes) -> bool:
         """A write was carried out: the copy is no good. Returns whether there was one."""
-        if key not in self._kept:
+        if key not in self._entries:
             return False
-        self._lose(key, MissReason.VOIDED)
+        self._remove(key, MissReason.INVALIDATED)
         return True
 
     def flush(self, share: float, seed: int, serial: int) -> int:
         """That share of the keys goes void at once, the same keys at every node; returns how many
         did here.
         """
-        gone = [key for key in self._kept if unit(seed, "flush", serial, key) < share]
-        for key in gone:
-            self._lose(key, MissReason.FLUSHED)
-        return len(gone)
+        flushed = [key for key in self._entries if unit(seed, "flush", serial, key) < share]
+        for key in flushed:
+            self._remove(key, MissReason.FLUSHED)
+        return len(flushed)
 
-    def _lose(self, key: bytes, why: MissReason) -> None:
-        size, _ = self._kept.pop(key)
+    def _remove(self, key: bytes, reason: MissReason) -> None:
+        size, _ = self._entries.pop(key)
         self.used -= size
-        self._lost[key] = why
-        if len(self._lost) > MOST_REMEMBERED:
-            self._lost.popitem(last=False)
+        self._removed[key] = reason
+        if len(self._removed) > MAX_REMEMBERED_REMOVALS:
+            self._removed.popitem(last=False)
--- a/holdgw/emulators/node.py
+++ b/holdgw/emulators/node.py
@@ -11,10 +11,17 @@
 import hiredis
 
 from holdgw.emulators.fault_proxy import Way
-from holdgw.emulators.faults import NOISE, Fault, Shares
-from holdgw.emulators.listeners import Alarm, Clock, Host, Listeners, after, reset
-from holdgw.emulators.node_model import Done, Job, Kind, NodeModel, NodeSpec, Result
-from holdgw.emulators.records import Attempt, Dialled, Fallen, Flushed, Odd, Witness
+from holdgw.emulators.faults import MALFORMED_RESP, Fault, FaultShares
+from holdgw.emulators.listeners import Clock, Host, Listeners, ModelTimer, call_after, reset_connection
+from holdgw.emulators.node_model import FinishedJob, Job, JobKind, JobResult, NodeModel, NodeSpec
+from holdgw.emulators.records import (
+    Attempt,
+    ConnectionOpened,
+    Flushed,
+    ProtocolViolation,
+    Recorder,
+    WarmUpCrash,
+)
 from holdgw.emulators.seeded_draws import lognormal, unit
 from holdgw.wire.address import Address
 from holdgw.wire.resp import parse_request
@@ -22,15 +29,15 @@
 
 PADDING = b"." * (64 << 10)
 IDLE_CHECK_S = 0.5
-MOST_WAITING = 4096  # answers that one connection may have outstanding; a router has one
-ATTEMPTS_KEPT = 65536
+MAX_PENDING_ANSWERS = 4096  # answers that one connection may have outstanding; a router has one
+MAX_COUNTED_REQUESTS = 65536
 
-Report = Callable[[float, int], bytes]
+ReportFormatter = Callable[[float, int], bytes]
 REPORT_FIELDS = ("recent_ms", "backlog")
 """A load report's values, in the platform's words: service time lately, and requests waiting."""
 
 
-def platform_report(latency_ms: float, queue: int) -> bytes:
+def format_load_report(latency_ms: float, queue: int) -> bytes:
     """A load report with those fields."""
     return b"%b=%.1f,%b=%d" % (REPORT_FIELDS[0].encode(), latency_ms, REPORT_FIELDS[1].encode(), queue)
 
@@ -60,7 +67,7 @@
         return min(max(int(lognormal(unit(self.seed, "size", key), *self.size)), 16), len(PADDING))
 
 
-def made_for(request: bytes, key: bytes, server: str, serial: int, size: int) -> bytes:
+def make_value(request: bytes, key: bytes, server: str, serial: int, size: int) -> bytes:
     """The value or receipt that a server makes for one request: it names all four, and is padded to
     its size.
     """
@@ -68,22 +75,22 @@
     return head + PADDING[: max(size - len(head), 0)]
 
 
-class Times(NamedTuple):
+class CommandTimes(NamedTuple):
     """Of one command: as in its record."""
 
     at: float
-    left: float
-    came: float
+    held_since: float
+    arrived: float
 
 
 @dataclass(slots=True, eq=False)
-class Slot:
+class PendingAnswer:
     """The place of an answer among those of its connection."""
 
     connection: NodeConnection
     job: Job
-    times: Times
-    fresh: bool
+    times: CommandTimes
+    first_on_connection: bool
     data: bytes | None = None
     fault: Fault = Fault.NONE
     ready: bool = False
@@ -96,14 +103,16 @@
     def __init__(self, node: NodeServer, delay: float) -> None:
         self.node, self.delay = node, delay
         self.transport: asyncio.Transport | None = None
-        self.slots: deque[Slot] = deque()
-        self.quiet_since = node.clock()
+        self.pending: deque[PendingAnswer] = deque()
+        self.idle_since = node.clock()
         self.ready = False  # its handshake is done
-        self.left = 0.0  # when what comes now was sent, where a cut line held it back
-        self._before: list[tuple[list[bytes], Times]] = []  # what came before the handshake was done
+        self.held_since = 0.0  # when what comes now was sent, where a cut line held it back
+        self._awaiting_handshake: list[
+            tuple[list[bytes], CommandTimes]
+        ] = []  # what came before the handshake was done
         self._reader = hiredis.Reader()
         self._first = True
-        self.gone = False
+        self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """A new one costs the node work and the first request time, as a TLS handshake would."""
@@ -112,7 +121,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """What was asked here goes on; nobody hears of it."""
-        self.gone = True
+        self.closed = True
         self.node.closed(self)
 
     def data_received(self, data: bytes) -> None:
@@ -126,21 +135,21 @@
                     or not words
                 ):
                     raise ValueError("a command is an array of bulk strings")
-                self._came(words)
+                self._receive(words)
         except (ValueError, hiredis.HiredisError) as error:
-            self.node.odd(f"{type(error).__name__}: {error}")
+            self.node.record_violation(f"{type(error).__name__}: {error}")
             self.abort()
 
-    def _came(self, words: list[bytes]) -> None:
-        if len(self.slots) + len(self._before) >= MOST_WAITING:
+    def _receive(self, words: list[bytes]) -> None:
+        if len(self.pending) + len(self._awaiting_handshake) >= MAX_PENDING_ANSWERS:
             raise ValueError("too many commands without an answer")
         now = self.node.clock()
-        times = Times(now, self.left, came_at(self.transport, now))
+        times = CommandTimes(now, self.held_since, came_at(self.transport, now))
         if self.ready:
             self.node.command(self, words, times, self._is_first())
         else:
             # The time is that of its bytes, also where a pause holds the handshake up for seconds.
-            self._before.append((words, times))
+            self._awaiting_handshake.append((words, times))
 
     def _is_first(self) -> bool:
         first, self._first = self._first, False
@@ -149,29 +158,29 @@
     def begin(self) -> None:
         """The handshake is done: what came meanwhile begins."""
         self.ready = True
-        before, self._before = self._before, []
+        before, self._awaiting_handshake = self._awaiting_handshake, []
         for words, times in before:
             self.node.command(self, words, times, self._is_first())
 
-    def unbegun(self, result: str) -> None:
+    def abandon_unstarted(self, result: str) -> None:
         """The process ends: what had come before the handshake was done never began."""
-        before, self._before = self._before, []
+        before, self._awaiting_handshake = self._awaiting_handshake, []
         for words, times in before:
-            self.node.never_began(words, times, result)
+            self.node.record_unstarted(words, times, result)
 
     def flush(self) -> None:
         """Write the answers whose turn it is."""
-        while self.slots and self.slots[0].ready:
-            slot = self.slots.popleft()
-            self.quiet_since = self.node.clock()
-            if slot.fault is Fault.RESET:
+        while self.pending and self.pending[0].ready:
+            pending = self.pending.popleft()
+            self.idle_since = self.node.clock()
+            if pending.fault is Fault.RESET:
                 self.abort()
-            elif slot.data is not None and self.transport is not None and not self.gone:
-                self.transport.write(slot.data)
+            elif pending.data is not None and self.transport is not None and not self.closed:
+                self.transport.write(pending.data)
 
     def abort(self) -> None:
         """Reset."""
-        reset(self.transport)
+        reset_connection(self.transport)
 
 
 class NodeServer:
@@ -183,21 +192,21 @@
         spec: NodeSpec,
         workload: Workload,
         host: Host,
-        witness: Witness,
+        recorder: Recorder,
         clock: Clock,
-        report: Report = platform_report,
+        report: ReportFormatter = format_load_report,
     ) -> None:
         self.name, self.spec, self.workload, self.clock = name, spec, workload, clock
-        self.shares = Shares()
+        self.shares = FaultShares()
         self.model = NodeModel(spec, clock())
-        self._witness, self._report = witness, report
+        self._recorder, self._format_report = recorder, report
         self._loop = asyncio.get_running_loop()
         self._listeners = Listeners(host, clock)
         self._connections: dict[NodeConnection, None] = {}
-        self._alarm = Alarm(self._loop, clock, self._rings)
+        self._timer = ModelTimer(self._loop, clock, self._on_timer)
         self._serial = 0
         self._flushes = 0
-        self._asked: dict[bytes, int] = {}  # attempts of a request here, the latest requests
+        self._attempt_counts: dict[bytes, int] = {}  # attempts of a request here, the latest requests
         self._idle_timer: asyncio.TimerHandle | None = None
         self.alive = False
 
@@ -216,13 +225,13 @@
         """Where it listens, by the zone of who connects."""
         return self._listeners.addresses
 
-    def take_place_of(self, other: NodeServer) -> None:
+    def take_over_addresses(self, other: NodeServer) -> None:
         """Listen, when it starts, where another one did that has gone."""
-        self._listeners.take(other._listeners)
+        self._listeners.adopt_addresses(other._listeners)
 
-    def block(self, way: Way, seconds: float, lines: Iterable[str] | None = None) -> None:
+    def block(self, way: Way, seconds: float, links: Iterable[str] | None = None) -> None:
         """Cut lines to it, or all of them, for so long; a node that dies meanwhile has vanished."""
-        self._listeners.block(way, seconds, lines)
+        self._listeners.block(way, seconds, links)
 
     def kill(self) -> None:
         """The process dies: connections are reset, new ones refused, all that it held is gone."""
@@ -230,26 +239,26 @@
             return
         self.alive = False
         self._listeners.close()
-        self._alarm.close()
+        self._timer.close()
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         self.model.work.drop_all()
         for connection in list(self._connections):
-            self._leave_unanswered(connection, "gone")
+            self._record_unanswered(connection, "gone")
             connection.abort()
         self._connections.clear()
 
-    def _leave_unanswered(self, connection: NodeConnection, result: str) -> None:
-        for slot in connection.slots:
-            if not slot.ready:
-                self._record(slot, result, Fault.NONE)
-        connection.unbegun(result)
-        connection.slots.clear()
+    def _record_unanswered(self, connection: NodeConnection, result: str) -> None:
+        for pending in connection.pending:
+            if not pending.ready:
+                self._record(pending, result, Fault.NONE)
+        connection.abandon_unstarted(result)
+        connection.pending.clear()
 
     def close(self) -> None:
         """The day is over: what never ended is told."""
         for connection in list(self._connections):
-            self._leave_unanswered(connection, "open")
+            self._record_unanswered(connection, "open")
         self.kill()
         self._listeners.end()
 
@@ -257,8 +266,8 @@
 
     def pause(self, seconds: float) -> None:
         """Stand still; the process runs on, connections stay open."""
-        self._ended(self.model.pause(self.clock(), seconds))
-        self._set_alarm()
+        self._handle_finished(self.model.pause(self.clock(), seconds))
+        self._set_timer()
 
     def drain(self, on: bool = True) -> None:
         """Take nothing new; finish what there is."""
@@ -266,8 +275,8 @@
 
     def flush(self, share: float, seed: int, serial: int) -> None:
         """Copies of a share of the keys go void."""
-        gone = self.model.keeping.flush(share, seed, serial)
-        self._witness.saw(Flushed(self.name, self.clock(), gone, len(self.model.keeping)))
+        gone = self.model.cache.flush(share, seed, serial)
+        self._recorder.record(Flushed(self.name, self.clock(), gone, len(self.model.cache)))
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
         """The package store answered a request."""
@@ -277,26 +286,26 @@
     def voided(self, key: bytes) -> None:
         """A write was carried out."""
         if self.alive:
-            self.model.keeping.void(key)
+            self.model.cache.invalidate(key)
 
     # Connections
 
     def opened(self, connection: NodeConnection) -> None:
         """A connection came up: it costs work, and one too many is turned away."""
         self._connections[connection] = None
-        taken = self.model.connections_now(len(self._connections))
-        self._witness.saw(Dialled(self.name, self.clock(), taken))
+        taken = self.model.set_connections(len(self._connections))
+        self._recorder.record(ConnectionOpened(self.name, self.clock(), taken))
         if not taken:
             connection.abort()
             return
-        handshake = Job(Kind.HANDSHAKE, owner=connection)
+        handshake = Job(JobKind.HANDSHAKE, owner=connection)
         # A round trip each way stands for the kernel's handshake, which loopback does in no time.
-        after(self._loop, 4 * connection.delay, lambda: self._arrive(handshake))
+        call_after(self._loop, 4 * connection.delay, lambda: self._arrive(handshake))
 
     def closed(self, connection: NodeConnection) -> None:
         """A connection is gone."""
         self._connections.pop(connection, None)
-        self.model.connections_now(len(self._connections))
+        self.model.set_connections(len(self._connections))
 
     def _check_idle(self) -> None:
         self._idle_timer = self._loop.call_later(IDLE_CHECK_S, self._check_idle)
@@ -305,41 +314,43 @@
             return
         for connection in list(self._connections):
             if (
-                not connection.slots
-                and now - connection.quiet_since > self.spec.idle_s
+                not connection.pending
+                and now - connection.idle_since > self.spec.idle_s
                 and connection.transport
             ):
                 connection.transport.close()
 
     # Requests
 
-    def odd(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         """Something came that no router should send."""
-        self._witness.saw(Odd(self.name, self.clock(), text))
+        self._recorder.record(ProtocolViolation(self.name, self.clock(), text))
 
-    def command(self, connection: NodeConnection, words: list[bytes], times: Times, first: bool) -> None:
+    def command(
+        self, connection: NodeConnection, words: list[bytes], times: CommandTimes, first: bool
+    ) -> None:
         """One command, which is whole."""
-        job = self._read(words)
+        job = self._parse_command(words)
         if isinstance(job, bytes):
-            slot = Slot(connection, Job(Kind.PROBE), times, first, data=job, ready=True)
-            connection.slots.append(slot)
+            pending = PendingAnswer(connection, Job(JobKind.PROBE), times, first, data=job, ready=True)
+            connection.pending.append(pending)
             if job.startswith(b"-"):
-                self.odd(job.decode().strip())
-            after(self._loop, 2 * connection.delay, connection.flush)
+                self.record_violation(job.decode().strip())
+            call_after(self._loop, 2 * connection.delay, connection.flush)
             return
-        slot = Slot(connection, job, times, first)
-        job.owner = slot
-        connection.slots.append(slot)
-        after(self._loop, connection.delay, lambda: self._arrive(job))
+        pending = PendingAnswer(connection, job, times, first)
+        job.owner = pending
+        connection.pending.append(pending)
+        call_after(self._loop, connection.delay, lambda: self._arrive(job))
 
-    def never_began(self, words: list[bytes], times: Times, result: str) -> None:
+    def record_unstarted(self, words: list[bytes], times: CommandTimes, result: str) -> None:
         """A command that waited for its connection's handshake when the process ended."""
-        job = self._read(words)
-        if isinstance(job, Job) and job.kind is not Kind.PROBE:
+        job = self._parse_command(words)
+        if isinstance(job, Job) and job.kind is not JobKind.PROBE:
             self._serial += 1
             name = job.id.decode()
             ended = self.clock()
-            self._witness.saw(
+            self._recorder.record(
                 Attempt(
                     name,
                     self.name,
@@ -347,19 +358,19 @@
                     result,
                     ended,
                     self._serial,
-                    fresh=True,
-                    left=times.left,
-                    came=times.came,
+                    first_on_connection=True,
+                    held_since=times.held_since,
+                    arrived=times.arrived,
                 )
             )
 
-    def _read(self, words: list[bytes]) -> Job | bytes:
+    def _parse_command(self, words: list[bytes]) -> Job | bytes:
         """The job that a command is; bytes: the answer to one that is none."""
         name = words[0].upper()
         if name == b"PING" and len(words) == 1:
-            return Job(Kind.PROBE)
+            return Job(JobKind.PROBE)
         if name == b"INFO" and len(words) == 2 and words[1].lower() == b"load":
-            return Job(Kind.PROBE, id=b"load")
+            return Job(JobKind.PROBE, id=b"load")
         if name in (b"CLIENT", b"SELECT"):
             return b"+OK\r\n"
         if name not in (b"KV.GET", b"KV.SET"):
@@ -369,49 +380,49 @@
             work = self.workload.work(command.info.class_name, command.id, self.name)
         except (ValueError, KeyError) as error:
             return b"-SYNTAX %b\r\n" % str(error).encode()
-        kind = Kind.READ if command.value is None else Kind.WRITE
+        kind = JobKind.READ if command.value is None else JobKind.WRITE
         return Job(kind, command.id, command.key, work, self.workload.bytes_of(command.key))
 
     def _arrive(self, job: Job) -> None:
         if self.alive:
-            self._ended(self.model.arrive(self.clock(), job))
-            self._set_alarm()
+            self._handle_finished(self.model.arrive(self.clock(), job))
+            self._set_timer()
 
-    def _rings(self) -> None:
+    def _on_timer(self) -> None:
         if self.alive:
-            self._ended(self.model.advance(self.clock()))
-            self._set_alarm()
+            self._handle_finished(self.model.advance(self.clock()))
+            self._set_timer()
 
-    def _set_alarm(self) -> None:
-        fell = self.model.fell
-        if fell is not None and self.alive:
-            self._witness.saw(Fallen(self.name, fell.at, fell.sent, fell.most))
+    def _set_timer(self) -> None:
+        crash = self.model.crash
+        if crash is not None and self.alive:
+            self._recorder.record(WarmUpCrash(self.name, crash.at, crash.sent, crash.limit))
             self.kill()
         elif self.alive:
-            self._alarm.set(self.model.next_due())
+            self._timer.set(self.model.next_due())
 
-    def _ended(self, done: list[Done]) -> None:
+    def _handle_finished(self, done: list[FinishedJob]) -> None:
         for end in done:
             owner = end.job.owner
             if isinstance(owner, NodeConnection):
                 owner.begin()
-            elif isinstance(owner, Slot):
+            elif isinstance(owner, PendingAnswer):
                 self._answer(owner, end)
 
-    def _answer(self, slot: Slot, end: Done) -> None:
-        job = slot.job
+    def _answer(self, pending: PendingAnswer, end: FinishedJob) -> None:
+        job = pending.job
         report = self.model.report(end.at)
-        load = self._report(report.latency_ms, report.queue)
+        load = self._format_report(report.latency_ms, report.queue)
         fault = Fault.NONE
-        if end.result is Result.BUSY:
-            slot.data = b"-BUSY %b\r\n" % load
-        elif job.kind is Kind.PROBE:
-            slot.data = b"$%d\r\n%b\r\n" % (len(load), load) if job.id else b"+PONG\r\n"
+        if end.result is JobResult.BUSY:
+            pending.data = b"-BUSY %b\r\n" % load
+        elif job.kind is JobKind.PROBE:
+            pending.data = b"$%d\r\n%b\r\n" % (len(load), load) if job.id else b"+PONG\r\n"
         else:
-            count = self._asked[job.id] = self._asked.pop(job.id, 0) + 1
-            if len(self._asked) > ATTEMPTS_KEPT:
-                del self._asked[next(iter(self._asked))]
-            fault = self.shares.of(self.workload.seed, self.name, job.id, count)
+            count = self._attempt_counts[job.id] = self._attempt_counts.pop(job.id, 0) + 1
+            if len(self._attempt_counts) > MAX_COUNTED_REQUESTS:
+                del self._attempt_counts[next(iter(self._attempt_counts))]
+            fault = self.shares.draw(self.workload.seed, self.name, job.id, count)
             note = b"$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
                 len(end.result.value),
                 end.result.value.encode(),
@@ -419,38 +430,38 @@
                 load,
             )
             if fault is Fault.GARBLE:
-                slot.data = NOISE[self._serial % len(NOISE)]
-            elif end.result is Result.HIT:
-                value = made_for(job.id, job.key, self.name, self._serial + 1, job.size)
-                slot.data = b"*3\r\n$%d\r\n%b\r\n%b" % (len(value), value, note)
+                pending.data = MALFORMED_RESP[self._serial % len(MALFORMED_RESP)]
+            elif end.result is JobResult.HIT:
+                value = make_value(job.id, job.key, self.name, self._serial + 1, job.size)
+                pending.data = b"*3\r\n$%d\r\n%b\r\n%b" % (len(value), value, note)
             else:
-                slot.data = b"*3\r\n$-1\r\n" + note
-        slot.fault, slot.ready = fault, True
-        if job.kind is not Kind.PROBE:
-            self._record(slot, end.result.value, fault, end.missing.value if end.missing else "")
+                pending.data = b"*3\r\n$-1\r\n" + note
+        pending.fault, pending.ready = fault, True
+        if job.kind is not JobKind.PROBE:
+            self._record(pending, end.result.value, fault, end.missing.value if end.missing else "")
         if fault is not Fault.SILENCE:
-            after(self._loop, slot.connection.delay, slot.connection.flush)
+            call_after(self._loop, pending.connection.delay, pending.connection.flush)
         else:
-            slot.ready = False  # and so nothing behind it comes either
+            pending.ready = False  # and so nothing behind it comes either
 
-    def _record(self, slot: Slot, result: str, fault: Fault, missing: str = "") -> None:
-        if slot.job.kind is Kind.PROBE or slot.recorded:
+    def _record(self, pending: PendingAnswer, result: str, fault: Fault, missing: str = "") -> None:
+        if pending.job.kind is JobKind.PROBE or pending.recorded:
             return
-        slot.recorded = True
+        pending.recorded = True
         self._serial += 1
-        self._witness.saw(
+        self._recorder.record(
             Attempt(
-                slot.job.id.decode(),
+                pending.job.id.decode(),
                 self.name,
-                slot.times.at,
+                pending.times.at,
                 result,
                 self.clock(),
                 self._serial,
                 fault=fault.value,
                 missing=missing,
-                fresh=slot.fresh,
-                work=slot.job.work,
-                left=slot.times.left,
-                came=slot.times.came,
+                first_on_connection=pending.first_on_connection,
+                work=pending.job.work,
+                held_since=pending.times.held_since,
+                arrived=pending.times.arrived,
             )
         )
--- a/holdgw/emulators/node_model.py
+++ b/holdgw/emulators/node_model.py
@@ -16,12 +16,15 @@
 from holdgw.emulators.lru_cache import LruCache, MissReason
 from holdgw.emulators.processor_sharing import ProcessorSharingQueue, QueueSpec
 
-MISSES_KEPT = 8192  # requests that missed lately and whose object may yet come
+MAX_REMEMBERED_MISSES = 8192  # requests that missed lately and whose object may yet come
 FETCH_LEASE_S = 1.0  # for so long a fetch that a miss began is taken to be out
 SMOOTHING = 0.2  # of the recent service time
-REPORTS_KEPT = 8
-IDLE_MS, FULL_MS = 1.0, 400.0  # what a node that lies says an answer takes, or how much longer than it does
-LEARNING_SHARE = 0.1  # of the usual work, before the day begins
+MAX_REPORTS = 8
+FALSE_IDLE_MS, FALSE_FULL_EXTRA_MS = (
+    1.0,
+    400.0,
+)  # what a node that lies says an answer takes, or how much longer than it does
+PREFILL_WORK_SHARE = 0.1  # of the usual work, before the day begins
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +52,7 @@
     """A miss costs this share of the work of a hit."""
 
 
-class Kind(Enum):
+class JobKind(Enum):
     """What a job is."""
 
     READ = "read"
@@ -58,7 +61,7 @@
     HANDSHAKE = "handshake"
 
 
-class Result(Enum):
+class JobResult(Enum):
     """How a job ended."""
 
     HIT = "hit"
@@ -75,7 +78,7 @@
 class Job:
     """One thing that the node is asked for; `owner` is the caller's."""
 
-    kind: Kind
+    kind: JobKind
     id: bytes = b""
     key: bytes = b""
     work: float = 0.0
@@ -85,16 +88,16 @@
     owner: Any = None
 
 
-class Done(NamedTuple):
+class FinishedJob(NamedTuple):
     """The end of a job. `missing` tells why a read missed."""
 
     at: float
     job: Job
-    result: Result
+    result: JobResult
     missing: MissReason | None = None
 
 
-class Report(NamedTuple):
+class LoadReport(NamedTuple):
     """A load report."""
 
     at: float
@@ -102,12 +105,12 @@
     queue: int
 
 
-class Fell(NamedTuple):
-    """A cold node was pushed over: at that time it had been sent `sent` of the `most` it can bear."""
+class Crash(NamedTuple):
+    """A cold node was pushed over: at that time it had been sent `sent` of the `limit` it can bear."""
 
     at: float
     sent: float
-    most: float
+    limit: float
 
 
 class NodeModel:
@@ -116,29 +119,29 @@
     def __init__(self, spec: NodeSpec, now: float, cold: bool = False) -> None:
         self.spec = spec
         self.work: ProcessorSharingQueue[Job] = ProcessorSharingQueue(spec.work, now, cold)
-        self.keeping = LruCache(spec.memory, spec.lasts_s)
-        self.fell: Fell | None = None
+        self.cache = LruCache(spec.memory, spec.lasts_s)
+        self.crash: Crash | None = None
         self.draining = False
-        self.learning = False
+        self.prefilling = False
         """Before the day begins: what it is asked for counts as kept since long ago."""
         self._inbox: list[Job] = []  # what came in a pause
         self._sent: deque[tuple[float, float]] = deque()
         self._sent_sum = 0.0
         self._missed: OrderedDict[bytes, bytes] = OrderedDict()  # request id -> key
         self._fetching: OrderedDict[bytes, float] = OrderedDict()  # key -> until
-        self._recent = 0.0
+        self._smoothed_service_s = 0.0
         self._next_report = now
-        self._reports: deque[Report] = deque([Report(now, 0.0, 0)], maxlen=REPORTS_KEPT)
+        self._reports: deque[LoadReport] = deque([LoadReport(now, 0.0, 0)], maxlen=MAX_REPORTS)
         self._connections = 0
-        self._lie: Report | None = None
+        self._false_report: LoadReport | None = None
 
     # Time
 
-    def advance(self, now: float) -> list[Done]:
+    def advance(self, now: float) -> list[FinishedJob]:
         """Bring the node up to `now`; returns what ended, in order."""
-        if self.fell is not None:
+        if self.crash is not None:
             return []
-        done: list[Done] = []
+        done: list[FinishedJob] = []
         if self._inbox and now >= self.work.paused_until:
             resumed = self.work.paused_until
             done += self._finish(resumed)
@@ -147,50 +150,50 @@
                 done += self._take(resumed, job)
         done += self._finish(now)
         if now >= self._next_report:
-            self._reports.append(Report(now, self._recent * 1000, self.work.waiting))
+            self._reports.append(LoadReport(now, self._smoothed_service_s * 1000, self.work.waiting))
             periods = int((now - self._next_report) / self.spec.report_s) + 1
             self._next_report += periods * self.spec.report_s
         return done
 
     def next_due(self) -> float | None:
         """When `advance` will have something to tell, as things stand."""
-        if self.fell is not None:
+        if self.crash is not None:
             return None
         return self.work.paused_until if self._inbox else self.work.next_due()
 
-    def _finish(self, now: float) -> Iterator[Done]:
+    def _finish(self, now: float) -> Iterator[FinishedJob]:
         for at, began, job in self.work.advance(now):
-            self._recent += SMOOTHING * (at - began - self._recent)
+            self._smoothed_service_s += SMOOTHING * (at - began - self._smoothed_service_s)
             yield self._end(at, job)
 
-    def _end(self, at: float, job: Job) -> Done:
-        if job.kind in (Kind.PROBE, Kind.HANDSHAKE):
-            return Done(at, job, Result.DONE)
-        if job.kind is Kind.READ and self.keeping.look(job.key, at) is not None:
-            return Done(at, job, Result.HIT)
-        if job.kind is Kind.READ and self.learning:
-            self.keeping.put(job.key, job.size, at)
-            return Done(at, job, Result.HIT)
-        if job.kind is Kind.WRITE:
-            return Done(at, job, Result.MISS)  # writes are the package store's
-        missing = self.keeping.why(job.key)
+    def _end(self, at: float, job: Job) -> FinishedJob:
+        if job.kind in (JobKind.PROBE, JobKind.HANDSHAKE):
+            return FinishedJob(at, job, JobResult.DONE)
+        if job.kind is JobKind.READ and self.cache.get(job.key, at) is not None:
+            return FinishedJob(at, job, JobResult.HIT)
+        if job.kind is JobKind.READ and self.prefilling:
+            self.cache.put(job.key, job.size, at)
+            return FinishedJob(at, job, JobResult.HIT)
+        if job.kind is JobKind.WRITE:
+            return FinishedJob(at, job, JobResult.MISS)  # writes are the package store's
+        missing = self.cache.miss_reason(job.key)
         self._missed[job.id] = job.key
-        if len(self._missed) > MISSES_KEPT:
+        if len(self._missed) > MAX_REMEMBERED_MISSES:
             self._missed.popitem(last=False)
         if self._fetching.get(job.key, at) > at:
-            return Done(at, job, Result.PENDING, missing)
+            return FinishedJob(at, job, JobResult.PENDING, missing)
         self._fetching[job.key] = at + FETCH_LEASE_S
         self._fetching.move_to_end(job.key)
-        if len(self._fetching) > MISSES_KEPT:
+        if len(self._fetching) > MAX_REMEMBERED_MISSES:
             self._fetching.popitem(last=False)
-        return Done(at, job, Result.MISS, missing)
+        return FinishedJob(at, job, JobResult.MISS, missing)
 
     # What comes
 
-    def arrive(self, now: float, job: Job) -> list[Done]:
+    def arrive(self, now: float, job: Job) -> list[FinishedJob]:
         """Take a job; returns what has ended by now, this job among it if it was turned away at once."""
         done = self.advance(now)
-        if self.fell is not None:
+        if self.crash is not None:
             return done
         if self.work.paused(now):
             # A stopped process neither rejects a job nor answers a health check; once it goes on it takes
@@ -199,40 +202,40 @@
             return done
         return done + self._take(now, job)
 
-    def _take(self, now: float, job: Job) -> list[Done]:
+    def _take(self, now: float, job: Job) -> list[FinishedJob]:
         work = self._cost(job, now)
-        if self.work.is_cold(now) and self._pushed_over(now, work):
+        if self.work.is_cold(now) and self._overloaded_while_cold(now, work):
             return []
-        if self.draining and job.kind in (Kind.READ, Kind.WRITE):
-            return [Done(now, job, Result.BUSY)]
-        taken = self.work.submit(job, work, force=job.kind is Kind.HANDSHAKE)
-        return [] if taken else [Done(now, job, Result.BUSY)]
+        if self.draining and job.kind in (JobKind.READ, JobKind.WRITE):
+            return [FinishedJob(now, job, JobResult.BUSY)]
+        taken = self.work.submit(job, work, force=job.kind is JobKind.HANDSHAKE)
+        return [] if taken else [FinishedJob(now, job, JobResult.BUSY)]
 
     def _cost(self, job: Job, now: float) -> float:
-        if job.kind is Kind.PROBE:
+        if job.kind is JobKind.PROBE:
             return self.spec.probe_s
-        if job.kind is Kind.HANDSHAKE:
+        if job.kind is JobKind.HANDSHAKE:
             return self.spec.handshake_s
-        if self.learning:
-            return job.work * LEARNING_SHARE
-        kept = job.kind is Kind.READ and job.key in self.keeping
+        if self.prefilling:
+            return job.work * PREFILL_WORK_SHARE
+        kept = job.kind is JobKind.READ and job.key in self.cache
         return job.work if kept else job.work * self.spec.miss_share
 
-    def _pushed_over(self, now: float, work: float) -> bool:
+    def _overloaded_while_cold(self, now: float, work: float) -> bool:
         """Whether the last `fall_s` brought more than the multiple of what it can do now; then it falls."""
         self._sent.append((now, work))
         self._sent_sum += work
         while self._sent[0][0] <= now - self.spec.fall_s:
             self._sent_sum -= self._sent.popleft()[1]
-        most = self.spec.fall_multiple * self.work.capacity(now) * self.spec.fall_s
-        if self._sent_sum <= most:
+        limit = self.spec.fall_multiple * self.work.capacity(now) * self.spec.fall_s
+        if self._sent_sum <= limit:
             return False
-        self.fell = Fell(now, self._sent_sum, most)
+        self.crash = Crash(now, self._sent_sum, limit)
         return True
 
     # What happens to it
 
-    def pause(self, now: float, seconds: float) -> list[Done]:
+    def pause(self, now: float, seconds: float) -> list[FinishedJob]:
         """Stand still with the process running; returns what had ended by now."""
         done = self.advance(now)
         self.work.pause(now + seconds)
@@ -240,35 +243,37 @@
 
     def stored(self, now: float, request: bytes, key: bytes, size: int) -> bool:
         """The package store answered a request: kept here if that request missed here."""
-        if self._missed.get(request) != key or self.fell is not None:
+        if self._missed.get(request) != key or self.crash is not None:
             return False
         self._fetching.pop(key, None)
-        self.keeping.put(key, size, now)
+        self.cache.put(key, size, now)
         return True
 
-    def connections_now(self, count: int) -> bool:
+    def set_connections(self, count: int) -> bool:
         """How many connections are open; False: that is more than it takes."""
         self._connections = count
         cap = max(self.spec.connections, 1)
-        self.work.tax = self.spec.full_tax * min(count / cap, 1.0)
+        self.work.overhead_share = self.spec.full_tax * min(count / cap, 1.0)
         return count <= self.spec.connections
 
-    def lie(self, says: str, now: float) -> None:
+    def set_false_report(self, says: str, now: float) -> None:
         """Report from now on that it is "idle", "full", or as it is now ("still"); "": what is true."""
-        self._lie = None
+        self._false_report = None
         if says == "idle":
-            self._lie = Report(now, IDLE_MS, 0)
+            self._false_report = LoadReport(now, FALSE_IDLE_MS, 0)
         elif says == "full":
-            self._lie = Report(now, self._recent * 1000 + FULL_MS, self.spec.work.queue)
+            self._false_report = LoadReport(
+                now, self._smoothed_service_s * 1000 + FALSE_FULL_EXTRA_MS, self.spec.work.queue
+            )
         elif says == "still":
-            self._lie = self.report(now)
+            self._false_report = self.report(now)
         elif says:
             raise ValueError(f"no such report: {says}")
 
-    def report(self, now: float) -> Report:
+    def report(self, now: float) -> LoadReport:
         """The load report as it shows at `now`: the newest that is old enough, or what it lies."""
-        if self._lie is not None:
-            return self._lie
+        if self._false_report is not None:
+            return self._false_report
         for report in reversed(self._reports):
             if report.at + self.spec.report_late_s <= now:
                 return report
--- a/holdgw/emulators/origin.py
+++ b/holdgw/emulators/origin.py
@@ -8,66 +8,66 @@
 from urllib.parse import unquote_to_bytes
 
 from holdgw.emulators.fault_proxy import Way
-from holdgw.emulators.faults import HTTP_NOISE, Fault, Shares
-from holdgw.emulators.listeners import Alarm, Clock, Host, Listeners, after, reset
-from holdgw.emulators.node import Workload, made_for
-from holdgw.emulators.origin_model import Answer, Filled, Order, OriginModel, OriginSpec
-from holdgw.emulators.records import Attempt, Odd, Witness
+from holdgw.emulators.faults import MALFORMED_HTTP, Fault, FaultShares
+from holdgw.emulators.listeners import Clock, Host, Listeners, ModelTimer, call_after, reset_connection
+from holdgw.emulators.node import Workload, make_value
+from holdgw.emulators.origin_model import FinishedOriginJob, OriginJob, OriginModel, OriginResult, OriginSpec
+from holdgw.emulators.records import Attempt, ProtocolViolation, Recorder
 from holdgw.emulators.seeded_draws import lognormal, unit
 from holdgw.wire.address import Address
 from holdgw.wire.http import HttpError, HttpRequest, RequestReader, response
 from holdgw.wire.unread import came_at
 
-MAX_BODY = 64 << 10
+MAX_BODY_BYTES = 64 << 10
 
 
 class OriginServerConnection(asyncio.Protocol):
     """One router's connection; a request at a time."""
 
-    def __init__(self, store: OriginServer, delay: float) -> None:
-        self.store, self.delay = store, delay
+    def __init__(self, server: OriginServer, delay: float) -> None:
+        self.server, self.delay = server, delay
         self.transport: asyncio.Transport | None = None
-        self.order: Order | None = None
+        self.job: OriginJob | None = None
         self.at = 0.0
-        self.left = 0.0  # when what comes now was sent, where a cut line held it back
-        self.left_at = self.came_at = 0.0
-        self.fresh = True
-        self.gone = False
-        self._reader = RequestReader(MAX_BODY)
+        self.held_since = 0.0  # when what comes now was sent, where a cut line held it back
+        self.request_held_since = self.request_arrived = 0.0
+        self.first_on_connection = True
+        self.closed = False
+        self._reader = RequestReader(MAX_BODY_BYTES)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport."""
         self.transport = cast(asyncio.Transport, transport)
-        self.store.opened(self)
+        self.server.opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """What was asked here goes on; nobody hears of it."""
-        self.gone = True
-        self.store.closed(self)
+        self.closed = True
+        self.server.closed(self)
 
     def data_received(self, data: bytes) -> None:
         """Take a whole request."""
         try:
             for request in self._reader.read(data):
-                if self.order is not None:
+                if self.job is not None:
                     raise HttpError("a second request before the first one's answer")
-                self.store.request(self, request)
+                self.server.request(self, request)
         except HttpError as error:
-            self.store.odd(str(error))
+            self.server.record_violation(str(error))
             self.abort()
 
     def write(self, data: bytes) -> None:
-        """Answer, after the line's delay."""
+        """Write an answer after the delay of the link."""
 
         def now() -> None:
-            if self.transport is not None and not self.gone:
+            if self.transport is not None and not self.closed:
                 self.transport.write(data)
 
-        after(self.store.loop, self.delay, now)
+        call_after(self.server.loop, self.delay, now)
 
     def abort(self) -> None:
         """Reset."""
-        reset(self.transport)
+        reset_connection(self.transport)
 
 
 class OriginServer:
@@ -78,21 +78,21 @@
         name: str,
         spec: OriginSpec,
         workload: Workload,
-        windows: dict[str, float],
+        dedup_windows: dict[str, float],
         host: Host,
-        witness: Witness,
+        recorder: Recorder,
         clock: Clock,
     ) -> None:
         self.name, self.spec, self.workload, self.clock = name, spec, workload, clock
         self.loop = asyncio.get_running_loop()
-        self.shares = Shares()
+        self.shares = FaultShares()
         self.error_share = 0.0
         self.model = OriginModel(spec, clock())
-        self._windows = windows  # class -> seconds for which repeats of its writes are dropped
-        self._witness = witness
+        self._dedup_windows = dedup_windows  # class -> seconds for which repeats of its writes are dropped
+        self._recorder = recorder
         self._listeners = Listeners(host, clock)
         self._connections: dict[OriginServerConnection, None] = {}
-        self._alarm = Alarm(self.loop, clock, self._rings)
+        self._timer = ModelTimer(self.loop, clock, self._on_timer)
         self._serial = 0
 
     async def start(self) -> None:
@@ -108,11 +108,11 @@
     def down(self) -> None:
         """Out of reach, with all it had in work; what it remembers of writes stays."""
         self._listeners.close()
-        for order in self.model.die():
-            connection = order.owner
+        for job in self.model.crash():
+            connection = job.owner
             if isinstance(connection, OriginServerConnection):
-                self._record(connection, order, "gone")
-                connection.order = None
+                self._record(connection, job, "gone")
+                connection.job = None
         for connection in list(self._connections):
             connection.abort()
         self._connections.clear()
@@ -120,21 +120,21 @@
     def close(self) -> None:
         """The day is over."""
         for connection in self._connections:
-            if connection.order is not None:
-                self._record(connection, connection.order, "open")
-                connection.order = None
+            if connection.job is not None:
+                self._record(connection, connection.job, "open")
+                connection.job = None
         self.down()
         self._listeners.end()
-        self._alarm.close()
+        self._timer.close()
 
-    def block(self, way: Way, seconds: float, lines: Iterable[str] | None = None) -> None:
+    def block(self, way: Way, seconds: float, links: Iterable[str] | None = None) -> None:
         """Cut lines to it, or all of them, for so long."""
-        self._listeners.block(way, seconds, lines)
+        self._listeners.block(way, seconds, links)
 
     def slow(self, factor: float) -> None:
         """Everything takes so many times as long."""
-        self._ended(self.model.slow(self.clock(), factor))
-        self._alarm.set(self.model.next_due())
+        self._handle_finished(self.model.slow(self.clock(), factor))
+        self._timer.set(self.model.next_due())
 
     def opened(self, connection: OriginServerConnection) -> None:
         """A connection came up; one too many is reset."""
@@ -146,25 +146,25 @@
         """A connection is gone."""
         self._connections.pop(connection, None)
 
-    def odd(self, text: str) -> None:
+    def record_violation(self, text: str) -> None:
         """Something came that no router should send."""
-        self._witness.saw(Odd(self.name, self.clock(), text))
+        self._recorder.record(ProtocolViolation(self.name, self.clock(), text))
 
     def request(self, connection: OriginServerConnection, request: HttpRequest) -> None:
         """One request is whole."""
-        connection.at, connection.left_at = self.clock(), connection.left
-        connection.came_at = came_at(connection.transport, connection.at)
-        order = self._order(request)
-        if order is None:
+        connection.at, connection.request_held_since = self.clock(), connection.held_since
+        connection.request_arrived = came_at(connection.transport, connection.at)
+        job = self._parse_request(request)
+        if job is None:
             connection.write(response(400))
             return
-        order.owner = connection
-        connection.order = order
-        after(self.loop, connection.delay, lambda: self._arrive(order))
+        job.owner = connection
+        connection.job = job
+        call_after(self.loop, connection.delay, lambda: self._arrive(job))
 
-    def _order(self, request: HttpRequest) -> Order | None:
+    def _parse_request(self, request: HttpRequest) -> OriginJob | None:
         if request.method == b"GET" and request.target in (b"/health/live", b"/stats"):
-            return Order(b"", b"", probe=True, work=self.spec.read_s / 20)
+            return OriginJob(b"", b"", probe=True, work=self.spec.read_s / 20)
         name = request.headers.get(b"request-id", b"")
         info = dict(
             part.split("=", 1)
@@ -174,74 +174,76 @@
         write = request.method == b"PUT"
         request_class = info.get("c", "")
         if not name or request.method not in (b"GET", b"PUT") or request_class not in self.workload.classes:
-            self.odd(f"{request.method.decode('latin-1')} without an id, or of class {request_class!r}")
+            self.record_violation(
+                f"{request.method.decode('latin-1')} without an id, or of class {request_class!r}"
+            )
             return None
         key = unquote_to_bytes(request.target[1:])
         mean = self.spec.write_s if write else self.spec.read_s
         work = lognormal(unit(self.workload.seed, "store", name), mean, self.spec.cv)
         fails = bool(self.error_share) and unit(self.workload.seed, "error", name) < self.error_share
-        window = self._windows.get(request_class, 0.0)
+        dedup_window = self._dedup_windows.get(request_class, 0.0)
         idempotency = info.get("k", "").encode() if write else b""
-        return Order(name, key, write, idempotency, window, work, fails)
+        return OriginJob(name, key, write, idempotency, dedup_window, work, fails)
 
-    def _arrive(self, order: Order) -> None:
+    def _arrive(self, job: OriginJob) -> None:
         if self._listeners.is_open:
-            self._ended(self.model.arrive(self.clock(), order))
-            self._alarm.set(self.model.next_due())
+            self._handle_finished(self.model.arrive(self.clock(), job))
+            self._timer.set(self.model.next_due())
 
-    def _rings(self) -> None:
-        self._ended(self.model.advance(self.clock()))
-        self._alarm.set(self.model.next_due())
+    def _on_timer(self) -> None:
+        self._handle_finished(self.model.advance(self.clock()))
+        self._timer.set(self.model.next_due())
 
-    def _ended(self, filled: list[Filled]) -> None:
-        for end in filled:
-            connection = end.order.owner
+    def _handle_finished(self, finished: list[FinishedOriginJob]) -> None:
+        for end in finished:
+            connection = end.job.owner
             if isinstance(connection, OriginServerConnection):
                 self._answer(connection, end)
 
-    def _answer(self, connection: OriginServerConnection, end: Filled) -> None:
-        order = end.order
-        connection.order = None
-        if order.probe:
+    def _answer(self, connection: OriginServerConnection, end: FinishedOriginJob) -> None:
+        job = end.job
+        connection.job = None
+        if job.probe:
             connection.write(response(200, b"queue=%d" % self.model.held))
             return
         fault = Fault.NONE
-        if end.answer is not Answer.BUSY:
-            fault = self.shares.of(self.workload.seed, self.name, order.id, 0)
-        self._record(connection, order, end.answer.value, fault, end.effect)
+        if end.result is not OriginResult.BUSY:
+            fault = self.shares.draw(self.workload.seed, self.name, job.id, 0)
+        self._record(connection, job, end.result.value, fault, end.effect)
         if end.effect:
-            self._witness.voided(order.key)
+            self._recorder.voided(job.key)
         if fault is Fault.RESET:
             connection.abort()
         elif fault is Fault.GARBLE:
-            connection.write(HTTP_NOISE[self._serial % len(HTTP_NOISE)])
+            connection.write(MALFORMED_HTTP[self._serial % len(MALFORMED_HTTP)])
         elif fault is Fault.SILENCE:
             pass
-        elif end.answer is Answer.BUSY:
+        elif end.result is OriginResult.BUSY:
             connection.write(response(503, headers=b"Not-Started: 1\r\n"))
-        elif end.answer is Answer.FAILED:
+        elif end.result is OriginResult.FAILED:
             connection.write(response(500))
         else:
-            size = 48 if order.write else self.workload.bytes_of(order.key)
-            connection.write(response(200, made_for(order.id, order.key, self.name, self._serial, size)))
-            if not order.write and not connection.gone:
-                self._witness.stored(order.id, order.key, size)
+            size = 48 if job.write else self.workload.bytes_of(job.key)
+            connection.write(response(200, make_value(job.id, job.key, self.name, self._serial, size)))
+            if not job.write and not connection.closed:
+                self._recorder.stored(job.id, job.key, size)
 
     def _record(
         self,
         connection: OriginServerConnection,
-        order: Order,
+        job: OriginJob,
         result: str,
         fault: Fault = Fault.NONE,
         effect: bool = False,
     ) -> None:
-        if order.probe:
+        if job.probe:
             return
         self._serial += 1
-        fresh, connection.fresh = connection.fresh, False
-        self._witness.saw(
+        first_on_connection, connection.first_on_connection = connection.first_on_connection, False
+        self._recorder.record(
             Attempt(
-                order.id.decode("latin-1"),
+                job.id.decode("latin-1"),
                 self.name,
                 connection.at,
                 result,
@@ -249,10 +251,10 @@
                 self._serial,
                 fault=fault.value,
                 effect=effect,
-                idempotency=order.idempotency.decode("latin-1"),
-                fresh=fresh,
-                work=order.work,
-                left=connection.left_at,
-                came=connection.came_at,
+                idempotency=job.idempotency.decode("latin-1"),
+                first_on_connection=first_on_connection,
+                work=job.work,
+                held_since=connection.request_held_since,
+                arrived=connection.request_arrived,
             )
         )
--- a/holdgw/emulators/origin_model.py
+++ b/holdgw/emulators/origin_model.py
@@ -11,7 +11,7 @@
 
 from holdgw.emulators.processor_sharing import ProcessorSharingQueue, QueueSpec
 
-REMEMBERED = 100_000  # keyed writes, the oldest go first
+MAX_REMEMBERED_KEYS = 100_000  # keyed writes, the oldest go first
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     connections: int = 1000
 
 
-class Answer(Enum):
+class OriginResult(Enum):
     """How a request ended at the store."""
 
     SERVED = "served"
@@ -39,26 +39,26 @@
 
 
 @dataclass(slots=True, eq=False)
-class Order:
-    """One request to the store. `idempotency`: a keyed write's; `window`: how long repeats are dropped."""
+class OriginJob:
+    """One request to the origin. `idempotency` is set for keyed writes only."""
 
     id: bytes
     key: bytes
     write: bool = False
     idempotency: bytes = b""
-    window: float = 0.0
+    dedup_window: float = 0.0
     work: float = 0.0
     fails: bool = False
     probe: bool = False
     owner: Any = None
 
 
-class Filled(NamedTuple):
-    """The end of an order; `effect`: it changed something now."""
+class FinishedOriginJob(NamedTuple):
+    """A finished job; `effect`: it changed something now."""
 
     at: float
-    order: Order
-    answer: Answer
+    job: OriginJob
+    result: OriginResult
     effect: bool = False
 
 
@@ -67,43 +67,43 @@
 
     def __init__(self, spec: OriginSpec, now: float) -> None:
         self.spec = spec
-        self._work: ProcessorSharingQueue[Order] = ProcessorSharingQueue(
+        self._work: ProcessorSharingQueue[OriginJob] = ProcessorSharingQueue(
             QueueSpec(cores=spec.slots, slots=spec.slots, queue=spec.queue), now
         )
-        self._remembered: OrderedDict[bytes, float] = OrderedDict()  # idempotency key -> until
+        self._dedup_until: OrderedDict[bytes, float] = OrderedDict()  # idempotency key -> until
 
-    def advance(self, now: float) -> list[Filled]:
-        """Bring it up to `now`; returns what ended, in order."""
-        return [self._end(at, order) for at, _, order in self._work.advance(now)]
+    def advance(self, now: float) -> list[FinishedOriginJob]:
+        """Bring it up to `now`; returns the finished jobs, in order."""
+        return [self._end(at, job) for at, _, job in self._work.advance(now)]
 
     def next_due(self) -> float | None:
         """When `advance` will have something to tell, as things stand."""
         return self._work.next_due()
 
-    def _end(self, at: float, order: Order) -> Filled:
-        if order.probe:
-            return Filled(at, order, Answer.SERVED)
-        if order.fails:
-            return Filled(at, order, Answer.FAILED, effect=order.write)
-        return Filled(at, order, Answer.SERVED, effect=order.write)
+    def _end(self, at: float, job: OriginJob) -> FinishedOriginJob:
+        if job.probe:
+            return FinishedOriginJob(at, job, OriginResult.SERVED)
+        if job.fails:
+            return FinishedOriginJob(at, job, OriginResult.FAILED, effect=job.write)
+        return FinishedOriginJob(at, job, OriginResult.SERVED, effect=job.write)
 
-    def arrive(self, now: float, order: Order) -> list[Filled]:
-        """Take an order; returns what has ended by now, this order among it if it needs no work."""
+    def arrive(self, now: float, job: OriginJob) -> list[FinishedOriginJob]:
+        """Accept a job; returns the jobs finished by now, including this one if it needs no work."""
         done = self.advance(now)
-        keyed = order.write and bool(order.idempotency)
+        keyed = job.write and bool(job.idempotency)
         # A repeat is known by its key from when the first copy came, whether that one is done or not.
-        if keyed and self._remembered.get(order.idempotency, now) > now:
-            return [*done, Filled(now, order, Answer.REPEAT)]
-        if not self._work.submit(order, order.work):
-            return [*done, Filled(now, order, Answer.BUSY)]
+        if keyed and self._dedup_until.get(job.idempotency, now) > now:
+            return [*done, FinishedOriginJob(now, job, OriginResult.REPEAT)]
+        if not self._work.submit(job, job.work):
+            return [*done, FinishedOriginJob(now, job, OriginResult.BUSY)]
         if keyed:
-            self._remembered[order.idempotency] = now + order.window
-            self._remembered.move_to_end(order.idempotency)
-            if len(self._remembered) > REMEMBERED:
-                self._remembered.popitem(last=False)
+            self._dedup_until[job.idempotency] = now + job.dedup_window
+            self._dedup_until.move_to_end(job.idempotency)
+            if len(self._dedup_until) > MAX_REMEMBERED_KEYS:
+                self._dedup_until.popitem(last=False)
         return done
 
-    def slow(self, now: float, factor: float) -> list[Filled]:
+    def slow(self, now: float, factor: float) -> list[FinishedOriginJob]:
         """From now on everything takes `factor` times as long; returns what had ended."""
         if factor <= 0:
             raise ValueError("factor must be above 0")
@@ -111,7 +111,7 @@
         self._work.speed = 1.0 / factor
         return done
 
-    def pause(self, now: float, seconds: float) -> list[Filled]:
+    def pause(self, now: float, seconds: float) -> list[FinishedOriginJob]:
         """Stand still; returns what had ended."""
         done = self.advance(now)
         self._work.pause(now + seconds)
@@ -122,6 +122,6 @@
         """Orders in work and waiting."""
         return self._work.held
 
-    def die(self) -> list[Order]:
+    def crash(self) -> list[OriginJob]:
         """The process is gone with all it held; what it remembers is on its disk. Returns what it held."""
         return self._work.drop_all()
--- a/holdgw/emulators/processor_sharing.py
+++ b/holdgw/emulators/processor_sharing.py
@@ -57,10 +57,10 @@
     def __init__(self, spec: QueueSpec, now: float, cold: bool = False) -> None:
         self.spec = spec
         self.speed = spec.speed
-        self.tax = 0.0
+        self.overhead_share = 0.0
         """Share of the capacity that goes elsewhere (a full table of connections)."""
         self._now = now
-        self._began = now if cold else -math.inf
+        self._started = now if cold else -math.inf
         self._paused_until = -math.inf
         self._progress = 0.0  # work that each item in work has had since the model began
         self._active: list[tuple[float, int, float, T]] = []  # (progress at its end, order, began, item)
@@ -77,35 +77,35 @@
         """Items in work and waiting."""
         return len(self._active) + len(self._waiting)
 
-    def warmth(self, at: float) -> float:
+    def warm_up_factor(self, at: float) -> float:
         """Share of the full capacity at a time, by the ramp alone."""
         spec = self.spec
-        age = at - self._began
+        age = at - self._started
         if age >= spec.warm_s:
             return 1.0
         return spec.cold_share + (1 - spec.cold_share) * age / spec.warm_s
 
     def is_cold(self, at: float) -> bool:
         """Whether the ramp is not over."""
-        return at - self._began < self.spec.warm_s
+        return at - self._started < self.spec.warm_s
 
     def capacity(self, at: float) -> float:
         """Core-seconds of work a second that it can do at that time."""
-        return self.spec.cores * self.speed * self.warmth(at)
+        return self.spec.cores * self.speed * self.warm_up_factor(at)
 
     def _rate(self) -> float:
-        """Work a second that each item in work has, at full warmth."""
+        """Work a second that each item in work has, at full capacity."""
         spec = self.spec
         over = max(0.0, self.held - spec.thrash_at) / spec.thrash_at
-        efficiency = (1.0 - min(self.tax, 0.9)) / (1.0 + spec.thrash * over)
+        efficiency = (1.0 - min(self.overhead_share, 0.9)) / (1.0 + spec.thrash * over)
         return self.speed * efficiency * min(1.0, spec.cores / len(self._active))
 
     def _time_for(self, work: float, start: float, rate: float) -> float:
         """Seconds from `start` on in which an item at `rate` has this much work; handles the ramp."""
-        end = self._began + self.spec.warm_s
+        end = self._started + self.spec.warm_s
         if start >= end:
             return work / rate
-        warm, slope = self.warmth(start), (1 - self.spec.cold_share) / self.spec.warm_s
+        warm, slope = self.warm_up_factor(start), (1 - self.spec.cold_share) / self.spec.warm_s
         need = work / rate
         ramp = end - start
         within = warm * ramp + slope * ramp * ramp / 2
@@ -117,11 +117,14 @@
 
     def _work_in(self, start: float, seconds: float, rate: float) -> float:
         """Work that an item at `rate` has in so many seconds from `start` on."""
-        ramp = min(max(self._began + self.spec.warm_s - start, 0.0), seconds)
+        ramp = min(max(self._started + self.spec.warm_s - start, 0.0), seconds)
         warm = 0.0
         if ramp > 0:
             warm = (
-                (self.warmth(start) + self.warmth(min(start + ramp, self._began + self.spec.warm_s)))
+                (
+                    self.warm_up_factor(start)
+                    + self.warm_up_factor(min(start + ramp, self._started + self.spec.warm_s))
+                )
                 / 2
                 * ramp
             )
--- a/holdgw/emulators/records.py
+++ b/holdgw/emulators/records.py
@@ -29,18 +29,18 @@
     """It changed something at the package store, then and there."""
     idempotency: str = ""
     missing: str = ""
-    fresh: bool = False
+    first_on_connection: bool = False
     """The first on its connection."""
     work: float = 0.0
     """Core-seconds, if it ran."""
-    left: float = 0.0
+    held_since: float = 0.0
     """When it was sent, where a cut line held it back; 0: none did."""
-    came: float = 0.0
+    arrived: float = 0.0
     """When its last byte had come to this machine, at the latest: before `at`, where the server's process had
     no core to read it. 0: not told."""
 
 
-class Told(msgspec.Struct, array_like=True, tag="told"):
+class EndpointStateSent(msgspec.Struct, array_like=True, tag="told"):
     """Discovery wrote a server's state to a router."""
 
     router: str
@@ -49,10 +49,10 @@
     at: float
     since: float
     """When that router's agent, or its view, had the state."""
-    whole: bool = False
+    full: bool = False
 
 
-class Had(msgspec.Struct, array_like=True, tag="had"):
+class EndpointStateAvailable(msgspec.Struct, array_like=True, tag="had"):
     """A router's view has a server's state, whether or not it is written to the router."""
 
     router: str
@@ -61,7 +61,7 @@
     at: float
 
 
-class Deaf(msgspec.Struct, array_like=True, tag="deaf"):
+class DiscoveryCut(msgspec.Struct, array_like=True, tag="deaf"):
     """The line between a router and discovery is cut, from when to when."""
 
     router: str
@@ -69,7 +69,7 @@
     until: float
 
 
-class Handed(msgspec.Struct, array_like=True, tag="handed"):
+class OverrideAccepted(msgspec.Struct, array_like=True, tag="handed"):
     """A router said yes to staff who take a server out by hand, or call it back."""
 
     router: str
@@ -78,16 +78,16 @@
     at: float
 
 
-class Fallen(msgspec.Struct, array_like=True, tag="fallen"):
+class WarmUpCrash(msgspec.Struct, array_like=True, tag="fallen"):
     """A cold mirror node was pushed over."""
 
     server: str
     at: float
     sent: float
-    most: float
+    limit: float
 
 
-class Odd(msgspec.Struct, array_like=True, tag="odd"):
+class ProtocolViolation(msgspec.Struct, array_like=True, tag="odd"):
     """Something came that no router should send."""
 
     server: str
@@ -95,7 +95,7 @@
     text: str
 
 
-class Try(msgspec.Struct, array_like=True, tag="try"):
+class ClientRequest(msgspec.Struct, array_like=True, tag="try"):
     """One try of a client: one request to one router."""
 
     request: str
@@ -117,14 +117,14 @@
     serial: int = -1
     fault: str = ""
     """What was wrong with a value that was served."""
-    come_again: float = -1.0
+    retry_after: float = -1.0
     """Seconds after which a refusal told it to come again; -1: it did not."""
     crossed: float = 0.0
     """When the router closed an idle connection just as this request was sent on it; the client then sent it
     once more on a new one (PROTOCOL, "Clients to routers"). 0: it did not happen."""
 
 
-class Extra(msgspec.Struct, array_like=True, tag="extra"):
+class ExtraAnswer(msgspec.Struct, array_like=True, tag="extra"):
     """One more answer came to a request that had its final one."""
 
     request: str
@@ -154,33 +154,47 @@
     kept: int
 
 
-class Called(msgspec.Struct, array_like=True, tag="called"):
+class DiscoveryCall(msgspec.Struct, array_like=True, tag="called"):
     """A router called the list service."""
 
     router: str
     at: float
-    whole: bool
+    full: bool
     """For the whole list, and not for what is newer than a version."""
     failed: bool = False
     """The service was down."""
 
 
-class Dialled(msgspec.Struct, array_like=True, tag="dialled"):
+class ConnectionOpened(msgspec.Struct, array_like=True, tag="dialled"):
     """A connection to a mirror node came up."""
 
     server: str
     at: float
-    taken: bool
+    accepted: bool
     """Its table had room."""
 
 
-Record = Attempt | Told | Had | Deaf | Handed | Fallen | Odd | Try | Extra | Lag | Flushed | Called | Dialled
-
-
-class Witness(Protocol):
+Record = (
+    Attempt
+    | EndpointStateSent
+    | EndpointStateAvailable
+    | DiscoveryCut
+    | OverrideAccepted
+    | WarmUpCrash
+    | ProtocolViolation
+    | ClientRequest
+    | ExtraAnswer
+    | Lag
+    | Flushed
+    | DiscoveryCall
+    | ConnectionOpened
+)
+
+
+class Recorder(Protocol):
     """Whoever keeps the records."""
 
-    def saw(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Keep one."""
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
--- a/holdgw/emulators/relay.py
+++ b/holdgw/emulators/relay.py
@@ -10,14 +10,14 @@
 from collections.abc import Mapping
 from typing import cast
 
-from holdgw.emulators.listeners import Clock, after
+from holdgw.emulators.listeners import Clock, call_after
 from holdgw.emulators.relay_model import RelayModel
 from holdgw.wire.address import Address
 
 ALL = ""  # the name of the address at which all others are reached
 
 
-class _Face(asyncio.DatagramProtocol):
+class _RelaySocket(asyncio.DatagramProtocol):
     """The address that a router is known by."""
 
     def __init__(self, relay: Relay, name: str) -> None:
@@ -28,7 +28,7 @@
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        self.relay.came(self.name, data, addr)
+        self.relay.handle_datagram(self.name, data, addr)
 
     def error_received(self, exc: Exception) -> None:
         """A receiver's process is not there: to its sender it is as lost."""
@@ -44,22 +44,22 @@
         self._clock, self._ip = clock, ip
         self._listens = dict(listens)
         self._names = {address: name for name, address in listens.items()}
-        self._faces: dict[str, _Face] = {}
+        self._sockets: dict[str, _RelaySocket] = {}
 
     async def start(self) -> dict[str, Address]:
         """Listen; returns the address that each router is known by, and under ALL the one of all."""
         loop = asyncio.get_running_loop()
         found = {}
         for name in (*self._listens, ALL):
-            transport, face = await loop.create_datagram_endpoint(
-                lambda name=name: _Face(self, name),  # type: ignore[misc]
+            transport, relay_socket = await loop.create_datagram_endpoint(
+                lambda name=name: _RelaySocket(self, name),  # type: ignore[misc]
                 local_addr=(self._ip, 0),
             )
-            self._faces[name] = face
+            self._sockets[name] = relay_socket
             found[name] = transport.get_extra_info("sockname")[:2]
         return found
 
-    def came(self, to: str, data: bytes, sender: Address) -> None:
+    def handle_datagram(self, to: str, data: bytes, sender: Address) -> None:
         """A datagram came to an address that a router, or all, are known by."""
         origin = self._names.get(sender)
         if origin is None:
@@ -68,16 +68,20 @@
         for name in self._listens if to == ALL else (to,):
             if name == origin:
                 continue
-            for delay in self.model.carries(self._clock(), origin, name, len(data)):
-                after(asyncio.get_running_loop(), delay, lambda name=name: self._pass(origin, name, data))  # type: ignore[misc]
-
-    def _pass(self, origin: str, name: str, data: bytes) -> None:
-        transport = self._faces[origin].transport
+            for delay in self.model.delivery_delays(self._clock(), origin, name, len(data)):
+                call_after(
+                    asyncio.get_running_loop(),
+                    delay,
+                    lambda name=name: self._deliver(origin, name, data),  # type: ignore[misc]
+                )
+
+    def _deliver(self, origin: str, name: str, data: bytes) -> None:
+        transport = self._sockets[origin].transport
         if transport is not None and not transport.is_closing():
             transport.sendto(data, self._listens[name])
 
     def close(self) -> None:
         """The day is over."""
-        for face in self._faces.values():
-            if face.transport is not None:
-                face.transport.close()
+        for relay_socket in self._sockets.values():
+            if relay_socket.transport is not None:
+                relay_socket.transport.close()
--- a/holdgw/emulators/relay_model.py
+++ b/holdgw/emulators/relay_model.py
@@ -8,15 +8,15 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-MOST_BYTES = 256
+MAX_DATAGRAM_BYTES = 256
 BURST_S = 0.25  # a line with a bound carries so much of a second's bytes at once
 
-Line = Callable[[str, str], float]
+LinkDelay = Callable[[str, str], float]
 """The least one-way delay between two routers, seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class PeerWeather:
+class PeerNetworkConditions:
     """What befalls every line at the moment."""
 
     jitter: float = 0.2
@@ -44,13 +44,15 @@
 class RelayModel:
     """All lines between routers, by the seed. Times are seconds on the caller's clock."""
 
-    def __init__(self, seed: int, line: Line, weather: PeerWeather) -> None:
-        self.weather = weather
+    def __init__(self, seed: int, link_delay: LinkDelay, conditions: PeerNetworkConditions) -> None:
+        self.conditions = conditions
         self.counts: dict[str, Counts] = {}
-        self._line = line
+        self._link_delay = link_delay
         self._random = random.Random(f"{seed}/relay")
         self._cut: dict[tuple[str, str], float] = {}
-        self._room: dict[tuple[str, str], tuple[float, float]] = {}  # bytes that a line may carry, and when
+        self._allowance: dict[
+            tuple[str, str], tuple[float, float]
+        ] = {}  # bytes that a line may carry, and when
 
     def block(self, a: Iterable[str], b: Iterable[str], until: float, both: bool) -> None:
         """Nothing comes from `a` to `b` until then, nor back if `both`; what is sent meanwhile is lost."""
@@ -62,36 +64,36 @@
                 for pair in ((one, other), (other, one)) if both else ((one, other),):
                     self._cut[pair] = max(self._cut.get(pair, until), until)
 
-    def carries(self, now: float, a: str, b: str, size: int) -> list[float]:
+    def delivery_delays(self, now: float, a: str, b: str, size: int) -> list[float]:
         """Delays after which copies of a datagram come to `b`; none where it is lost."""
-        counts, weather, draw = self.counts.setdefault(a, Counts()), self.weather, self._random.random
+        counts, conditions, draw = self.counts.setdefault(a, Counts()), self.conditions, self._random.random
         counts.sent += 1
         counts.bytes += size
-        if size > MOST_BYTES:
+        if size > MAX_DATAGRAM_BYTES:
             counts.long += 1
             return []
         if now < self._cut.get((a, b), float("-inf")):
             counts.cut += 1
             return []
-        if weather.bytes_per_s and not self._has_room(now, a, b, size):
+        if conditions.bytes_per_s and not self._within_rate(now, a, b, size):
             counts.over += 1
             return []
         delays = []
-        for _ in range(2 if weather.duplicates and draw() < weather.duplicates else 1):
-            if weather.loss and draw() < weather.loss:
+        for _ in range(2 if conditions.duplicates and draw() < conditions.duplicates else 1):
+            if conditions.loss and draw() < conditions.loss:
                 counts.lost += 1
                 continue
-            delay = self._line(a, b) * (1.0 + draw() * weather.jitter)
-            if weather.reordered and draw() < weather.reordered:
-                delay += draw() * weather.late_ms / 1000
+            delay = self._link_delay(a, b) * (1.0 + draw() * conditions.jitter)
+            if conditions.reordered and draw() < conditions.reordered:
+                delay += draw() * conditions.late_ms / 1000
             delays.append(delay)
         return delays
 
-    def _has_room(self, now: float, a: str, b: str, size: int) -> bool:
-        rate = self.weather.bytes_per_s
-        most = max(rate * BURST_S, float(MOST_BYTES))
-        room, since = self._room.get((a, b), (most, now))
+    def _within_rate(self, now: float, a: str, b: str, size: int) -> bool:
+        rate = self.conditions.bytes_per_s
+        most = max(rate * BURST_S, float(MAX_DATAGRAM_BYTES))
+        room, since = self._allowance.get((a, b), (most, now))
         room = min(room + (now - since) * rate, most)
         fits = size <= room
-        self._room[a, b] = (room - size if fits else room, now)
+        self._allowance[a, b] = (room - size if fits else room, now)
         return fits
--- a/holdgw/emulators/seeded_draws.py
+++ b/holdgw/emulators/seeded_draws.py
@@ -13,12 +13,12 @@
 
 _STEPS = float(1 << 53)
 _NORMAL = NormalDist()
-_EDGE = 1e-9  # the normal's inverse is infinite at 0 and 1
+_MIN_QUANTILE = 1e-9  # the normal's inverse is infinite at 0 and 1
 
-Word = str | int | bytes
+NamePart = str | int | bytes
 
 
-def unit(*name: Word) -> float:
+def unit(*name: NamePart) -> float:
     """The number in [0, 1) that belongs to this name."""
     text = b"\x1f".join(word if isinstance(word, bytes) else str(word).encode() for word in name)
     return (int.from_bytes(blake2b(text, digest_size=8).digest(), "big") >> 11) / _STEPS
@@ -29,7 +29,7 @@
     if cv <= 0:
         return mean
     variance = math.log1p(cv * cv)
-    normal = _NORMAL.inv_cdf(min(max(u, _EDGE), 1 - _EDGE))
+    normal = _NORMAL.inv_cdf(min(max(u, _MIN_QUANTILE), 1 - _MIN_QUANTILE))
     return math.exp(math.log(mean) - variance / 2 + math.sqrt(variance) * normal)
 
 
--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -21,19 +21,19 @@
 from holdgw.emulators.records import (
     LAG_BOUNDS_MS,
     Attempt,
-    Called,
-    Deaf,
-    Dialled,
-    Extra,
-    Fallen,
+    ClientRequest,
+    ConnectionOpened,
+    DiscoveryCall,
+    DiscoveryCut,
+    EndpointStateAvailable,
+    EndpointStateSent,
+    ExtraAnswer,
     Flushed,
-    Had,
-    Handed,
     Lag,
-    Odd,
+    OverrideAccepted,
+    ProtocolViolation,
     Record,
-    Told,
-    Try,
+    WarmUpCrash,
 )
 
 SLACK_S = 0.05
@@ -66,18 +66,18 @@
 class History:
     """All that was seen."""
 
-    tries: list[Try] = field(default_factory=list)
+    tries: list[ClientRequest] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
-    had: list[Had] = field(default_factory=list)
-    handed: list[Handed] = field(default_factory=list)
-    fallen: list[Fallen] = field(default_factory=list)
-    odd: list[Odd] = field(default_factory=list)
-    extras: list[Extra] = field(default_factory=list)
+    told: list[EndpointStateSent] = field(default_factory=list)
+    had: list[EndpointStateAvailable] = field(default_factory=list)
+    handed: list[OverrideAccepted] = field(default_factory=list)
+    fallen: list[WarmUpCrash] = field(default_factory=list)
+    odd: list[ProtocolViolation] = field(default_factory=list)
+    extras: list[ExtraAnswer] = field(default_factory=list)
     lags: list[Lag] = field(default_factory=list)
     flushed: list[Flushed] = field(default_factory=list)
-    calls: list[Called] = field(default_factory=list)
-    dials: list[Dialled] = field(default_factory=list)
+    calls: list[DiscoveryCall] = field(default_factory=list)
+    dials: list[ConnectionOpened] = field(default_factory=list)
     lives: list[ProcessLifetime] = field(default_factory=list)
     severed: set[str] = field(default_factory=set)
     """Requests whose client's own connection the network broke: no router could have answered them."""
@@ -87,7 +87,7 @@
     """Routers whose machines were lost, from when until they took requests again."""
     starved: list[tuple[str, float, float, float]] = field(default_factory=list)
     """Routers whose processes waited for a core of this machine: from when to when, and how long of it."""
-    deaf: list[Deaf] = field(default_factory=list)
+    deaf: list[DiscoveryCut] = field(default_factory=list)
     """When routers' lines to discovery were cut."""
     held: dict[tuple[str, float], float] = field(default_factory=dict)
     """When a router had written what the network held back: by server, and when it came there."""
@@ -96,43 +96,43 @@
         """When an attempt left its router, at the latest: when it came to the machine, unless it was held
         back.
         """
-        return self._held_since(attempt) or attempt.came or attempt.at
+        return self._held_since(attempt) or attempt.arrived or attempt.at
 
     def reached_at(self, attempt: Attempt) -> float:
         """When an attempt reached its server's machine: before `at` where the process was late to read it."""
-        return attempt.at if self._held_since(attempt) else attempt.came or attempt.at
+        return attempt.at if self._held_since(attempt) else attempt.arrived or attempt.at
 
     def _held_since(self, attempt: Attempt) -> float:
-        return attempt.left or self.held.get((attempt.server, attempt.at), 0.0)
+        return attempt.held_since or self.held.get((attempt.server, attempt.at), 0.0)
 
     def add(self, record: Record) -> None:
         """Sort a record in."""
         match record:
-            case Try():
+            case ClientRequest():
                 self.tries.append(record)
             case Attempt():
                 self.attempts.append(record)
-            case Told():
+            case EndpointStateSent():
                 self.told.append(record)
-            case Had():
+            case EndpointStateAvailable():
                 self.had.append(record)
-            case Deaf():
+            case DiscoveryCut():
                 self.deaf.append(record)
-            case Handed():
+            case OverrideAccepted():
                 self.handed.append(record)
-            case Fallen():
+            case WarmUpCrash():
                 self.fallen.append(record)
-            case Odd():
+            case ProtocolViolation():
                 self.odd.append(record)
-            case Extra():
+            case ExtraAnswer():
                 self.extras.append(record)
             case Lag():
                 self.lags.append(record)
             case Flushed():
                 self.flushed.append(record)
-            case Called():
+            case DiscoveryCall():
                 self.calls.append(record)
-            case Dialled():
+            case ConnectionOpened():
                 self.dials.append(record)
 
 
@@ -179,7 +179,7 @@
                 "felled",
                 fall.at,
                 (),
-                f"{fall.server} was sent {fall.sent:.2f} of {fall.most:.2f} core-seconds",
+                f"{fall.server} was sent {fall.sent:.2f} of {fall.limit:.2f} core-seconds",
             )
             for fall in history.fallen
         ),
@@ -250,7 +250,7 @@
     for one in history.tries:
         sent_on = attempts.get(one.request, [])
 
-        def lost(text: str, one: Try = one) -> Broken:
+        def lost(text: str, one: ClientRequest = one) -> Broken:
             return Broken("lost", one.ended, (one.request,), f"{text} ({one.router})")
 
         excused = (
@@ -433,7 +433,7 @@
     """Servers out by hand: nothing new from the router's yes on, plus the grace, until the call back,
     whatever discovery says; a process that starts anew has heard nothing.
     """
-    words = defaultdict[tuple[str, str], list[Handed]](list)
+    words = defaultdict[tuple[str, str], list[OverrideAccepted]](list)
     for word in sorted(history.handed, key=lambda word: word.at):
         words[word.router, word.server].append(word)
     asked = {one.request: one for one in history.tries}
--- a/holdgw/harness/clients.py
+++ b/holdgw/harness/clients.py
@@ -11,7 +11,7 @@
 import hiredis
 
 from holdgw.emulators.listeners import Clock
-from holdgw.emulators.records import Extra, Try, Witness
+from holdgw.emulators.records import ClientRequest, ExtraAnswer, Recorder
 from holdgw.harness.channel import ClientCounts
 from holdgw.harness.checker import SLACK_S
 from holdgw.harness.scenario import router_names
@@ -86,7 +86,7 @@
         self.sent = 0.0
         self.crossed = 0.0
         self.connection: ClientConnection | None = None
-        self.record: Try | None = None
+        self.record: ClientRequest | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
@@ -164,7 +164,7 @@
         elif isinstance(reply, RefusalError) and str(reply).startswith("BUSY"):
             words = str(reply).split()
             again = int(words[1]) / 1000 if len(words) > 1 and words[1].isdigit() else -1.0
-            self.ended("refused", come_again=again)
+            self.ended("refused", retry_after=again)
         else:
             self.ended("failed")
 
@@ -193,17 +193,17 @@
     def extra_answer(self) -> None:
         """One more answer came than was asked for."""
         router = self.connection.router if self.connection is not None else ""
-        self.clients.witness.saw(Extra(self.id, router, self.clients.clock()))
+        self.clients.recorder.record(ExtraAnswer(self.id, router, self.clients.clock()))
 
     def ended(
-        self, answer: str, server: str = "", serial: int = -1, fault: str = "", come_again: float = -1.0
+        self, answer: str, server: str = "", serial: int = -1, fault: str = "", retry_after: float = -1.0
     ) -> None:
         """The try is over; the ask may go on."""
         if self._timer is not None:
             self._timer.cancel()
         if self.record is not None:
             return
-        self.record = Try(
+        self.record = ClientRequest(
             self.id,
             self.ask.number,
             self.number,
@@ -215,7 +215,7 @@
             server=server,
             serial=serial,
             fault=fault,
-            come_again=come_again,
+            retry_after=retry_after,
             crossed=self.crossed,
         )
         self.clients.over(self, self.record)
@@ -224,13 +224,13 @@
 class Clients:
     """A part of all clients: the asks whose number fits."""
 
-    def __init__(self, day: Schedule, index: int, count: int, witness: Witness, clock: Clock) -> None:
+    def __init__(self, day: Schedule, index: int, count: int, recorder: Recorder, clock: Clock) -> None:
         self.day, self.clock, self.loop = day, clock, asyncio.get_running_loop()
         self.tally = ClientCounts()
         self.open = 0  # asks that are not over
         self._asks = [ask for ask in day.requests if ask.number % count == index]
         self._next = 0
-        self.witness = witness
+        self.recorder = recorder
         self._begun = 0.0
         self._routers: dict[str, Address] = {}
         self._up: set[str] = set()
@@ -320,9 +320,9 @@
         elif connection is not None:
             connection.abort()
 
-    def over(self, attempt: AttemptAbandoned, record: Try) -> None:
+    def over(self, attempt: AttemptAbandoned, record: ClientRequest) -> None:
         """A try is over: the ask is too, or it goes on after a wait."""
-        self.witness.saw(record)
+        self.recorder.record(record)
         ask, now = attempt.ask, self.clock()
         clients = self.day.scenario.clients
         again = (
@@ -332,8 +332,8 @@
         if again and ask.source != PRELUDE:
             low, high = (one / 1000 for one in clients.backoff_ms)
             wait = (low + ask.backoff * (high - low)) * 2**attempt.number
-            if record.come_again > 0 and ask.honours_retry_after:
-                wait = max(wait, record.come_again)
+            if record.retry_after > 0 and ask.honours_retry_after:
+                wait = max(wait, record.retry_after)
             if now + wait + LEAST_TRY_S < attempt.deadline:
                 following = AttemptAbandoned(self, ask, attempt.number + 1, attempt.deadline)
                 self.loop.call_later(wait, self._retry, following)
--- a/holdgw/harness/fault_injection.py
+++ b/holdgw/harness/fault_injection.py
@@ -13,7 +13,7 @@
 from typing import Any, Protocol
 
 from holdgw.emulators.listeners import Clock
-from holdgw.emulators.records import Handed
+from holdgw.emulators.records import OverrideAccepted
 from holdgw.emulators.seeded_draws import between, unit
 from holdgw.harness.channel import Begin, Front, Message, Places
 from holdgw.harness.checker import History, ProcessLifetime
@@ -361,7 +361,7 @@
         """Staff call at one router's door, and believe it only when it says yes."""
         path = "/maintenance/enter" if out else "/maintenance/exit"
         if router.running and await call_door(router.ops, path, node):
-            self.history.add(Handed(router.name, node, out, self.clock()))
+            self.history.add(OverrideAccepted(router.name, node, out, self.clock()))
 
     async def home_of_new(self, name: str, instead: str) -> Worker:
         """The worker that a new node runs in; `instead`: the node whose address it takes, if it does."""
--- a/holdgw/harness/orchestrator.py
+++ b/holdgw/harness/orchestrator.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import Any
 
-from holdgw.emulators.records import Fallen
+from holdgw.emulators.records import WarmUpCrash
 from holdgw.emulators.relay import ALL
 from holdgw.harness.channel import (
     Batch,
@@ -192,7 +192,7 @@
         """Keep what was seen."""
         for record in batch.records:
             self.history.add(record)
-            if isinstance(record, Fallen):
+            if isinstance(record, WarmUpCrash):
                 self.felled += 1
                 self.spawn(self.list_state("removed", record.server))
 
--- a/holdgw/harness/scoring.py
+++ b/holdgw/harness/scoring.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from holdgw.emulators.records import Try
+from holdgw.emulators.records import ClientRequest
 from holdgw.harness.checker import GOOD, History
 from holdgw.harness.scenario import RequestClass
 from holdgw.harness.schedule import ORIGIN, PRELUDE, ScheduledRequest
@@ -50,9 +50,9 @@
     """Seconds of the day."""
 
 
-def fates(asks: Iterable[ScheduledRequest], tries: Iterable[Try], begun: float) -> list[Fate]:
+def fates(asks: Iterable[ScheduledRequest], tries: Iterable[ClientRequest], begun: float) -> list[Fate]:
     """Every ask of the day itself and what became of it. `begun`: the clock's time of second 0."""
-    by_ask = defaultdict[int, list[Try]](list)
+    by_ask = defaultdict[int, list[ClientRequest]](list)
     for one in tries:
         by_ask[one.ask].append(one)
     found = []
--- a/holdgw/harness/worker.py
+++ b/holdgw/harness/worker.py
@@ -26,7 +26,7 @@
 from holdgw.emulators.origin import OriginServer
 from holdgw.emulators.records import LAG_BOUNDS_MS, Lag, Record
 from holdgw.emulators.relay import Relay
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.emulators.seeded_draws import between, unit
 from holdgw.harness.channel import (
     Batch,
@@ -131,7 +131,7 @@
         own = {line: delays[zone_of_router(scenario, router)] for router, line in self.line_of.items()}
         return Host(self.setup.ip, delays | own, may_be_cut(scenario))
 
-    def saw(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Keep a record."""
         self.records.append(record)
 
@@ -181,7 +181,7 @@
         for name in names:
             node = self._make(name)
             await node.start()
-            node.model.learning = True
+            node.model.prefilling = True
         return {name: self.nodes[name].addresses for name in names}
 
     def _make(self, name: str) -> NodeServer:
@@ -197,7 +197,7 @@
         """Troubles of nodes."""
         if verb == "learn":
             for node in self.nodes.values():
-                node.model.learning = False
+                node.model.prefilling = False
         elif verb == "flush":
             for node in list(self.nodes.values()):
                 if node.alive:
@@ -211,7 +211,7 @@
         elif verb == "pause":
             self.nodes[target].pause(args["seconds"])
         elif verb == "report":
-            self.nodes[target].model.lie(args["says"], self.clock())
+            self.nodes[target].model.set_false_report(args["says"], self.clock())
         elif verb == "kill":
             self.nodes[target].kill()
         elif verb == "start":
@@ -230,7 +230,7 @@
             node = self._make(target)
             if args["instead"]:
                 self.nodes[args["instead"]].kill()  # another trouble may have brought it back meanwhile
-                node.take_place_of(self.nodes[args["instead"]])
+                node.take_over_addresses(self.nodes[args["instead"]])
             await node.start(cold=True)
             return node.addresses
         else:
@@ -428,7 +428,7 @@
             delays[a, b] = between(unit(seed, "line", *sorted((a, b))), span) / 1000
         return delays[a, b]
 
-    weather = PeerWeather(table.jitter, *(getattr(table, name) for name in DATAGRAM_FAULTS))
+    weather = PeerNetworkConditions(table.jitter, *(getattr(table, name) for name in DATAGRAM_FAULTS))
     return RelayModel(seed, line, weather)
 
 
@@ -438,7 +438,7 @@
         a, b = (args["b"], args["a"]) if args["way"] == "from" else (args["a"], args["b"])
         model.block(a, b, now + args["seconds"], args["way"] == "both")
     else:
-        model.weather = replace(model.weather, **args)
+        model.conditions = replace(model.conditions, **args)
 
 
 ROLES: dict[str, type[Part]] = {
@@ -518,7 +518,7 @@
     def _flush(self) -> None:
         assert self.part is not None
         assert self._lateness is not None
-        self.part.saw(self._lateness.take())
+        self.part.record(self._lateness.take())
         self.part.flush()
         self._flush_timer = self.part.loop.call_later(FLUSH_S, self._flush)
 
--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -169,7 +169,7 @@
         """Send a datagram from one member's address to another's."""
         self.bytes_sent[number] += len(data)
         names = (f"router{number:02d}", f"router{to:02d}")
-        for delay in self.relay.carries(self.now / NS_PER_S, *names, len(data)):
+        for delay in self.relay.delivery_delays(self.now / NS_PER_S, *names, len(data)):
             self.at(self.now + int(delay * NS_PER_S), lambda: self._arrive(to, data, number))
 
     def _arrive(self, number: int, data: bytes, source: int) -> None:
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -22,7 +22,7 @@
 from holdgw.emulators import listeners
 from holdgw.emulators.discovery import DiscoveryServer, _Connection
 from holdgw.emulators.discovery_model import DiscoveryModel, Entry
-from holdgw.emulators.records import Deaf, Fallen, Record
+from holdgw.emulators.records import DiscoveryCut, Record, WarmUpCrash
 from holdgw.emulators.seeded_draws import between, unit
 from holdgw.harness.channel import Begin, Finish, Front, Message, Places, Setup, Stored, Voided
 from holdgw.harness.checker import Broken, History, ProcessLifetime
@@ -191,9 +191,9 @@
 
     theatre: SimulatedFleet
 
-    def saw(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Keep a record."""
-        self.theatre.saw(record)
+        self.theatre.record(record)
 
     def host(self, name: str, zone: str) -> listeners.Host:
         """One listener for each zone, as on the machine; delays are the network's."""
@@ -222,18 +222,18 @@
 
     theatre: SimulatedFleet
 
-    def told(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
+    def record_sent(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
         """Remember what was written once it comes: a cut line holds it back."""
         written, comes = self.theatre.list_comes.get(connection.router, (0.0, 0.0))
         if written == self._clock():
             self.loop.call_later(comes - written, self._come, connection, whole, entries)
         else:
-            self.loop.call_soon(super().told, connection, whole, entries)
+            self.loop.call_soon(super().record_sent, connection, whole, entries)
 
     def _come(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
         # What comes on a connection that its router has closed meanwhile tells nobody anything.
         if not cast(TcpEnd, connection.transport).peer.shut:
-            super().told(connection, whole, entries)
+            super().record_sent(connection, whole, entries)
 
 
 class _Hub(_Seen, HubPart):
@@ -449,10 +449,10 @@
 
     # What parts tell
 
-    def saw(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Keep what was seen."""
         self.history.add(record)
-        if isinstance(record, Fallen):
+        if isinstance(record, WarmUpCrash):
             self.world.soon(self.stage, self.spawn, (self._fell(record.server),))
 
     async def _fell(self, server: str) -> None:
@@ -648,7 +648,7 @@
             network.block(*pair, args["seconds"], args["way"] == "both")
             now = self.clock()
             for name in args["routers"]:
-                self.history.add(Deaf(name, now, now + args["seconds"]))
+                self.history.add(DiscoveryCut(name, now, now + args["seconds"]))
         elif verb == "vanish":
             network.vanish(self.hosts[args["node"]])
             await self.home[args["node"]].ask("kill", args["node"])
--- a/holdgw/simulation/membership_tier.py
+++ b/holdgw/simulation/membership_tier.py
@@ -101,7 +101,7 @@
         self.bytes[number] += len(data)
         self.sent[number] += 1
         names = (f"router{number:02d}", f"router{to:02d}")
-        for delay in self.relay.carries(self.now / NS_PER_S, *names, len(data)):
+        for delay in self.relay.delivery_delays(self.now / NS_PER_S, *names, len(data)):
             self.at(self.now + int(delay * NS_PER_S), lambda: self._comes(to, data))
 
     def _comes(self, number: int, data: bytes) -> None:
--- a/holdgw/simulation/network.py
+++ b/holdgw/simulation/network.py
@@ -401,7 +401,7 @@
             return
         if self.peers is not None:
             now = self.world.now
-            for delay in self.peers.carries(now / NS_PER_S, here.name, other.name, len(data)):
+            for delay in self.peers.delivery_delays(now / NS_PER_S, here.name, other.name, len(data)):
                 self.world.at(now + int(delay * NS_PER_S), None, self._datagram_comes, (end, data, remote))
             return
         for _ in range(2 if weather.double and draw() < weather.double else 1):
--- a/tests/emulators/test_emulator_models.py
+++ b/tests/emulators/test_emulator_models.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 
 from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
-from holdgw.emulators.faults import Fault, Shares
+from holdgw.emulators.faults import Fault, FaultShares
 from holdgw.emulators.lru_cache import LruCache, MissReason
-from holdgw.emulators.node_model import Done, Job, Kind, NodeModel, NodeSpec, Result
-from holdgw.emulators.origin_model import Answer, Filled, Order, OriginModel, OriginSpec
+from holdgw.emulators.node_model import FinishedJob, Job, JobKind, JobResult, NodeModel, NodeSpec
+from holdgw.emulators.origin_model import FinishedOriginJob, OriginJob, OriginModel, OriginResult, OriginSpec
 from holdgw.emulators.processor_sharing import ProcessorSharingQueue, QueueSpec
 from holdgw.emulators.seeded_draws import lognormal, unit
 
@@ -148,20 +148,20 @@
 
 
 def test_least_recently_used_goes_first_and_the_reason_is_known() -> None:
-    keeping = LruCache(memory=300, lasts=10.0)
+    cache = LruCache(memory=300, ttl=10.0)
     for key in (b"a", b"b", b"c"):
-        keeping.put(key, 100, 0.0)
-    assert keeping.look(b"a", 1.0) == 100
-    keeping.put(b"d", 100, 1.0)
-    assert keeping.look(b"b", 1.0) is None
-    assert keeping.why(b"b") is MissReason.EVICTED
-    assert keeping.why(b"never") is MissReason.NEVER
-    assert keeping.void(b"c")
-    assert not keeping.void(b"c")
-    assert keeping.why(b"c") is MissReason.VOIDED
-    assert keeping.look(b"a", 10.0) is None
-    assert keeping.why(b"a") is MissReason.EXPIRED
-    assert keeping.used == 100
+        cache.put(key, 100, 0.0)
+    assert cache.get(b"a", 1.0) == 100
+    cache.put(b"d", 100, 1.0)
+    assert cache.get(b"b", 1.0) is None
+    assert cache.miss_reason(b"b") is MissReason.EVICTED
+    assert cache.miss_reason(b"never") is MissReason.NEVER
+    assert cache.invalidate(b"c")
+    assert not cache.invalidate(b"c")
+    assert cache.miss_reason(b"c") is MissReason.INVALIDATED
+    assert cache.get(b"a", 10.0) is None
+    assert cache.miss_reason(b"a") is MissReason.EXPIRED
+    assert cache.used == 100
 
 
 def test_a_flush_takes_the_same_share_of_keys_at_every_node() -> None:
@@ -173,28 +173,28 @@
         assert 650 <= node.flush(0.7, seed=3, serial=1) <= 750
     assert [key in nodes[0] for key in keys] == [key in nodes[1] for key in keys]
     gone = next(key for key in keys if key not in nodes[0])
-    assert nodes[0].why(gone) is MissReason.FLUSHED
+    assert nodes[0].miss_reason(gone) is MissReason.FLUSHED
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 30), st.integers(1, 120)), max_size=80))
 def test_memory_is_never_exceeded(puts: list[tuple[int, int]]) -> None:
-    keeping = LruCache(memory=100)
+    cache = LruCache(memory=100)
     for key, size in puts:
-        keeping.put(b"%d" % key, size, 0.0)
-        assert keeping.used <= 100
-    sizes = [keeping.look(b"%d" % key, 0.0) for key in {key for key, _ in puts}]
-    assert keeping.used == sum(size for size in sizes if size is not None)
+        cache.put(b"%d" % key, size, 0.0)
+        assert cache.used <= 100
+    sizes = [cache.get(b"%d" % key, 0.0) for key in {key for key, _ in puts}]
+    assert cache.used == sum(size for size in sizes if size is not None)
 
 
 # Mirror nodes
 
 
 def read(name: str, key: bytes = b"k", work: float = 0.05) -> Job:
-    return Job(Kind.READ, name.encode(), key, work, 100)
+    return Job(JobKind.READ, name.encode(), key, work, 100)
 
 
-def results(done: list[Done]) -> list[tuple[bytes, Result]]:
+def results(done: list[FinishedJob]) -> list[tuple[bytes, JobResult]]:
     return [(end.job.id, end.result) for end in done]
 
 
@@ -202,12 +202,12 @@
     node = NodeModel(WARM, 0.0)
     node.arrive(0.0, read("r1"))
     (miss,) = node.advance(1.0)
-    assert (miss.result, miss.missing) == (Result.MISS, MissReason.NEVER)
+    assert (miss.result, miss.missing) == (JobResult.MISS, MissReason.NEVER)
     assert not node.stored(1.0, b"another", b"k", 100)
     assert not node.stored(1.0, b"r1", b"other-key", 100)
     assert node.stored(1.0, b"r1", b"k", 100)
     node.arrive(1.0, read("r2"))
-    assert results(node.advance(2.0)) == [(b"r2", Result.HIT)]
+    assert results(node.advance(2.0)) == [(b"r2", JobResult.HIT)]
 
 
 def test_a_second_miss_while_a_fetch_is_out_says_so_and_no_longer_than_its_lease() -> None:
@@ -216,7 +216,7 @@
     for i, at in enumerate((0.0, 0.2, 3.0)):
         node.arrive(at, read(f"r{i}"))
         seen += [end.result for end in node.advance(at + 0.15)]
-    assert seen == [Result.MISS, Result.PENDING, Result.MISS]
+    assert seen == [JobResult.MISS, JobResult.PENDING, JobResult.MISS]
 
 
 def test_a_node_turns_away_what_its_line_cannot_hold_and_cancels_stop_nothing() -> None:
@@ -224,16 +224,16 @@
     turned = []
     for i in range(9):
         turned += results(node.arrive(0.0, read(f"r{i}")))
-    assert turned == [(b"r7", Result.BUSY), (b"r8", Result.BUSY)]
+    assert turned == [(b"r7", JobResult.BUSY), (b"r8", JobResult.BUSY)]
     assert len(node.advance(0.5)) == 7  # nobody waits for them, and they are worked off all the same
 
 
 def test_a_write_has_no_business_at_a_node() -> None:
     node = NodeModel(WARM, 0.0)
-    node.keeping.put(b"k", 100, 0.0)
-    node.arrive(0.0, Job(Kind.WRITE, b"w", b"k", 0.05))
-    assert results(node.advance(1.0)) == [(b"w", Result.MISS)]
-    assert b"k" in node.keeping
+    node.cache.put(b"k", 100, 0.0)
+    node.arrive(0.0, Job(JobKind.WRITE, b"w", b"k", 0.05))
+    assert results(node.advance(1.0)) == [(b"w", JobResult.MISS)]
+    assert b"k" in node.cache
 
 
 def test_a_paused_node_is_silent_and_then_goes_on_with_all_it_held() -> None:
@@ -242,14 +242,16 @@
     node.pause(0.02, 3.0)
     for i in range(9):
         assert node.arrive(1.0, read(f"r{i}")) == [], "not even a refusal"
-    assert node.arrive(1.5, Job(Kind.PROBE, b"probe")) == []
+    assert node.arrive(1.5, Job(JobKind.PROBE, b"probe")) == []
     assert node.advance(3.01) == []
     assert node.next_due() == pytest.approx(3.02)
     ended = node.advance(9.0)
     at = {end.job.id: (round(end.at, 6), end.result) for end in ended}
     assert at[b"before"][0] >= 3.05
-    assert at[b"before"][1] is Result.MISS
-    assert sum(result is Result.BUSY for _, result in at.values()) == 4  # three in work, three wait, of ten
+    assert at[b"before"][1] is JobResult.MISS
+    assert (
+        sum(result is JobResult.BUSY for _, result in at.values()) == 4
+    )  # three in work, three wait, of ten
     assert len(at) == 11
 
 
@@ -257,8 +259,8 @@
     node = NodeModel(WARM, 0.0)
     node.arrive(0.0, read("held"))
     node.draining = True
-    assert results(node.arrive(0.0, read("late"))) == [(b"late", Result.BUSY)]
-    assert results(node.advance(1.0)) == [(b"held", Result.MISS)]
+    assert results(node.arrive(0.0, read("late"))) == [(b"late", JobResult.BUSY)]
+    assert results(node.advance(1.0)) == [(b"held", JobResult.MISS)]
 
 
 def fresh_node(share: float, seconds: float) -> NodeModel:
@@ -276,22 +278,22 @@
 
 def test_a_cold_node_sent_its_full_load_falls_and_stays_down() -> None:
     node = fresh_node(share=0.6, seconds=8.0)
-    assert node.fell is not None
-    assert node.fell.sent > node.fell.most
+    assert node.crash is not None
+    assert node.crash.sent > node.crash.limit
     assert node.arrive(100.0, read("later")) == []
     assert node.advance(200.0) == []
     assert node.next_due() is None
 
 
 def test_a_cold_node_sent_what_it_can_do_stands() -> None:
-    assert fresh_node(share=0.12, seconds=8.0).fell is None
+    assert fresh_node(share=0.12, seconds=8.0).crash is None
 
 
 def test_a_warm_node_is_never_pushed_over() -> None:
     node = NodeModel(replace(WARM, fall_multiple=0.1), 0.0)
     for i in range(200):
         node.arrive(i * 0.01, read(f"r{i}"))
-    assert node.fell is None
+    assert node.crash is None
 
 
 def test_reports_are_taken_now_and_then_and_show_late() -> None:
@@ -308,26 +310,26 @@
 
 def test_a_node_that_lies_says_so_until_it_is_told_to_tell_the_truth() -> None:
     node = NodeModel(replace(WARM, report_s=0.25, report_late_s=0.0), 0.0)
-    node.lie("full", 0.0)
+    node.set_false_report("full", 0.0)
     assert node.report(1.0).queue == WARM.work.queue
     assert node.report(1.0).latency_ms >= 400.0
-    node.lie("still", 0.0)
+    node.set_false_report("still", 0.0)
     for i in range(4):
         node.arrive(0.0, read(f"r{i}", work=0.3))
     node.advance(0.6)
     assert (node.report(0.6).queue, node.report(0.6).latency_ms) == (0, 0.0)
-    node.lie("", 0.6)
+    node.set_false_report("", 0.6)
     assert node.report(0.6).queue > 0 or node.report(0.6).latency_ms > 0.0
-    node.lie("idle", 0.6)
+    node.set_false_report("idle", 0.6)
     assert (node.report(0.6).queue, node.report(0.6).latency_ms) == (0, 1.0)
     with pytest.raises(ValueError, match="no such report"):
-        node.lie("nonsense", 0.6)
+        node.set_false_report("nonsense", 0.6)
 
 
 def test_a_table_that_is_full_of_connections_takes_capacity_and_no_more() -> None:
     node = NodeModel(replace(WARM, connections=2, full_tax=0.5, miss_share=1.0), 0.0)
-    assert node.connections_now(2)
-    assert not node.connections_now(3)
+    assert node.set_connections(2)
+    assert not node.set_connections(3)
     node.arrive(0.0, read("r1", work=0.1))
     assert node.next_due() == pytest.approx(0.2)
 
@@ -335,32 +337,36 @@
 # The package store
 
 
-def order(name: str, write: bool = True, key: str = "idem", window: float = 2.5) -> Order:
-    return Order(name.encode(), b"k", write, key.encode() if write else b"", window if write else 0.0, 0.05)
+def order(name: str, write: bool = True, key: str = "idem", window: float = 2.5) -> OriginJob:
+    return OriginJob(
+        name.encode(), b"k", write, key.encode() if write else b"", window if write else 0.0, 0.05
+    )
 
 
-def answers(filled: list[Filled]) -> list[tuple[bytes, Answer, bool]]:
-    return [(end.order.id, end.answer, end.effect) for end in filled]
+def answers(finished: list[FinishedOriginJob]) -> list[tuple[bytes, OriginResult, bool]]:
+    return [(end.job.id, end.result, end.effect) for end in finished]
 
 
 def test_a_repeat_is_dropped_for_its_window_and_has_its_effect_again_after_it() -> None:
     store = OriginModel(OriginSpec(slots=2, queue=2), 0.0)
     assert store.arrive(0.0, order("w1")) == []
-    assert answers(store.arrive(0.01, order("w1"))) == [(b"w1", Answer.REPEAT, False)]  # also while it runs
+    assert answers(store.arrive(0.01, order("w1"))) == [
+        (b"w1", OriginResult.REPEAT, False)
+    ]  # also while it runs
     assert answers(store.arrive(2.4, order("w2"))) == [
-        (b"w1", Answer.SERVED, True),
-        (b"w2", Answer.REPEAT, False),
+        (b"w1", OriginResult.SERVED, True),
+        (b"w2", OriginResult.REPEAT, False),
     ]
     assert store.arrive(2.6, order("w3")) == []
-    assert answers(store.advance(9.0)) == [(b"w3", Answer.SERVED, True)]
+    assert answers(store.advance(9.0)) == [(b"w3", OriginResult.SERVED, True)]
 
 
 def test_a_write_that_was_turned_away_is_not_remembered() -> None:
     store = OriginModel(OriginSpec(slots=1, queue=0), 0.0)
     store.arrive(0.0, order("r", write=False))
-    assert answers(store.arrive(0.0, order("w"))) == [(b"w", Answer.BUSY, False)]
-    assert answers(store.arrive(1.0, order("w"))) == [(b"r", Answer.SERVED, False)]
-    assert answers(store.advance(2.0)) == [(b"w", Answer.SERVED, True)]
+    assert answers(store.arrive(0.0, order("w"))) == [(b"w", OriginResult.BUSY, False)]
+    assert answers(store.arrive(1.0, order("w"))) == [(b"r", OriginResult.SERVED, False)]
+    assert answers(store.advance(2.0)) == [(b"w", OriginResult.SERVED, True)]
 
 
 def test_a_slow_store_takes_so_much_longer_and_one_that_dies_forgets_its_line_alone() -> None:
@@ -368,9 +374,9 @@
     store.slow(0.0, 4.0)
     store.arrive(0.0, order("w"))
     assert store.next_due() == pytest.approx(0.2)
-    assert [one.id for one in store.die()] == [b"w"]
+    assert [one.id for one in store.crash()] == [b"w"]
     assert store.held == 0
-    assert answers(store.arrive(0.5, order("w"))) == [(b"w", Answer.REPEAT, False)]
+    assert answers(store.arrive(0.5, order("w"))) == [(b"w", OriginResult.REPEAT, False)]
 
 
 # Discovery
@@ -420,12 +426,12 @@
 
 
 def test_faults_fall_on_the_same_answers_in_every_run_and_in_their_shares() -> None:
-    shares = Shares(reset=0.1, garble=0.2, silence=0.3)
-    drawn = [shares.of(5, "n1", b"r%d" % i, 1) for i in range(5000)]
-    assert drawn == [shares.of(5, "n1", b"r%d" % i, 1) for i in range(5000)]
+    shares = FaultShares(reset=0.1, garble=0.2, silence=0.3)
+    drawn = [shares.draw(5, "n1", b"r%d" % i, 1) for i in range(5000)]
+    assert drawn == [shares.draw(5, "n1", b"r%d" % i, 1) for i in range(5000)]
     for fault, share in ((Fault.RESET, 0.1), (Fault.GARBLE, 0.2), (Fault.SILENCE, 0.3), (Fault.NONE, 0.4)):
         assert drawn.count(fault) / 5000 == pytest.approx(share, abs=0.03)
-    assert Shares().of(5, "n1", b"r", 1) is Fault.NONE
+    assert FaultShares().draw(5, "n1", b"r", 1) is Fault.NONE
 
 
 @pytest.mark.parametrize(
--- a/tests/emulators/test_emulator_sockets.py
+++ b/tests/emulators/test_emulator_sockets.py
@@ -16,12 +16,19 @@
 from holdgw.emulators.discovery import DiscoveryServer
 from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
 from holdgw.emulators.listeners import Host
-from holdgw.emulators.node import NodeServer, Workload, made_for, platform_report
+from holdgw.emulators.node import NodeServer, Workload, format_load_report, make_value
 from holdgw.emulators.node_model import NodeSpec
 from holdgw.emulators.origin import OriginServer
 from holdgw.emulators.origin_model import OriginSpec
 from holdgw.emulators.processor_sharing import QueueSpec
-from holdgw.emulators.records import Attempt, Fallen, Had, Odd, Record, Told
+from holdgw.emulators.records import (
+    Attempt,
+    EndpointStateAvailable,
+    EndpointStateSent,
+    ProtocolViolation,
+    Record,
+    WarmUpCrash,
+)
 from holdgw.wire.resp import command
 from holdgw.wire.unread import TICK_NS
 from tests.emulated_nodes import LIMIT_S
@@ -40,7 +47,7 @@
         return self.now
 
 
-class Notes:
+class RecordingRecorder:
     """A witness that keeps everything."""
 
     def __init__(self) -> None:
@@ -48,7 +55,7 @@
         self.kept: list[tuple[bytes, bytes, int]] = []
         self.void: list[bytes] = []
 
-    def saw(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         self.records.append(record)
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
@@ -79,8 +86,8 @@
     """A node on a free port, a clock that stands still, and a connection."""
 
     def __init__(self, spec: NodeSpec = NODE) -> None:
-        self.clock, self.notes = Clock(), Notes()
-        self.node = NodeServer("n1", spec, WORKLOAD, Host(), self.notes, self.clock)
+        self.clock, self.recorder = Clock(), RecordingRecorder()
+        self.node = NodeServer("n1", spec, WORKLOAD, Host(), self.recorder, self.clock)
 
     async def start(self, cold: bool = False) -> None:
         await self.node.start(cold)
@@ -103,7 +110,7 @@
 
 
 def miss(note: bytes = b"miss", queue: int = 0) -> bytes:
-    load = platform_report(0.0, queue)
+    load = format_load_report(0.0, queue)
     return b"*3\r\n$-1\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % (len(note), note, len(load), load)
 
 
@@ -120,10 +127,10 @@
         writer.write(get("r2"))
         await scene.held(1)
         scene.move(1.0)
-        value = made_for(b"r2", b"k", "n1", 2, 100)
+        value = make_value(b"r2", b"k", "n1", 2, 100)
         assert len(value) == 100
         await answer(reader, b"*3\r\n$100\r\n" + value + b"\r\n$3\r\nhit\r\n")
-        seen = scene.notes.of(Attempt)
+        seen = scene.recorder.of(Attempt)
         assert [(one.request, one.result, one.serial) for one in seen] == [
             ("r1", "miss", 1),
             ("r2", "hit", 2),
@@ -143,7 +150,7 @@
 
     async def test() -> None:
         scene = Scene()
-        at_store = store(scene.notes, scene.clock)
+        at_store = store(scene.recorder, scene.clock)
         await scene.start()
         await at_store.start()
         listener = scene.node if server == "node" else at_store
@@ -156,7 +163,7 @@
             if scene.node.model.work.held + at_store.model.held:
                 scene.move(0.06)
                 at_store.slow(1.0)  # it looks at the clock
-            return len(scene.notes.of(Attempt)) == count
+            return len(scene.recorder.of(Attempt)) == count
 
         sock = socket.create_connection(listener.addresses[""])
         if not new_connection:
@@ -167,12 +174,12 @@
         time.sleep(stall_s)
         await until(lambda: recorded(1 if new_connection else 2))
         longest = time.monotonic() - begun
-        seen = scene.notes.of(Attempt)[-1]
-        waited = seen.at - seen.came
+        seen = scene.recorder.of(Attempt)[-1]
+        waited = seen.at - seen.arrived
         assert stall_s - 2 * TICK_NS / 1e9 <= waited <= longest
         if not new_connection:
-            before = scene.notes.of(Attempt)[0]
-            assert before.came <= before.at
+            before = scene.recorder.of(Attempt)[0]
+            assert before.arrived <= before.at
         sock.close()
         scene.node.close()
         at_store.close()
@@ -202,7 +209,7 @@
             await asyncio.sleep(0)
         await answer(reader, miss())
         await answer(fresh, b"*3\r\n$-1\r\n")
-        seen = {one.request: one for one in scene.notes.of(Attempt)}
+        seen = {one.request: one for one in scene.recorder.of(Attempt)}
         assert seen["r2"].at < at, "it came in the pause, though it began after it"
         for one in (writer, sender):
             one.close()
@@ -226,7 +233,7 @@
             await asyncio.wait_for(reader.read(1), 0.05)
         scene.move(1.0)
         await answer(reader, miss()[:10])
-        assert scene.notes.of(Attempt)[0].fresh
+        assert scene.recorder.of(Attempt)[0].first_on_connection
         writer.close()
         scene.node.close()
 
@@ -235,9 +242,9 @@
 
 def test_a_line_between_zones_takes_its_time_both_ways() -> None:
     async def test() -> None:
-        notes = Notes()
-        far = Host(lines={"here": 0.0, "far": 0.03})
-        node = NodeServer("n1", replace(NODE, probe_s=0.0), WORKLOAD, far, notes, time.monotonic)
+        recorder = RecordingRecorder()
+        far = Host(links={"here": 0.0, "far": 0.03})
+        node = NodeServer("n1", replace(NODE, probe_s=0.0), WORKLOAD, far, recorder, time.monotonic)
         await node.start()
         assert node.addresses["here"] != node.addresses["far"]
         reader, writer = await asyncio.open_connection(*node.addresses["far"])
@@ -278,8 +285,8 @@
         _, writer = await scene.dial()
         for i in range(7):
             writer.write(get(f"r{i}"))
-        await until(lambda: len(scene.notes.of(Attempt)) == 1)
-        assert scene.notes.of(Attempt)[0].result == "busy"
+        await until(lambda: len(scene.recorder.of(Attempt)) == 1)
+        assert scene.recorder.of(Attempt)[0].result == "busy"
         extra, other = await scene.dial()
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(extra.readexactly(1), LIMIT_S)
@@ -328,7 +335,7 @@
         else:
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.read(1), 0.05)
-        (seen,) = scene.notes.of(Attempt)
+        (seen,) = scene.recorder.of(Attempt)
         assert (seen.result, seen.fault) == ("miss", fault)
         writer.close()
         scene.node.close()
@@ -341,20 +348,20 @@
         scene = Scene(replace(NODE, work=QueueSpec(slots=4, queue=2, cold_share=0.25, warm_s=8.0)))
         await scene.start()
         where = scene.node.addresses[""]
-        scene.node.model.keeping.put(b"k", 10, 0.0)
+        scene.node.model.cache.put(b"k", 10, 0.0)
         reader, writer = await scene.dial()
         writer.write(get("r1"))
         await scene.held(1)
         scene.node.kill()
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(reader.readexactly(1), LIMIT_S)
-        assert [one.result for one in scene.notes.of(Attempt)] == ["gone"]
+        assert [one.result for one in scene.recorder.of(Attempt)] == ["gone"]
         with pytest.raises(ConnectionRefusedError):
             await scene.dial()
         await scene.start(cold=True)
         assert scene.node.addresses[""] == where
         assert scene.node.model.work.is_cold(scene.clock.now)
-        assert not len(scene.node.model.keeping)
+        assert not len(scene.node.model.cache)
         writer.close()
         scene.node.close()
 
@@ -373,7 +380,7 @@
             writer.write(get(f"r{i}"))
         with pytest.raises(ConnectionResetError):
             await asyncio.wait_for(reader.readexactly(1), LIMIT_S)
-        assert [one.server for one in scene.notes.of(Fallen)] == ["n1"]
+        assert [one.server for one in scene.recorder.of(WarmUpCrash)] == ["n1"]
         with pytest.raises(ConnectionRefusedError):
             await scene.dial()
         writer.close()
@@ -397,7 +404,7 @@
         reader, writer = await scene.dial()
         writer.write(command(*words))
         assert (await asyncio.wait_for(reader.readline(), LIMIT_S)).startswith((b"-SYNTAX", b"-ERR"))
-        assert len(scene.notes.of(Odd)) == 1
+        assert len(scene.recorder.of(ProtocolViolation)) == 1
         writer.close()
         scene.node.close()
 
@@ -407,9 +414,9 @@
 # The package store
 
 
-def store(notes: Notes, clock: Clock) -> OriginServer:
+def store(recorder: RecordingRecorder, clock: Clock) -> OriginServer:
     spec = OriginSpec(slots=2, queue=1, read_s=0.05, write_s=0.05, cv=0.0)
-    return OriginServer("store", spec, WORKLOAD, {"edit": 2.5}, Host(), notes, clock)
+    return OriginServer("store", spec, WORKLOAD, {"edit": 2.5}, Host(), recorder, clock)
 
 
 def http(method: str, name: str, body: bytes | None = None, info: str = "c=read,t=a,d=900") -> bytes:
@@ -428,8 +435,8 @@
 
 def test_the_store_serves_drops_repeats_and_turns_away() -> None:
     async def test() -> None:
-        notes, clock = Notes(), Clock()
-        server = store(notes, clock)
+        recorder, clock = RecordingRecorder(), Clock()
+        server = store(recorder, clock)
         await server.start()
         lines = [await asyncio.open_connection(*server.addresses[""]) for _ in range(4)]
         info = "c=edit,t=a,d=900,k=abc"
@@ -447,9 +454,9 @@
         server.slow(1.0)
         assert (await http_answer(lines[0][0]))[0] == 200
         assert (await http_answer(lines[1][0]))[2].startswith(b"r1 k/x store ")
-        assert notes.void == [b"k/x"]
-        assert notes.kept[0][:2] == (b"r1", b"k/x")
-        seen = [(one.request, one.result, one.effect) for one in notes.of(Attempt)]
+        assert recorder.void == [b"k/x"]
+        assert recorder.kept[0][:2] == (b"r1", b"k/x")
+        seen = [(one.request, one.result, one.effect) for one in recorder.of(Attempt)]
         assert ("w1", "served", True) in seen
         assert ("w2", "repeat", False) in seen
         assert ("r3", "busy", False) in seen
@@ -462,8 +469,8 @@
 
 def test_a_store_that_is_down_refuses_and_comes_back_with_what_it_remembers() -> None:
     async def test() -> None:
-        notes, clock = Notes(), Clock()
-        server = store(notes, clock)
+        recorder, clock = RecordingRecorder(), Clock()
+        server = store(recorder, clock)
         await server.start()
         reader, writer = await asyncio.open_connection(*server.addresses[""])
         writer.write(http("PUT", "w1", b"new", "c=edit,t=a,d=900,k=abc"))
@@ -477,7 +484,7 @@
         again, sender = await asyncio.open_connection(*server.addresses[""])
         sender.write(http("PUT", "w1", b"new", "c=edit,t=a,d=900,k=abc"))
         assert (await http_answer(again))[0] == 200
-        assert [one.result for one in notes.of(Attempt)] == ["gone", "repeat"]
+        assert [one.result for one in recorder.of(Attempt)] == ["gone", "repeat"]
         server.close()
         for one in (writer, sender):
             one.close()
@@ -488,11 +495,11 @@
 # Discovery
 
 
-def discovery(notes: Notes, clock: Clock, call_s: float = 0.0) -> DiscoveryServer:
+def discovery(recorder: RecordingRecorder, clock: Clock, call_s: float = 0.0) -> DiscoveryServer:
     model = DiscoveryModel(
         [Entry("n1", State.UP), Entry("n2", State.UP)], ["r1", "r2"], lambda *_: 1.0, clock()
     )
-    return DiscoveryServer(model, ["r1", "r2"], lambda *_: ("127.0.0.1", 9), notes, clock, call_s=call_s)
+    return DiscoveryServer(model, ["r1", "r2"], lambda *_: ("127.0.0.1", 9), recorder, clock, call_s=call_s)
 
 
 async def ask(line: tuple[asyncio.StreamReader, asyncio.StreamWriter], query: str = "") -> None:
@@ -502,8 +509,8 @@
 @pytest.mark.parametrize("call_s", [0.0, 0.001])
 def test_a_watch_hears_of_a_change_when_its_router_may_and_who_was_told_is_known(call_s: float) -> None:
     async def test() -> None:
-        notes, clock = Notes(), Clock()
-        server = discovery(notes, clock, call_s)
+        recorder, clock = RecordingRecorder(), Clock()
+        server = discovery(recorder, clock, call_s)
         addresses = await server.start()
         line = await asyncio.open_connection(*addresses["r1"])
         await ask(line)
@@ -517,12 +524,12 @@
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(line[0].read(1), 0.05)
         clock.now += 1.0
-        server._rings()
+        server._answer_watches()
         _, _, body = await http_answer(line[0])
         assert [entry["lifecycle"] for entry in orjson.loads(body)["instances"]] == ["draining"]
-        last = notes.of(Told)[-1]
+        last = recorder.of(EndpointStateSent)[-1]
         assert (last.router, last.server, last.state, last.at) == ("r1", "n1", "draining", 101.0)
-        assert {one.router for one in notes.of(Had)} == {"r1", "r2"}
+        assert {one.router for one in recorder.of(EndpointStateAvailable)} == {"r1", "r2"}
         server.close()
         line[1].close()
 
@@ -531,8 +538,8 @@
 
 def test_a_call_of_one_router_keeps_no_news_from_anothers_watch() -> None:
     async def test() -> None:
-        notes, clock = Notes(), Clock()
-        server = discovery(notes, clock)
+        recorder, clock = RecordingRecorder(), Clock()
+        server = discovery(recorder, clock)
         addresses = await server.start()
         watch, other = [await asyncio.open_connection(*addresses[name]) for name in ("r1", "r2")]
         await ask(watch, "?index=0&wait=20000")
@@ -553,8 +560,8 @@
 
 def test_a_whole_list_tells_of_those_it_leaves_out() -> None:
     async def test() -> None:
-        notes, clock = Notes(), Clock()
-        server = discovery(notes, clock)
+        recorder, clock = RecordingRecorder(), Clock()
+        server = discovery(recorder, clock)
         addresses = await server.start()
         line = await asyncio.open_connection(*addresses["r1"])
         await ask(line)
@@ -563,7 +570,10 @@
         clock.now += 1.0
         await ask(line)
         await http_answer(line[0])
-        assert [(one.server, one.state) for one in notes.of(Told)][-2:] == [("n1", "up"), ("n2", "removed")]
+        assert [(one.server, one.state) for one in recorder.of(EndpointStateSent)][-2:] == [
+            ("n1", "up"),
+            ("n2", "removed"),
+        ]
         server.close()
         line[1].close()
 
@@ -572,8 +582,8 @@
 
 def test_discovery_that_is_down_ends_watches_and_fails_calls_and_a_move_closes_the_old_door() -> None:
     async def test() -> None:
-        notes, clock = Notes(), Clock()
-        server = discovery(notes, clock)
+        recorder, clock = RecordingRecorder(), Clock()
+        server = discovery(recorder, clock)
         addresses = await server.start()
         line = await asyncio.open_connection(*addresses["r1"])
         await ask(line, "?index=1&wait=20000")
--- a/tests/harness/test_checker.py
+++ b/tests/harness/test_checker.py
@@ -10,17 +10,17 @@
 from holdgw.emulators.records import (
     LAG_BOUNDS_MS,
     Attempt,
-    Called,
-    Extra,
-    Fallen,
+    ClientRequest,
+    DiscoveryCall,
+    EndpointStateAvailable,
+    EndpointStateSent,
+    ExtraAnswer,
     Flushed,
-    Had,
-    Handed,
     Lag,
-    Odd,
+    OverrideAccepted,
+    ProtocolViolation,
     Record,
-    Told,
-    Try,
+    WarmUpCrash,
 )
 from holdgw.harness.checker import ClassRule, History, ProcessLifetime, counts, judge, judge_lag
 
@@ -28,12 +28,12 @@
 GRACE = 0.5
 
 
-def tried(name: str = "q1", ask: int = 1, **changes: Any) -> Try:
+def tried(name: str = "q1", ask: int = 1, **changes: Any) -> ClientRequest:
     fields: dict[str, Any] = {
         "request": name, "ask": ask, "number": 0, "router": "r1", "sent": 10.0, "wait": 0.9,
         "answer": "served", "ended": 10.1, "server": "n1", "serial": 1,
     }  # fmt: skip
-    return Try(**{**fields, **changes})
+    return ClientRequest(**{**fields, **changes})
 
 
 def attempt(name: str = "q1", **changes: Any) -> Attempt:
@@ -64,8 +64,9 @@
         tried("q3", answer="refused"), tried("q4", answer="failed"),
         attempt("q4", result="open", serial=9),
         tried("q5", answer="left"), tried("q6", answer="unsent"),
-        Told("r1", "n2", "draining", 9.0, 8.9), Had("r1", "n2", "draining", 8.9),
-        Flushed("n1", 9.0, 5, 5), Odd("n1", 9.0, "x"),
+        EndpointStateSent("r1", "n2", "draining", 9.0, 8.9),
+        EndpointStateAvailable("r1", "n2", "draining", 8.9),
+        Flushed("n1", 9.0, 5, 5), ProtocolViolation("n1", 9.0, "x"),
     )  # fmt: skip
     assert judge(found, CLASSES, GRACE) == []
 
@@ -78,7 +79,7 @@
     [
         ((tried(answer="none", ended=10.95),), "no answer within 900 ms"),
         ((tried(answer="cut"), attempt()), "ended with no whole answer"),
-        ((tried(), attempt(), Extra("q1", "r1", 10.2)), "one more answer"),
+        ((tried(), attempt(), ExtraAnswer("q1", "r1", 10.2)), "one more answer"),
         ((tried(fault="value begins with b'q9'"), attempt()), "not made for it"),
         ((tried(serial=7), attempt()), "no server made for it"),
         (
@@ -112,7 +113,7 @@
 def test_what_is_sent_on_after_an_answer_is_judged_by_when_it_came_and_not_by_when_it_was_read(
     came: float, rules_broken: list[str]
 ) -> None:
-    found = history(tried(answer="refused", ended=10.1), attempt(at=10.207, came=came, ended=10.3))
+    found = history(tried(answer="refused", ended=10.1), attempt(at=10.207, arrived=came, ended=10.3))
     assert rules(found) == rules_broken
 
 
@@ -199,17 +200,22 @@
     found = history(
         tried(ask=ask, answer="served", server="store", serial=2, ended=30.0, wait=30.0),
         attempt(
-            server="store", result="served", serial=1, at=10.2 if ask == 3 else 10.0, came=10.0, effect=True
+            server="store",
+            result="served",
+            serial=1,
+            at=10.2 if ask == 3 else 10.0,
+            arrived=10.0,
+            effect=True,
         ),
-        attempt(server="store", result="served", serial=2, at=second, came=came, effect=True),
+        attempt(server="store", result="served", serial=2, at=second, arrived=came, effect=True),
     )
     assert set(rules(found)) == ({"twice"} if broken else set())
 
 
 def test_a_drain_is_judged_by_when_an_attempt_came() -> None:
-    told = Told("r1", "n1", "draining", 9.0, 8.0)
-    assert rules(history(told, tried(), attempt(at=9.7, came=9.54))) == []
-    assert rules(history(told, tried(), attempt(at=9.7, came=9.56))) == ["late_drain"]
+    told = EndpointStateSent("r1", "n1", "draining", 9.0, 8.0)
+    assert rules(history(told, tried(), attempt(at=9.7, arrived=9.54))) == []
+    assert rules(history(told, tried(), attempt(at=9.7, arrived=9.56))) == ["late_drain"]
 
 
 def test_an_effect_that_happened_twice_is_found_within_its_window_too() -> None:
@@ -241,27 +247,27 @@
 
 
 def test_a_drain_heard_and_not_kept_is_found() -> None:
-    told = Told("r1", "n1", "draining", 9.0, 8.0)
+    told = EndpointStateSent("r1", "n1", "draining", 9.0, 8.0)
     assert rules(history(told, tried(), attempt(at=9.54))) == []
     assert rules(history(told, tried(), attempt(at=9.56))) == ["late_drain"]
     assert rules(history(replace_record(told, state="removed"), tried(), attempt(at=9.56))) == ["late_drain"]
 
 
-def replace_record(record: Told, **changes: Any) -> Told:
-    fields = {name: getattr(record, name) for name in Told.__struct_fields__}
-    return Told(**{**fields, **changes})
+def replace_record(record: EndpointStateSent, **changes: Any) -> EndpointStateSent:
+    fields = {name: getattr(record, name) for name in EndpointStateSent.__struct_fields__}
+    return EndpointStateSent(**{**fields, **changes})
 
 
 def test_a_drain_counts_from_its_first_word_and_ends_with_the_next_start() -> None:
-    first = Told("r1", "n1", "draining", 9.0, 8.0)
-    again = Told("r1", "n1", "removed", 9.9, 9.8)
-    up = Told("r1", "n1", "up", 9.95, 9.9)
+    first = EndpointStateSent("r1", "n1", "draining", 9.0, 8.0)
+    again = EndpointStateSent("r1", "n1", "removed", 9.9, 9.8)
+    up = EndpointStateSent("r1", "n1", "up", 9.95, 9.9)
     assert rules(history(first, again, tried(), attempt())) == ["late_drain"]
     assert rules(history(first, again, up, tried(), attempt())) == []
 
 
 def test_another_router_and_a_new_process_have_not_been_told() -> None:
-    told = Told("r1", "n1", "draining", 5.0, 4.0)
+    told = EndpointStateSent("r1", "n1", "draining", 5.0, 4.0)
     assert rules(history(told, tried(router="r2"), attempt(), lives=(ProcessLifetime("r2", 0.0),))) == []
     lives = (
         ProcessLifetime("r1", 0.0, told_to_end=6.0, wanted="KILL", exited=6.0),
@@ -271,35 +277,41 @@
 
 
 def test_what_was_never_written_counts_as_told_after_six_seconds() -> None:
-    had = Had("r1", "n1", "draining", 3.0)
+    had = EndpointStateAvailable("r1", "n1", "draining", 3.0)
     assert rules(history(had, tried(), attempt(at=9.5))) == []
     assert rules(history(had, tried(), attempt(at=9.6))) == ["late_drain"]
     # An older fact does not undo a newer one that came by the wire.
-    newer = Told("r1", "n1", "up", 5.0, 4.5)
+    newer = EndpointStateSent("r1", "n1", "up", 5.0, 4.5)
     assert rules(history(had, newer, tried(), attempt(at=9.6))) == []
 
 
 def test_a_later_fact_that_was_never_written_either_undoes_an_older_one() -> None:
     # Found by bench/scenarios/by-hand.toml, seed 87: what a view had at 4 counted as older than what counts
     # as told at 9.
-    gone, back = Had("r1", "n1", "removed", 3.0), Had("r1", "n1", "up", 3.5)
+    gone, back = (
+        EndpointStateAvailable("r1", "n1", "removed", 3.0),
+        EndpointStateAvailable("r1", "n1", "up", 3.5),
+    )
     assert rules(history(gone, back, tried(), attempt(at=9.7))) == []
-    told = Told("r1", "n1", "up", 3.5, 3.5)  # written at the instant at which the view had both
-    gone_then = Had("r1", "n1", "removed", 3.5)
+    told = EndpointStateSent("r1", "n1", "up", 3.5, 3.5)  # written at the instant at which the view had both
+    gone_then = EndpointStateAvailable("r1", "n1", "removed", 3.5)
     found = history(gone_then, back, told, tried(ended=10.5), attempt(at=10.4, ended=10.45))
     assert rules(found) == []
 
 
 def test_a_new_process_knows_what_its_view_is_at_its_start_and_nothing_of_before() -> None:
     # Found by bench/scenarios/black-start.toml, seeds 2 and 6.
-    gone, back = Had("r1", "n1", "removed", 3.0), Had("r1", "n1", "up", 4.0)
+    gone, back = (
+        EndpointStateAvailable("r1", "n1", "removed", 3.0),
+        EndpointStateAvailable("r1", "n1", "up", 4.0),
+    )
     lives = (
         ProcessLifetime("r1", 0.0, told_to_end=4.1, wanted="KILL", exited=4.1),
         ProcessLifetime("r1", 4.2),
     )
     assert rules(history(gone, back, tried(), attempt(at=9.7), lives=lives)) == []
-    at_once = Had("r1", "n1", "up", 3.0)
-    told = Told("r1", "n1", "up", 3.0, 3.0)  # to the process that died
+    at_once = EndpointStateAvailable("r1", "n1", "up", 3.0)
+    told = EndpointStateSent("r1", "n1", "up", 3.0, 3.0)  # to the process that died
     assert rules(history(gone, at_once, told, tried(), attempt(at=9.7), lives=lives)) == []
     assert rules(history(gone, tried(), attempt(at=9.7), lives=lives)) == ["late_drain"]
 
@@ -310,20 +322,20 @@
         ProcessLifetime("r1", 0.0, told_to_end=8.0, wanted="KILL", exited=8.0),
         ProcessLifetime("r1", 8.1),
     )
-    told = Told("r1", "n1", "draining", 8.2, 8.2)
-    watch = Called("r1", 7.0, whole=False)
+    told = EndpointStateSent("r1", "n1", "draining", 8.2, 8.2)
+    watch = DiscoveryCall("r1", 7.0, full=False)
     assert rules(history(watch, told, tried(), attempt(), lives=lives)) == []
-    again = Called("r1", 8.15, whole=False)
+    again = DiscoveryCall("r1", 8.15, full=False)
     assert rules(history(watch, again, told, tried(), attempt(), lives=lives)) == ["late_drain"]
 
 
 def test_a_server_out_by_hand_gets_nothing_whatever_discovery_says() -> None:
-    out, back = Handed("r1", "n1", True, 9.0), Handed("r1", "n1", False, 9.9)
-    up = Told("r1", "n1", "up", 9.2, 9.1)
+    out, back = OverrideAccepted("r1", "n1", True, 9.0), OverrideAccepted("r1", "n1", False, 9.9)
+    up = EndpointStateSent("r1", "n1", "up", 9.2, 9.1)
     assert rules(history(out, up, tried(), attempt())) == ["late_drain"]
     assert rules(history(out, up, tried(), attempt(at=9.54))) == []  # within the grace
-    assert rules(history(out, Handed("r1", "n1", True, 9.8), back, tried(), attempt())) == []
-    assert rules(history(out, Handed("r1", "n1", True, 9.8), tried(), attempt())) == ["late_drain"]
+    assert rules(history(out, OverrideAccepted("r1", "n1", True, 9.8), back, tried(), attempt())) == []
+    assert rules(history(out, OverrideAccepted("r1", "n1", True, 9.8), tried(), attempt())) == ["late_drain"]
     assert rules(history(out, tried(router="r2"), attempt(), lives=(ProcessLifetime("r2", 0.0),))) == []
     lives = (
         ProcessLifetime("r1", 0.0, told_to_end=9.5, wanted="TERM", exited=9.5),
@@ -336,11 +348,11 @@
 
 
 def test_a_node_pushed_over_is_found() -> None:
-    assert rules(history(Fallen("n1", 5.0, 2.0, 1.0))) == ["felled"]
+    assert rules(history(WarmUpCrash("n1", 5.0, 2.0, 1.0))) == ["felled"]
 
 
 def test_counts_name_every_rule() -> None:
-    broken = judge(history(Fallen("n1", 5.0, 2.0, 1.0), attempt("nobody")), CLASSES, GRACE)
+    broken = judge(history(WarmUpCrash("n1", 5.0, 2.0, 1.0), attempt("nobody")), CLASSES, GRACE)
     assert counts(broken) == {"lost": 1, "twice": 0, "late_drain": 0, "felled": 1}
     assert [one.at for one in broken] == sorted(one.at for one in broken)
 
--- a/tests/harness/test_scenario.py
+++ b/tests/harness/test_scenario.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from holdgw.emulators.records import Try
+from holdgw.emulators.records import ClientRequest
 from holdgw.harness import scenario as s
 from holdgw.harness.arrivals import load_at
 from holdgw.harness.channel import MOST_BYTES, Channel, Setup
@@ -239,10 +239,10 @@
 
 def test_an_ask_counts_once_with_all_its_tries_from_its_first_arrival() -> None:
     tries = [
-        Try("a", 1, 0, "r", 101.0, 0.9, "refused", 101.05),
-        Try("b", 1, 1, "r", 101.1, 0.9, "served", 101.25, server="n", serial=1),
-        Try("c", 2, 0, "r", 102.0, 0.9, "failed", 102.9),
-        Try("d", 3, 0, "r", 103.0, 0.9, "served", 103.1, fault="not its value"),
+        ClientRequest("a", 1, 0, "r", 101.0, 0.9, "refused", 101.05),
+        ClientRequest("b", 1, 1, "r", 101.1, 0.9, "served", 101.25, server="n", serial=1),
+        ClientRequest("c", 2, 0, "r", 102.0, 0.9, "failed", 102.9),
+        ClientRequest("d", 3, 0, "r", 103.0, 0.9, "served", 103.1, fault="not its value"),
     ]
     found = fates([ask(1, 1.0), ask(2, 2.0), ask(3, 3.0), ask(4, 4.0)], tries, begun=100.0)
     assert [(fate.outcome, fate.tries) for fate in found] == [
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers import datagram
 from holdgw.peers.datagram import (
     MAX_UPDATES,
@@ -40,7 +40,9 @@
 
 
 def tier(members: int, seed: int = 1, calm: float = 5.0, **weather: float) -> MembershipTier:
-    made = MembershipTier(members, seed, RelayModel(seed, lambda a, b: 0.002, PeerWeather(**weather)))
+    made = MembershipTier(
+        members, seed, RelayModel(seed, lambda a, b: 0.002, PeerNetworkConditions(**weather))
+    )
     made.run(calm)
     return made
 
--- a/tests/peers/test_update_budget.py
+++ b/tests/peers/test_update_budget.py
@@ -10,7 +10,7 @@
 
 from bench.slopes_failures import of_region
 from bench.slopes_tier import Seconds, delay, knows_all, living, name
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers import datagram
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
 from holdgw.peers.dissemination import TRANSMISSION_FACTOR
@@ -41,7 +41,7 @@
 
 
 def tier(size: int, seed: int = 1, rate: float | None = UPDATE_BYTES_PER_S) -> MembershipTier:
-    relay = RelayModel(seed, delay, PeerWeather(loss=0.01))
+    relay = RelayModel(seed, delay, PeerNetworkConditions(loss=0.01))
     made = MembershipTier(size, seed, relay, update_bytes_per_s=rate)
     made.run(3.0)
     return made
--- a/tests/policy/test_disabled_features.py
+++ b/tests/policy/test_disabled_features.py
@@ -10,7 +10,7 @@
 import pytest
 from msgspec.structs import replace as changed
 
-from holdgw.emulators.node import platform_report
+from holdgw.emulators.node import format_load_report
 from holdgw.harness.deployment import configuration
 from holdgw.harness.scenario import load_scenario, shipped
 from holdgw.operation.endpoint_update import EndpointUpdate
@@ -128,7 +128,7 @@
 
 def test_what_a_node_reports_is_what_the_settings_name() -> None:
     names = read_settings(told_by("storm")["settings"]).load_report_fields
-    assert parse_load(platform_report(12.5, 3), names) == (12.5, 3.0)
+    assert parse_load(format_load_report(12.5, 3), names) == (12.5, 3.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/processes/test_faults.py
+++ b/tests/processes/test_faults.py
@@ -14,7 +14,7 @@
 import pytest
 import uvloop
 
-from holdgw.emulators.records import Attempt, Try
+from holdgw.emulators.records import Attempt, ClientRequest
 from holdgw.harness.orchestrator import RunResult, play
 from holdgw.harness.report import Report, make_report
 from holdgw.harness.scenario import read_scenario
@@ -72,7 +72,7 @@
     return found
 
 
-def tries(played: RunResult, router: str, since: float, until: float) -> list[Try]:
+def tries(played: RunResult, router: str, since: float, until: float) -> list[ClientRequest]:
     return [
         one
         for one in played.history.tries
--- a/tests/router/test_lines.py
+++ b/tests/router/test_lines.py
@@ -12,7 +12,7 @@
 
 from holdgw.emulators.fault_proxy import FaultProxy, ProxiedListener
 from holdgw.emulators.relay import ALL, Relay
-from holdgw.emulators.relay_model import MOST_BYTES, PeerWeather, RelayModel
+from holdgw.emulators.relay_model import MAX_DATAGRAM_BYTES, PeerNetworkConditions, RelayModel
 from holdgw.harness.fault_schedule import lines_of_routers
 from holdgw.harness.scenario import read_scenario
 from holdgw.harness.schedule import PEERS, ScheduledFault
@@ -30,14 +30,14 @@
     """A stand-in that answers every byte, and tells what it saw."""
 
     def __init__(self, seen: list[str]) -> None:
-        self.seen, self.left = seen, 0.0
+        self.seen, self.held_since = seen, 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         self.seen.append("made")
 
     def data_received(self, data: bytes) -> None:
-        self.seen.append(f"{data.decode()}{' held' if self.left else ''}")
+        self.seen.append(f"{data.decode()}{' held' if self.held_since else ''}")
         self.transport.write(data.upper())  # type: ignore[attr-defined]
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -114,7 +114,7 @@
 
 
 def test_a_dial_that_came_up_amid_a_cut_is_reset_at_its_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("holdgw.emulators.fault_proxy.KNOCKS", 0)  # so that one does
+    monkeypatch.setattr("holdgw.emulators.fault_proxy.FILLER_CONNECTIONS", 0)  # so that one does
 
     async def act(gate: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         gate.block("both", 0.5)
@@ -210,12 +210,12 @@
 
 
 def model(**weather: float) -> RelayModel:
-    return RelayModel(1, lambda a, b: 0.001, PeerWeather(jitter=0.0, **weather))
+    return RelayModel(1, lambda a, b: 0.001, PeerNetworkConditions(jitter=0.0, **weather))
 
 
 def test_a_line_between_routers_loses_doubles_and_reorders_its_share() -> None:
     relay = model(loss=0.2, duplicates=0.1, reordered=0.3)
-    came = [relay.carries(i * 0.01, "a", "b", 100) for i in range(5000)]
+    came = [relay.delivery_delays(i * 0.01, "a", "b", 100) for i in range(5000)]
     copies = [delay for delays in came for delay in delays]
     assert len(copies) / 5000 == pytest.approx(1.1 * 0.8, abs=0.03)
     assert sum(delay > 0.001 for delay in copies) / len(copies) == pytest.approx(0.3, abs=0.03)
@@ -226,18 +226,20 @@
 def test_a_cut_between_two_routers_leaves_the_third_and_the_other_way() -> None:
     relay = model()
     relay.block(["a"], ["b"], 5.0, both=False)
-    assert relay.carries(1.0, "a", "b", 10) == []
-    assert all(relay.carries(1.0, *pair, 10) for pair in (("b", "a"), ("a", "c"), ("b", "c"), ("c", "b")))
-    assert relay.carries(5.0, "a", "b", 10) == [0.001]
+    assert relay.delivery_delays(1.0, "a", "b", 10) == []
+    assert all(
+        relay.delivery_delays(1.0, *pair, 10) for pair in (("b", "a"), ("a", "c"), ("b", "c"), ("c", "b"))
+    )
+    assert relay.delivery_delays(5.0, "a", "b", 10) == [0.001]
     assert relay.counts["a"].cut == 1
 
 
 def test_a_line_carries_no_more_bytes_than_its_bound_and_no_long_datagram() -> None:
     relay = model(bytes_per_s=1000.0)
-    passed = sum(bool(relay.carries(i * 0.01, "a", "b", 100)) for i in range(1000))
+    passed = sum(bool(relay.delivery_delays(i * 0.01, "a", "b", 100)) for i in range(1000))
     assert 95 <= passed <= 105  # 10 s at 1,000 bytes
-    assert relay.carries(100.0, "a", "c", MOST_BYTES)
-    assert relay.carries(200.0, "a", "c", MOST_BYTES + 1) == []
+    assert relay.delivery_delays(100.0, "a", "c", MAX_DATAGRAM_BYTES)
+    assert relay.delivery_delays(200.0, "a", "c", MAX_DATAGRAM_BYTES + 1) == []
     assert relay.counts["a"].long == 1
 
 
@@ -315,7 +317,7 @@
 
     theatre = SimulatedFleet(draw_schedule(scenario, 1), main=speaker)
     assert theatre.network.peers is not None
-    assert theatre.network.peers.weather == relay_model(scenario, 1).weather
+    assert theatre.network.peers.conditions == relay_model(scenario, 1).conditions
     theatre.stage.on_exit = lambda _: theatre.world.stop()
     theatre.stage.start(main())
     theatre.world.run(None)
--- a/tests/simulation/test_aggregated_tier.py
+++ b/tests/simulation/test_aggregated_tier.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers import load_report
 from holdgw.peers.datagram import DropReason
 from holdgw.peers.load_report import LoadReport
@@ -20,7 +20,7 @@
 
 
 def tier(routers: int, aggregators: int, seed: int = 1, **more: object) -> AggregatedTier:
-    relay = RelayModel(seed, lambda _a, _b: 0.01, PeerWeather(loss=0.01))
+    relay = RelayModel(seed, lambda _a, _b: 0.01, PeerNetworkConditions(loss=0.01))
     return AggregatedTier(routers, aggregators, seed, relay, **more)  # type: ignore[arg-type]
 
 
