--- a/holdgw/emulators/__init__.py
+++ b/holdgw/emulators/__init__.py
@@ -1,6 +1,9 @@
-"""Stand-ins for what surrounds a router: mirror nodes, the package store and discovery, on loopback.
+"""Emulators of what surrounds a router: cache servers, origin, discovery, and links between routers.
 
-What a stand-in decides is a pure model with an injected clock (`work`, `keeping`, `node_model`,
-`store_model`, `registry_model`, `chance`, `faults`); the sockets round it (`node`, `store`, `discovery`) are
-thin. Times are seconds on the clock that the caller injects, floats unless said otherwise.
+All of them listen on loopback.
+
+The behaviour of each emulator is a pure model with an injected clock (`node_model`, `origin_model`,
+`discovery_model`, `relay_model`, `processor_sharing`, `lru_cache`, `faults`, `seeded_draws`). The modules
+with sockets (`node`, `origin`, `discovery`, `relay`, `fault_proxy`, `listeners`) add little behaviour of
+their own. Times are seconds on the injected clock, as floats unless stated otherwise.
 """
--- a/holdgw/emulators/faults.py
+++ b/holdgw/emulators/faults.py
@@ -1,4 +1,4 @@
-"""Which answers a peer spoils: decided by the request's name, so the same ones in every run; pure."""
+"""Faults of single answers: drawn from the request's name, so that each run hits the same ones; pure."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class Fault(Enum):
-    """What becomes of an answer."""
+    """What happens to an answer."""
 
     NONE = ""
     RESET = "reset"
-    """The work is done and the connection reset in place of the answer."""
+    """The request is executed and the connection is reset in place of the answer."""
     GARBLE = "garble"
-    """Bytes come that are no answer."""
+    """Bytes that are not a valid answer are sent."""
     SILENCE = "silence"
-    """The work is done and nothing comes."""
+    """The request is executed and no answer is sent."""
 
 
 @dataclass(slots=True)
@@ -29,7 +29,7 @@
     silence: float = 0.0
 
     def draw(self, seed: int, server: str, request: bytes, attempt: int) -> Fault:
-        """The fate of one answer; `attempt` counts the request's attempts at this server."""
+        """Return the fault of one answer; `attempt` counts the attempts of the request at this server."""
         if not (self.reset or self.garble or self.silence):
             return Fault.NONE
         remainder = unit(seed, "fault", server, request, attempt)
@@ -51,7 +51,7 @@
     b"*9\r\n$-7\r\n",
     b"$99999999999999999999\r\n",
 )
-"""Spoilt RESP answers: noise, a wrong length, one of 3 GB, a broken header, a length out of bounds."""
+"""RESP answers: random bytes, a wrong length, one of 3 GB, an invalid header, a length out of range."""
 MALFORMED_HTTP = (
     b"\xff\xfe\x00 no answer of any kind\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nvalue",
--- a/holdgw/emulators/listeners.py
+++ b/holdgw/emulators/listeners.py
@@ -1,4 +1,4 @@
-"""What the sockets of all stand-ins share: one timer on a model, listeners by zone, delayed lines."""
+"""Shared by the sockets of all emulators: a timer for a model, listeners for each link, delays of links."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from holdgw.emulators.fault_proxy import LINGER_NONE, FaultProxy, ProxiedListener, Way
 from holdgw.wire.address import Address
 
-MIN_DELAY_S = 0.0007  # delays under this are left out: a timer of the loop is no finer than a millisecond
+MIN_DELAY_S = 0.0007  # shorter delays are skipped: event-loop timers have a resolution of one millisecond
 
 Clock = Callable[[], float]
 LinkDelays = Mapping[str, float]
@@ -21,8 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """Where a stand-in listens: `lines` gives each line's one-way delay in seconds, a listener each. Routers
-    that come over the same line share what befalls it; `gated`: those lines may be cut.
+    """Where an emulator listens.
+
+    `links` gives the one-way delay of each link in seconds; each link has a listener of its own, and the
+    routers that connect over it are affected by the same faults. With `proxied`, links can be blocked.
     """
 
     ip: str = "127.0.0.1"
@@ -31,18 +33,18 @@
 
 
 def reset_connection(transport: asyncio.BaseTransport | None) -> None:
-    """End a connection as the death of its process does: by a reset, whatever is unsent or unread."""
+    """Close a connection with a reset, whatever is unsent or unread, as when its process is killed."""
     if transport is None:
         return
     sock = transport.get_extra_info("socket")
     if sock is not None:
-        with contextlib.suppress(OSError):  # it is closed already
+        with contextlib.suppress(OSError):  # the socket is already closed
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NONE)
     cast(asyncio.Transport, transport).abort()
 
 
 class ModelTimer:
-    """One timer that is set to the model's next event; setting it later than it stands costs nothing."""
+    """One timer for the next event of a model; setting it to a later time than before costs nothing."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Clock, on_due: Callable[[], None]) -> None:
         self._loop, self._clock, self._on_due = loop, clock, on_due
@@ -50,12 +52,12 @@
         self._due = 0.0
 
     def set(self, due: float | None) -> None:
-        """Ring at `due`, or not at all."""
+        """Fire at `due`; None sets nothing."""
         if due is None:
-            return  # it may ring once for nothing
+            return  # a pending timer may fire without effect
         if self._timer is not None:
             if self._due <= due:
-                return  # it rings earlier and is set anew then
+                return  # the pending timer fires earlier and is set again then
             self._timer.cancel()
         self._due = due
         self._timer = self._loop.call_later(max(due - self._clock(), 0.0), self._fire)
@@ -65,26 +67,26 @@
         self._on_due()
 
     def close(self) -> None:
-        """Never ring again."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
 
 class Listeners:
-    """A stand-in's listeners, one for each line that routers come over; ports stay the same when reopened."""
+    """The listeners of an emulator, one for each link; each keeps its port when it is opened again."""
 
     def __init__(self, host: Host, clock: Clock) -> None:
         self.host = host
         self.addresses: dict[str, Address] = {}
         self.is_open = False
-        """Whether its process runs, and takes what comes in."""
+        """Whether the emulated process runs and accepts connections."""
         self._clock = clock
         self._servers: list[asyncio.Server] = []
         self._proxied: dict[str, ProxiedListener] = {}
 
     async def open(self, protocol: Callable[[float], asyncio.Protocol]) -> None:
-        """Listen; `protocol` makes one for a connection over a line with that one-way delay."""
+        """Listen; `protocol` creates the protocol of a connection, given the one-way delay of its link."""
         loop = asyncio.get_running_loop()
         for link, delay in self.host.links.items():
             port = self.addresses[link][1] if link in self.addresses else 0
@@ -100,21 +102,21 @@
         self.is_open = True
 
     def adopt_addresses(self, other: Listeners) -> None:
-        """Listen, when opened, where another's stand-in did that has gone, over the same lines."""
+        """Use the addresses and links of another emulator, which has ended, when opened."""
         self.addresses = dict(other.addresses)
         self._proxied = other._proxied
 
     def proxy(self, link: str) -> FaultProxy:
-        """What may cut a line; raises KeyError where no line may be cut."""
+        """Return the fault proxy of a link; raises KeyError if the links have none."""
         return self._proxied[link].proxy
 
     def block(self, way: Way, seconds: float, links: Iterable[str] | None = None) -> None:
-        """Cut lines, or all there are, for so long."""
+        """Block the given links, or all, for `seconds`."""
         for link in self.host.links if links is None else links:
             self.proxy(link).block(way, seconds)
 
     def close(self) -> None:
-        """Refuse connections from now on; where a line is cut, from when it is back."""
+        """Refuse connections from now on, or on a blocked link from when it is restored."""
         self.is_open = False
         servers, self._servers = self._servers, []
         for server in servers:
@@ -123,14 +125,14 @@
             one.close()
 
     def end(self) -> None:
-        """The day is over."""
+        """Close the listeners at the end of the run."""
         self.close()
         for one in self._proxied.values():
             one.end()
 
 
 def call_after(loop: asyncio.AbstractEventLoop, delay: float, call: Callable[[], None]) -> None:
-    """Call after a line's delay; lines too short for a timer are no delay."""
+    """Call after the delay of a link, or at once if the delay is too short for a timer."""
     if delay < MIN_DELAY_S:
         call()
     else:
--- a/holdgw/emulators/lru_cache.py
+++ b/holdgw/emulators/lru_cache.py
@@ -1,7 +1,7 @@
-"""What a mirror node keeps: least recently used goes first, within a memory; pure.
+"""The copies of an emulated cache server: a cache of bounded size with least-recently-used eviction; pure.
 
-It also tells why a key is missing. An operator who sees the misses rise wants to know whether copies were
-thrown out, went void, or were never there: a flush, a write, a scan and a cold start look alike otherwise.
+The cache also gives the reason for a miss. When misses rise, an operator needs to know whether copies were
+evicted, were invalidated or never existed: a flush, a write, a scan and a cold start look alike otherwise.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 from holdgw.emulators.seeded_draws import unit
 
-MAX_REMEMBERED_REMOVALS = 100_000  # keys whose loss is remembered
+MAX_REMEMBERED_REMOVALS = 100_000  # keys whose reason for removal is remembered
 
 
 class MissReason(Enum):
-    """Why a key is not kept."""
+    """Why a key is not cached."""
 
     NEVER = "never"
-    """Not since the process started: wanted for the first time here, or lost with the last process."""
+    """Not cached since the process started: never requested here, or lost with the previous process."""
     EVICTED = "evicted"
     FLUSHED = "flushed"
     INVALIDATED = "voided"
@@ -26,13 +26,13 @@
 
 
 class LruCache:
-    """Copies by key. Sizes are bytes; `ttl` is how long a copy is good, 0 for ever."""
+    """Copies by key. Sizes are bytes; `ttl` is the lifetime of a copy in seconds, 0 for unlimited."""
 
     def __init__(self, memory: int, ttl: float = 0.0) -> None:
         if memory < 0 or ttl < 0:
             raise ValueError("memory and ttl must be at least 0")
         self._memory, self._ttl = memory, ttl
-        self._entries: OrderedDict[bytes, tuple[int, float]] = OrderedDict()  # size, stored at
+        self._entries: OrderedDict[bytes, tuple[int, float]] = OrderedDict()  # size, when stored
         self._removed: OrderedDict[bytes, MissReason] = OrderedDict()
         self.used = 0
 
@@ -43,7 +43,7 @@
         return key in self._entries
 
     def get(self, key: bytes, now: float) -> int | None:
-        """The size of the copy, which counts as used; None: not kept, and `why` tells the reason."""
+        """Return the size of the copy and mark it as used; None if not cached, see `miss_reason`."""
         held = self._entries.get(key)
         if held is None:
             return None
@@ -55,11 +55,11 @@
         return size
 
     def miss_reason(self, key: bytes) -> MissReason:
-        """Why a key that is not kept is missing."""
+        """Return why a key is not cached."""
         return self._removed.get(key, MissReason.NEVER)
 
     def put(self, key: bytes, size: int, now: float) -> None:
-        """Keep a copy; what was used longest ago makes room. One larger than the memory is not kept."""
+        """Store a copy, evicting the least recently used; a copy larger than the memory is not stored."""
         if size > self._memory:
             return
         old = self._entries.pop(key, None)
@@ -72,16 +72,14 @@
             self._remove(next(iter(self._entries)), MissReason.EVICTED)
 
     def invalidate(self, key: bytes) -> bool:
-        """A write was carried out: the copy is no good. Returns whether there was one."""
+        """Drop the copy of a key that was written; return whether there was one."""
         if key not in self._entries:
             return False
         self._remove(key, MissReason.INVALIDATED)
         return True
 
     def flush(self, share: float, seed: int, serial: int) -> int:
-        """That share of the keys goes void at once, the same keys at every node; returns how many
-        did here.
-        """
+        """Drop a share of the keys, the same keys at every server; return how many were dropped here."""
         flushed = [key for key in self._entries if unit(seed, "flush", serial, key) < share]
         for key in flushed:
             self._remove(key, MissReason.FLUSHED)
--- a/holdgw/emulators/records.py
+++ b/holdgw/emulators/records.py
@@ -1,6 +1,7 @@
-"""What stand-ins and clients saw, as plain records: the only evidence that the rules are judged by.
+"""Records of what emulated servers and clients observed: the only evidence that the checker uses.
 
-Times are seconds on the monotonic clock that all processes of one machine share.
+Times are seconds on the monotonic clock that all processes of one machine share. Records are encoded as
+arrays with a tag, so the order of their fields is part of the format.
 """
 
 from __future__ import annotations
@@ -11,49 +12,51 @@
 
 
 class Attempt(msgspec.Struct, array_like=True, tag="attempt"):
-    """A request that reached a mirror node or the package store."""
+    """An attempt that reached an emulated cache server or the emulated origin."""
 
     request: str
     server: str
     at: float
-    """When its last byte had come."""
+    """When the server read its last byte."""
     result: str
-    """hit, miss, pending, served, repeat, failed, busy, gone (the process died with it) or open (never
-    ended).
+    """hit, miss, pending, served, repeat, failed, busy, gone (the process died while it held the attempt) or
+    open (not finished when the run ended).
     """
     ended: float
     serial: int
-    """Counts the answers of this server; an answer's value names it."""
+    """Number of this record at its server; the value of an answer contains it."""
     fault: str = ""
     effect: bool = False
-    """It changed something at the package store, then and there."""
+    """Whether this attempt changed data at the origin."""
     idempotency: str = ""
     missing: str = ""
     first_on_connection: bool = False
-    """The first on its connection."""
+    """Whether it was the first request on its connection."""
     work: float = 0.0
-    """Core-seconds, if it ran."""
+    """Core-seconds that it costs when executed."""
     held_since: float = 0.0
-    """When it was sent, where a cut line held it back; 0: none did."""
+    """When the router sent it, if a blocked link delayed it; 0 if none did."""
     arrived: float = 0.0
-    """When its last byte had come to this machine, at the latest: before `at`, where the server's process had
-    no core to read it. 0: not told."""
+    """Latest time at which its last byte can have reached this machine; before `at` if the server's process
+    had no core to read it. 0: unknown.
+    """
 
 
 class EndpointStateSent(msgspec.Struct, array_like=True, tag="told"):
-    """Discovery wrote a server's state to a router."""
+    """Discovery wrote the state of an endpoint to a router."""
 
     router: str
     server: str
     state: str
     at: float
     since: float
-    """When that router's agent, or its view, had the state."""
+    """When the router's discovery agent, or its view of the endpoint list, had the state."""
     full: bool = False
+    """Whether it was written as part of a full endpoint list."""
 
 
 class EndpointStateAvailable(msgspec.Struct, array_like=True, tag="had"):
-    """A router's view has a server's state, whether or not it is written to the router."""
+    """The view of a router received the state of an endpoint, whether or not it was written to the router."""
 
     router: str
     server: str
@@ -62,7 +65,7 @@
 
 
 class DiscoveryCut(msgspec.Struct, array_like=True, tag="deaf"):
-    """The line between a router and discovery is cut, from when to when."""
+    """The link between a router and discovery is blocked from `at` until `until`."""
 
     router: str
     at: float
@@ -70,7 +73,7 @@
 
 
 class OverrideAccepted(msgspec.Struct, array_like=True, tag="handed"):
-    """A router said yes to staff who take a server out by hand, or call it back."""
+    """A router accepted an administrative override: `out` of rotation, or its withdrawal."""
 
     router: str
     server: str
@@ -79,7 +82,10 @@
 
 
 class WarmUpCrash(msgspec.Struct, array_like=True, tag="fallen"):
-    """A cold mirror node was pushed over."""
+    """A cache server crashed because it was overloaded while it was warming up.
+
+    `sent` and `limit` are core-seconds of work.
+    """
 
     server: str
     at: float
@@ -88,7 +94,7 @@
 
 
 class ProtocolViolation(msgspec.Struct, array_like=True, tag="odd"):
-    """Something came that no router should send."""
+    """A server received something that no router may send."""
 
     server: str
     at: float
@@ -96,36 +102,38 @@
 
 
 class ClientRequest(msgspec.Struct, array_like=True, tag="try"):
-    """One try of a client: one request to one router."""
+    """One request of a client to one router; a client retry is a further record."""
 
     request: str
     ask: int
-    """Which of the day's asks it belongs to."""
+    """The scheduled request to which it belongs."""
     number: int
-    """0 for the first try."""
+    """0 for the first request, counting client retries."""
     router: str
     sent: float
     """When its last byte was written."""
     wait: float
-    """How long the client said it would wait, seconds."""
+    """The client's deadline as it was sent, seconds."""
     answer: str
-    """served, refused, failed; none (its time ran out), cut (the connection ended), left (the client went
-    away), unsent (no connection, or it broke before a byte was sent)."""
+    """served, refused, failed; none (its deadline passed), cut (the connection ended), left (the client
+    disconnected), unsent (no connection, or the connection failed before a byte was sent).
+    """
     ended: float
     server: str = ""
-    """Whose value it was served with."""
+    """The server whose value it was served with."""
     serial: int = -1
     fault: str = ""
-    """What was wrong with a value that was served."""
+    """What was wrong with the served value."""
     retry_after: float = -1.0
-    """Seconds after which a refusal told it to come again; -1: it did not."""
+    """Seconds of Retry-After in a rejection; -1 if there was none."""
     crossed: float = 0.0
-    """When the router closed an idle connection just as this request was sent on it; the client then sent it
-    once more on a new one (PROTOCOL, "Clients to routers"). 0: it did not happen."""
+    """When the router closed an idle connection while this request was being sent on it; the client then sent
+    the request again on a new connection (PROTOCOL, "Clients to routers"). 0 if this did not happen.
+    """
 
 
 class ExtraAnswer(msgspec.Struct, array_like=True, tag="extra"):
-    """One more answer came to a request that had its final one."""
+    """A further answer arrived for a request that already had its final answer."""
 
     request: str
     router: str
@@ -136,17 +144,17 @@
 
 
 class Lag(msgspec.Struct, array_like=True, tag="lag"):
-    """How late a worker's own timer was, the worst in a stretch that ended at `at`."""
+    """Event-loop lag of a worker process: how late its timer fired in the interval that ended at `at`."""
 
     worker: str
     at: float
     worst: float
     buckets: tuple[int, ...]
-    """Readings by LAG_BOUNDS_MS, those beyond the last bound in one more."""
+    """Number of readings up to each bound of LAG_BOUNDS_MS, and of those above the last one."""
 
 
 class Flushed(msgspec.Struct, array_like=True, tag="flushed"):
-    """Copies went void at once."""
+    """A share of a cache server's copies was flushed: `gone` copies were dropped, `kept` remain."""
 
     server: str
     at: float
@@ -155,23 +163,23 @@
 
 
 class DiscoveryCall(msgspec.Struct, array_like=True, tag="called"):
-    """A router called the list service."""
+    """A router called discovery."""
 
     router: str
     at: float
     full: bool
-    """For the whole list, and not for what is newer than a version."""
+    """Whether it requested the full list, and not the changes after a version."""
     failed: bool = False
-    """The service was down."""
+    """Whether discovery was down and rejected the call."""
 
 
 class ConnectionOpened(msgspec.Struct, array_like=True, tag="dialled"):
-    """A connection to a mirror node came up."""
+    """A router opened a connection to a cache server."""
 
     server: str
     at: float
     accepted: bool
-    """Its table had room."""
+    """Whether the server kept it; above its limit it resets new connections."""
 
 
 Record = (
@@ -192,13 +200,13 @@
 
 
 class Recorder(Protocol):
-    """Whoever keeps the records."""
+    """Receives the records of emulated servers and clients, and the news that cache servers share."""
 
     def record(self, record: Record) -> None:
-        """Keep one."""
+        """Store a record."""
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
-        """The package store answered a read that is still waited for: nodes that missed for it keep it."""
+        """The origin answered a read of a connected router: servers that missed for it store the value."""
 
     def voided(self, key: bytes) -> None:
-        """A write was carried out: every copy of the key is void."""
+        """A write was executed: every copy of the key is invalid."""
--- a/holdgw/emulators/relay.py
+++ b/holdgw/emulators/relay.py
@@ -1,7 +1,8 @@
-"""The relay's sockets: every datagram from router to router passes here (PROTOCOL, "Between routers").
+"""The sockets of the relay, which forwards all datagrams between routers (PROTOCOL, "Between routers").
 
-Each router has one address that all others know it by. A datagram sent there from the sender's `peer_listen`
-goes on from the sender's own such address to the receiver's `peer_listen`, or is lost, as the model says.
+The relay has one address for each router, and the other routers know the router by that address. The relay
+forwards a datagram that arrives there from the sender's `peer_listen`: it sends the datagram from the
+sender's relay address to the receiver's `peer_listen`, unless the model drops it.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from holdgw.emulators.relay_model import RelayModel
 from holdgw.wire.address import Address
 
-ALL = ""  # the name of the address at which all others are reached
+ALL = ""  # name of the relay address that reaches all other routers
 
 
 class _RelaySocket(asyncio.DatagramProtocol):
-    """The address that a router is known by."""
+    """The socket at the relay address of one router, or of all."""
 
     def __init__(self, relay: Relay, name: str) -> None:
         self.relay, self.name = relay, name
@@ -31,23 +32,23 @@
         self.relay.handle_datagram(self.name, data, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """A receiver's process is not there: to its sender it is as lost."""
+        """Ignore the error: without a receiving process the datagram counts as lost."""
 
 
 class Relay:
-    """All lines between routers. `listens`: each router's `peer_listen`."""
+    """Forwards the datagrams between all routers; `listens` gives the `peer_listen` of each."""
 
     def __init__(self, model: RelayModel, listens: Mapping[str, Address], clock: Clock, ip: str) -> None:
         self.model = model
         self.unknown = 0
-        """Datagrams from addresses that no router has."""
+        """Number of datagrams from addresses that belong to no router."""
         self._clock, self._ip = clock, ip
         self._listens = dict(listens)
         self._names = {address: name for name, address in listens.items()}
         self._sockets: dict[str, _RelaySocket] = {}
 
     async def start(self) -> dict[str, Address]:
-        """Listen; returns the address that each router is known by, and under ALL the one of all."""
+        """Listen; return the relay address of each router, and under ALL the one that reaches all."""
         loop = asyncio.get_running_loop()
         found = {}
         for name in (*self._listens, ALL):
@@ -60,7 +61,7 @@
         return found
 
     def handle_datagram(self, to: str, data: bytes, sender: Address) -> None:
-        """A datagram came to an address that a router, or all, are known by."""
+        """Forward a datagram that arrived at the relay address `to`."""
         origin = self._names.get(sender)
         if origin is None:
             self.unknown += 1
@@ -81,7 +82,7 @@
             transport.sendto(data, self._listens[name])
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the sockets at the end of the run."""
         for relay_socket in self._sockets.values():
             if relay_socket.transport is not None:
                 relay_socket.transport.close()
--- a/holdgw/emulators/relay_model.py
+++ b/holdgw/emulators/relay_model.py
@@ -1,5 +1,6 @@
-"""What lies between routers: each line from one to another delays, loses, doubles and reorders datagrams,
-carries so many bytes a second, and may be cut one way; pure.
+"""The network between routers: each link delays, drops, duplicates and reorders datagrams; pure.
+
+A link may also have a limit of bytes per second, and may be blocked in one direction.
 """
 
 from __future__ import annotations
@@ -9,15 +10,19 @@
 from dataclasses import dataclass
 
 MAX_DATAGRAM_BYTES = 256
-BURST_S = 0.25  # a line with a bound carries so much of a second's bytes at once
+BURST_S = 0.25  # burst of a rate-limited link, as seconds of its byte rate
 
 LinkDelay = Callable[[str, str], float]
-"""The least one-way delay between two routers, seconds."""
+"""Returns the minimum one-way delay between two routers, seconds."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerNetworkConditions:
-    """What befalls every line at the moment."""
+    """Current conditions of all links.
+
+    `jitter` is a share of the delay; `loss`, `duplicates` and `reordered` are shares of datagrams; `late_ms`
+    is the largest additional delay of a reordered datagram; `bytes_per_s` limits each link, 0 for unlimited.
+    """
 
     jitter: float = 0.2
     loss: float = 0.0
@@ -29,20 +34,20 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What became of the datagrams."""
+    """Counters of the datagrams sent by one router."""
 
     sent: int = 0
     bytes: int = 0
     lost: int = 0
     cut: int = 0
     over: int = 0
-    """Beyond a line's bytes a second."""
+    """Dropped above the byte rate of the link."""
     long: int = 0
-    """Over 256 bytes: never carried."""
+    """Over 256 bytes: always dropped."""
 
 
 class RelayModel:
-    """All lines between routers, by the seed. Times are seconds on the caller's clock."""
+    """The links between all routers, with draws from the seed. Times are seconds on the caller's clock."""
 
     def __init__(self, seed: int, link_delay: LinkDelay, conditions: PeerNetworkConditions) -> None:
         self.conditions = conditions
@@ -50,12 +55,11 @@
         self._link_delay = link_delay
         self._random = random.Random(f"{seed}/relay")
         self._cut: dict[tuple[str, str], float] = {}
-        self._allowance: dict[
-            tuple[str, str], tuple[float, float]
-        ] = {}  # bytes that a line may carry, and when
+        # Bytes that a link may still carry, and as of when.
+        self._allowance: dict[tuple[str, str], tuple[float, float]] = {}
 
     def block(self, a: Iterable[str], b: Iterable[str], until: float, both: bool) -> None:
-        """Nothing comes from `a` to `b` until then, nor back if `both`; what is sent meanwhile is lost."""
+        """Drop all datagrams from `a` to `b` until then, and with `both` also those from `b` to `a`."""
         others = list(b)
         for one in a:
             for other in others:
@@ -65,7 +69,7 @@
                     self._cut[pair] = max(self._cut.get(pair, until), until)
 
     def delivery_delays(self, now: float, a: str, b: str, size: int) -> list[float]:
-        """Delays after which copies of a datagram come to `b`; none where it is lost."""
+        """Return the delay in seconds of each copy of a datagram that reaches `b`; empty if it is lost."""
         counts, conditions, draw = self.counts.setdefault(a, Counts()), self.conditions, self._random.random
         counts.sent += 1
         counts.bytes += size
--- a/holdgw/emulators/seeded_draws.py
+++ b/holdgw/emulators/seeded_draws.py
@@ -1,8 +1,8 @@
-"""Draws that depend on names and not on the order of events: the same seed gives the same day on any machine.
+"""Random numbers derived from names, not from the order of events.
 
-A generator shared by all requests would hand its numbers out in order of arrival, and a run that was a
-millisecond slower would be another day. Here each draw has a name of its own (the seed, what it is for, the
-request it belongs to), and the number is a hash of that name.
+The same seed gives the same run on any machine. A generator shared by all requests would assign its numbers
+in order of arrival, and a run that was a millisecond slower would differ. Here each number is a hash of its
+own name: the seed, its purpose and the request to which it belongs.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 _STEPS = float(1 << 53)
 _NORMAL = NormalDist()
-_MIN_QUANTILE = 1e-9  # the normal's inverse is infinite at 0 and 1
+_MIN_QUANTILE = 1e-9  # the inverse of the normal distribution function is infinite at 0 and 1
 
 NamePart = str | int | bytes
 
 
 def unit(*name: NamePart) -> float:
-    """The number in [0, 1) that belongs to this name."""
+    """Return the number in [0, 1) that belongs to this name."""
     text = b"\x1f".join(word if isinstance(word, bytes) else str(word).encode() for word in name)
     return (int.from_bytes(blake2b(text, digest_size=8).digest(), "big") >> 11) / _STEPS
 
 
 def lognormal(u: float, mean: float, cv: float) -> float:
-    """The quantile `u` of a lognormal with this mean and coefficient of variation."""
+    """Return the quantile `u` of a lognormal distribution with this mean and coefficient of variation."""
     if cv <= 0:
         return mean
     variance = math.log1p(cv * cv)
@@ -34,5 +34,5 @@
 
 
 def between(u: float, span: tuple[float, float]) -> float:
-    """The quantile `u` of the uniform distribution over `span`."""
+    """Return the quantile `u` of the uniform distribution over `span`."""
     return span[0] + u * (span[1] - span[0])
