--- a/holdgw/emulators/discovery.py
+++ b/holdgw/emulators/discovery.py
@@ -1,7 +1,8 @@
-"""Discovery's sockets: the full list, watches, and who has been told what (PROTOCOL, "Discovery").
+"""The sockets of discovery: full lists, watches, and what was sent to whom (PROTOCOL, "Discovery").
 
-Pushed: an agent beside each router, one listener a router. Asked: one service, and a router is known by the
-listener it connects to as well, so that what it was told can be judged; its calls are worked off in turn.
+Each router has a listener of its own. In push mode the listener stands for an agent beside the router. In
+poll mode there is one service, which handles calls in sequence; the listener then only identifies the router,
+so that the checker knows what was sent to it.
 """
 
 from __future__ import annotations
@@ -29,14 +30,14 @@
 
 LIST_PATH = "/registry/instances"
 MAX_WAIT_MS = 60_000
-OLD_ADDRESS_OPEN_S = 1.5  # in which the address before a move still answers what is connected there
+OLD_ADDRESS_OPEN_S = 1.5  # for which connections to the address before a move are still answered
 
 AddressLookup = Callable[[str, str], Address]
-"""The address of a server for a router: (router, server)."""
+"""Returns the address at which a router reaches a server: (router, server)."""
 
 
 class _Connection(asyncio.Protocol):
-    """One router's connection to discovery."""
+    """A connection of one router to discovery."""
 
     def __init__(self, server: DiscoveryServer, router: str) -> None:
         self.server, self.router = server, router
@@ -66,14 +67,14 @@
     def _handle_request(self, request: HttpRequest) -> None:
         target = urlsplit(request.target.decode("latin-1"))
         if request.method != b"GET" or target.path != LIST_PATH:
-            raise ValueError(f"asked for {target.path}")
+            raise ValueError(f"request for unknown path {target.path}")
         query = dict(parse_qsl(target.query))
         if self.watching:
-            raise ValueError("a second call before the first one's answer")
+            raise ValueError("a second call before the answer to the first")
         self.server.handle_call(self, query)
 
     def wait(self, index: int, milliseconds: int) -> None:
-        """Answer once there is something newer, or when the time is up."""
+        """Answer when there are changes after version `index`, or after `milliseconds` without one."""
         self._index, self.watching = index, True
         if self.answer_if_newer():
             return
@@ -81,7 +82,7 @@
         self._wait = self.server.loop.call_later(delay, self.answer, False, [])
 
     def answer_if_newer(self) -> bool:
-        """Answer a watch if there is something newer; returns whether it did."""
+        """Answer an open watch if there are newer changes; return whether it was answered."""
         if not self.watching:
             return False
         reset, entries = self.server.model.views[self.router].newer_than(self._index)
@@ -91,7 +92,7 @@
         return True
 
     def answer(self, reset: bool, entries: list[Entry]) -> None:
-        """Write the list, and remember what this router has been told by it."""
+        """Write the full list or the changes, and record what was sent."""
         self._stop_waiting()
         if self.transport is None:
             return
@@ -103,7 +104,7 @@
             self.server.record_sent(self, reset, entries)
 
     def fail(self) -> None:
-        """The call fails."""
+        """Answer the call with 503."""
         self._stop_waiting()
         if self.transport is not None:
             self.transport.write(response(503))
@@ -119,7 +120,10 @@
 
 
 class DiscoveryServer:
-    """All routers' discovery."""
+    """Discovery for all routers.
+
+    `call_s` is the service time of a call in poll mode, 0 in push mode; with `proxied`, links can be blocked.
+    """
 
     def __init__(
         self,
@@ -142,20 +146,20 @@
         )
         self._ip, self._call_s, self._proxied = ip, call_s, proxied
         self._listeners: dict[str, Listeners] = {}
-        self._known_endpoints: dict[str, dict[str, None]] = {}  # what each router was told to be there
+        self._known_endpoints: dict[str, dict[str, None]] = {}  # by router: what was sent to it as present
         self._timer = ModelTimer(self.loop, clock, self._answer_watches)
         self._down_until = float("-inf")
-        self._blocked: dict[str, tuple[Way, float]] = {}  # each router's line: which way, and until when
-        self._free_at = float("-inf")  # when the one service has worked off the calls so far
+        self._blocked: dict[str, tuple[Way, float]] = {}  # by router: direction and end of its block
+        self._free_at = float("-inf")  # poll mode: when the service has handled all calls so far
 
     async def start(self) -> dict[str, Address]:
-        """Listen; returns each router's address of discovery."""
+        """Listen; return the address of discovery for each router."""
         for router in self._routers:
             await self.listen(router)
         return {router: listeners.addresses[""] for router, listeners in self._listeners.items()}
 
     async def listen(self, router: str) -> Address:
-        """Listen for a router at a new address; the one before takes no new connection, and closes later."""
+        """Listen for a router at a new address; the old one refuses new connections and closes later."""
         listeners = Listeners(Host(self._ip, proxied=self._proxied), self._clock)
         await listeners.open(lambda _: _Connection(self, router))
         old = self._listeners.get(router)
@@ -170,7 +174,7 @@
         return listeners.addresses[""]
 
     def close(self) -> None:
-        """The day is over."""
+        """Close all sockets at the end of the run."""
         self._timer.close()
         for listeners in self._listeners.values():
             listeners.end()
@@ -178,38 +182,38 @@
             connection.abort()
 
     def record_violation(self, text: str) -> None:
-        """Something came that no router should send."""
+        """Record input that no router may send."""
         self._recorder.record(ProtocolViolation("discovery", self._clock(), text))
 
-    # Troubles
+    # Changes and faults
 
     def change(self, entry: Entry) -> None:
-        """The list changes."""
+        """Change the endpoint list."""
         self.model.change(self._clock(), entry)
         self._answer_watches()
 
     def set_state(self, server: str, state: State) -> None:
-        """A listed server changes its state; for one that is not listed nothing is left to tell."""
+        """Change the state of a listed server; a server that is not listed is ignored."""
         self.model.set_state(self._clock(), server, state)
         self._answer_watches()
 
     def late(self, extra: float, seconds: float) -> None:
-        """Changes from now on come later than usual."""
+        """Delay changes that are made within the next `seconds` by `extra` seconds more than usual."""
         self.model.late(self._clock(), extra, seconds)
 
     def stale(self, seconds: float, routers: Iterable[str]) -> None:
-        """Those routers' views stand still."""
+        """Freeze the views of those routers for `seconds`."""
         self.model.stale(self._clock(), seconds, routers)
 
     def down(self, seconds: float) -> None:
-        """Watches end, calls fail, and views stand still."""
+        """Close all connections now; for `seconds` calls fail and views are frozen."""
         self._down_until = max(self._down_until, self._clock() + seconds)
         self.model.stale(self._clock(), seconds, self._routers)
         for connection in list(self.connections):
             connection.abort()
 
     def block(self, router: str, way: Way, seconds: float) -> None:
-        """Cut the line between a router and discovery for so long."""
+        """Block the link between a router and discovery for `seconds`."""
         now = self._clock()
         self._blocked[router] = way, now + seconds
         self._listeners[router].block(way, seconds)
@@ -218,7 +222,7 @@
     # Calls
 
     def handle_call(self, connection: _Connection, query: dict[str, str]) -> None:
-        """One call; where discovery is asked, calls are worked off in turn."""
+        """Handle one call; in poll mode calls are handled in sequence, each for `call_s`."""
         now = self._clock()
         down = now < self._down_until
         self._recorder.record(DiscoveryCall(connection.router, now, "index" not in query, down))
@@ -232,7 +236,7 @@
         self.loop.call_later(self._free_at - now, self._serve, connection, query)
 
     def _serve(self, connection: _Connection, query: dict[str, str]) -> None:
-        # This call also brings other routers' views up to date; their watches have to be answered first.
+        # Serving this call advances the views of all routers, so due watches of others are answered first.
         self._answer_watches()
         if "index" in query:
             connection.wait(int(query["index"]), int(query.get("wait", "0")))
@@ -256,11 +260,11 @@
             connection.answer_if_newer()
 
     def body(self, router: str, reset: bool, entries: list[Entry]) -> bytes:
-        """The list in discovery's form."""
+        """Return the encoded document of a full list or of changes."""
         return orjson.dumps(self.form(router, reset, entries))
 
     def form(self, router: str, reset: bool, entries: list[Entry]) -> dict[str, object]:
-        """The list as an object; also what a router is told as `known`."""
+        """Return the document as an object; also used for `known` in a router's configuration."""
         return {
             "generation": self.model.views[router].version,
             "reset": reset,
@@ -280,7 +284,7 @@
         }
 
     def record_sent(self, connection: _Connection, full: bool, entries: list[Entry]) -> None:
-        """Remember what was written to a router."""
+        """Record what was written to a router."""
         router, now = connection.router, self._clock()
         view = self.model.views[router]
         known = self._known_endpoints.setdefault(router, {})
@@ -288,7 +292,7 @@
             since = view.since.get(entry.id, now)
             self._recorder.record(EndpointStateSent(router, entry.id, entry.state.value, now, since, full))
         if full:
-            # A full list also tells, by leaving them out, which servers are gone.
+            # A full list also removes the servers that it does not contain.
             for server in [name for name in known if name not in {entry.id for entry in entries}]:
                 self._recorder.record(EndpointStateSent(router, server, State.REMOVED.value, now, now, full))
             known.clear()
--- a/holdgw/emulators/discovery_model.py
+++ b/holdgw/emulators/discovery_model.py
@@ -1,7 +1,7 @@
-"""What discovery decides: which router has been told what, and when; pure.
+"""The model of discovery: which changes each router can see, and from when; pure.
 
-One log of changes; each router has a view of it that lags. Views may be held late, held still (stale) or be
-out altogether (down). A view never goes back, and changes reach it in order.
+All changes form one sequence, and each router has a view that follows it with a delay. Faults add to the
+delay or freeze views. A view never moves backwards, and changes reach it in order.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-MAX_CHANGES = 4096  # kept for watches; an older version gets the whole list
+MAX_CHANGES = 4096  # kept for watches; a watch from an older version gets the full list
 
 
 class State(Enum):
-    """A mirror node's state as the list words it."""
+    """Lifecycle state of an endpoint, as in the endpoint list."""
 
     UP = "up"
     DRAINING = "draining"
@@ -24,8 +24,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One line of the list. `started_ms`: Unix time, 0 for long ago; `zone` also says which listener
-    it has.
+    """One entry of the endpoint list. `started_ms`: Unix time, 0 for long ago; `zone` also says which
+    listener it has.
     """
 
     id: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change as it stands in a view: its version, and since when the view has had it."""
+    """A change in a view: its version, and when the view received it."""
 
     version: int
     entry: Entry
@@ -47,29 +47,29 @@
 
 
 class View:
-    """One router's view."""
+    """The view that one router has of the endpoint list."""
 
     def __init__(self, entries: Iterable[Entry], version: int, now: float) -> None:
         self.entries = {entry.id: entry for entry in entries}
         self.version = version
-        self.since = dict.fromkeys(self.entries, now)  # when the view had the present state
+        self.since = dict.fromkeys(self.entries, now)  # when the view received each current state
         self.changes: deque[Change] = deque(maxlen=MAX_CHANGES)
-        self.oldest = version  # watches from an older version get the whole list
+        self.oldest = version  # watches from an older version get the full list
         self._pending: deque[tuple[float, int, Entry]] = deque()
         self._frozen_until = float("-inf")
 
     def schedule(self, due: float, version: int, entry: Entry) -> None:
-        """A change will come at `due`, or behind the one before it."""
+        """Schedule a change for `due`, or for the time of its predecessor if that is later."""
         if self._pending:
             due = max(due, self._pending[-1][0])
         self._pending.append((due, version, entry))
 
     def freeze(self, until: float) -> None:
-        """Nothing comes in before `until`."""
+        """Apply no change before `until`."""
         self._frozen_until = max(self._frozen_until, until)
 
     def advance(self, now: float) -> list[Change]:
-        """Take in what is due; returns it."""
+        """Apply the changes that are due; return them."""
         came = []
         while self._pending and max(self._pending[0][0], self._frozen_until) <= now:
             due, version, entry = self._pending.popleft()
@@ -87,11 +87,13 @@
         return came
 
     def next_due(self) -> float | None:
-        """When the next change is due."""
+        """Return when the next change is due, or None."""
         return max(self._pending[0][0], self._frozen_until) if self._pending else None
 
     def newer_than(self, version: int) -> tuple[bool, list[Entry]]:
-        """What a watch from `version` gets: (whole list or not, entries), each server once."""
+        """Return the answer to a watch from `version`: (whether it is a full list, entries), each server
+        once.
+        """
         if version < self.oldest or version > self.version:
             return True, list(self.entries.values())
         latest: dict[str, Entry] = {}
@@ -103,7 +105,10 @@
 
 
 class DiscoveryModel:
-    """The list, and every router's view of it. `delay(view, version)` is how late a change comes there."""
+    """The endpoint list and the view of each router.
+
+    `delay(view, version)` returns the seconds after which a change reaches a view.
+    """
 
     def __init__(
         self, entries: Iterable[Entry], views: Iterable[str], delay: Callable[[str, int], float], now: float
@@ -115,7 +120,7 @@
         self.views = {name: View(self._entries.values(), self.version, now) for name in views}
 
     def change(self, now: float, entry: Entry) -> None:
-        """The list changes now; views hear of it each in its time."""
+        """Change the list now, and schedule the change in each view."""
         self.version += 1
         if entry.state is State.REMOVED:
             self._entries.pop(entry.id, None)
@@ -126,7 +131,7 @@
             view.schedule(now + self._delay(name, self.version) + extra, self.version, entry)
 
     def set_state(self, now: float, server: str, state: State) -> bool:
-        """A listed server changes its state; False: it is not listed."""
+        """Change the state of a listed server; return False if it is not listed."""
         entry = self._entries.get(server)
         if entry is None:
             return False
@@ -134,21 +139,21 @@
         return True
 
     def late(self, now: float, extra: float, seconds: float) -> None:
-        """Changes made from now on, for so many seconds, come `extra` seconds later than usual."""
+        """Delay changes that are made within the next `seconds` by `extra` seconds more than usual."""
         self._extra, self._extra_until = extra, now + seconds
 
     def stale(self, now: float, seconds: float, views: Iterable[str]) -> None:
-        """Those views stand still for so many seconds."""
+        """Freeze those views for `seconds`."""
         for name in views:
             self.views[name].freeze(now + seconds)
 
     def advance(self, now: float) -> dict[str, list[Change]]:
-        """Bring all views up to `now`; returns the views in which something came."""
+        """Advance all views to `now`; return the changes by view, without views that received none."""
         came = {name: view.advance(now) for name, view in self.views.items()}
         return {name: changes for name, changes in came.items() if changes}
 
     def next_due(self) -> float | None:
-        """When the next change is due in any view."""
+        """Return when the next change is due in any view, or None."""
         return min(
             (due for view in self.views.values() if (due := view.next_due()) is not None), default=None
         )
--- a/holdgw/emulators/fault_proxy.py
+++ b/holdgw/emulators/fault_proxy.py
@@ -1,8 +1,8 @@
-"""Lines between routers and a stand-in that may be cut, on real sockets and without privileges.
+"""Blocks links between routers and an emulator, on real sockets and without privileges.
 
-A cut line is silent, as one whose segments are all lost: what was written to it comes when it is back, and a
-dial neither comes up nor is refused (PROTOCOL, "The network"). The kernel acknowledges bytes meanwhile, which
-no program sees.
+A blocked link behaves as if all segments were lost: bytes written to it arrive when it is restored, and a
+connection attempt is neither established nor refused (PROTOCOL, "The network"). The kernel acknowledges bytes
+in the meantime, which programs can't observe.
 """
 
 from __future__ import annotations
@@ -20,17 +20,15 @@
 
 BACKLOG = 512
 LINGER_NONE = struct.pack("ii", 1, 0)
-FILLER_CONNECTIONS = 3  # a queue of length 0 takes one connection; those beyond it keep it full should one go
-MAX_BUFFERED_BYTES = 1 << 20  # bytes held of one connection and direction; beyond them it is reset
+FILLER_CONNECTIONS = 3  # a queue of length 0 holds one connection; the others keep it full if that one ends
+MAX_BUFFERED_BYTES = 1 << 20  # of one connection, in both directions; above this it is reset
 
 Way = Literal["to", "from", "both"]
-"""Seen from the stand-in: nothing comes to it, from it, or both."""
+"""Blocked direction, seen from the emulator: bytes to it, from it, or both."""
 
 
 class UnresponsiveListener:
-    """A listening socket that answers nobody: its queue is full, so that the kernel drops every SYN, as a cut
-    line does.
-    """
+    """A listening socket with a full accept queue: the kernel drops each SYN, as on a blocked link."""
 
     def __init__(self, listener: socket.socket) -> None:
         self._listener = listener
@@ -44,11 +42,11 @@
             self._fillers.append(filler)
 
     def end(self) -> None:
-        """The listener may take connections again; those that filled its queue are taken and reset.
+        """Let the listener accept connections again; reset those in its queue.
 
-        A connection or two may have been established before the queue was full, and what was written there
-        would be taken for something that its router sends now. On a cut line none is established (PROTOCOL:
-        or it is reset when the machine is back).
+        Besides the filling connections, one or two of routers may have been established before the queue was
+        full. Bytes written to them would look as if the router sent them now. On a blocked link no connection
+        is established, or it is reset when the machine is back (PROTOCOL).
         """
         with contextlib.suppress(OSError):
             while True:
@@ -63,29 +61,27 @@
 
 
 class FaultProxy:
-    """One line's state: until when nothing comes through, in each direction. Cuts that overlap end with the
-    last one.
-    """
+    """The state of one link: until when each direction is blocked. Blocks that overlap end with the last."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, clock: Callable[[], float]) -> None:
         self.loop, self.clock = loop, clock
-        self.on_change: Callable[[bool], None] = lambda _cut: None
-        """Receives True when the link is cut and with False when it is restored."""
+        self.on_change: Callable[[bool], None] = lambda _blocked: None
+        """Receives True when the link is blocked and False when it is restored."""
         self._until = {"to": float("-inf"), "from": float("-inf")}
         self._connections: dict[ProxiedConnection, None] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     @property
-    def cut(self) -> bool:
-        """Whether either direction is cut: no dial comes up then."""
+    def blocked(self) -> bool:
+        """Whether either direction is blocked; connections can't be established then."""
         return self.is_blocked("to") or self.is_blocked("from")
 
     def is_blocked(self, direction: Literal["to", "from"]) -> bool:
-        """Whether nothing comes through in a direction."""
+        """Return whether a direction is blocked."""
         return self.clock() < self._until[direction]
 
     def block(self, way: Way, seconds: float) -> None:
-        """Cut the line for so long, from now on."""
+        """Block the link for `seconds` from now on."""
         until = self.clock() + seconds
         for direction in ("to", "from") if way == "both" else (way,):
             self._until[direction] = max(self._until[direction], until)
@@ -100,23 +96,23 @@
         self._timer = self.loop.call_later(min(ahead), self._check_expired) if ahead else None
 
     def _check_expired(self) -> None:
-        """The time of a direction may be up."""
+        """Restore the directions whose block has ended."""
         self._schedule_check()
-        if not self.cut:
+        if not self.blocked:
             self.on_change(False)
         for connection in list(self._connections):
             connection.release()
 
     def add(self, connection: ProxiedConnection) -> None:
-        """A connection came up on this line."""
+        """Register a connection that was established over this link."""
         self._connections[connection] = None
 
     def remove(self, connection: ProxiedConnection) -> None:
-        """One has gone."""
+        """Unregister a connection that has ended."""
         self._connections.pop(connection, None)
 
     def close(self) -> None:
-        """The day is over."""
+        """Stop the timer at the end of the run."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -124,8 +120,10 @@
 
 
 class ProxiedConnection(asyncio.Protocol):
-    """Between a connection's transport and its protocol, as both of them see it: holds back what a cut line
-    would.
+    """Holds back the bytes of one connection while its link is blocked.
+
+    It stands between the transport and the protocol: it is the protocol of the transport and the transport of
+    the protocol.
     """
 
     def __init__(self, proxy: FaultProxy, protocol: asyncio.Protocol) -> None:
@@ -134,30 +132,30 @@
         self._incoming: deque[tuple[float, bytes]] = deque()
         self._outgoing: deque[tuple[bytes, Callable[[], None]]] = deque()
         self._buffered = 0
-        self._lost: tuple[Exception | None] | None = None  # it has ended, which nobody here was told yet
+        self._lost: tuple[Exception | None] | None = None  # an end not yet reported to the protocol
         self._closing: Literal["", "close", "abort"] = ""
 
-    # What comes
+    # Protocol side: bytes to the emulator
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """It is up."""
+        """Register the connection and hand it to the protocol."""
         self._transport = cast(asyncio.Transport, transport)
         self._proxy.add(self)
         self._protocol.connection_made(cast(asyncio.BaseTransport, self))
 
     def data_received(self, data: bytes) -> None:
-        """Hand bytes on, or keep them until the line is back."""
+        """Pass bytes to the protocol, or buffer them until the link is restored."""
         if not self._proxy.is_blocked("to") and not self._incoming:
             self._protocol.data_received(data)
         elif self._reserve(len(data)):
             self._incoming.append((came_at(self._transport, self._proxy.clock()), data))
 
     def eof_received(self) -> bool | None:
-        """An end in good order takes the same way as a reset: behind all that came."""
+        """Close the transport; like a reset, the protocol learns of the end after all buffered bytes."""
         return None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Its end is told once the line is back."""
+        """Report the end to the protocol, or postpone it until the link is restored."""
         if self._proxy.is_blocked("to") or self._incoming:
             self._lost = (exc,)
         else:
@@ -173,10 +171,10 @@
             self._transport.abort()
         return self._buffered <= MAX_BUFFERED_BYTES
 
-    # What goes: the part of a transport that stand-ins use
+    # Transport side: the methods that emulators use
 
     def write(self, data: bytes, then: Callable[[], None] = lambda: None) -> None:
-        """Write, and do something once it is written."""
+        """Write, and call `then` once the bytes are written."""
         assert self._transport is not None
         if not self._proxy.is_blocked("from") and not self._outgoing:
             self._transport.write(data)
@@ -185,11 +183,11 @@
             self._outgoing.append((data, then))
 
     def close(self) -> None:
-        """End in good order, behind what is written."""
+        """Close after all written bytes."""
         self._begin_closing("close")
 
     def abort(self) -> None:
-        """End now."""
+        """Reset the connection."""
         self._begin_closing("abort")
 
     def _begin_closing(self, how: Literal["close", "abort"]) -> None:
@@ -200,24 +198,24 @@
     def _finish_closing(self) -> None:
         assert self._transport is not None
         if self._closing == "abort":
-            self._incoming.clear()  # whoever would take it has gone
+            self._incoming.clear()  # the protocol that would receive it has closed the connection
             self._transport.abort()
         elif self._closing == "close" and not self._outgoing:
             self._transport.close()
 
     def is_closing(self) -> bool:
-        """Whether it ends."""
+        """Return whether the connection is closing or closed."""
         return bool(self._closing) or self._transport is None or self._transport.is_closing()
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
-        """Of the transport below."""
+        """Return extra information of the underlying transport."""
         assert self._transport is not None
         return self._transport.get_extra_info(name, default)
 
-    # The line is back
+    # The link is restored
 
     def release(self) -> None:
-        """Hand on what is not to be held any longer, in order."""
+        """Pass on, in order, the buffered bytes of directions that are no longer blocked."""
         if not self._proxy.is_blocked("from"):
             while self._outgoing:
                 data, then = self._outgoing.popleft()
@@ -230,7 +228,7 @@
             while self._incoming:
                 at, data = self._incoming.popleft()
                 self._buffered -= len(data)
-                # The time when the router sent it; it comes out here only as the line is back.
+                # The router sent the bytes at this time; the emulator receives them only now.
                 self._protocol.held_since = at  # type: ignore[attr-defined]
                 self._protocol.data_received(data)
                 self._protocol.held_since = 0.0  # type: ignore[attr-defined]
@@ -240,8 +238,10 @@
 
 
 class ProxiedListener:
-    """Listens at one address for a line with a gate. Closed while the line is cut, it stays silent until the
-    line is back, and refuses from then on.
+    """Listens at one address for a link with a fault proxy.
+
+    If it is closed while the link is blocked, it stays unresponsive until the link is restored, and refuses
+    connections from then on.
     """
 
     def __init__(self, proxy: FaultProxy) -> None:
@@ -254,7 +254,7 @@
         proxy.on_change = self._update
 
     def open(self, address: Address, protocol: Callable[[], asyncio.Protocol]) -> Address:
-        """Take connections there, once the line is whole; returns the address with its port."""
+        """Accept connections while the link is not blocked; return the address with its port."""
         self._protocol_factory = protocol
         if self._sock is None:
             self._sock = socket.socket()
@@ -262,41 +262,41 @@
             self._sock.bind(address)
             self._sock.listen(BACKLOG)
             self._sock.setblocking(False)
-        self._update(self.proxy.cut)
+        self._update(self.proxy.blocked)
         host, port = self._sock.getsockname()
         return host, port
 
     def close(self) -> None:
-        """Refuse from now on, or from when the line is back."""
+        """Refuse connections from now on, or from when the link is restored."""
         self._protocol_factory = None
-        self._update(self.proxy.cut)
+        self._update(self.proxy.blocked)
 
     def end(self) -> None:
-        """The day is over."""
+        """Close the listener and its fault proxy at the end of the run."""
         self._protocol_factory = None
         self.proxy.close()
         self._update(False)
 
-    def _update(self, cut: bool) -> None:
+    def _update(self, blocked: bool) -> None:
         sock = self._sock
         if sock is None:
             return
-        reads = self._protocol_factory is not None and not cut
+        reads = self._protocol_factory is not None and not blocked
         if self._reading and not reads:
             self.proxy.loop.remove_reader(sock.fileno())
-        if cut and self._unresponsive is None:
-            # A connection established a moment ago waits in the queue. Accepted when the line is back, it
-            # would look as if its router sent then what it has long abandoned.
+        if blocked and self._unresponsive is None:
+            # A connection that was established just before the block may be in the accept queue. If it were
+            # accepted only after the block, its router would seem to send then what it abandoned long before.
             if self._reading:
                 self._accept()
             self._unresponsive = UnresponsiveListener(sock)
-        elif not cut and self._unresponsive is not None:
+        elif not blocked and self._unresponsive is not None:
             self._unresponsive.end()
             self._unresponsive = None
         if reads and not self._reading:
             self.proxy.loop.add_reader(sock.fileno(), self._accept)
         self._reading = reads
-        if self._protocol_factory is None and not cut:
+        if self._protocol_factory is None and not blocked:
             self._sock = None
             sock.close()
 
@@ -319,4 +319,4 @@
     def _accepted(self, task: asyncio.Task[Any]) -> None:
         self._accepting.discard(task)
         if not task.cancelled():
-            task.exception()  # it had gone before it was there
+            task.exception()  # retrieve the exception: the connection ended before it was set up
--- a/tests/router/test_lines.py
+++ b/tests/router/test_lines.py
@@ -71,7 +71,7 @@
         await asyncio.sleep(A_WHILE_S)
         assert not dial.done()
         reader, writer = await dial  # the kernel knocks again
-        assert not gate.cut
+        assert not gate.blocked
         writer.write(b"a")
         assert await reader.read(1) == b"A"
         writer.close()
@@ -123,7 +123,7 @@
             amid.setblocking(False)
             with pytest.raises(ConnectionResetError):
                 await asyncio.wait_for(asyncio.get_running_loop().sock_recv(amid, 1), LIMIT_S)
-        assert not gate.cut
+        assert not gate.blocked
         assert seen == []
 
     played(act)
@@ -136,7 +136,7 @@
         gate.block("both", 1.0)
         writer.write(b"a")
         await asyncio.sleep(0.3 + A_WHILE_S)
-        assert gate.cut
+        assert gate.blocked
         assert "a held" not in seen
         assert await reader.read(1) == b"A"
         writer.close()
@@ -172,7 +172,7 @@
         listener.close()
         assert listener.open(address, lambda: Echo(seen)) == address
         reader, writer = await asyncio.open_connection(*address)
-        assert not gate.cut
+        assert not gate.blocked
         writer.write(b"a")
         assert await reader.read(1) == b"A"
         writer.close()
