--- a/holdgw/emulators/discovery.py
+++ b/holdgw/emulators/discovery.py
@@ -244,19 +244,19 @@
             connection.answer(True, list(self.model.views[connection.router].entries.values()))
 
     def _advance_views(self) -> set[str]:
-        came = self.model.advance(self._clock())
-        for router, changes in came.items():
+        changed = self.model.advance(self._clock())
+        for router, changes in changed.items():
             for change in changes:
                 entry = change.entry
                 self._recorder.record(EndpointStateAvailable(router, entry.id, entry.state.value, change.at))
         self._timer.set(self.model.next_due())
-        return set(came)
+        return set(changed)
 
     def _answer_watches(self) -> None:
-        came = self._advance_views()
+        changed = self._advance_views()
         if self._clock() < self._down_until:
             return
-        for connection in [one for one in self.connections if one.router in came]:
+        for connection in [one for one in self.connections if one.router in changed]:
             connection.answer_if_newer()
 
     def body(self, router: str, reset: bool, entries: list[Entry]) -> bytes:
--- a/holdgw/emulators/discovery_model.py
+++ b/holdgw/emulators/discovery_model.py
@@ -70,7 +70,7 @@
 
     def advance(self, now: float) -> list[Change]:
         """Apply the changes that are due; return them."""
-        came = []
+        applied = []
         while self._pending and max(self._pending[0][0], self._frozen_until) <= now:
             due, version, entry = self._pending.popleft()
             change = Change(version, entry, max(due, self._frozen_until))
@@ -83,8 +83,8 @@
             if len(self.changes) == MAX_CHANGES:
                 self.oldest = self.changes[0].version
             self.changes.append(change)
-            came.append(change)
-        return came
+            applied.append(change)
+        return applied
 
     def next_due(self) -> float | None:
         """Return when the next change is due, or None."""
@@ -149,8 +149,8 @@
 
     def advance(self, now: float) -> dict[str, list[Change]]:
         """Advance all views to `now`; return the changes by view, without views that received none."""
-        came = {name: view.advance(now) for name, view in self.views.items()}
-        return {name: changes for name, changes in came.items() if changes}
+        applied = {name: view.advance(now) for name, view in self.views.items()}
+        return {name: changes for name, changes in applied.items() if changes}
 
     def next_due(self) -> float | None:
         """Return when the next change is due in any view, or None."""
--- a/holdgw/emulators/fault_proxy.py
+++ b/holdgw/emulators/fault_proxy.py
@@ -92,8 +92,8 @@
         if self._timer is not None:
             self._timer.cancel()
         now = self.clock()
-        ahead = [until - now for until in self._until.values() if until > now]
-        self._timer = self.loop.call_later(min(ahead), self._check_expired) if ahead else None
+        remaining = [until - now for until in self._until.values() if until > now]
+        self._timer = self.loop.call_later(min(remaining), self._check_expired) if remaining else None
 
     def _check_expired(self) -> None:
         """Restore the directions whose block has ended."""
@@ -308,11 +308,11 @@
                 return
             sock.setblocking(False)
             factory = cast(Callable[[], asyncio.Protocol], self._protocol_factory)
-            work = self.proxy.loop.connect_accepted_socket(
+            coroutine = self.proxy.loop.connect_accepted_socket(
                 lambda factory=factory: ProxiedConnection(self.proxy, factory()),  # type: ignore[misc]
                 sock,
             )
-            task = self.proxy.loop.create_task(cast(Any, work))
+            task = self.proxy.loop.create_task(cast(Any, coroutine))
             self._accepting.add(task)
             task.add_done_callback(self._accepted)
 
--- a/holdgw/emulators/lru_cache.py
+++ b/holdgw/emulators/lru_cache.py
@@ -44,10 +44,10 @@
 
     def get(self, key: bytes, now: float) -> int | None:
         """Return the size of the copy and mark it as used; None if not cached, see `miss_reason`."""
-        held = self._entries.get(key)
-        if held is None:
+        entry = self._entries.get(key)
+        if entry is None:
             return None
-        size, stored = held
+        size, stored = entry
         if self._ttl and now - stored >= self._ttl:
             self._remove(key, MissReason.EXPIRED)
             return None
--- a/holdgw/emulators/node.py
+++ b/holdgw/emulators/node.py
@@ -1,4 +1,4 @@
-"""A mirror node's sockets: RESP2 in front of the node's model (PROTOCOL, "Routers to cache servers")."""
+"""The sockets of an emulated cache server: RESP2 to its model (PROTOCOL, "Routers to cache servers")."""
 
 from __future__ import annotations
 
@@ -29,24 +29,22 @@
 
 PADDING = b"." * (64 << 10)
 IDLE_CHECK_S = 0.5
-MAX_PENDING_ANSWERS = 4096  # answers that one connection may have outstanding; a router has one
+MAX_PENDING_ANSWERS = 4096  # of one connection; a router has at most one
 MAX_COUNTED_REQUESTS = 65536
 
 ReportFormatter = Callable[[float, int], bytes]
 REPORT_FIELDS = ("recent_ms", "backlog")
-"""A load report's values, in the platform's words: service time lately, and requests waiting."""
+"""Names of the fields of a load report: recent service time, and number of queued requests."""
 
 
 def format_load_report(latency_ms: float, queue: int) -> bytes:
-    """A load report with those fields."""
+    """Return an encoded load report with the fields of REPORT_FIELDS."""
     return b"%b=%.1f,%b=%d" % (REPORT_FIELDS[0].encode(), latency_ms, REPORT_FIELDS[1].encode(), queue)
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """How much work and how many bytes a request is, by its names; the same at every node and in
-    every run.
-    """
+    """Work and object size of requests, drawn by name: the same at every server and in every run."""
 
     seed: int
     classes: dict[str, tuple[float, float]]
@@ -57,26 +55,27 @@
     """Mean bytes of an object, and their coefficient of variation."""
 
     def work(self, request_class: str, request: bytes, place: str) -> float:
-        """Core-seconds of one attempt; raises KeyError for a class that is not known."""
+        """Return the core-seconds of an attempt at server `place`; raises KeyError for an unknown class."""
         mean, cv = self.classes[request_class]
-        whole = lognormal(unit(self.seed, "work", request), mean, cv)
-        return whole * lognormal(unit(self.seed, "attempt", request, place), 1.0, self.noise)
+        base = lognormal(unit(self.seed, "work", request), mean, cv)
+        return base * lognormal(unit(self.seed, "attempt", request, place), 1.0, self.noise)
 
     def bytes_of(self, key: bytes) -> int:
-        """Size of a key's object."""
+        """Return the size in bytes of the object of a key."""
         return min(max(int(lognormal(unit(self.seed, "size", key), *self.size)), 16), len(PADDING))
 
 
 def make_value(request: bytes, key: bytes, server: str, serial: int, size: int) -> bytes:
-    """The value or receipt that a server makes for one request: it names all four, and is padded to
-    its size.
+    """Return the value or receipt that a server makes for a request.
+
+    It contains the request, key, server and serial number, and is padded to `size` bytes.
     """
     head = b"%b %b %b %d " % (request, key, server.encode(), serial)
     return head + PADDING[: max(size - len(head), 0)]
 
 
 class CommandTimes(NamedTuple):
-    """Of one command: as in its record."""
+    """Times of a command, as in its record (`Attempt`)."""
 
     at: float
     held_since: float
@@ -85,7 +84,7 @@
 
 @dataclass(slots=True, eq=False)
 class PendingAnswer:
-    """The place of an answer among those of its connection."""
+    """An answer that its connection has yet to write; answers keep the order of the commands."""
 
     connection: NodeConnection
     job: Job
@@ -98,34 +97,32 @@
 
 
 class NodeConnection(asyncio.Protocol):
-    """One router's connection."""
+    """A connection of one router."""
 
     def __init__(self, node: NodeServer, delay: float) -> None:
         self.node, self.delay = node, delay
         self.transport: asyncio.Transport | None = None
         self.pending: deque[PendingAnswer] = deque()
         self.idle_since = node.clock()
-        self.ready = False  # its handshake is done
-        self.held_since = 0.0  # when what comes now was sent, where a cut line held it back
-        self._awaiting_handshake: list[
-            tuple[list[bytes], CommandTimes]
-        ] = []  # what came before the handshake was done
+        self.ready = False  # whether the handshake is done
+        self.held_since = 0.0  # when the bytes being read were sent, if a blocked link delayed them
+        self._awaiting_handshake: list[tuple[list[bytes], CommandTimes]] = []
         self._reader = hiredis.Reader()
         self._first = True
         self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A new one costs the node work and the first request time, as a TLS handshake would."""
+        """Start the handshake: it costs the server work and delays the first request, as with TLS."""
         self.transport = cast(asyncio.Transport, transport)
         self.node.opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """What was asked here goes on; nobody hears of it."""
+        """Unregister the connection; the server still executes its requests, without answers."""
         self.closed = True
         self.node.closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take whole commands."""
+        """Handle all complete commands."""
         self._reader.feed(data)
         try:
             while (words := self._reader.gets()) is not False:
@@ -148,7 +145,7 @@
         if self.ready:
             self.node.command(self, words, times, self._is_first())
         else:
-            # The time is that of its bytes, also where a pause holds the handshake up for seconds.
+            # The times stay those of the bytes, even if a pause delays the handshake by seconds.
             self._awaiting_handshake.append((words, times))
 
     def _is_first(self) -> bool:
@@ -156,20 +153,20 @@
         return first
 
     def begin(self) -> None:
-        """The handshake is done: what came meanwhile begins."""
+        """Finish the handshake and start the commands that waited for it."""
         self.ready = True
-        before, self._awaiting_handshake = self._awaiting_handshake, []
-        for words, times in before:
+        waiting, self._awaiting_handshake = self._awaiting_handshake, []
+        for words, times in waiting:
             self.node.command(self, words, times, self._is_first())
 
     def abandon_unstarted(self, result: str) -> None:
-        """The process ends: what had come before the handshake was done never began."""
-        before, self._awaiting_handshake = self._awaiting_handshake, []
-        for words, times in before:
+        """Record the commands that waited for the handshake when the process ended."""
+        waiting, self._awaiting_handshake = self._awaiting_handshake, []
+        for words, times in waiting:
             self.node.record_unstarted(words, times, result)
 
     def flush(self) -> None:
-        """Write the answers whose turn it is."""
+        """Write the answers that are ready, in the order of their commands."""
         while self.pending and self.pending[0].ready:
             pending = self.pending.popleft()
             self.idle_since = self.node.clock()
@@ -179,12 +176,12 @@
                 self.transport.write(pending.data)
 
     def abort(self) -> None:
-        """Reset."""
+        """Reset the connection."""
         reset_connection(self.transport)
 
 
 class NodeServer:
-    """One mirror node: its process may die and start again, its address stays."""
+    """An emulated cache server: its process may be killed and started again, its addresses stay."""
 
     def __init__(
         self,
@@ -206,14 +203,14 @@
         self._timer = ModelTimer(self._loop, clock, self._on_timer)
         self._serial = 0
         self._flushes = 0
-        self._attempt_counts: dict[bytes, int] = {}  # attempts of a request here, the latest requests
+        self._attempt_counts: dict[bytes, int] = {}  # by recent request: its attempts here
         self._idle_timer: asyncio.TimerHandle | None = None
         self.alive = False
 
     # The process
 
     async def start(self, cold: bool = False) -> None:
-        """Start a process: empty and cold if so told."""
+        """Start a process with an empty cache; with `cold` it is still warming up."""
         assert not self.alive
         self.model = NodeModel(self.spec, self.clock(), cold)
         self.alive = True
@@ -222,19 +219,19 @@
 
     @property
     def addresses(self) -> dict[str, Address]:
-        """Where it listens, by the zone of who connects."""
+        """Addresses of the listeners, by link."""
         return self._listeners.addresses
 
     def take_over_addresses(self, other: NodeServer) -> None:
-        """Listen, when it starts, where another one did that has gone."""
+        """Use the addresses of another server, which has ended, when started."""
         self._listeners.adopt_addresses(other._listeners)
 
     def block(self, way: Way, seconds: float, links: Iterable[str] | None = None) -> None:
-        """Cut lines to it, or all of them, for so long; a node that dies meanwhile has vanished."""
+        """Block the given links, or all, for `seconds`; a server killed meanwhile is unresponsive."""
         self._listeners.block(way, seconds, links)
 
     def kill(self) -> None:
-        """The process dies: connections are reset, new ones refused, all that it held is gone."""
+        """Kill the process: connections are reset, new ones are refused, its requests and copies are lost."""
         if not self.alive:
             return
         self.alive = False
@@ -256,54 +253,54 @@
         connection.pending.clear()
 
     def close(self) -> None:
-        """The day is over: what never ended is told."""
+        """Record the unfinished requests and close all sockets at the end of the run."""
         for connection in list(self._connections):
             self._record_unanswered(connection, "open")
         self.kill()
         self._listeners.end()
 
-    # Troubles
+    # Faults, and news from the origin
 
     def pause(self, seconds: float) -> None:
-        """Stand still; the process runs on, connections stay open."""
+        """Stall for `seconds`: the process stays alive and its connections stay open."""
         self._handle_finished(self.model.pause(self.clock(), seconds))
         self._set_timer()
 
     def drain(self, on: bool = True) -> None:
-        """Take nothing new; finish what there is."""
+        """Reject new requests and finish the accepted ones."""
         self.model.draining = on
 
     def flush(self, share: float, seed: int, serial: int) -> None:
-        """Copies of a share of the keys go void."""
+        """Drop the copies of a share of the keys, and record how many."""
         gone = self.model.cache.flush(share, seed, serial)
         self._recorder.record(Flushed(self.name, self.clock(), gone, len(self.model.cache)))
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
-        """The package store answered a request."""
+        """Store the object of a request that the origin answered, if the request missed here."""
         if self.alive:
             self.model.stored(self.clock(), request, key, size)
 
     def voided(self, key: bytes) -> None:
-        """A write was carried out."""
+        """Drop the copy of a key that was written."""
         if self.alive:
             self.model.cache.invalidate(key)
 
     # Connections
 
     def opened(self, connection: NodeConnection) -> None:
-        """A connection came up: it costs work, and one too many is turned away."""
+        """Accept a connection, which costs work; above the limit it is reset."""
         self._connections[connection] = None
-        taken = self.model.set_connections(len(self._connections))
-        self._recorder.record(ConnectionOpened(self.name, self.clock(), taken))
-        if not taken:
+        accepted = self.model.set_connections(len(self._connections))
+        self._recorder.record(ConnectionOpened(self.name, self.clock(), accepted))
+        if not accepted:
             connection.abort()
             return
         handshake = Job(JobKind.HANDSHAKE, owner=connection)
-        # A round trip each way stands for the kernel's handshake, which loopback does in no time.
+        # Two round trips stand for the handshake of the kernel, which takes no time on loopback.
         call_after(self._loop, 4 * connection.delay, lambda: self._arrive(handshake))
 
     def closed(self, connection: NodeConnection) -> None:
-        """A connection is gone."""
+        """Unregister a connection that has ended."""
         self._connections.pop(connection, None)
         self.model.set_connections(len(self._connections))
 
@@ -323,13 +320,13 @@
     # Requests
 
     def record_violation(self, text: str) -> None:
-        """Something came that no router should send."""
+        """Record input that no router may send."""
         self._recorder.record(ProtocolViolation(self.name, self.clock(), text))
 
     def command(
         self, connection: NodeConnection, words: list[bytes], times: CommandTimes, first: bool
     ) -> None:
-        """One command, which is whole."""
+        """Handle a complete command; `first` is whether it is the first on its connection."""
         job = self._parse_command(words)
         if isinstance(job, bytes):
             pending = PendingAnswer(connection, Job(JobKind.PROBE), times, first, data=job, ready=True)
@@ -344,7 +341,7 @@
         call_after(self._loop, connection.delay, lambda: self._arrive(job))
 
     def record_unstarted(self, words: list[bytes], times: CommandTimes, result: str) -> None:
-        """A command that waited for its connection's handshake when the process ended."""
+        """Record a command that still waited for the handshake when the process ended."""
         job = self._parse_command(words)
         if isinstance(job, Job) and job.kind is not JobKind.PROBE:
             self._serial += 1
@@ -365,7 +362,7 @@
             )
 
     def _parse_command(self, words: list[bytes]) -> Job | bytes:
-        """The job that a command is; bytes: the answer to one that is none."""
+        """Return the job of a command, or the answer to a command that is no job."""
         name = words[0].upper()
         if name == b"PING" and len(words) == 1:
             return Job(JobKind.PROBE)
@@ -423,7 +420,7 @@
             if len(self._attempt_counts) > MAX_COUNTED_REQUESTS:
                 del self._attempt_counts[next(iter(self._attempt_counts))]
             fault = self.shares.draw(self.workload.seed, self.name, job.id, count)
-            note = b"$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
+            result_and_load = b"$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
                 len(end.result.value),
                 end.result.value.encode(),
                 len(load),
@@ -433,16 +430,16 @@
                 pending.data = MALFORMED_RESP[self._serial % len(MALFORMED_RESP)]
             elif end.result is JobResult.HIT:
                 value = make_value(job.id, job.key, self.name, self._serial + 1, job.size)
-                pending.data = b"*3\r\n$%d\r\n%b\r\n%b" % (len(value), value, note)
+                pending.data = b"*3\r\n$%d\r\n%b\r\n%b" % (len(value), value, result_and_load)
             else:
-                pending.data = b"*3\r\n$-1\r\n" + note
+                pending.data = b"*3\r\n$-1\r\n" + result_and_load
         pending.fault, pending.ready = fault, True
         if job.kind is not JobKind.PROBE:
             self._record(pending, end.result.value, fault, end.missing.value if end.missing else "")
         if fault is not Fault.SILENCE:
             call_after(self._loop, pending.connection.delay, pending.connection.flush)
         else:
-            pending.ready = False  # and so nothing behind it comes either
+            pending.ready = False  # later answers of the connection are held back as well
 
     def _record(self, pending: PendingAnswer, result: str, fault: Fault, missing: str = "") -> None:
         if pending.job.kind is JobKind.PROBE or pending.recorded:
--- a/holdgw/emulators/node_model.py
+++ b/holdgw/emulators/node_model.py
@@ -1,8 +1,8 @@
-"""What a mirror node decides: whom it serves and when, its warmth, its fall, its copies, its load report.
+"""The model of a cache server: scheduling, warm-up, crashes under load, copies and load reports; pure.
 
-Pure: a model with the caller's clock. The rules it plays by are PROTOCOL's and the brief's: a node stores
-only what the package store answered for a request that missed here; a cold one that is sent more than a
-multiple of what it can do falls and stays down; a paused one is silent and then goes on with all it held.
+The rules are those of PROTOCOL and of the brief: a server stores an object only if the origin answered a
+request that missed here; a server that is warming up crashes, and stays down, if it is sent more than a
+multiple of its capacity; a paused server is unresponsive and then continues with all its jobs.
 """
 
 from __future__ import annotations
@@ -16,44 +16,47 @@
 from holdgw.emulators.lru_cache import LruCache, MissReason
 from holdgw.emulators.processor_sharing import ProcessorSharingQueue, QueueSpec
 
-MAX_REMEMBERED_MISSES = 8192  # requests that missed lately and whose object may yet come
-FETCH_LEASE_S = 1.0  # for so long a fetch that a miss began is taken to be out
-SMOOTHING = 0.2  # of the recent service time
+MAX_REMEMBERED_MISSES = 8192  # recent requests that missed and whose object may still arrive
+FETCH_LEASE_S = 1.0  # after a miss, further misses of the key count as waiting for its fetch
+SMOOTHING = 0.2  # weight of a new sample in the smoothed service time
 MAX_REPORTS = 8
-FALSE_IDLE_MS, FALSE_FULL_EXTRA_MS = (
-    1.0,
-    400.0,
-)  # what a node that lies says an answer takes, or how much longer than it does
-PREFILL_WORK_SHARE = 0.1  # of the usual work, before the day begins
+# Service time in a false report: of an idle server, and added to the true one of a full server.
+FALSE_IDLE_MS, FALSE_FULL_EXTRA_MS = 1.0, 400.0
+PREFILL_WORK_SHARE = 0.1  # of the usual work, before the run begins
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSpec:
-    """One mirror node."""
+    """Parameters of a cache server."""
 
     work: QueueSpec = field(default_factory=QueueSpec)
     memory: int = 16 << 20
-    """Bytes of copies."""
+    """Capacity of the cache in bytes."""
     lasts_s: float = 0.0
+    """Lifetime of a copy, 0 for unlimited."""
     fall_multiple: float = 4.0
+    """While warming up, the server crashes if it is sent this multiple of its capacity within `fall_s`."""
     fall_s: float = 2.0
     report_s: float = 0.25
-    """How often the load report is taken."""
+    """Interval at which the load report is updated."""
     report_late_s: float = 0.05
-    """How long after that it shows in answers."""
+    """Delay after which an updated load report appears in answers."""
     handshake_s: float = 0.0015
-    """Work that a new connection costs."""
+    """Work of a new connection, core-seconds."""
     connections: int = 120
+    """Maximum number of open connections."""
     full_tax: float = 0.1
-    """Share of the capacity that a full table of connections takes."""
+    """Share of the capacity that is lost when the maximum number of connections is open."""
     idle_s: float = 10.0
+    """Idle time after which a connection is closed."""
     probe_s: float = 0.0016
+    """Work of a health check or of a request for the load report, core-seconds."""
     miss_share: float = 0.3
-    """A miss costs this share of the work of a hit."""
+    """Work of a miss, as a share of the work of a hit."""
 
 
 class JobKind(Enum):
-    """What a job is."""
+    """Kind of a job."""
 
     READ = "read"
     WRITE = "write"
@@ -67,29 +70,29 @@
     HIT = "hit"
     MISS = "miss"
     PENDING = "pending"
-    """A miss while another fetch of the key is out."""
+    """A miss while a fetch of the key is in flight."""
     BUSY = "busy"
-    """Turned away: it never ran."""
+    """Rejected without being executed."""
     DONE = "done"
     """A probe or a handshake."""
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One thing that the node is asked for; `owner` is the caller's."""
+    """A unit of work for the server; `owner` is opaque and belongs to the caller."""
 
     kind: JobKind
     id: bytes = b""
     key: bytes = b""
     work: float = 0.0
-    """Of a hit, core-seconds."""
+    """Core-seconds of a hit."""
     size: int = 1
-    """Bytes of the object."""
+    """Size of the object in bytes."""
     owner: Any = None
 
 
 class FinishedJob(NamedTuple):
-    """The end of a job. `missing` tells why a read missed."""
+    """A finished job; `missing` is the reason why a read missed."""
 
     at: float
     job: Job
@@ -98,7 +101,7 @@
 
 
 class LoadReport(NamedTuple):
-    """A load report."""
+    """A load report: smoothed service time and number of queued jobs at a time."""
 
     at: float
     latency_ms: float
@@ -106,7 +109,7 @@
 
 
 class Crash(NamedTuple):
-    """A cold node was pushed over: at that time it had been sent `sent` of the `limit` it can bear."""
+    """A crash under load during warm-up: the work sent within `fall_s`, and the limit, in core-seconds."""
 
     at: float
     sent: float
@@ -114,7 +117,7 @@
 
 
 class NodeModel:
-    """One process of a mirror node, from its start."""
+    """One process of a cache server, from its start."""
 
     def __init__(self, spec: NodeSpec, now: float, cold: bool = False) -> None:
         self.spec = spec
@@ -123,8 +126,8 @@
         self.crash: Crash | None = None
         self.draining = False
         self.prefilling = False
-        """Before the day begins: what it is asked for counts as kept since long ago."""
-        self._inbox: list[Job] = []  # what came in a pause
+        """Set before the run begins: requested keys are stored at once and count as hits."""
+        self._inbox: list[Job] = []  # jobs that arrived during a pause
         self._sent: deque[tuple[float, float]] = deque()
         self._sent_sum = 0.0
         self._missed: OrderedDict[bytes, bytes] = OrderedDict()  # request id -> key
@@ -138,7 +141,7 @@
     # Time
 
     def advance(self, now: float) -> list[FinishedJob]:
-        """Bring the node up to `now`; returns what ended, in order."""
+        """Advance the server to `now`; return the finished jobs, in order."""
         if self.crash is not None:
             return []
         done: list[FinishedJob] = []
@@ -156,7 +159,7 @@
         return done
 
     def next_due(self) -> float | None:
-        """When `advance` will have something to tell, as things stand."""
+        """Return when `advance` will next finish a job, if nothing else happens; None if no job is queued."""
         if self.crash is not None:
             return None
         return self.work.paused_until if self._inbox else self.work.next_due()
@@ -175,7 +178,7 @@
             self.cache.put(job.key, job.size, at)
             return FinishedJob(at, job, JobResult.HIT)
         if job.kind is JobKind.WRITE:
-            return FinishedJob(at, job, JobResult.MISS)  # writes are the package store's
+            return FinishedJob(at, job, JobResult.MISS)  # writes belong to the origin
         missing = self.cache.miss_reason(job.key)
         self._missed[job.id] = job.key
         if len(self._missed) > MAX_REMEMBERED_MISSES:
@@ -188,16 +191,16 @@
             self._fetching.popitem(last=False)
         return FinishedJob(at, job, JobResult.MISS, missing)
 
-    # What comes
+    # Jobs
 
     def arrive(self, now: float, job: Job) -> list[FinishedJob]:
-        """Take a job; returns what has ended by now, this job among it if it was turned away at once."""
+        """Accept a job; return the jobs finished by now, including this one if it is rejected."""
         done = self.advance(now)
         if self.crash is not None:
             return done
         if self.work.paused(now):
-            # A stopped process neither rejects a job nor answers a health check; once it goes on it takes
-            # what the kernel holds for it.
+            # A stopped process neither rejects a job nor answers a health check; when it resumes, it reads
+            # what the kernel has buffered.
             self._inbox.append(job)
             return done
         return done + self._take(now, job)
@@ -208,8 +211,8 @@
             return []
         if self.draining and job.kind in (JobKind.READ, JobKind.WRITE):
             return [FinishedJob(now, job, JobResult.BUSY)]
-        taken = self.work.submit(job, work, force=job.kind is JobKind.HANDSHAKE)
-        return [] if taken else [FinishedJob(now, job, JobResult.BUSY)]
+        accepted = self.work.submit(job, work, force=job.kind is JobKind.HANDSHAKE)
+        return [] if accepted else [FinishedJob(now, job, JobResult.BUSY)]
 
     def _cost(self, job: Job, now: float) -> float:
         if job.kind is JobKind.PROBE:
@@ -218,11 +221,11 @@
             return self.spec.handshake_s
         if self.prefilling:
             return job.work * PREFILL_WORK_SHARE
-        kept = job.kind is JobKind.READ and job.key in self.cache
-        return job.work if kept else job.work * self.spec.miss_share
+        cached = job.kind is JobKind.READ and job.key in self.cache
+        return job.work if cached else job.work * self.spec.miss_share
 
     def _overloaded_while_cold(self, now: float, work: float) -> bool:
-        """Whether the last `fall_s` brought more than the multiple of what it can do now; then it falls."""
+        """Crash, and return True, if the work sent within `fall_s` exceeds the limit of a cold server."""
         self._sent.append((now, work))
         self._sent_sum += work
         while self._sent[0][0] <= now - self.spec.fall_s:
@@ -233,16 +236,16 @@
         self.crash = Crash(now, self._sent_sum, limit)
         return True
 
-    # What happens to it
+    # Faults, and news from the origin
 
     def pause(self, now: float, seconds: float) -> list[FinishedJob]:
-        """Stand still with the process running; returns what had ended by now."""
+        """Stall for `seconds` with the process alive; return the jobs finished by now."""
         done = self.advance(now)
         self.work.pause(now + seconds)
         return done
 
     def stored(self, now: float, request: bytes, key: bytes, size: int) -> bool:
-        """The package store answered a request: kept here if that request missed here."""
+        """Store the object of a request that the origin answered; return False if it did not miss here."""
         if self._missed.get(request) != key or self.crash is not None:
             return False
         self._fetching.pop(key, None)
@@ -250,14 +253,14 @@
         return True
 
     def set_connections(self, count: int) -> bool:
-        """How many connections are open; False: that is more than it takes."""
+        """Set the number of open connections; return False if it exceeds the maximum."""
         self._connections = count
         cap = max(self.spec.connections, 1)
         self.work.overhead_share = self.spec.full_tax * min(count / cap, 1.0)
         return count <= self.spec.connections
 
     def set_false_report(self, says: str, now: float) -> None:
-        """Report from now on that it is "idle", "full", or as it is now ("still"); "": what is true."""
+        """Report a false load from now on: "idle", "full", or the current report ("still"); "" ends this."""
         self._false_report = None
         if says == "idle":
             self._false_report = LoadReport(now, FALSE_IDLE_MS, 0)
@@ -271,7 +274,7 @@
             raise ValueError(f"no such report: {says}")
 
     def report(self, now: float) -> LoadReport:
-        """The load report as it shows at `now`: the newest that is old enough, or what it lies."""
+        """Return the load report in answers at `now`: the newest one old enough, or the false one."""
         if self._false_report is not None:
             return self._false_report
         for report in reversed(self._reports):
--- a/holdgw/emulators/origin.py
+++ b/holdgw/emulators/origin.py
@@ -1,4 +1,4 @@
-"""The package store's sockets: HTTP/1.1 in front of its model (PROTOCOL, "Routers to cache servers")."""
+"""The sockets of the emulated origin: HTTP/1.1 to its model (PROTOCOL, "Routers to cache servers")."""
 
 from __future__ import annotations
 
@@ -22,35 +22,35 @@
 
 
 class OriginServerConnection(asyncio.Protocol):
-    """One router's connection; a request at a time."""
+    """A connection of one router; one request at a time."""
 
     def __init__(self, server: OriginServer, delay: float) -> None:
         self.server, self.delay = server, delay
         self.transport: asyncio.Transport | None = None
         self.job: OriginJob | None = None
         self.at = 0.0
-        self.held_since = 0.0  # when what comes now was sent, where a cut line held it back
+        self.held_since = 0.0  # when the bytes being read were sent, if a blocked link delayed them
         self.request_held_since = self.request_arrived = 0.0
         self.first_on_connection = True
         self.closed = False
         self._reader = RequestReader(MAX_BODY_BYTES)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Register the connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """What was asked here goes on; nobody hears of it."""
+        """Unregister the connection; the origin still executes its request, without an answer."""
         self.closed = True
         self.server.closed(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take a whole request."""
+        """Handle a complete request."""
         try:
             for request in self._reader.read(data):
                 if self.job is not None:
-                    raise HttpError("a second request before the first one's answer")
+                    raise HttpError("a second request before the answer to the first")
                 self.server.request(self, request)
         except HttpError as error:
             self.server.record_violation(str(error))
@@ -59,19 +59,19 @@
     def write(self, data: bytes) -> None:
         """Write an answer after the delay of the link."""
 
-        def now() -> None:
+        def write_now() -> None:
             if self.transport is not None and not self.closed:
                 self.transport.write(data)
 
-        call_after(self.server.loop, self.delay, now)
+        call_after(self.server.loop, self.delay, write_now)
 
     def abort(self) -> None:
-        """Reset."""
+        """Reset the connection."""
         reset_connection(self.transport)
 
 
 class OriginServer:
-    """The package store: slow, shared, and the only place where effects happen."""
+    """The emulated origin: slow, shared by all routers, and the only server that executes writes."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         self.shares = FaultShares()
         self.error_share = 0.0
         self.model = OriginModel(spec, clock())
-        self._dedup_windows = dedup_windows  # class -> seconds for which repeats of its writes are dropped
+        self._dedup_windows = dedup_windows  # by request class, seconds
         self._recorder = recorder
         self._listeners = Listeners(host, clock)
         self._connections: dict[OriginServerConnection, None] = {}
@@ -96,17 +96,17 @@
         self._serial = 0
 
     async def start(self) -> None:
-        """Take connections."""
+        """Accept connections."""
         if not self._listeners.is_open:
             await self._listeners.open(lambda delay: OriginServerConnection(self, delay))
 
     @property
     def addresses(self) -> dict[str, Address]:
-        """Where it listens, by the zone of who connects."""
+        """Addresses of the listeners, by link."""
         return self._listeners.addresses
 
     def down(self) -> None:
-        """Out of reach, with all it had in work; what it remembers of writes stays."""
+        """Refuse connections and lose all requests; idempotency keys are kept."""
         self._listeners.close()
         for job in self.model.crash():
             connection = job.owner
@@ -118,7 +118,7 @@
         self._connections.clear()
 
     def close(self) -> None:
-        """The day is over."""
+        """Record the unfinished requests and close all sockets at the end of the run."""
         for connection in self._connections:
             if connection.job is not None:
                 self._record(connection, connection.job, "open")
@@ -128,30 +128,30 @@
         self._timer.close()
 
     def block(self, way: Way, seconds: float, links: Iterable[str] | None = None) -> None:
-        """Cut lines to it, or all of them, for so long."""
+        """Block the given links, or all, for `seconds`."""
         self._listeners.block(way, seconds, links)
 
     def slow(self, factor: float) -> None:
-        """Everything takes so many times as long."""
+        """Make each request take `factor` times its usual time."""
         self._handle_finished(self.model.slow(self.clock(), factor))
         self._timer.set(self.model.next_due())
 
     def opened(self, connection: OriginServerConnection) -> None:
-        """A connection came up; one too many is reset."""
+        """Accept a connection; above the limit it is reset."""
         self._connections[connection] = None
         if len(self._connections) > self.spec.connections:
             connection.abort()
 
     def closed(self, connection: OriginServerConnection) -> None:
-        """A connection is gone."""
+        """Unregister a connection that has ended."""
         self._connections.pop(connection, None)
 
     def record_violation(self, text: str) -> None:
-        """Something came that no router should send."""
+        """Record input that no router may send."""
         self._recorder.record(ProtocolViolation(self.name, self.clock(), text))
 
     def request(self, connection: OriginServerConnection, request: HttpRequest) -> None:
-        """One request is whole."""
+        """Handle a complete request."""
         connection.at, connection.request_held_since = self.clock(), connection.held_since
         connection.request_arrived = came_at(connection.transport, connection.at)
         job = self._parse_request(request)
--- a/holdgw/emulators/origin_model.py
+++ b/holdgw/emulators/origin_model.py
@@ -1,6 +1,4 @@
-"""What the package store decides: one slow service that all share, reads and writes, repeats
-dropped; pure.
-"""
+"""The model of the origin: one slow service for reads and writes that drops repeated writes; pure."""
 
 from __future__ import annotations
 
@@ -11,31 +9,34 @@
 
 from holdgw.emulators.processor_sharing import ProcessorSharingQueue, QueueSpec
 
-MAX_REMEMBERED_KEYS = 100_000  # keyed writes, the oldest go first
+MAX_REMEMBERED_KEYS = 100_000  # idempotency keys; the oldest are forgotten first
 
 
 @dataclass(frozen=True, slots=True)
 class OriginSpec:
-    """The package store."""
+    """Parameters of the origin."""
 
     slots: int = 12
-    """Requests in work at a time, each at full speed."""
+    """Maximum number of requests executed at a time, each at full speed."""
     queue: int = 120
     read_s: float = 0.05
+    """Mean execution time of a read."""
     write_s: float = 0.08
+    """Mean execution time of a write."""
     cv: float = 0.5
+    """Coefficient of variation of the execution times."""
     connections: int = 1000
 
 
 class OriginResult(Enum):
-    """How a request ended at the store."""
+    """How a request ended at the origin."""
 
     SERVED = "served"
     REPEAT = "repeat"
-    """A keyed write whose first copy is remembered: dropped, and answered with its receipt."""
+    """A write whose idempotency key is within its dedup window: dropped, and answered with a receipt."""
     FAILED = "failed"
     BUSY = "busy"
-    """Turned away, and told so: it never ran."""
+    """Rejected without being executed; the answer says so."""
 
 
 @dataclass(slots=True, eq=False)
@@ -54,7 +55,7 @@
 
 
 class FinishedOriginJob(NamedTuple):
-    """A finished job; `effect`: it changed something now."""
+    """A finished job; `effect`: whether it changed data."""
 
     at: float
     job: OriginJob
@@ -63,7 +64,7 @@
 
 
 class OriginModel:
-    """The package store's process."""
+    """The process of the origin."""
 
     def __init__(self, spec: OriginSpec, now: float) -> None:
         self.spec = spec
@@ -73,11 +74,11 @@
         self._dedup_until: OrderedDict[bytes, float] = OrderedDict()  # idempotency key -> until
 
     def advance(self, now: float) -> list[FinishedOriginJob]:
-        """Bring it up to `now`; returns the finished jobs, in order."""
+        """Advance the origin to `now`; return the finished jobs, in order."""
         return [self._end(at, job) for at, _, job in self._work.advance(now)]
 
     def next_due(self) -> float | None:
-        """When `advance` will have something to tell, as things stand."""
+        """Return when `advance` will next finish a job, if nothing else happens; None if no job is queued."""
         return self._work.next_due()
 
     def _end(self, at: float, job: OriginJob) -> FinishedOriginJob:
@@ -88,10 +89,10 @@
         return FinishedOriginJob(at, job, OriginResult.SERVED, effect=job.write)
 
     def arrive(self, now: float, job: OriginJob) -> list[FinishedOriginJob]:
-        """Accept a job; returns the jobs finished by now, including this one if it needs no work."""
+        """Accept a job; return the jobs finished by now, including this one if it needs no work."""
         done = self.advance(now)
         keyed = job.write and bool(job.idempotency)
-        # A repeat is known by its key from when the first copy came, whether that one is done or not.
+        # The dedup window of a key begins when its first write arrives, finished or not.
         if keyed and self._dedup_until.get(job.idempotency, now) > now:
             return [*done, FinishedOriginJob(now, job, OriginResult.REPEAT)]
         if not self._work.submit(job, job.work):
@@ -104,7 +105,7 @@
         return done
 
     def slow(self, now: float, factor: float) -> list[FinishedOriginJob]:
-        """From now on everything takes `factor` times as long; returns what had ended."""
+        """Make each job take `factor` times its usual time from now on; return the jobs finished by now."""
         if factor <= 0:
             raise ValueError("factor must be above 0")
         done = self.advance(now)
@@ -112,16 +113,16 @@
         return done
 
     def pause(self, now: float, seconds: float) -> list[FinishedOriginJob]:
-        """Stand still; returns what had ended."""
+        """Stall for `seconds`; return the jobs finished by now."""
         done = self.advance(now)
         self._work.pause(now + seconds)
         return done
 
     @property
     def held(self) -> int:
-        """Orders in work and waiting."""
+        """Number of jobs being executed or queued."""
         return self._work.held
 
     def crash(self) -> list[OriginJob]:
-        """The process is gone with all it held; what it remembers is on its disk. Returns what it held."""
+        """Lose all jobs and return them; idempotency keys are on disk and stay."""
         return self._work.drop_all()
--- a/holdgw/emulators/processor_sharing.py
+++ b/holdgw/emulators/processor_sharing.py
@@ -1,9 +1,9 @@
-"""Cores that share their time: the queueing half of a stand-in, as a pure model.
+"""Processor sharing with a bounded queue: the service times of emulated servers, as a pure model.
 
-At most `slots` items are in work; they share the cores evenly, none faster than one core. Those behind wait
-in line, and past the line's end an item is turned away. Capacity may ramp up from a cold start, stand still
-in a pause, and shrink when too much is held. Nothing that was taken ever leaves before it is done: a caller
-that goes away stops nothing.
+At most `slots` items are executed at a time; they share the cores evenly, none faster than one core. Further
+items are queued, and rejected when the queue is full. The capacity may ramp up after a cold start, is zero
+during a pause, and shrinks when too many items are held. An accepted item is always completed: a caller that
+disconnects cancels nothing.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueSpec:
-    """Sizes; work is core-seconds at speed 1."""
+    """Parameters of a queue; work is in core-seconds at speed 1."""
 
     cores: int = 1
     slots: int = 4
     queue: int = 20
-    """Items that may wait beyond those in work."""
+    """Maximum number of queued items, beyond those being executed."""
     speed: float = 1.0
     cold_share: float = 1.0
-    """Share of the full capacity right after a start."""
+    """Share of the full capacity right after a cold start."""
     warm_s: float = 0.0
-    """After so long the full capacity is there; it rises evenly until then."""
+    """Duration of the warm-up, in which the capacity rises linearly to its full value."""
     thrash: float = 0.0
     """Share of efficiency lost for each `thrash_at` items held beyond `thrash_at`."""
     thrash_at: float = 10.0
@@ -44,7 +44,7 @@
 
 
 class Finished(NamedTuple, Generic[T]):
-    """An item that is done: when, and when its work (not its wait) began."""
+    """A finished item: when it finished, and when its execution (not its wait) began."""
 
     at: float
     began: float
@@ -52,33 +52,33 @@
 
 
 class ProcessorSharingQueue(Generic[T]):
-    """The items held by one process. Every call first brings the model up to `now`, which never goes back."""
+    """The items held by one process; the time passed to `advance` never goes back."""
 
     def __init__(self, spec: QueueSpec, now: float, cold: bool = False) -> None:
         self.spec = spec
         self.speed = spec.speed
         self.overhead_share = 0.0
-        """Share of the capacity that goes elsewhere (a full table of connections)."""
+        """Share of the capacity that is not available to items (taken by open connections)."""
         self._now = now
         self._started = now if cold else -math.inf
         self._paused_until = -math.inf
-        self._progress = 0.0  # work that each item in work has had since the model began
-        self._active: list[tuple[float, int, float, T]] = []  # (progress at its end, order, began, item)
+        self._progress = 0.0  # work that an item executed since the start of the model would have received
+        self._active: list[tuple[float, int, float, T]] = []  # (progress at its end, order, start, item)
         self._waiting: deque[tuple[float, T]] = deque()
         self._order = 0
 
     @property
     def waiting(self) -> int:
-        """Items that wait."""
+        """Number of queued items."""
         return len(self._waiting)
 
     @property
     def held(self) -> int:
-        """Items in work and waiting."""
+        """Number of items being executed or queued."""
         return len(self._active) + len(self._waiting)
 
     def warm_up_factor(self, at: float) -> float:
-        """Share of the full capacity at a time, by the ramp alone."""
+        """Return the share of the full capacity at a time, by the warm-up alone."""
         spec = self.spec
         age = at - self._started
         if age >= spec.warm_s:
@@ -86,22 +86,22 @@
         return spec.cold_share + (1 - spec.cold_share) * age / spec.warm_s
 
     def is_cold(self, at: float) -> bool:
-        """Whether the ramp is not over."""
+        """Return whether the process is still warming up."""
         return at - self._started < self.spec.warm_s
 
     def capacity(self, at: float) -> float:
-        """Core-seconds of work a second that it can do at that time."""
+        """Return the capacity at a time, in core-seconds of work per second."""
         return self.spec.cores * self.speed * self.warm_up_factor(at)
 
     def _rate(self) -> float:
-        """Work a second that each item in work has, at full capacity."""
+        """Return the work per second of each executed item, without the effect of the warm-up."""
         spec = self.spec
         over = max(0.0, self.held - spec.thrash_at) / spec.thrash_at
         efficiency = (1.0 - min(self.overhead_share, 0.9)) / (1.0 + spec.thrash * over)
         return self.speed * efficiency * min(1.0, spec.cores / len(self._active))
 
     def _time_for(self, work: float, start: float, rate: float) -> float:
-        """Seconds from `start` on in which an item at `rate` has this much work; handles the ramp."""
+        """Return the seconds from `start` that an item at `rate` needs for `work`, including the warm-up."""
         end = self._started + self.spec.warm_s
         if start >= end:
             return work / rate
@@ -116,7 +116,7 @@
         return (math.sqrt(warm * warm + 2 * slope * need) - warm) / slope
 
     def _work_in(self, start: float, seconds: float, rate: float) -> float:
-        """Work that an item at `rate` has in so many seconds from `start` on."""
+        """Return the work that an item at `rate` receives within `seconds` from `start`."""
         ramp = min(max(self._started + self.spec.warm_s - start, 0.0), seconds)
         warm = 0.0
         if ramp > 0:
@@ -131,7 +131,7 @@
         return rate * (warm + seconds - ramp)
 
     def advance(self, now: float) -> list[Finished[T]]:
-        """Do the work up to `now`; returns what got done, in order."""
+        """Execute items up to `now`; return the finished ones, in order."""
         done: list[Finished[T]] = []
         while self._now <= now:
             if self._now < self._paused_until:
@@ -162,8 +162,9 @@
         self._order += 1
 
     def submit(self, item: T, work: float, force: bool = False) -> bool:
-        """Take an item at the time of the last `advance`; False: the line is full. `force` ignores
-        the bound.
+        """Accept an item at the time of the last `advance`; return False if the queue is full.
+
+        `force` ignores the limit of the queue.
         """
         assert work >= 0
         if len(self._active) < self.spec.slots:
@@ -175,20 +176,20 @@
         return True
 
     def pause(self, until: float) -> None:
-        """Stand still from the last `advance` to `until`; pauses that overlap end with the last one."""
+        """Execute nothing from the last `advance` until `until`; overlapping pauses end with the last one."""
         self._paused_until = max(self._paused_until, until)
 
     def paused(self, at: float) -> bool:
-        """Whether it stands still at that time."""
+        """Return whether the process is paused at a time."""
         return at < self._paused_until
 
     @property
     def paused_until(self) -> float:
-        """The end of the last pause; minus infinity where there was none."""
+        """End of the last pause; minus infinity if there was none."""
         return self._paused_until
 
     def next_due(self) -> float | None:
-        """When the next item will be done, as things stand; None where nothing is in work."""
+        """Return when the next item will finish if nothing else happens; None if no item is executed."""
         if not self._active:
             return None
         start = max(self._now, self._paused_until)
@@ -196,7 +197,7 @@
         return start + self._time_for(left, start, self._rate())
 
     def drop_all(self) -> list[T]:
-        """The process died: everything held is gone. Returns it."""
+        """Drop all items, as when the process dies, and return them."""
         items = [item for _, _, _, item in self._active] + [item for _, item in self._waiting]
         self._active.clear()
         self._waiting.clear()
--- a/holdgw/emulators/relay.py
+++ b/holdgw/emulators/relay.py
@@ -50,34 +50,34 @@
     async def start(self) -> dict[str, Address]:
         """Listen; return the relay address of each router, and under ALL the one that reaches all."""
         loop = asyncio.get_running_loop()
-        found = {}
+        addresses = {}
         for name in (*self._listens, ALL):
             transport, relay_socket = await loop.create_datagram_endpoint(
                 lambda name=name: _RelaySocket(self, name),  # type: ignore[misc]
                 local_addr=(self._ip, 0),
             )
             self._sockets[name] = relay_socket
-            found[name] = transport.get_extra_info("sockname")[:2]
-        return found
+            addresses[name] = transport.get_extra_info("sockname")[:2]
+        return addresses
 
     def handle_datagram(self, to: str, data: bytes, sender: Address) -> None:
         """Forward a datagram that arrived at the relay address `to`."""
-        origin = self._names.get(sender)
-        if origin is None:
+        source = self._names.get(sender)
+        if source is None:
             self.unknown += 1
             return
         for name in self._listens if to == ALL else (to,):
-            if name == origin:
+            if name == source:
                 continue
-            for delay in self.model.delivery_delays(self._clock(), origin, name, len(data)):
+            for delay in self.model.delivery_delays(self._clock(), source, name, len(data)):
                 call_after(
                     asyncio.get_running_loop(),
                     delay,
-                    lambda name=name: self._deliver(origin, name, data),  # type: ignore[misc]
+                    lambda name=name: self._deliver(source, name, data),  # type: ignore[misc]
                 )
 
-    def _deliver(self, origin: str, name: str, data: bytes) -> None:
-        transport = self._sockets[origin].transport
+    def _deliver(self, source: str, name: str, data: bytes) -> None:
+        transport = self._sockets[source].transport
         if transport is not None and not transport.is_closing():
             transport.sendto(data, self._listens[name])
 
--- a/holdgw/emulators/relay_model.py
+++ b/holdgw/emulators/relay_model.py
@@ -95,9 +95,9 @@
 
     def _within_rate(self, now: float, a: str, b: str, size: int) -> bool:
         rate = self.conditions.bytes_per_s
-        most = max(rate * BURST_S, float(MAX_DATAGRAM_BYTES))
-        room, since = self._allowance.get((a, b), (most, now))
-        room = min(room + (now - since) * rate, most)
-        fits = size <= room
-        self._allowance[a, b] = (room - size if fits else room, now)
+        burst = max(rate * BURST_S, float(MAX_DATAGRAM_BYTES))
+        allowance, since = self._allowance.get((a, b), (burst, now))
+        allowance = min(allowance + (now - since) * rate, burst)
+        fits = size <= allowance
+        self._allowance[a, b] = (allowance - size if fits else allowance, now)
         return fits
