--- a/tests/emulators/test_emulator_models.py
+++ b/tests/emulators/test_emulator_models.py
@@ -1,4 +1,4 @@
-"""What stand-ins decide, with an injected clock: work, warmth, falls, copies, repeats, the list."""
+"""The models of the emulators, with an injected clock: scheduling, warm-up, copies, dedup and discovery."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 COLD = QueueSpec(cores=1, slots=4, queue=100, cold_share=0.25, warm_s=8.0)
 
 
-def test_a_name_has_one_number_and_names_do_not_run_together() -> None:
+def test_a_name_has_one_number_and_the_parts_of_a_name_are_separated() -> None:
     assert unit(1, "work", "r1") == unit(1, "work", "r1")
     assert (
         len({unit(1, "work", "r1"), unit(2, "work", "r1"), unit(1, "workr", "1"), unit(1, "work", b"r2")})
@@ -40,7 +40,7 @@
     assert lognormal(0.0, 1.0, 0.5) > 0
 
 
-# Work
+# Processor sharing
 
 
 def test_one_item_takes_its_work_and_two_share_the_core() -> None:
@@ -48,7 +48,7 @@
     assert work.submit("a", 0.1)
     assert work.submit("b", 0.1)
     assert work.submit("waits", 0.05)
-    assert not work.submit("turned away", 0.1)
+    assert not work.submit("rejected", 0.1)
     assert [(round(at, 9), item) for at, _, item in work.advance(10.199)] == []
     ended = [(round(at, 9), round(began, 9), item) for at, began, item in work.advance(11.0)]
     assert ended == [(10.2, 10.0, "a"), (10.2, 10.0, "b"), (10.25, 10.2, "waits")]
@@ -63,7 +63,7 @@
     assert [at for at, _, _ in work.advance(1.0)] == [pytest.approx(0.05)] * 2
 
 
-def test_a_cold_start_does_its_share_and_is_warm_in_time() -> None:
+def test_a_cold_start_has_reduced_capacity_until_the_warm_up_ends() -> None:
     work: ProcessorSharingQueue[str] = ProcessorSharingQueue(COLD, 0.0, cold=True)
     assert work.capacity(0.0) == 0.25
     assert work.capacity(4.0) == pytest.approx(0.625)
@@ -72,7 +72,7 @@
     assert work.next_due() == pytest.approx(2.0)
 
 
-def test_holding_too_many_costs_efficiency() -> None:
+def test_too_many_held_items_reduce_the_efficiency() -> None:
     spec = QueueSpec(cores=1, slots=1, queue=100, thrash=0.5, thrash_at=2)
     work: ProcessorSharingQueue[int] = ProcessorSharingQueue(spec, 0.0)
     for i in range(6):
@@ -90,16 +90,16 @@
 
 @settings(max_examples=150, deadline=None)
 @given(plan=PLANS, steps=st.integers(1, 40), cold=st.booleans())
-def test_the_end_does_not_depend_on_how_often_one_looks(
+def test_the_finish_time_does_not_depend_on_the_number_of_advances(
     plan: list[tuple[float, float, float | None]], steps: int, cold: bool
 ) -> None:
-    def play(looks: int) -> dict[int, float]:
+    def finish_times(advances: int) -> dict[int, float]:
         work: ProcessorSharingQueue[int] = ProcessorSharingQueue(COLD, 0.0, cold)
         ends: dict[int, float] = {}
         now = 0.0
         for i, (gap, size, pause) in enumerate(plan):
-            for k in range(1, looks + 1):
-                ends |= {item: at for at, _, item in work.advance(now + gap * k / looks)}
+            for k in range(1, advances + 1):
+                ends |= {item: at for at, _, item in work.advance(now + gap * k / advances)}
             now += gap
             if pause:
                 work.pause(now + pause)
@@ -107,19 +107,19 @@
         ends |= {item: at for at, _, item in work.advance(now + 1000)}
         return ends
 
-    once, often = play(1), play(steps)
+    once, often = finish_times(1), finish_times(steps)
     assert once.keys() == often.keys() == set(range(len(plan)))
-    # Where an end and the beginning of a pause fall together, a float's last digit says which came first.
-    begun = [(sum(gap for gap, _, _ in plan[: i + 1]), pause) for i, (_, _, pause) in enumerate(plan)]
-    assume(all(abs(at - start) > 1e-6 for at in once.values() for start, pause in begun if pause))
-    assume(all(abs(at - start) > 1e-6 for at in often.values() for start, pause in begun if pause))
+    # Rounding decides which is first if an item ends as a pause begins: such plans are skipped.
+    pauses = [(sum(gap for gap, _, _ in plan[: i + 1]), pause) for i, (_, _, pause) in enumerate(plan)]
+    assume(all(abs(at - start) > 1e-6 for at in once.values() for start, pause in pauses if pause))
+    assume(all(abs(at - start) > 1e-6 for at in often.values() for start, pause in pauses if pause))
     for item, at in once.items():
         assert often[item] == pytest.approx(at, abs=1e-6)
 
 
 @settings(max_examples=100, deadline=None)
 @given(plan=PLANS, cold=st.booleans())
-def test_no_more_work_is_done_than_there_is_capacity(
+def test_the_work_done_does_not_exceed_the_capacity(
     plan: list[tuple[float, float, float | None]], cold: bool
 ) -> None:
     work: ProcessorSharingQueue[float] = ProcessorSharingQueue(COLD, 0.0, cold)
@@ -136,7 +136,7 @@
     due = work.next_due()
     assert due is not None
     ended = work.advance(due + 1e-9)
-    assert ended, "next_due tells when the next item ends"
+    assert ended, "an item ends at next_due"
     done += sum(item for _, _, item in ended)
     span = min(due, COLD.warm_s)
     ramp = 0.25 * span + 0.75 * span * span / (2 * COLD.warm_s) if cold else span
@@ -144,10 +144,10 @@
     assert done <= most + 1e-6
 
 
-# Copies
+# Cached copies
 
 
-def test_least_recently_used_goes_first_and_the_reason_is_known() -> None:
+def test_the_least_recently_used_copy_is_evicted_and_each_miss_has_its_reason() -> None:
     cache = LruCache(memory=300, ttl=10.0)
     for key in (b"a", b"b", b"c"):
         cache.put(key, 100, 0.0)
@@ -164,7 +164,7 @@
     assert cache.used == 100
 
 
-def test_a_flush_takes_the_same_share_of_keys_at_every_node() -> None:
+def test_a_flush_drops_the_same_keys_at_every_server() -> None:
     nodes = [LruCache(1 << 20) for _ in range(2)]
     keys = [b"key-%d" % i for i in range(1000)]
     for node in nodes:
@@ -172,8 +172,8 @@
             node.put(key, 10, 0.0)
         assert 650 <= node.flush(0.7, seed=3, serial=1) <= 750
     assert [key in nodes[0] for key in keys] == [key in nodes[1] for key in keys]
-    gone = next(key for key in keys if key not in nodes[0])
-    assert nodes[0].miss_reason(gone) is MissReason.FLUSHED
+    flushed = next(key for key in keys if key not in nodes[0])
+    assert nodes[0].miss_reason(flushed) is MissReason.FLUSHED
 
 
 @settings(max_examples=60, deadline=None)
@@ -187,7 +187,7 @@
     assert cache.used == sum(size for size in sizes if size is not None)
 
 
-# Mirror nodes
+# Cache servers
 
 
 def read(name: str, key: bytes = b"k", work: float = 0.05) -> Job:
@@ -198,7 +198,7 @@
     return [(end.job.id, end.result) for end in done]
 
 
-def test_a_node_keeps_only_what_the_store_answered_for_a_request_that_missed_here() -> None:
+def test_a_server_stores_only_objects_that_the_origin_returned_for_its_own_misses() -> None:
     node = NodeModel(WARM, 0.0)
     node.arrive(0.0, read("r1"))
     (miss,) = node.advance(1.0)
@@ -210,7 +210,7 @@
     assert results(node.advance(2.0)) == [(b"r2", JobResult.HIT)]
 
 
-def test_a_second_miss_while_a_fetch_is_out_says_so_and_no_longer_than_its_lease() -> None:
+def test_a_second_miss_is_pending_for_the_lease_of_the_fetch_and_no_longer() -> None:
     node = NodeModel(WARM, 0.0)
     seen = []
     for i, at in enumerate((0.0, 0.2, 3.0)):
@@ -219,16 +219,16 @@
     assert seen == [JobResult.MISS, JobResult.PENDING, JobResult.MISS]
 
 
-def test_a_node_turns_away_what_its_line_cannot_hold_and_cancels_stop_nothing() -> None:
+def test_requests_beyond_the_queue_are_rejected_and_accepted_ones_are_always_executed() -> None:
     node = NodeModel(replace(WARM, miss_share=1.0), 0.0)
-    turned = []
+    rejected = []
     for i in range(9):
-        turned += results(node.arrive(0.0, read(f"r{i}")))
-    assert turned == [(b"r7", JobResult.BUSY), (b"r8", JobResult.BUSY)]
-    assert len(node.advance(0.5)) == 7  # nobody waits for them, and they are worked off all the same
+        rejected += results(node.arrive(0.0, read(f"r{i}")))
+    assert rejected == [(b"r7", JobResult.BUSY), (b"r8", JobResult.BUSY)]
+    assert len(node.advance(0.5)) == 7  # all accepted requests are executed, though nobody waits for them
 
 
-def test_a_write_has_no_business_at_a_node() -> None:
+def test_a_write_at_a_cache_server_is_a_miss_and_keeps_the_copy() -> None:
     node = NodeModel(WARM, 0.0)
     node.cache.put(b"k", 100, 0.0)
     node.arrive(0.0, Job(JobKind.WRITE, b"w", b"k", 0.05))
@@ -236,12 +236,12 @@
     assert b"k" in node.cache
 
 
-def test_a_paused_node_is_silent_and_then_goes_on_with_all_it_held() -> None:
+def test_a_paused_server_is_unresponsive_and_then_continues_with_all_its_jobs() -> None:
     node = NodeModel(replace(WARM, miss_share=1.0), 0.0)
     node.arrive(0.0, read("before", work=0.05))
     node.pause(0.02, 3.0)
     for i in range(9):
-        assert node.arrive(1.0, read(f"r{i}")) == [], "not even a refusal"
+        assert node.arrive(1.0, read(f"r{i}")) == [], "not even a rejection"
     assert node.arrive(1.5, Job(JobKind.PROBE, b"probe")) == []
     assert node.advance(3.01) == []
     assert node.next_due() == pytest.approx(3.02)
@@ -251,11 +251,11 @@
     assert at[b"before"][1] is JobResult.MISS
     assert (
         sum(result is JobResult.BUSY for _, result in at.values()) == 4
-    )  # three in work, three wait, of ten
+    )  # of ten, three are executed and three are queued
     assert len(at) == 11
 
 
-def test_draining_takes_nothing_new_and_finishes_what_there_is() -> None:
+def test_a_draining_server_rejects_new_requests_and_finishes_accepted_ones() -> None:
     node = NodeModel(WARM, 0.0)
     node.arrive(0.0, read("held"))
     node.draining = True
@@ -263,8 +263,8 @@
     assert results(node.advance(1.0)) == [(b"held", JobResult.MISS)]
 
 
-def fresh_node(share: float, seconds: float) -> NodeModel:
-    """A cold node, sent `share` of a warm one's capacity evenly."""
+def cold_server_under_load(share: float, seconds: float) -> NodeModel:
+    """A cold server after `seconds` at a steady load, given as a share of the capacity of a warm one."""
     spec = NodeSpec(
         work=replace(COLD, cold_share=0.1, warm_s=16.0), fall_multiple=2.0, fall_s=2.0, miss_share=1.0
     )
@@ -276,8 +276,8 @@
     return node
 
 
-def test_a_cold_node_sent_its_full_load_falls_and_stays_down() -> None:
-    node = fresh_node(share=0.6, seconds=8.0)
+def test_a_cold_server_under_full_load_crashes_and_stays_down() -> None:
+    node = cold_server_under_load(share=0.6, seconds=8.0)
     assert node.crash is not None
     assert node.crash.sent > node.crash.limit
     assert node.arrive(100.0, read("later")) == []
@@ -285,30 +285,30 @@
     assert node.next_due() is None
 
 
-def test_a_cold_node_sent_what_it_can_do_stands() -> None:
-    assert fresh_node(share=0.12, seconds=8.0).crash is None
+def test_a_cold_server_within_its_capacity_does_not_crash() -> None:
+    assert cold_server_under_load(share=0.12, seconds=8.0).crash is None
 
 
-def test_a_warm_node_is_never_pushed_over() -> None:
+def test_a_warm_server_does_not_crash_under_load() -> None:
     node = NodeModel(replace(WARM, fall_multiple=0.1), 0.0)
     for i in range(200):
         node.arrive(i * 0.01, read(f"r{i}"))
     assert node.crash is None
 
 
-def test_reports_are_taken_now_and_then_and_show_late() -> None:
+def test_load_reports_are_updated_at_intervals_and_appear_after_a_delay() -> None:
     node = NodeModel(replace(WARM, report_s=0.2, report_late_s=0.1, miss_share=1.0), 0.0)
     for i in range(7):
         node.arrive(0.0, read(f"r{i}", work=1.0))
     node.advance(0.2)
-    assert node.report(0.25).queue == 0, "taken at 0.2, shows from 0.3 on"
+    assert node.report(0.25).queue == 0, "updated at 0.2, in answers from 0.3 on"
     assert node.report(0.31).queue == 3
     node.advance(9.0)
     assert node.report(9.5).queue == 0
     assert node.report(9.5).latency_ms > 1000
 
 
-def test_a_node_that_lies_says_so_until_it_is_told_to_tell_the_truth() -> None:
+def test_a_false_report_stays_until_it_is_ended() -> None:
     node = NodeModel(replace(WARM, report_s=0.25, report_late_s=0.0), 0.0)
     node.set_false_report("full", 0.0)
     assert node.report(1.0).queue == WARM.work.queue
@@ -326,7 +326,7 @@
         node.set_false_report("nonsense", 0.6)
 
 
-def test_a_table_that_is_full_of_connections_takes_capacity_and_no_more() -> None:
+def test_open_connections_reduce_the_capacity_and_their_number_is_limited() -> None:
     node = NodeModel(replace(WARM, connections=2, full_tax=0.5, miss_share=1.0), 0.0)
     assert node.set_connections(2)
     assert not node.set_connections(3)
@@ -334,10 +334,10 @@
     assert node.next_due() == pytest.approx(0.2)
 
 
-# The package store
+# The origin
 
 
-def order(name: str, write: bool = True, key: str = "idem", window: float = 2.5) -> OriginJob:
+def origin_job(name: str, write: bool = True, key: str = "idem", window: float = 2.5) -> OriginJob:
     return OriginJob(
         name.encode(), b"k", write, key.encode() if write else b"", window if write else 0.0, 0.05
     )
@@ -347,48 +347,48 @@
     return [(end.job.id, end.result, end.effect) for end in finished]
 
 
-def test_a_repeat_is_dropped_for_its_window_and_has_its_effect_again_after_it() -> None:
-    store = OriginModel(OriginSpec(slots=2, queue=2), 0.0)
-    assert store.arrive(0.0, order("w1")) == []
-    assert answers(store.arrive(0.01, order("w1"))) == [
+def test_a_repeated_write_is_dropped_within_the_dedup_window_and_executed_after_it() -> None:
+    origin = OriginModel(OriginSpec(slots=2, queue=2), 0.0)
+    assert origin.arrive(0.0, origin_job("w1")) == []
+    assert answers(origin.arrive(0.01, origin_job("w1"))) == [
         (b"w1", OriginResult.REPEAT, False)
-    ]  # also while it runs
-    assert answers(store.arrive(2.4, order("w2"))) == [
+    ]  # also while the first one is executed
+    assert answers(origin.arrive(2.4, origin_job("w2"))) == [
         (b"w1", OriginResult.SERVED, True),
         (b"w2", OriginResult.REPEAT, False),
     ]
-    assert store.arrive(2.6, order("w3")) == []
-    assert answers(store.advance(9.0)) == [(b"w3", OriginResult.SERVED, True)]
+    assert origin.arrive(2.6, origin_job("w3")) == []
+    assert answers(origin.advance(9.0)) == [(b"w3", OriginResult.SERVED, True)]
 
 
-def test_a_write_that_was_turned_away_is_not_remembered() -> None:
-    store = OriginModel(OriginSpec(slots=1, queue=0), 0.0)
-    store.arrive(0.0, order("r", write=False))
-    assert answers(store.arrive(0.0, order("w"))) == [(b"w", OriginResult.BUSY, False)]
-    assert answers(store.arrive(1.0, order("w"))) == [(b"r", OriginResult.SERVED, False)]
-    assert answers(store.advance(2.0)) == [(b"w", OriginResult.SERVED, True)]
+def test_a_rejected_write_opens_no_dedup_window() -> None:
+    origin = OriginModel(OriginSpec(slots=1, queue=0), 0.0)
+    origin.arrive(0.0, origin_job("r", write=False))
+    assert answers(origin.arrive(0.0, origin_job("w"))) == [(b"w", OriginResult.BUSY, False)]
+    assert answers(origin.arrive(1.0, origin_job("w"))) == [(b"r", OriginResult.SERVED, False)]
+    assert answers(origin.advance(2.0)) == [(b"w", OriginResult.SERVED, True)]
 
 
-def test_a_slow_store_takes_so_much_longer_and_one_that_dies_forgets_its_line_alone() -> None:
-    store = OriginModel(OriginSpec(slots=1, queue=5), 0.0)
-    store.slow(0.0, 4.0)
-    store.arrive(0.0, order("w"))
-    assert store.next_due() == pytest.approx(0.2)
-    assert [one.id for one in store.crash()] == [b"w"]
-    assert store.held == 0
-    assert answers(store.arrive(0.5, order("w"))) == [(b"w", OriginResult.REPEAT, False)]
+def test_a_slow_origin_takes_longer_and_a_crash_loses_its_jobs_but_no_idempotency_keys() -> None:
+    origin = OriginModel(OriginSpec(slots=1, queue=5), 0.0)
+    origin.slow(0.0, 4.0)
+    origin.arrive(0.0, origin_job("w"))
+    assert origin.next_due() == pytest.approx(0.2)
+    assert [one.id for one in origin.crash()] == [b"w"]
+    assert origin.held == 0
+    assert answers(origin.arrive(0.5, origin_job("w"))) == [(b"w", OriginResult.REPEAT, False)]
 
 
 # Discovery
 
 
-def listed(count: int, delay: float = 1.0, views: tuple[str, ...] = ("r1", "r2")) -> DiscoveryModel:
+def discovery_with(count: int, delay: float = 1.0, views: tuple[str, ...] = ("r1", "r2")) -> DiscoveryModel:
     entries = [Entry(f"n{i}", State.UP) for i in range(count)]
     return DiscoveryModel(entries, views, lambda view, _: delay if view == "r1" else 2 * delay, 0.0)
 
 
-def test_each_router_hears_of_a_change_in_its_own_time() -> None:
-    model = listed(2)
+def test_each_view_receives_a_change_after_its_own_delay() -> None:
+    model = discovery_with(2)
     assert model.set_state(0.0, "n0", State.DRAINING)
     assert not model.set_state(0.0, "unknown", State.UP)
     assert model.next_due() == 1.0
@@ -400,32 +400,32 @@
     assert model.next_due() is None
 
 
-def test_late_stale_and_views_that_never_go_back() -> None:
-    model = listed(2)
+def test_delayed_and_frozen_views_receive_changes_in_order() -> None:
+    model = discovery_with(2)
     model.late(0.0, extra=5.0, seconds=1.0)
-    model.set_state(0.5, "n0", State.REMOVED)  # comes at 6.5
+    model.set_state(0.5, "n0", State.REMOVED)  # reaches the view at 6.5
     model.change(1.5, Entry("n0", State.UP))
-    assert model.advance(6.0) == {}, "in order: the later change waits for the late one"
-    came = model.advance(6.5)["r1"]
-    assert [change.entry.state for change in came] == [State.REMOVED, State.UP]
+    assert model.advance(6.0) == {}, "in order: the later change waits for the delayed one"
+    changes = model.advance(6.5)["r1"]
+    assert [change.entry.state for change in changes] == [State.REMOVED, State.UP]
     model.stale(7.0, 10.0, ["r1"])
     model.set_state(7.0, "n1", State.REMOVED)
     assert "r1" not in model.advance(16.9)
     assert model.advance(17.0)["r1"][0].at == 17.0
 
 
-def test_a_watch_from_an_unknown_version_gets_the_whole_list() -> None:
-    model = listed(3)
-    whole, entries = model.views["r1"].newer_than(99)
-    assert (whole, len(entries)) == (True, 3)
-    whole, _ = model.views["r1"].newer_than(0)
-    assert whole
+def test_a_watch_from_an_unknown_version_gets_the_full_list() -> None:
+    model = discovery_with(3)
+    full, entries = model.views["r1"].newer_than(99)
+    assert (full, len(entries)) == (True, 3)
+    full, _ = model.views["r1"].newer_than(0)
+    assert full
 
 
 # Faults
 
 
-def test_faults_fall_on_the_same_answers_in_every_run_and_in_their_shares() -> None:
+def test_faults_hit_the_same_answers_in_every_run_at_their_shares() -> None:
     shares = FaultShares(reset=0.1, garble=0.2, silence=0.3)
     drawn = [shares.draw(5, "n1", b"r%d" % i, 1) for i in range(5000)]
     assert drawn == [shares.draw(5, "n1", b"r%d" % i, 1) for i in range(5000)]
@@ -438,6 +438,6 @@
     "wrong",
     [{"cores": 0}, {"slots": 0}, {"queue": -1}, {"speed": 0.0}, {"cold_share": 0.0}, {"thrash_at": 0.0}],
 )
-def test_sizes_that_make_no_sense_are_refused(wrong: dict[str, float]) -> None:
+def test_invalid_queue_parameters_are_rejected(wrong: dict[str, float]) -> None:
     with pytest.raises(ValueError, match="must be"):
         QueueSpec(**wrong)  # type: ignore[arg-type]
