--- a/holdgw/emulators/node_model.py
+++ b/holdgw/emulators/node_model.py
@@ -17,7 +17,7 @@
 from holdgw.emulators.processor_sharing import ProcessorSharingQueue, QueueSpec
 
 MAX_REMEMBERED_MISSES = 8192  # recent requests that missed and whose object may still arrive
-FETCH_LEASE_S = 1.0  # after a miss, further misses of the key count as waiting for its fetch
+FETCH_LEASE_S = 1.0  # time for which the fetch that a miss starts counts as in flight
 SMOOTHING = 0.2  # weight of a new sample in the smoothed service time
 MAX_REPORTS = 8
 # Service time in a false report: of an idle server, and added to the true one of a full server.
@@ -74,7 +74,7 @@
     BUSY = "busy"
     """Rejected without being executed."""
     DONE = "done"
-    """A probe or a handshake."""
+    """A finished probe or handshake."""
 
 
 @dataclass(slots=True, eq=False)
@@ -159,7 +159,7 @@
         return done
 
     def next_due(self) -> float | None:
-        """Return when `advance` will next finish a job, if nothing else happens; None if no job is queued."""
+        """Return when `advance` will next have an effect, if nothing else happens; None if never."""
         if self.crash is not None:
             return None
         return self.work.paused_until if self._inbox else self.work.next_due()
@@ -167,9 +167,9 @@
     def _finish(self, now: float) -> Iterator[FinishedJob]:
         for at, began, job in self.work.advance(now):
             self._smoothed_service_s += SMOOTHING * (at - began - self._smoothed_service_s)
-            yield self._end(at, job)
+            yield self._finish_job(at, job)
 
-    def _end(self, at: float, job: Job) -> FinishedJob:
+    def _finish_job(self, at: float, job: Job) -> FinishedJob:
         if job.kind in (JobKind.PROBE, JobKind.HANDSHAKE):
             return FinishedJob(at, job, JobResult.DONE)
         if job.kind is JobKind.READ and self.cache.get(job.key, at) is not None:
--- a/holdgw/emulators/origin_model.py
+++ b/holdgw/emulators/origin_model.py
@@ -75,13 +75,13 @@
 
     def advance(self, now: float) -> list[FinishedOriginJob]:
         """Advance the origin to `now`; return the finished jobs, in order."""
-        return [self._end(at, job) for at, _, job in self._work.advance(now)]
+        return [self._finish_job(at, job) for at, _, job in self._work.advance(now)]
 
     def next_due(self) -> float | None:
         """Return when `advance` will next finish a job, if nothing else happens; None if no job is queued."""
         return self._work.next_due()
 
-    def _end(self, at: float, job: OriginJob) -> FinishedOriginJob:
+    def _finish_job(self, at: float, job: OriginJob) -> FinishedOriginJob:
         if job.probe:
             return FinishedOriginJob(at, job, OriginResult.SERVED)
         if job.fails:
--- a/holdgw/emulators/processor_sharing.py
+++ b/holdgw/emulators/processor_sharing.py
@@ -62,7 +62,7 @@
         self._now = now
         self._started = now if cold else -math.inf
         self._paused_until = -math.inf
-        self._progress = 0.0  # work that an item executed since the start of the model would have received
+        self._progress = 0.0  # cumulative work that each executed item has received
         self._active: list[tuple[float, int, float, T]] = []  # (progress at its end, order, start, item)
         self._waiting: deque[tuple[float, T]] = deque()
         self._order = 0
