--- a/holdgw/emulators/discovery.py
+++ b/holdgw/emulators/discovery.py
@@ -67,10 +67,10 @@
     def _handle_request(self, request: HttpRequest) -> None:
         target = urlsplit(request.target.decode("latin-1"))
         if request.method != b"GET" or target.path != LIST_PATH:
-            raise ValueError(f"request for unknown path {target.path}")
+            raise ValueError(f"asked for {target.path}")
         query = dict(parse_qsl(target.query))
         if self.watching:
-            raise ValueError("a second call before the answer to the first")
+            raise ValueError("a second call before the first one's answer")
         self.server.handle_call(self, query)
 
     def wait(self, index: int, milliseconds: int) -> None:
--- a/holdgw/emulators/origin.py
+++ b/holdgw/emulators/origin.py
@@ -50,7 +50,7 @@
         try:
             for request in self._reader.read(data):
                 if self.job is not None:
-                    raise HttpError("a second request before the answer to the first")
+                    raise HttpError("a second request before the first one's answer")
                 self.server.request(self, request)
         except HttpError as error:
             self.server.record_violation(str(error))
