--- a/holdgw/emulators/node.py
+++ b/holdgw/emulators/node.py
@@ -34,7 +34,7 @@
 
 ReportFormatter = Callable[[float, int], bytes]
 REPORT_FIELDS = ("recent_ms", "backlog")
-"""Names of the fields of a load report: recent service time, and number of queued requests."""
+"""The platform's names of the fields of a load report: recent service time, number of queued requests."""
 
 
 def format_load_report(latency_ms: float, queue: int) -> bytes:
