--- a/bench/aggregation_figures.py
+++ b/bench/aggregation_figures.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers import merged_view, sequenced_report
 from holdgw.peers.load_encoding import ServerSample
 from holdgw.peers.load_report import hash_server
@@ -22,7 +22,7 @@
 DECAYED_S = 3.6  # seconds of requests that a decayed count holds
 HONEST_MIN_MS, HONEST_RANGE_MS = 20, 10  # range of honest servers' response times
 FALSE_RESPONSE_TIME_MS = 60_000
-WEATHER = PeerWeather(loss=0.02, duplicates=0.05, reordered=0.1)
+WEATHER = PeerNetworkConditions(loss=0.02, duplicates=0.05, reordered=0.1)
 
 
 def make_tier(seed: int, aggregators: int = 3, **more: object) -> AggregatedTier:
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 
 from bench import aggregation_figures
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers.datagram import MemberState
 from holdgw.peers.timing import NS_PER_S
 from holdgw.simulation.fleet import Fleet, SimulatedPolicy
@@ -72,7 +72,7 @@
 
 def wrongly_dead(seed: int) -> float:
     """Count members wrongly held to be dead after all have resumed or restarted, with datagrams replayed."""
-    weather = PeerWeather(loss=0.05, duplicates=0.1, reordered=0.3)
+    weather = PeerNetworkConditions(loss=0.05, duplicates=0.1, reordered=0.3)
     tier = MembershipTier(24, seed, RelayModel(seed, lambda _a, _b: 0.004, weather))
     recorded: list[tuple[int, int, bytes]] = []
     say = tier.send
--- a/bench/membership.py
+++ b/bench/membership.py
@@ -11,7 +11,7 @@
 from math import inf
 from time import perf_counter
 
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers.datagram import MemberState
 from holdgw.simulation.membership_tier import MembershipTier
 
@@ -69,7 +69,7 @@
 
 def measure_deaths(size: int, seed: int, loss: float) -> tuple[list[float], list[float], float]:
     """Return seconds until the first and until all learn of each death, and a router's bytes per second."""
-    tier = MembershipTier(size, seed, RelayModel(seed, one_way_delay, PeerWeather(loss=loss)))
+    tier = MembershipTier(size, seed, RelayModel(seed, one_way_delay, PeerNetworkConditions(loss=loss)))
     tier.run(CALM_S)
     before, began = sum(tier.bytes.values()), tier.now
     first, last = learn_of_deaths(tier, DEATHS, MAX_LEARN_S, unlearnt=inf)
@@ -82,7 +82,7 @@
 
     No member dies, 5 % of datagrams are lost and a tenth of the members are slow.
     """
-    tier = MembershipTier(size, seed, RelayModel(seed, one_way_delay, PeerWeather(loss=0.05)))
+    tier = MembershipTier(size, seed, RelayModel(seed, one_way_delay, PeerNetworkConditions(loss=0.05)))
     slow = set(tier.random.sample(range(size), size // 10))
     for number in slow:
         slow_down(tier, number, 20)
--- a/bench/router_core.py
+++ b/bench/router_core.py
@@ -374,7 +374,7 @@
 class NullRecorder:
     """A recorder of emulator events that discards them."""
 
-    def saw(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Do nothing."""
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
--- a/bench/scale_relay.py
+++ b/bench/scale_relay.py
@@ -12,7 +12,7 @@
 from bench.scale_child import Handler, serve
 from bench.scale_clock import LagMonitor, SlowClock
 from holdgw.emulators.relay import ALL, Relay
-from holdgw.emulators.relay_model import PeerWeather, RelayModel
+from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 
 
 class CountingRelayModel(RelayModel):
@@ -25,7 +25,7 @@
         super().__init__(
             seed,
             lambda a, b: clock.machine_seconds(scale_plan.one_way_delay(int(a), int(b))),
-            PeerWeather(loss=loss),
+            PeerNetworkConditions(loss=loss),
         )
         self.sent_bytes: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
         self.received_bytes: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
@@ -37,13 +37,13 @@
         """Drop what these members and the others send each other, until a second of the rig's clock."""
         self._isolated, self._isolated_until = names, until
 
-    def carries(self, now: float, a: str, b: str, size: int) -> list[float]:
+    def delivery_delays(self, now: float, a: str, b: str, size: int) -> list[float]:
         """Return the delays of a datagram's copies as the base model does, and count its bytes."""
         at = self.clock.seconds()
         self.sent_bytes[a][int(at)] += size
         if at < self._isolated_until and (a in self._isolated) != (b in self._isolated):
             return []
-        delays = super().carries(now, a, b, size)
+        delays = super().delivery_delays(now, a, b, size)
         self.received_bytes[b][int(at)] += size * len(delays)
         return delays
 
--- a/bench/start.py
+++ b/bench/start.py
@@ -102,7 +102,7 @@
         "calls": by_step(one.at - begun for one in history.calls),
         "dials at the busiest node": steps[busiest],
         "dials": by_step(at for times in dials_by_node.values() for at in times),
-        "turned away": by_step(one.at - begun for one in history.dials if not one.taken),
+        "turned away": by_step(one.at - begun for one in history.dials if not one.accepted),
         "fetches": by_step(
             one.at - begun for one in history.attempts if one.server == ORIGIN and not one.idempotency
         ),
@@ -117,7 +117,7 @@
         "calm": round(calm, 4),
         "recovered_s": round(recovery_s, 2),
         "tries_after": round(len(sent) / requests, 3) if requests else 0.0,
-        "whole_lists": sum(one.whole for one in calls),
+        "whole_lists": sum(one.full for one in calls),
         "starts": len(instances),
         "served_by_second": [
             round(sum(in_second) / len(in_second), 3)
--- a/holdgw/emulators/origin_model.py
+++ b/holdgw/emulators/origin_model.py
@@ -1,6 +1,4 @@
-"""What the package store decides: one slow service that all share, reads and writes, repeats
-dropped; pure.
-"""
+"""The model of the origin: one slow service for reads and writes that drops repeated writes; pure."""
 
 from __future__ import annotations
 
@@ -11,117 +9,120 @@
 
 from holdgw.emulators.processor_sharing import ProcessorSharingQueue, QueueSpec
 
-REMEMBERED = 100_000  # keyed writes, the oldest go first
+MAX_REMEMBERED_KEYS = 100_000  # idempotency keys; the oldest are forgotten first
 
 
 @dataclass(frozen=True, slots=True)
 class OriginSpec:
-    """The package store."""
+    """Parameters of the origin."""
 
     slots: int = 12
-    """Requests in work at a time, each at full speed."""
+    """Maximum number of requests executed at a time, each at full speed."""
     queue: int = 120
     read_s: float = 0.05
+    """Mean execution time of a read."""
     write_s: float = 0.08
+    """Mean execution time of a write."""
     cv: float = 0.5
+    """Coefficient of variation of the execution times."""
     connections: int = 1000
 
 
-class Answer(Enum):
-    """How a request ended at the store."""
+class OriginResult(Enum):
+    """How a request ended at the origin."""
 
     SERVED = "served"
     REPEAT = "repeat"
-    """A keyed write whose first copy is remembered: dropped, and answered with its receipt."""
+    """A write whose idempotency key is within its dedup window: dropped, and answered with a receipt."""
     FAILED = "failed"
     BUSY = "busy"
-    """Turned away, and told so: it never ran."""
+    """Rejected without being executed; the answer says so."""
 
 
 @dataclass(slots=True, eq=False)
-class Order:
-    """One request to the store. `idempotency`: a keyed write's; `window`: how long repeats are dropped."""
+class OriginJob:
+    """One request to the origin. `idempotency` is set for keyed writes only."""
 
     id: bytes
     key: bytes
     write: bool = False
     idempotency: bytes = b""
-    window: float = 0.0
+    dedup_window: float = 0.0
     work: float = 0.0
     fails: bool = False
     probe: bool = False
     owner: Any = None
 
 
-class Filled(NamedTuple):
-    """The end of an order; `effect`: it changed something now."""
+class FinishedOriginJob(NamedTuple):
+    """A finished job; `effect`: whether it changed data."""
 
     at: float
-    order: Order
-    answer: Answer
+    job: OriginJob
+    result: OriginResult
     effect: bool = False
 
 
 class OriginModel:
-    """The package store's process."""
+    """The process of the origin."""
 
     def __init__(self, spec: OriginSpec, now: float) -> None:
         self.spec = spec
-        self._work: ProcessorSharingQueue[Order] = ProcessorSharingQueue(
+        self._work: ProcessorSharingQueue[OriginJob] = ProcessorSharingQueue(
             QueueSpec(cores=spec.slots, slots=spec.slots, queue=spec.queue), now
         )
-        self._remembered: OrderedDict[bytes, float] = OrderedDict()  # idempotency key -> until
+        self._dedup_until: OrderedDict[bytes, float] = OrderedDict()  # idempotency key -> until
 
-    def advance(self, now: float) -> list[Filled]:
-        """Bring it up to `now`; returns what ended, in order."""
-        return [self._end(at, order) for at, _, order in self._work.advance(now)]
+    def advance(self, now: float) -> list[FinishedOriginJob]:
+        """Advance the origin to `now`; return the finished jobs, in order."""
+        return [self._finish_job(at, job) for at, _, job in self._work.advance(now)]
 
     def next_due(self) -> float | None:
-        """When `advance` will have something to tell, as things stand."""
+        """Return when `advance` will next finish a job, if nothing else happens; None if no job is queued."""
         return self._work.next_due()
 
-    def _end(self, at: float, order: Order) -> Filled:
-        if order.probe:
-            return Filled(at, order, Answer.SERVED)
-        if order.fails:
-            return Filled(at, order, Answer.FAILED, effect=order.write)
-        return Filled(at, order, Answer.SERVED, effect=order.write)
+    def _finish_job(self, at: float, job: OriginJob) -> FinishedOriginJob:
+        if job.probe:
+            return FinishedOriginJob(at, job, OriginResult.SERVED)
+        if job.fails:
+            return FinishedOriginJob(at, job, OriginResult.FAILED, effect=job.write)
+        return FinishedOriginJob(at, job, OriginResult.SERVED, effect=job.write)
 
-    def arrive(self, now: float, order: Order) -> list[Filled]:
-        """Take an order; returns what has ended by now, this order among it if it needs no work."""
+    def arrive(self, now: float, job: OriginJob) -> list[FinishedOriginJob]:
+        """Accept a job; return the jobs finished by now, including this one if it needs no work."""
         done = self.advance(now)
-        keyed = order.write and bool(order.idempotency)
-        # A repeat is known by its key from when the first copy came, whether that one is done or not.
-        if keyed and self._remembered.get(order.idempotency, now) > now:
-            return [*done, Filled(now, order, Answer.REPEAT)]
-        if not self._work.submit(order, order.work):
-            return [*done, Filled(now, order, Answer.BUSY)]
+        keyed = job.write and bool(job.idempotency)
+        # The dedup window of a key begins when its first write arrives, finished or not.
+        if keyed and self._dedup_until.get(job.idempotency, now) > now:
+            return [*done, FinishedOriginJob(now, job, OriginResult.REPEAT)]
+        if not self._work.submit(job, job.work):
+            return [*done, FinishedOriginJob(now, job, OriginResult.BUSY)]
         if keyed:
-            self._remembered[order.idempotency] = now + order.window
-            self._remembered.move_to_end(order.idempotency)
-            if len(self._remembered) > REMEMBERED:
-                self._remembered.popitem(last=False)
+            self._dedup_until[job.idempotency] = now + job.dedup_window
+            self._dedup_until.move_to_end(job.idempotency)
+            if len(self._dedup_until) > MAX_REMEMBERED_KEYS:
+                self._dedup_until.popitem(last=False)
         return done
 
-    def slow(self, now: float, factor: float) -> list[Filled]:
-        """From now on everything takes `factor` times as long; returns what had ended."""
+    def slow(self, now: float, factor: float) -> list[FinishedOriginJob]:
+        """Make each job take `factor` times its usual time from now on; return the jobs finished by now."""
         if factor <= 0:
             raise ValueError("factor must be above 0")
         done = self.advance(now)
         self._work.speed = 1.0 / factor
         return done
 
-    def pause(self, now: float, seconds: float) -> list[Filled]:
-        """Stand still; returns what had ended."""
+    def pause(self, now: float, seconds: float) -> list[FinishedOriginJob]:
+        """Stall for `seconds`; return the jobs finished by now."""
         done = self.advance(now)
         self._work.pause(now + seconds)
         return done
 
     @property
     def held(self) -> int:
-        """Orders in work and waiting."""
+        """Number of jobs being executed or queued."""
         return self._work.held
 
-    def die(self) -> list[Order]:
-        """The process is gone with all it held; what it remembers is on its disk. Returns what it held."""
+    def crash(self) -> list[OriginJob]:
+        """Lose all jobs and return them; idempotency keys are on disk and stay."""
         return self._work.drop_all()
--- a/holdgw/emulators/relay_model.py
+++ b/holdgw/emulators/relay_model.py
@@ -1,5 +1,6 @@
-"""What lies between routers: each line from one to another delays, loses, doubles and reorders datagrams,
-carries so many bytes a second, and may be cut one way; pure.
+"""The network between routers: each link delays, drops, duplicates and reorders datagrams; pure.
+
+A link may also have a limit of bytes per second, and may be blocked in one direction.
 """
 
 from __future__ import annotations
@@ -8,16 +9,20 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
-MOST_BYTES = 256
-BURST_S = 0.25  # a line with a bound carries so much of a second's bytes at once
+MAX_DATAGRAM_BYTES = 256
+BURST_S = 0.25  # burst of a rate-limited link, as seconds of its byte rate
 
-Line = Callable[[str, str], float]
-"""The least one-way delay between two routers, seconds."""
+LinkDelay = Callable[[str, str], float]
+"""Returns the minimum one-way delay between two routers, seconds."""
 
 
 @dataclass(frozen=True, slots=True)
-class PeerWeather:
-    """What befalls every line at the moment."""
+class PeerNetworkConditions:
+    """Current conditions of all links.
+
+    `jitter` is a share of the delay; `loss`, `duplicates` and `reordered` are shares of datagrams; `late_ms`
+    is the largest additional delay of a reordered datagram; `bytes_per_s` limits each link, 0 for unlimited.
+    """
 
     jitter: float = 0.2
     loss: float = 0.0
@@ -29,31 +34,32 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What became of the datagrams."""
+    """Counters of the datagrams sent by one router."""
 
     sent: int = 0
     bytes: int = 0
     lost: int = 0
     cut: int = 0
     over: int = 0
-    """Beyond a line's bytes a second."""
+    """Dropped above the byte rate of the link."""
     long: int = 0
-    """Over 256 bytes: never carried."""
+    """Over 256 bytes: always dropped."""
 
 
 class RelayModel:
-    """All lines between routers, by the seed. Times are seconds on the caller's clock."""
+    """The links between all routers, with draws from the seed. Times are seconds on the caller's clock."""
 
-    def __init__(self, seed: int, line: Line, weather: PeerWeather) -> None:
-        self.weather = weather
+    def __init__(self, seed: int, link_delay: LinkDelay, conditions: PeerNetworkConditions) -> None:
+        self.conditions = conditions
         self.counts: dict[str, Counts] = {}
-        self._line = line
+        self._link_delay = link_delay
         self._random = random.Random(f"{seed}/relay")
         self._cut: dict[tuple[str, str], float] = {}
-        self._room: dict[tuple[str, str], tuple[float, float]] = {}  # bytes that a line may carry, and when
+        # Bytes that a link may still carry, and as of when.
+        self._allowance: dict[tuple[str, str], tuple[float, float]] = {}
 
     def block(self, a: Iterable[str], b: Iterable[str], until: float, both: bool) -> None:
-        """Nothing comes from `a` to `b` until then, nor back if `both`; what is sent meanwhile is lost."""
+        """Drop all datagrams from `a` to `b` until then, and with `both` also those from `b` to `a`."""
         others = list(b)
         for one in a:
             for other in others:
@@ -62,36 +68,36 @@
                 for pair in ((one, other), (other, one)) if both else ((one, other),):
                     self._cut[pair] = max(self._cut.get(pair, until), until)
 
-    def carries(self, now: float, a: str, b: str, size: int) -> list[float]:
-        """Delays after which copies of a datagram come to `b`; none where it is lost."""
-        counts, weather, draw = self.counts.setdefault(a, Counts()), self.weather, self._random.random
+    def delivery_delays(self, now: float, a: str, b: str, size: int) -> list[float]:
+        """Return the delay in seconds of each copy of a datagram that reaches `b`; empty if it is lost."""
+        counts, conditions, draw = self.counts.setdefault(a, Counts()), self.conditions, self._random.random
         counts.sent += 1
         counts.bytes += size
-        if size > MOST_BYTES:
+        if size > MAX_DATAGRAM_BYTES:
             counts.long += 1
             return []
         if now < self._cut.get((a, b), float("-inf")):
             counts.cut += 1
             return []
-        if weather.bytes_per_s and not self._has_room(now, a, b, size):
+        if conditions.bytes_per_s and not self._within_rate(now, a, b, size):
             counts.over += 1
             return []
         delays = []
-        for _ in range(2 if weather.duplicates and draw() < weather.duplicates else 1):
-            if weather.loss and draw() < weather.loss:
+        for _ in range(2 if conditions.duplicates and draw() < conditions.duplicates else 1):
+            if conditions.loss and draw() < conditions.loss:
                 counts.lost += 1
                 continue
-            delay = self._line(a, b) * (1.0 + draw() * weather.jitter)
-            if weather.reordered and draw() < weather.reordered:
-                delay += draw() * weather.late_ms / 1000
+            delay = self._link_delay(a, b) * (1.0 + draw() * conditions.jitter)
+            if conditions.reordered and draw() < conditions.reordered:
+                delay += draw() * conditions.late_ms / 1000
             delays.append(delay)
         return delays
 
-    def _has_room(self, now: float, a: str, b: str, size: int) -> bool:
-        rate = self.weather.bytes_per_s
-        most = max(rate * BURST_S, float(MOST_BYTES))
-        room, since = self._room.get((a, b), (most, now))
-        room = min(room + (now - since) * rate, most)
-        fits = size <= room
-        self._room[a, b] = (room - size if fits else room, now)
+    def _within_rate(self, now: float, a: str, b: str, size: int) -> bool:
+        rate = self.conditions.bytes_per_s
+        burst = max(rate * BURST_S, float(MAX_DATAGRAM_BYTES))
+        allowance, since = self._allowance.get((a, b), (burst, now))
+        allowance = min(allowance + (now - since) * rate, burst)
+        fits = size <= allowance
+        self._allowance[a, b] = (allowance - size if fits else allowance, now)
         return fits
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -22,7 +22,7 @@
 from holdgw.emulators import listeners
 from holdgw.emulators.discovery import DiscoveryServer, _Connection
 from holdgw.emulators.discovery_model import DiscoveryModel, Entry
-from holdgw.emulators.records import Deaf, Fallen, Record
+from holdgw.emulators.records import DiscoveryCut, Record, WarmUpCrash
 from holdgw.emulators.seeded_draws import between, unit
 from holdgw.harness.channel import Begin, Finish, Front, Message, Places, Setup, Stored, Voided
 from holdgw.harness.checker import Broken, History, ProcessLifetime
@@ -191,9 +191,9 @@
 
     fleet: SimulatedFleet
 
-    def saw(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Add a record to the history."""
-        self.fleet.saw(record)
+        self.fleet.record(record)
 
     def host(self, name: str, zone: str) -> listeners.Host:
         """Return one listener per zone, as with real sockets; the simulated network adds the delays."""
@@ -222,18 +222,18 @@
 
     fleet: SimulatedFleet
 
-    def told(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
+    def record_sent(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
         """Record an update when it arrives: a partition delays its bytes."""
         written, arrival = self.fleet.list_arrivals.get(connection.router, (0.0, 0.0))
         if written == self._clock():
             self.loop.call_later(arrival - written, self._record_arrival, connection, whole, entries)
         else:
-            self.loop.call_soon(super().told, connection, whole, entries)
+            self.loop.call_soon(super().record_sent, connection, whole, entries)
 
     def _record_arrival(self, connection: _Connection, whole: bool, entries: list[Entry]) -> None:
         # The router has closed the connection before the update arrived, so it has not learnt of it.
         if not cast(TcpTransport, connection.transport).peer.socket_closed:
-            super().told(connection, whole, entries)
+            super().record_sent(connection, whole, entries)
 
 
 class _Hub(_RecordingPart, HubPart):
@@ -451,10 +451,10 @@
 
     # Records and events of the parts
 
-    def saw(self, record: Record) -> None:
+    def record(self, record: Record) -> None:
         """Add a record to the history; a crashed cache server is removed from the endpoint list."""
         self.history.add(record)
-        if isinstance(record, Fallen):
+        if isinstance(record, WarmUpCrash):
             self.world.soon(self.stage, self.spawn, (self._remove_crashed_server(record.server),))
 
     async def _remove_crashed_server(self, server: str) -> None:
@@ -652,7 +652,7 @@
             network.block(*pair, args["seconds"], args["way"] == "both")
             now = self.clock()
             for name in args["routers"]:
-                self.history.add(Deaf(name, now, now + args["seconds"]))
+                self.history.add(DiscoveryCut(name, now, now + args["seconds"]))
         elif verb == "vanish":
             network.power_off(self.hosts[args["node"]])
             await self.home[args["node"]].ask("kill", args["node"])
--- a/tests/policy/test_disabled_features.py
+++ b/tests/policy/test_disabled_features.py
@@ -10,7 +10,7 @@
 import pytest
 from msgspec.structs import replace as changed
 
-from holdgw.emulators.node import platform_report
+from holdgw.emulators.node import format_load_report
 from holdgw.harness.deployment import configuration
 from holdgw.harness.scenario import load_scenario, shipped
 from holdgw.operation.endpoint_update import EndpointUpdate
@@ -135,7 +135,7 @@
 
 def test_emulated_load_report_has_the_fields_that_the_settings_name() -> None:
     names = read_settings(router_configuration("storm")["settings"]).load_report_fields
-    assert parse_load(platform_report(12.5, 3), names) == (12.5, 3.0)
+    assert parse_load(format_load_report(12.5, 3), names) == (12.5, 3.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/processes/test_faults.py
+++ b/tests/processes/test_faults.py
@@ -14,7 +14,7 @@
 import pytest
 import uvloop
 
-from holdgw.emulators.records import Attempt, Try
+from holdgw.emulators.records import Attempt, ClientRequest
 from holdgw.harness.orchestrator import RunResult, play
 from holdgw.harness.report import Report, make_report
 from holdgw.harness.scenario import read_scenario
@@ -74,7 +74,7 @@
     return found
 
 
-def tries(result: RunResult, router: str, since: float, until: float) -> list[Try]:
+def tries(result: RunResult, router: str, since: float, until: float) -> list[ClientRequest]:
     """Return the client attempts sent to a router between two seconds of the run."""
     return [
         one
--- a/tests/router/test_lines.py
+++ b/tests/router/test_lines.py
@@ -12,7 +12,7 @@
 
 from holdgw.emulators.fault_proxy import FaultProxy, ProxiedListener
 from holdgw.emulators.relay import ALL, Relay
-from holdgw.emulators.relay_model import MOST_BYTES, PeerWeather, RelayModel
+from holdgw.emulators.relay_model import MAX_DATAGRAM_BYTES, PeerNetworkConditions, RelayModel
 from holdgw.harness.fault_schedule import lines_of_routers
 from holdgw.harness.scenario import read_scenario
 from holdgw.harness.schedule import PEERS, ScheduledFault
@@ -33,14 +33,14 @@
     """
 
     def __init__(self, seen: list[str]) -> None:
-        self.seen, self.left = seen, 0.0
+        self.seen, self.held_since = seen, 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
         self.seen.append("made")
 
     def data_received(self, data: bytes) -> None:
-        self.seen.append(f"{data.decode()}{' held' if self.left else ''}")
+        self.seen.append(f"{data.decode()}{' held' if self.held_since else ''}")
         self.transport.write(data.upper())  # type: ignore[attr-defined]
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -76,7 +76,7 @@
         await asyncio.sleep(SILENCE_S)
         assert not dial.done()
         reader, writer = await dial  # the kernel sends another SYN
-        assert not proxy.cut
+        assert not proxy.blocked
         writer.write(b"a")
         assert await reader.read(1) == b"A"
         writer.close()
@@ -121,7 +121,9 @@
 def test_a_connection_established_during_a_partition_is_reset_at_its_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("holdgw.emulators.fault_proxy.KNOCKS", 0)  # leaves room in the listen queue
+    monkeypatch.setattr(
+        "holdgw.emulators.fault_proxy.FILLER_CONNECTIONS", 0
+    )  # leaves room in the listen queue
 
     async def steps(proxy: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         proxy.block("both", 0.5)
@@ -130,7 +132,7 @@
             during.setblocking(False)
             with pytest.raises(ConnectionResetError):
                 await asyncio.wait_for(asyncio.get_running_loop().sock_recv(during, 1), LIMIT_S)
-        assert not proxy.cut
+        assert not proxy.blocked
         assert seen == []
 
     run_with_proxy(steps)
@@ -143,7 +145,7 @@
         proxy.block("both", 1.0)
         writer.write(b"a")
         await asyncio.sleep(0.3 + SILENCE_S)
-        assert proxy.cut
+        assert proxy.blocked
         assert "a held" not in seen
         assert await reader.read(1) == b"A"
         writer.close()
@@ -179,7 +181,7 @@
         listener.close()
         assert listener.open(address, lambda: Echo(seen)) == address
         reader, writer = await asyncio.open_connection(*address)
-        assert not proxy.cut
+        assert not proxy.blocked
         writer.write(b"a")
         assert await reader.read(1) == b"A"
         writer.close()
@@ -217,12 +219,12 @@
 
 
 def model(**weather: float) -> RelayModel:
-    return RelayModel(1, lambda a, b: 0.001, PeerWeather(jitter=0.0, **weather))
+    return RelayModel(1, lambda a, b: 0.001, PeerNetworkConditions(jitter=0.0, **weather))
 
 
 def test_the_relay_model_drops_duplicates_and_reorders_the_configured_shares() -> None:
     relay = model(loss=0.2, duplicates=0.1, reordered=0.3)
-    delays_by_datagram = [relay.carries(i * 0.01, "a", "b", 100) for i in range(5000)]
+    delays_by_datagram = [relay.delivery_delays(i * 0.01, "a", "b", 100) for i in range(5000)]
     delays_of_copies = [delay for delays in delays_by_datagram for delay in delays]
     assert len(delays_of_copies) / 5000 == pytest.approx(1.1 * 0.8, abs=0.03)
     assert sum(delay > 0.001 for delay in delays_of_copies) / len(delays_of_copies) == pytest.approx(
@@ -235,18 +237,20 @@
 def test_a_one_way_partition_of_two_routers_spares_a_third_and_the_reverse_direction() -> None:
     relay = model()
     relay.block(["a"], ["b"], 5.0, both=False)
-    assert relay.carries(1.0, "a", "b", 10) == []
-    assert all(relay.carries(1.0, *pair, 10) for pair in (("b", "a"), ("a", "c"), ("b", "c"), ("c", "b")))
-    assert relay.carries(5.0, "a", "b", 10) == [0.001]
+    assert relay.delivery_delays(1.0, "a", "b", 10) == []
+    assert all(
+        relay.delivery_delays(1.0, *pair, 10) for pair in (("b", "a"), ("a", "c"), ("b", "c"), ("c", "b"))
+    )
+    assert relay.delivery_delays(5.0, "a", "b", 10) == [0.001]
     assert relay.counts["a"].cut == 1
 
 
 def test_the_relay_model_limits_the_byte_rate_and_the_datagram_size() -> None:
     relay = model(bytes_per_s=1000.0)
-    forwarded = sum(bool(relay.carries(i * 0.01, "a", "b", 100)) for i in range(1000))
+    forwarded = sum(bool(relay.delivery_delays(i * 0.01, "a", "b", 100)) for i in range(1000))
     assert 95 <= forwarded <= 105  # 10 s at 1,000 bytes/s, 100 bytes each
-    assert relay.carries(100.0, "a", "c", MOST_BYTES)
-    assert relay.carries(200.0, "a", "c", MOST_BYTES + 1) == []
+    assert relay.delivery_delays(100.0, "a", "c", MAX_DATAGRAM_BYTES)
+    assert relay.delivery_delays(200.0, "a", "c", MAX_DATAGRAM_BYTES + 1) == []
     assert relay.counts["a"].long == 1
 
 
@@ -326,7 +330,7 @@
 
     simulated_fleet = SimulatedFleet(draw_schedule(scenario, 1), main=run_router)
     assert simulated_fleet.network.peers is not None
-    assert simulated_fleet.network.peers.weather == relay_model(scenario, 1).weather
+    assert simulated_fleet.network.peers.conditions == relay_model(scenario, 1).conditions
     simulated_fleet.stage.on_exit = lambda _: simulated_fleet.world.stop()
     simulated_fleet.stage.start(main())
     simulated_fleet.world.run(None)
