--- a/holdgw/peers/gossip.py
+++ b/holdgw/peers/gossip.py
@@ -204,7 +204,7 @@
         elif phase == APPLY_TICKS:
             change = exchange.update_fallback(now)
             if change is not FallbackChange.NONE:
-                log.warning("peers: gossip fallback changed change=%s", change.value)
+                log.warning("peers: fallback to gossip change=%s", change.value)
             self._owner.apply_load_snapshot(exchange.snapshot(now))
 
     def _receive(self, data: bytes, source: Address) -> None:
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -209,7 +209,7 @@
             assert "uncompiled: all " in log
             # The router also logs which functions this minimal configuration leaves off.
             assert "settings: off are origin (" in log
-            assert "load_reports (reports tell nothing" in log
+            assert "load_reports (load reports state nothing" in log
         finally:
             router.stop()
 
