--- a/bench/spread.py
+++ b/bench/spread.py
@@ -259,9 +259,9 @@
         "start_s": body["laboratory"]["start_s"]["all"],
         "memory_mb": body["laboratory"]["routers_memory_mb"],
         "late": [row["served"] - row["in_aim"] for row in body["windows"]],
-        **spread(work_begun(played), played.day, over),
+        **spread(work_begun(played), played.schedule, over),
     }
-    return found, played.day
+    return found, played.schedule
 
 
 def shown(case: str, way: str, found: dict[str, Any]) -> str:
--- a/holdgw/harness/channel.py
+++ b/holdgw/harness/channel.py
@@ -32,7 +32,7 @@
     ip: str
 
 
-class Places(msgspec.Struct, tag="places"):
+class Addresses(msgspec.Struct, tag="places"):
     """Addresses: of servers by zone, of routers under the zone "" ."""
 
     servers: dict[str, dict[str, tuple[str, int]]] = {}
@@ -61,7 +61,7 @@
     value: Any = None
 
 
-class Front(msgspec.Struct, tag="front"):
+class FrontUpdate(msgspec.Struct, tag="front"):
     """What the front layer sees of a router: whether new connections go there."""
 
     router: str
@@ -108,7 +108,20 @@
     text: str
 
 
-Message = Setup | Places | Begin | Do | Did | Front | Stored | Voided | Batch | ClientCounts | Finish | Fault
+Message = (
+    Setup
+    | Addresses
+    | Begin
+    | Do
+    | Did
+    | FrontUpdate
+    | Stored
+    | Voided
+    | Batch
+    | ClientCounts
+    | Finish
+    | Fault
+)
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -146,7 +146,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class Violation:
     """One break of a rule."""
 
     rule: str
@@ -155,7 +155,7 @@
     text: str
 
 
-def judge(history: History, classes: Mapping[int, ClassRule], grace: float) -> list[Broken]:
+def judge(history: History, classes: Mapping[int, ClassRule], grace: float) -> list[Violation]:
     """All breaks, in order of time, and what counts as STARVED. `classes`: of each ask; `grace`: the drain
     rule's, seconds.
     """
@@ -175,7 +175,7 @@
         *_late_drains(history, lives, stops, grace),
         *_sent_though_out(history, lives, grace),
         *(
-            Broken(
+            Violation(
                 "felled",
                 fall.at,
                 (),
@@ -187,7 +187,7 @@
     return sorted(broken, key=lambda one: one.at)
 
 
-def counts(broken: Iterable[Broken]) -> dict[str, int]:
+def counts(broken: Iterable[Violation]) -> dict[str, int]:
     """How often each rule was broken."""
     found = dict.fromkeys(RULES, 0)
     for one in broken:
@@ -238,9 +238,9 @@
     attempts: Mapping[str, list[Attempt]],
     lives: Mapping[str, list[ProcessLifetime]],
     stops: Stretches,
-) -> Iterable[Broken]:
+) -> Iterable[Violation]:
     for extra in history.extras:
-        yield Broken(
+        yield Violation(
             "lost", extra.at, (extra.request,), f"one more answer came after its final one ({extra.router})"
         )
     made = {(attempt.server, attempt.serial): attempt for attempt in history.attempts}
@@ -250,8 +250,8 @@
     for one in history.tries:
         sent_on = attempts.get(one.request, [])
 
-        def lost(text: str, one: Try = one) -> Broken:
-            return Broken("lost", one.ended, (one.request,), f"{text} ({one.router})")
+        def lost(text: str, one: Try = one) -> Violation:
+            return Violation("lost", one.ended, (one.request,), f"{text} ({one.router})")
 
         excused = (
             one.request in history.severed
@@ -290,14 +290,14 @@
                 late = history.left_at(attempt) - one.ended
                 if late > SLACK_S:
                     text = f"sent to {attempt.server} {late:.3f} s after its answer"
-                    yield Broken("lost", attempt.at, (one.request,), text)
+                    yield Violation("lost", attempt.at, (one.request,), text)
     for request, several in attempts.items():
         if request not in known:
             text = f"{several[0].server} was sent a request that no client asked"
-            yield Broken("lost", several[0].at, (request,), text)
+            yield Violation("lost", several[0].at, (request,), text)
 
 
-def _crashed(lives: Iterable[ProcessLifetime], stops: Stretches) -> Iterable[Broken]:
+def _crashed(lives: Iterable[ProcessLifetime], stops: Stretches) -> Iterable[Violation]:
     for life in lives:
         if life.exited is None or life.wanted == "KILL":
             continue
@@ -305,9 +305,9 @@
         if told is not None and _within(stops.get(life.router, ()), told, life.exited):
             continue  # whoever stands still can't end in time
         if life.wanted != "TERM":
-            yield Broken("lost", life.exited, (), f"{life.router} ended by itself with code {life.code}")
+            yield Violation("lost", life.exited, (), f"{life.router} ended by itself with code {life.code}")
         elif life.code != 0:
-            yield Broken("lost", life.exited, (), f"{life.router} ended on SIGTERM with code {life.code}")
+            yield Violation("lost", life.exited, (), f"{life.router} ended on SIGTERM with code {life.code}")
 
 
 # Rule 2
@@ -318,7 +318,7 @@
     attempts: Mapping[str, list[Attempt]],
     classes: Mapping[int, ClassRule],
     lives: Mapping[str, list[ProcessLifetime]],
-) -> Iterable[Broken]:
+) -> Iterable[Violation]:
     for one in history.tries:
         rule = classes.get(one.ask, ClassRule("safe"))
         if rule.effect == "safe":
@@ -339,12 +339,12 @@
                 continue
             if rule.effect == "unsafe":
                 text = f"sent again to {attempt.server} after {first.server} may have run it"
-                yield Broken("twice", attempt.at, (one.request,), f"{text} ({one.router})")
+                yield Violation("twice", attempt.at, (one.request,), f"{text} ({one.router})")
             elif late > rule.window + SLACK_S:
                 text = (
                     f"sent again {late:.3f} s after it may have run, beyond its window of {rule.window:g} s"
                 )
-                yield Broken("twice", attempt.at, (one.request,), f"{text} ({one.router})")
+                yield Violation("twice", attempt.at, (one.request,), f"{text} ({one.router})")
         # A repeat that was written in time counts as dropped if only the line, or a process of the emulator
         # that had no core, held it back until too late.
         held_back = {
@@ -355,10 +355,10 @@
         }
         effects = sum(attempt.effect and attempt.serial not in held_back for attempt in ran)
         if effects > 1 and all(attempt.at - began <= rule.window + SLACK_S for attempt in ran):
-            yield Broken("twice", ran[-1].at, (one.request,), f"its effect happened twice ({one.router})")
+            yield Violation("twice", ran[-1].at, (one.request,), f"its effect happened twice ({one.router})")
         if rule.effect == "unsafe" and one.answer == "refused":
             text = f"refused after {first.server} may have run it"
-            yield Broken("twice", one.ended, (one.request,), f"{text} ({one.router})")
+            yield Violation("twice", one.ended, (one.request,), f"{text} ({one.router})")
 
 
 # Rule 3
@@ -366,7 +366,7 @@
 
 def _late_drains(
     history: History, lives: Mapping[str, list[ProcessLifetime]], stops: Stretches, grace: float
-) -> Iterable[Broken]:
+) -> Iterable[Violation]:
     """Each router's knowledge of each server, as a line of (time, state); a process begins with
     nothing told.
     """
@@ -424,12 +424,12 @@
         if unwelcome is not None and history.left_at(attempt) > unwelcome + grace + SLACK_S:
             since_told = history.left_at(attempt) - unwelcome
             text = f"sent to {attempt.server} {since_told:.3f} s after {one.router} was told it goes"
-            yield Broken("late_drain", attempt.at, (attempt.request,), text)
+            yield Violation("late_drain", attempt.at, (attempt.request,), text)
 
 
 def _sent_though_out(
     history: History, lives: Mapping[str, list[ProcessLifetime]], grace: float
-) -> Iterable[Broken]:
+) -> Iterable[Violation]:
     """Servers out by hand: nothing new from the router's yes on, plus the grace, until the call back,
     whatever discovery says; a process that starts anew has heard nothing.
     """
@@ -449,7 +449,7 @@
         if since is not None and history.left_at(attempt) > since + grace + SLACK_S:
             late = history.left_at(attempt) - since
             text = f"sent to {attempt.server} {late:.3f} s after {one.router} said yes to leaving it out"
-            yield Broken("late_drain", attempt.at, (attempt.request,), text)
+            yield Violation("late_drain", attempt.at, (attempt.request,), text)
 
 
 # The emulator itself
--- a/holdgw/harness/clients.py
+++ b/holdgw/harness/clients.py
@@ -80,8 +80,8 @@
 
     def __init__(self, clients: Clients, ask: ScheduledRequest, number: int, deadline: float) -> None:
         self.clients, self.ask, self.number, self.deadline = clients, ask, number, deadline
-        self.id = request_id(clients.day.seed, ask.number, number)
-        cls = clients.day.scenario.classes[ask.request_class]
+        self.id = request_id(clients.schedule.seed, ask.number, number)
+        cls = clients.schedule.scenario.classes[ask.request_class]
         self.wait = min(cls.give_up_ms / 1000 * ask.abandon_after_share, deadline - clients.clock())
         self.sent = 0.0
         self.crossed = 0.0
@@ -112,7 +112,7 @@
     def _send(self, connection: ClientConnection) -> None:
         assert connection.transport is not None
         ask, clients = self.ask, self.clients
-        scenario = clients.day.scenario
+        scenario = clients.schedule.scenario
         cls = scenario.classes[ask.request_class]
         tenant = scenario.tenants[ask.tenant].name
         if not self.crossed:
@@ -122,7 +122,7 @@
         if cls.effect != "safe":
             words[0] = b"KV.SET"
             if cls.effect == "keyed":
-                info += f",k={idempotency_key(clients.day.seed, ask.number)}"
+                info += f",k={idempotency_key(clients.schedule.seed, ask.number)}"
         words.append(info.encode())
         if cls.effect != "safe":
             words.append(WRITE_VALUE)
@@ -225,7 +225,7 @@
     """A part of all clients: the asks whose number fits."""
 
     def __init__(self, day: Schedule, index: int, count: int, witness: Witness, clock: Clock) -> None:
-        self.day, self.clock, self.loop = day, clock, asyncio.get_running_loop()
+        self.schedule, self.clock, self.loop = day, clock, asyncio.get_running_loop()
         self.tally = ClientCounts()
         self.open = 0  # asks that are not over
         self._asks = [ask for ask in day.requests if ask.number % count == index]
@@ -266,7 +266,7 @@
             self.open += 1
             counts = ask.source != PRELUDE
             self.tally.asked += counts
-            cls = self.day.scenario.classes[ask.request_class]
+            cls = self.schedule.scenario.classes[ask.request_class]
             AttemptAbandoned(self, ask, 0, self._begun + ask.at + cls.give_up_ms / 1000).start()
         if self._next < len(asks):
             self._timer = self.loop.call_later(max(asks[self._next].at - now, 0.0), self._fire)
@@ -324,7 +324,7 @@
         """A try is over: the ask is too, or it goes on after a wait."""
         self.witness.saw(record)
         ask, now = attempt.ask, self.clock()
-        clients = self.day.scenario.clients
+        clients = self.schedule.scenario.clients
         again = (
             record.answer in ("refused", "failed", "none", "cut", "unsent")
             and attempt.number < clients.retries
@@ -341,7 +341,7 @@
         self.open -= 1
         if ask.source == PRELUDE:
             return
-        cls = self.day.scenario.classes[ask.request_class]
+        cls = self.schedule.scenario.classes[ask.request_class]
         if record.answer == "served":
             self.tally.served += 1
             self.tally.in_aim += now - self._begun - ask.at <= cls.aim_ms / 1000
@@ -351,7 +351,7 @@
             self.tally.failed += 1
 
     def _retry(self, following: AttemptAbandoned) -> None:
-        cls = self.day.scenario.classes[following.ask.request_class]
+        cls = self.schedule.scenario.classes[following.ask.request_class]
         following.wait = min(
             cls.give_up_ms / 1000 * following.ask.abandon_after_share, following.deadline - self.clock()
         )
--- a/holdgw/harness/fault_injection.py
+++ b/holdgw/harness/fault_injection.py
@@ -15,7 +15,7 @@
 from holdgw.emulators.listeners import Clock
 from holdgw.emulators.records import Handed
 from holdgw.emulators.seeded_draws import between, unit
-from holdgw.harness.channel import Begin, Front, Message, Places
+from holdgw.harness.channel import Addresses, Begin, FrontUpdate, Message
 from holdgw.harness.checker import History, ProcessLifetime
 from holdgw.harness.deployment import Peers, configuration
 from holdgw.harness.fault_schedule import lines_of_routers
@@ -69,13 +69,13 @@
     async def ended(self, within: float) -> bool:
         """Wait for its end."""
 
-    def tell(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal."""
 
-    def lose(self) -> None:
+    def lose_machine(self) -> None:
         """Its machine is gone, with all that was on it, and silent until it is started again."""
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """The last line of its log."""
 
     @property
@@ -103,10 +103,10 @@
     history: History
 
     def __init__(self, day: Schedule, clock: Clock = time.monotonic) -> None:
-        self.day, self.clock = day, clock
+        self.schedule, self.clock = day, clock
         self.begun = 0.0
-        self.home: dict[str, Worker] = {}  # of each node
-        self.places: dict[str, dict[str, Address]] = {}
+        self.worker_of: dict[str, Worker] = {}  # of each node
+        self.addresses: dict[str, dict[str, Address]] = {}
         self.discovery: dict[str, Address] = {}
         self.peers: dict[str, Peers] = {}
         """What each router is told of the others; empty where they are not allowed to speak."""
@@ -121,7 +121,7 @@
     @property
     def longest(self) -> float:
         """Seconds for which a client waits at most."""
-        return max(one.give_up_ms for one in self.day.scenario.classes) / 1000
+        return max(one.give_up_ms for one in self.schedule.scenario.classes) / 1000
 
     async def later(self, at: float, act: Callable[..., Any], *words: Any) -> None:
         """Act at a second of the day."""
@@ -130,9 +130,9 @@
         if result is not None:
             await result
 
-    def open_front(self) -> None:
+    def announce_routers(self) -> None:
         """Clients learn of the routers, all of which run."""
-        places = Places(routers={name: router.address for name, router in self.routers.items()})
+        places = Addresses(routers={name: router.address for name, router in self.routers.items()})
         for worker in self.client_workers:
             worker.send(places)
         for name in self.routers:
@@ -140,20 +140,20 @@
 
     def begin(self) -> None:
         """The day, with its prelude before it, begins now; its steps follow by themselves."""
-        self.begun = self.clock() + START_S + self.day.scenario.emulator.prelude_s
+        self.begun = self.clock() + START_S + self.schedule.scenario.emulator.prelude_s
         for worker in self.client_workers:
             worker.send(Begin(self.begun))
         self.spawn(self.watch_routers())
         for worker in self.node_workers:
             self.spawn(self.later(0.0, worker.ask, "learn"))
-        for step in self.day.faults:
-            self.spawn(self.later(step.at, self.carry_out, step))
+        for step in self.schedule.faults:
+            self.spawn(self.later(step.at, self.apply_fault, step))
 
-    async def until_over(self, progress: Callable[[float], None] = lambda _at: None) -> None:
+    async def wait_until_finished(self, progress: Callable[[float], None] = lambda _at: None) -> None:
         """Wait until the day is over and all its requests are, or can't be answered any more; `progress` is
         called some times a second with the second of the day.
         """
-        length = self.day.scenario.length_s
+        length = self.schedule.scenario.length_s
         while (now := self.clock() - self.begun) < length + self.longest + SETTLE_S:
             progress(now)
             if now > length and await self._all_done():
@@ -165,34 +165,34 @@
     async def _all_done(self) -> bool:
         return all([await asyncio.wait_for(one.ask("done"), ANSWER_S) for one in self.client_workers])
 
-    async def until_ended(self) -> None:
+    async def stop_routers(self) -> None:
         """Have all routers end in good order, and those that don't, anyhow."""
-        self.end_troubles()
+        self.end_faults()
         running = [router for router in self.routers.values() if router.running]
         for router in running:
-            router.tell(signal.SIGTERM)
+            router.send_signal(signal.SIGTERM)
         await asyncio.gather(*(router.ended(self.longest + KILL_AFTER_S + 2.0) for router in running))
         for router in running:
             if router.running:
-                router.tell(signal.SIGKILL)
+                router.send_signal(signal.SIGKILL)
         await asyncio.gather(*(router.ended(END_S) for router in running))
 
-    def add_place(self, name: str, addresses: dict[str, Any]) -> None:
+    def add_addresses(self, name: str, addresses: dict[str, Any]) -> None:
         """Where a server listens, by zone."""
-        self.places[name] = {zone: (host, port) for zone, (host, port) in addresses.items()}
+        self.addresses[name] = {zone: (host, port) for zone, (host, port) in addresses.items()}
 
     async def start_router(self, router: RouterLifetime) -> None:
         """Start one, and wait until it takes requests; it is told the list as discovery has it now."""
         await self._configure(router)
         await router.start(self.discovery[router.name])
         if not await router.ready():
-            raise HarnessError(f"{router.name} did not get ready: {router.last_words()}".rstrip(": "))
+            raise HarnessError(f"{router.name} did not get ready: {router.last_log_line()}".rstrip(": "))
 
     async def _configure(self, router: RouterLifetime) -> None:
         known = await asyncio.wait_for(self.hub.ask("known", router.name), ANSWER_S)
         told = configuration(
-            self.day.scenario,
-            self.day.seed,
+            self.schedule.scenario,
+            self.schedule.seed,
             router.name,
             router.starts,
             router.address,
@@ -214,21 +214,21 @@
             await asyncio.sleep(LOOK_S)
 
     async def _front_notices(self, name: str) -> None:
-        low_high = self.day.scenario.clients.front_notice_s
+        low_high = self.schedule.scenario.clients.front_notice_s
         starts = self.routers[name].starts
-        await asyncio.sleep(between(unit(self.day.seed, "front", name, starts), low_high))
+        await asyncio.sleep(between(unit(self.schedule.seed, "front", name, starts), low_high))
         if not self.routers[name].running:
             self._front(name, False)
 
     def _front(self, name: str, up: bool) -> None:
         for worker in self.client_workers:
-            worker.send(Front(name, up))
+            worker.send(FrontUpdate(name, up))
 
-    async def list_state(self, state: str, server: str) -> None:
+    async def set_endpoint_state(self, state: str, server: str) -> None:
         """The list changes."""
         await asyncio.wait_for(self.hub.ask(state, server), ANSWER_S)
 
-    async def carry_out(self, step: ScheduledFault) -> None:
+    async def apply_fault(self, step: ScheduledFault) -> None:
         """Do one thing to the fleet."""
         verb, target, args = step.verb, step.target, step.args
         if verb == "restart":
@@ -241,9 +241,9 @@
         elif target == ROUTERS:
             await self._router_trouble(verb, self.routers[args["router"]], args)
         elif target == NETWORK:
-            await self._network_trouble(verb, args)
+            await self._apply_network_fault(verb, args)
         elif target == PEERS:
-            await self._peers_trouble(verb, args)
+            await self._apply_peer_fault(verb, args)
         elif target == ADMIN:
             await asyncio.gather(
                 *(self._call(router, verb == "out", args["node"]) for router in self.routers.values())
@@ -278,7 +278,7 @@
         standing = self._standing.get(router.name)
         if standing is None or standing.start != router.starts:
             standing = self._standing[router.name] = Standing(self.clock(), router.starts)
-            router.tell(signal.SIGSTOP)
+            router.send_signal(signal.SIGSTOP)
         standing.reasons += 1
 
     def let_go(self, router: RouterLifetime) -> None:
@@ -291,7 +291,7 @@
             return
         del self._standing[router.name]
         if standing.start == router.starts:
-            router.tell(signal.SIGCONT)
+            router.send_signal(signal.SIGCONT)
         ended = router.lives[standing.start - 1].exited  # it may have been killed as it stood
         self.history.stops.append((router.name, standing.since, self.clock() if ended is None else ended))
 
@@ -308,7 +308,7 @@
             return
         self._restarting.add(router.name)
         self._lost[router.name] = self.clock()
-        router.lose()
+        router.lose_machine()
         self.spawn(self._front_notices(router.name))
 
     async def _return(self, router: RouterLifetime) -> None:
@@ -322,7 +322,7 @@
         self.history.gone.append((router.name, since, self.clock()))
         self._front(router.name, True)
 
-    def end_troubles(self) -> None:
+    def end_faults(self) -> None:
         """Whatever still stands still goes on; what is lost for good is told."""
         for name, standing in list(self._standing.items()):
             standing.reasons = 1
@@ -332,11 +332,11 @@
 
     # Lines
 
-    async def _network_trouble(self, verb: str, args: dict[str, Any]) -> None:
-        if "node" in args and args["node"] not in self.home:
+    async def _apply_network_fault(self, verb: str, args: dict[str, Any]) -> None:
+        if "node" in args and args["node"] not in self.worker_of:
             return  # a trouble chose a node whose own start lies later
         if verb == "partition":
-            line_of = lines_of_routers(self.day.scenario, self.day.seed)
+            line_of = lines_of_routers(self.schedule.scenario, self.schedule.seed)
             lines = sorted({line_of[name] for name in args["routers"]})
             words = {name: args[name] for name in ("servers", "way", "seconds")} | {"lines": lines}
             parts = [*self.node_workers, *([self.hub] if ORIGIN in args["servers"] else [])]
@@ -344,16 +344,16 @@
         elif verb == "deafen":
             await self.hub.ask("deafen", "", args)
         elif verb == "vanish":
-            await self.home[args["node"]].ask("vanish", args["node"], args)
+            await self.worker_of[args["node"]].ask("vanish", args["node"], args)
         elif verb == "noticed":
-            await self.list_state("removed", args["node"])
+            await self.set_endpoint_state("removed", args["node"])
         elif verb == "return":
-            await self.home[args["node"]].ask("start", args["node"])
-            await self.list_state("up", args["node"])
+            await self.worker_of[args["node"]].ask("start", args["node"])
+            await self.set_endpoint_state("up", args["node"])
         else:
             raise ValueError(f"only the simulation can have the network {verb}")
 
-    async def _peers_trouble(self, verb: str, args: dict[str, Any]) -> None:
+    async def _apply_peer_fault(self, verb: str, args: dict[str, Any]) -> None:
         if self.peers:
             await self.relay.ask(verb, "", args)
 
@@ -363,25 +363,25 @@
         if router.running and await call_door(router.ops, path, node):
             self.history.add(Handed(router.name, node, out, self.clock()))
 
-    async def home_of_new(self, name: str, instead: str) -> Worker:
+    async def worker_for_new_node(self, name: str, instead: str) -> Worker:
         """The worker that a new node runs in; `instead`: the node whose address it takes, if it does."""
-        return self.home[instead] if instead else self.node_workers[0]
+        return self.worker_of[instead] if instead else self.node_workers[0]
 
     async def _change_node(self, verb: str, target: str, args: dict[str, Any]) -> None:
         """Discovery sees only whether a process runs, so the list changes with starts and ends alone."""
         if verb == "create":
-            worker = self.home[target] = await self.home_of_new(target, args["instead"])
-            self.add_place(target, await worker.ask(verb, target, args))
-            self.hub.send(Places(servers={target: self.places[target]}))
-            await self.list_state("up", target)
+            worker = self.worker_of[target] = await self.worker_for_new_node(target, args["instead"])
+            self.add_addresses(target, await worker.ask(verb, target, args))
+            self.hub.send(Addresses(servers={target: self.addresses[target]}))
+            await self.set_endpoint_state("up", target)
             return
-        home = self.home.get(target)
+        home = self.worker_of.get(target)
         if home is None:
             return  # a trouble chose a node whose own start lies later
         await home.ask(verb, target, args)
         state = {"kill": "removed", "start": "up", "drain": "draining"}.get(verb)
         if state is not None:
-            await self.list_state(state, target)
+            await self.set_endpoint_state(state, target)
 
     async def _restart(self, router: RouterLifetime, how: str) -> None:
         """A planned restart as PROTOCOL has it, or a death that the front sees in its time."""
@@ -395,15 +395,15 @@
 
     async def _end_and_start(self, router: RouterLifetime, how: str) -> None:
         if how == "KILL":
-            router.tell(signal.SIGKILL)
+            router.send_signal(signal.SIGKILL)
             await router.ended(END_S)
             self.spawn(self._front_notices(router.name))
         else:
-            router.tell(signal.SIGTERM)
+            router.send_signal(signal.SIGTERM)
             await asyncio.sleep(ACCEPTS_S)
             self._front(router.name, False)
             if not await router.ended(self.longest + KILL_AFTER_S - ACCEPTS_S):
-                router.tell(signal.SIGKILL)
+                router.send_signal(signal.SIGKILL)
                 await router.ended(END_S)
         await self.start_router(router)
         self._front(router.name, True)
@@ -415,4 +415,4 @@
         host, port = await asyncio.wait_for(self.hub.ask("move", router.name), ANSWER_S)
         self.discovery[router.name] = (host, port)
         await self._configure(router)
-        router.tell(signal.SIGHUP)
+        router.send_signal(signal.SIGHUP)
--- a/holdgw/harness/html_report.py
+++ b/holdgw/harness/html_report.py
@@ -103,13 +103,13 @@
 
 
 def _figure(title: str, series: Series, report: Report, note: str = "") -> str:
-    length, marks = report.day.scenario.length_s, report.day.drawn_faults
+    length, marks = report.schedule.scenario.length_s, report.schedule.drawn_faults
     text = f"<p>{escape(note)}</p>" if note else ""
     return f"<h2>{escape(title)}</h2>{text}{_key(list(series))}{plot(series, length, marks)}"
 
 
 def _latency(report: Report) -> Series:
-    length = report.day.scenario.length_s
+    length = report.schedule.scenario.length_s
     took = defaultdict[int, list[float]](list)
     for fate in report.fates:
         if fate.took is not None:
@@ -123,7 +123,7 @@
 
 
 def _outcomes(report: Report) -> Series:
-    length, classes = report.day.scenario.length_s, report.day.scenario.classes
+    length, classes = report.schedule.scenario.length_s, report.schedule.scenario.classes
     times: dict[str, list[float]] = {"asked": [], "in aim": [], "late": [], "refused": [], "failed": []}
     for fate in report.fates:
         times["asked"].append(fate.ask.at)
@@ -136,7 +136,7 @@
 
 
 def _misses(report: Report) -> Series:
-    length = report.day.scenario.length_s
+    length = report.schedule.scenario.length_s
     times: dict[str, list[float]] = {
         "package store fetches": [
             one.at for one in report.attempts if one.server == ORIGIN and not one.idempotency
@@ -164,7 +164,7 @@
             work[int(one.at)][one.server] += 1
     nodes = len(report.body["nodes"]) or 1
     lines: dict[str, list[tuple[float, float]]] = {"mean": [], "busiest": []}
-    for i in range(max(int(report.day.scenario.length_s), 1)):
+    for i in range(max(int(report.schedule.scenario.length_s), 1)):
         lines["mean"].append((i + 0.5, sum(work[i].values()) / nodes))
         lines["busiest"].append((i + 0.5, max(work[i].values(), default=0)))
     return lines
@@ -235,7 +235,7 @@
         )
     )
     troubles = "".join(
-        f"<li><b>{_when(mark)}</b> {escape(mark.text)}</li>" for mark in report.day.drawn_faults
+        f"<li><b>{_when(mark)}</b> {escape(mark.text)}</li>" for mark in report.schedule.drawn_faults
     )
     broken = _table(
         ("rule", "second", "requests", "what"),
@@ -245,7 +245,7 @@
         [
             f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{escape(body["scenario"])}</title>',
             f"<style>{STYLE}</style><h1>{escape(body['scenario'])}, seed {body['seed']}</h1>",
-            f"<p>{escape(report.day.scenario.about)}</p>{void}",
+            f"<p>{escape(report.schedule.scenario.about)}</p>{void}",
             f'<div class="figures">{figures}</div><div class="figures">{rules}</div>',
             f"<ol>{troubles}</ol>" if troubles else "<p>No troubles.</p>",
             _figure("Requests a second, by what became of them", _outcomes(report), report),
--- a/holdgw/harness/orchestrator.py
+++ b/holdgw/harness/orchestrator.py
@@ -25,6 +25,7 @@
 from holdgw.emulators.records import Fallen
 from holdgw.emulators.relay import ALL
 from holdgw.harness.channel import (
+    Addresses,
     Batch,
     Channel,
     ClientCounts,
@@ -33,7 +34,6 @@
     Fault,
     Finish,
     Message,
-    Places,
     Setup,
     Stored,
     Voided,
@@ -194,7 +194,7 @@
             self.history.add(record)
             if isinstance(record, Fallen):
                 self.felled += 1
-                self.spawn(self.list_state("removed", record.server))
+                self.spawn(self.set_endpoint_state("removed", record.server))
 
     def tell_nodes(self, message: Stored | Voided) -> None:
         """The package store's news goes to all nodes."""
@@ -257,13 +257,13 @@
                 (self._keep_logs / "fault.txt").write_text(self._fault_text)
 
     async def _play(self, folder: Path, progress: Callable[[Orchestrator, float], None]) -> RunResult:
-        scenario = self.day.scenario
+        scenario = self.schedule.scenario
         await self._start_workers(scenario)
         await self._start_routers(scenario, folder)
         self.begin()
         self.spawn(self._sample())
         self.spawn(self._look_at_waits())
-        await self.until_over(partial(progress, self))
+        await self.wait_until_finished(partial(progress, self))
         return await self._gather()
 
     async def _gather(self) -> RunResult:
@@ -272,7 +272,7 @@
             task.cancel()
         for router in self.routers.values():
             router.sample()
-        await self.until_ended()
+        await self.stop_routers()
         workers = self._workers
         for worker in workers:
             worker.sample()
@@ -284,10 +284,10 @@
             self.history.starved += router.starved
         times = os.times()
         return RunResult(
-            self.day,
+            self.schedule,
             self.history,
             self.begun,
-            self.day.scenario.length_s,
+            self.schedule.scenario.length_s,
             {router.name: router.usage for router in self.routers.values()},
             {**{worker.name: worker.cpu for worker in workers}, "stage": times.user + times.system},
             len(self.routers) + len(workers) + 1,
@@ -322,20 +322,20 @@
                 self.relay = worker
             else:
                 self.client_workers.append(worker)
-            setup = Setup(role, index, count, worker.name, scenario, self.day.seed, "127.0.0.1")
+            setup = Setup(role, index, count, worker.name, scenario, self.schedule.seed, "127.0.0.1")
             ready = worker.ready()
             await worker.start(setup, environment)
             self._tasks.add(asyncio.ensure_future(self._told(worker, ready, role)))
         await asyncio.wait_for(asyncio.gather(*self._tasks), ANSWER_S + 30)
         self._tasks.clear()
-        self.hub.send(Places(servers=self.places))
+        self.hub.send(Addresses(servers=self.addresses))
 
     async def _told(self, worker: WorkerProcess, ready: asyncio.Future[Any], role: str) -> None:
         told = await ready
         if role == "nodes":
             for name, addresses in told.items():
-                self.home[name] = worker
-                self.add_place(name, addresses)
+                self.worker_of[name] = worker
+                self.add_addresses(name, addresses)
         elif role == "hub":
             self.discovery = {name: (host, port) for name, (host, port) in told.items()}
 
@@ -353,7 +353,7 @@
             await self._join_peers()
         await asyncio.gather(*(self.start_aggregator(one) for one in self.aggregators.values()))
         await asyncio.gather(*(self.start_router(router) for router in self.routers.values()))
-        self.open_front()
+        self.announce_routers()
 
     def _place_aggregators(self, scenario: Scenario, folder: Path, net: str) -> None:
         for i, name in enumerate(member_names(scenario)[len(self.routers) :]):
@@ -364,14 +364,16 @@
 
     async def start_aggregator(self, machine: RouterProcess) -> None:
         """Start a machine set aside, and wait until it aggregates."""
-        day, discovery = self.day, next(iter(self.discovery.values()))
+        day, discovery = self.schedule, next(iter(self.discovery.values()))
         place = machine.address, discovery, None, machine.ops, self.peers[machine.name]
         machine.configure(configuration(day.scenario, day.seed, machine.name, machine.starts, *place))
         await machine.start(discovery)
         due = self.clock() + READY_S
         while not (await first_line(machine.ops, STATUS)).startswith(b"HTTP/1.1 200"):
             if not machine.running or self.clock() > due:
-                raise HarnessError(f"{machine.name} did not get ready: {machine.last_words()}".rstrip(": "))
+                raise HarnessError(
+                    f"{machine.name} did not get ready: {machine.last_log_line()}".rstrip(": ")
+                )
             await asyncio.sleep(PING_EVERY_S)
 
     async def _join_peers(self) -> None:
--- a/holdgw/harness/report.py
+++ b/holdgw/harness/report.py
@@ -13,10 +13,10 @@
 from holdgw.harness import scoring
 from holdgw.harness.checker import (
     STARVED,
-    Broken,
     ClassRule,
     History,
     LagVerdict,
+    Violation,
     counts,
     judge,
     judge_lag,
@@ -39,7 +39,7 @@
 
     body: dict[str, Any]
     day: Schedule
-    broken: list[Broken]
+    broken: list[Violation]
     lag: LagVerdict
     fates: list[Fate]
     service: Service
@@ -187,12 +187,12 @@
     }
 
 
-def judge_run(day: Schedule, history: History) -> list[Broken]:
+def rule_violations(day: Schedule, history: History) -> list[Violation]:
     """All breaks of the four rules on a day, in order of time."""
     return [one for one in failures_of(day, history) if one.rule != STARVED]
 
 
-def failures_of(day: Schedule, history: History) -> list[Broken]:
+def failures_of(day: Schedule, history: History) -> list[Violation]:
     """All breaks on a day, and requests lost for want of a core, in order of time."""
     classes = day.scenario.classes
     rules = {
@@ -205,7 +205,7 @@
 
 def make_report(played: RunResult) -> Report:
     """Judge and count a played day."""
-    day, scenario, history, begun = played.day, played.day.scenario, played.history, played.begun
+    day, scenario, history, begun = played.schedule, played.schedule.scenario, played.history, played.begun
     wrong = failures_of(day, history)
     broken = [one for one in wrong if one.rule != STARVED]
     lag = judge_lag(history.lags, scenario.emulator.lag_ms, scenario.emulator.worst_ms, begun)
--- a/holdgw/harness/routers.py
+++ b/holdgw/harness/routers.py
@@ -205,7 +205,7 @@
         self._waited = self._clock(), 0.0
         self._watch = asyncio.create_task(self._wait(self._process, len(self.lives) - 1))
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """The last line of its log; empty where there is none."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
         return lines[-1] if lines else ""
@@ -242,7 +242,7 @@
                 return int(Path(f"/proc/{pid}/task/{pid}/children").read_text().split()[0])
         return pid
 
-    def tell(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal; its end by SIGTERM or SIGKILL is wanted then."""
         if not self.running:
             return
@@ -259,7 +259,7 @@
         with contextlib.suppress(ProcessLookupError):
             os.kill(self.pid, number)
 
-    def lose(self) -> None:
+    def lose_machine(self) -> None:
         """Its machine is gone with all that was on it. Its kernel's connections stay open and silent until it
         is started again, and are reset then (PROTOCOL, "The network"): until then it is only stopped.
         """
--- a/holdgw/harness/worker.py
+++ b/holdgw/harness/worker.py
@@ -29,6 +29,7 @@
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.emulators.seeded_draws import between, unit
 from holdgw.harness.channel import (
+    Addresses,
     Batch,
     Begin,
     Channel,
@@ -36,9 +37,8 @@
     Do,
     Fault,
     Finish,
-    Front,
+    FrontUpdate,
     Message,
-    Places,
     Setup,
     Stored,
     Voided,
@@ -102,7 +102,7 @@
         """Send a message."""
 
 
-class Part:
+class WorkerRole:
     """What all roles have in common: it keeps the records and sends them on.
 
     `clock` is in seconds and the same for all parts; `unix` is a wall clock in seconds.
@@ -152,7 +152,7 @@
     async def start(self) -> Any:
         """Take up the role; returns what the stage should know."""
 
-    def places(self, places: Places) -> None:
+    def set_addresses(self, places: Addresses) -> None:
         """Learn addresses."""
 
     def begin(self, at: float) -> None:
@@ -169,7 +169,7 @@
         """The day is over."""
 
 
-class NodesPart(Part):
+class NodesRole(WorkerRole):
     """Some of the mirror nodes."""
 
     nodes: dict[str, NodeServer]
@@ -251,7 +251,7 @@
             node.close()
 
 
-class HubPart(Part):
+class HubRole(WorkerRole):
     """The package store and discovery."""
 
     store: OriginServer
@@ -294,7 +294,7 @@
     def _where(self, router: str, server: str) -> Address:
         return self._places[server][self.line_of[router]]
 
-    def places(self, places: Places) -> None:
+    def set_addresses(self, places: Addresses) -> None:
         """Learn where nodes listen."""
         self._places.update(places.servers)
 
@@ -351,20 +351,20 @@
         self.discovery.close()
 
 
-class ClientsPart(Part):
+class ClientsRole(WorkerRole):
     """Some of the clients."""
 
     clients: Clients
 
     async def start(self) -> Any:
         """Draw the day."""
-        self.take_up(draw_schedule(self.setup.scenario, self.setup.seed))
+        self.set_schedule(draw_schedule(self.setup.scenario, self.setup.seed))
 
-    def take_up(self, day: Schedule) -> None:
+    def set_schedule(self, day: Schedule) -> None:
         """Have the clients of a day that is drawn."""
         self.clients = Clients(day, self.setup.index, self.setup.count, self, self.clock)
 
-    def places(self, places: Places) -> None:
+    def set_addresses(self, places: Addresses) -> None:
         """Learn where routers listen."""
         self.clients.routers(places.routers)
 
@@ -388,7 +388,7 @@
         self.clients.close()
 
 
-class RelayPart(Part):
+class RelayRole(WorkerRole):
     """The lines between routers."""
 
     relay: Relay
@@ -404,7 +404,7 @@
             self.relay = Relay(model, listens, self.clock, self.setup.ip)
             return await self.relay.start()
         if verb in ("partition", "weather"):
-            relay_trouble(self.relay.model, verb, args, self.clock())
+            apply_relay_fault(self.relay.model, verb, args, self.clock())
         elif verb == "counts":
             return {name: asdict(counts) for name, counts in self.relay.model.counts.items()}
         else:
@@ -432,7 +432,7 @@
     return RelayModel(seed, line, weather)
 
 
-def relay_trouble(model: RelayModel, verb: str, args: dict[str, Any], now: float) -> None:
+def apply_relay_fault(model: RelayModel, verb: str, args: dict[str, Any], now: float) -> None:
     """A partition between routers, or what befalls all lines from now on."""
     if verb == "partition":
         a, b = (args["b"], args["a"]) if args["way"] == "from" else (args["a"], args["b"])
@@ -441,11 +441,11 @@
         model.weather = replace(model.weather, **args)
 
 
-ROLES: dict[str, type[Part]] = {
-    "nodes": NodesPart,
-    "hub": HubPart,
-    "clients": ClientsPart,
-    PEERS: RelayPart,
+ROLES: dict[str, type[WorkerRole]] = {
+    "nodes": NodesRole,
+    "hub": HubRole,
+    "clients": ClientsRole,
+    PEERS: RelayRole,
 }
 
 
@@ -454,7 +454,7 @@
 
     def __init__(self) -> None:
         self.over = asyncio.Event()
-        self.part: Part | None = None
+        self.part: WorkerRole | None = None
         self.channel: Channel | None = None
         self._messages: asyncio.Queue[Message] = asyncio.Queue()
         self._lateness: Lateness | None = None
@@ -474,9 +474,9 @@
             self._flush_timer.cancel()
 
     def _came(self, message: Message) -> None:
-        if isinstance(message, Stored | Voided) and isinstance(self.part, NodesPart):
+        if isinstance(message, Stored | Voided) and isinstance(self.part, NodesRole):
             self.part.received(message)
-        elif isinstance(message, Front) and isinstance(self.part, ClientsPart):
+        elif isinstance(message, FrontUpdate) and isinstance(self.part, ClientsRole):
             self.part.clients.front(message.router, message.up)
         else:
             self._messages.put_nowait(message)
@@ -506,8 +506,8 @@
             self.channel.send(Did(0, value))
         elif self.part is None:
             raise ValueError(f"{type(message).__name__} before the setup")
-        elif isinstance(message, Places):
-            self.part.places(message)
+        elif isinstance(message, Addresses):
+            self.part.set_addresses(message)
         elif isinstance(message, Begin):
             self.part.begin(message.at)
         elif isinstance(message, Do):
--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -248,7 +248,7 @@
         self.descriptors = Descriptors()
         self.memory = bytearray()
         self.workers: list[Process] = []
-        self._random = random.Random(f"{router.theatre.day.seed}/{router.name}/{router.starts}/cores")
+        self._random = random.Random(f"{router.theatre.schedule.seed}/{router.name}/{router.starts}/cores")
 
     def create_table(self, workers: int) -> shared_table.SharedTable:
         """Create the shared memory."""
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -24,19 +24,19 @@
 from holdgw.emulators.discovery_model import DiscoveryModel, Entry
 from holdgw.emulators.records import Deaf, Fallen, Record
 from holdgw.emulators.seeded_draws import between, unit
-from holdgw.harness.channel import Begin, Finish, Front, Message, Places, Setup, Stored, Voided
-from holdgw.harness.checker import Broken, History, ProcessLifetime
+from holdgw.harness.channel import Addresses, Begin, Finish, FrontUpdate, Message, Setup, Stored, Voided
+from holdgw.harness.checker import History, ProcessLifetime, Violation
 from holdgw.harness.clients import ClientConnection
 from holdgw.harness.deployment import Peers
 from holdgw.harness.fault_injection import FaultInjector, HarnessError, Worker
 from holdgw.harness.orchestrator import RunResult
-from holdgw.harness.report import judge_run
+from holdgw.harness.report import rule_violations
 from holdgw.harness.routers import Usage, until_ready
 from holdgw.harness.scenario import Scenario, node_names, router_names
 from holdgw.harness.schedule import ORIGIN, Schedule, ScheduledFault
 from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.harness.topology import zone_of_router, zone_of_server
-from holdgw.harness.worker import ClientsPart, HubPart, NodesPart, Part, relay_model, relay_trouble
+from holdgw.harness.worker import ClientsRole, HubRole, NodesRole, WorkerRole, apply_relay_fault, relay_model
 from holdgw.router.config import ConfigError, load_config
 from holdgw.router.platform import Platform
 from holdgw.router.program import Program
@@ -70,7 +70,7 @@
     callbacks: int = 0
     seconds: float = 0.0
     """Simulated, from the first process's start on."""
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[Violation] = field(default_factory=list)
     fault: str = ""
     asked: int = 0
     served: int = 0
@@ -121,9 +121,9 @@
 class SimulatedPart:
     """A part of the emulator in a process of its own, as the time line sees it."""
 
-    def __init__(self, theatre: SimulatedFleet, process: Process, make: Callable[[], Part]) -> None:
+    def __init__(self, theatre: SimulatedFleet, process: Process, make: Callable[[], WorkerRole]) -> None:
         self.theatre, self.process, self._make = theatre, process, make
-        self.part: Part | None = None
+        self.part: WorkerRole | None = None
 
     def start(self) -> asyncio.Future[Any]:
         """Start it; the future is what it tells of itself."""
@@ -164,11 +164,11 @@
     def _took(self, message: Message) -> None:
         part = self.part
         assert part is not None
-        if isinstance(message, Places):
-            part.places(message)
+        if isinstance(message, Addresses):
+            part.set_addresses(message)
         elif isinstance(message, Begin):
             part.begin(message.at)
-        elif isinstance(message, Front) and isinstance(part, ClientsPart):
+        elif isinstance(message, FrontUpdate) and isinstance(part, ClientsRole):
             part.clients.front(message.router, message.up)
         elif isinstance(message, Finish):
             part.close()
@@ -186,7 +186,7 @@
             self._theatre.tell_nodes(message)
 
 
-class _Seen(Part):
+class _Seen(WorkerRole):
     """A part that hands on at once what it saw, over lines that the network plays."""
 
     theatre: SimulatedFleet
@@ -207,14 +207,14 @@
         return {name: zone_of_router(scenario, name) for name in router_names(scenario.fleet)}
 
 
-class _Nodes(_Seen, NodesPart):
+class _Nodes(_Seen, NodesRole):
     pass
 
 
-class _Clients(_Seen, ClientsPart):
+class _Clients(_Seen, ClientsRole):
     async def start(self) -> None:
         """The day is drawn already."""
-        self.take_up(self.theatre.day)
+        self.set_schedule(self.theatre.schedule)
 
 
 class _Discovery(DiscoveryServer):
@@ -236,7 +236,7 @@
             super().told(connection, whole, entries)
 
 
-class _Hub(_Seen, HubPart):
+class _Hub(_Seen, HubRole):
     def make_discovery(self, model: DiscoveryModel, routers: list[str], call_s: float) -> DiscoveryServer:
         """On a host of its own."""
         ip = self.theatre.ips[DISCOVERY]
@@ -260,7 +260,7 @@
         self._files: dict[str, bytes] = {}
         self._main = main
         self._ended: asyncio.Event | None = None
-        self._random = random.Random(f"{theatre.day.seed}/{name}")
+        self._random = random.Random(f"{theatre.schedule.seed}/{name}")
 
     def configure(self, told: dict[str, Any]) -> None:
         """Write its configuration."""
@@ -280,9 +280,9 @@
         if self.host.silent:
             self.theatre.network.boot(self.host)
         self.starts += 1
-        theatre, scenario = self.theatre, self.theatre.day.scenario
+        theatre, scenario = self.theatre, self.theatre.schedule.scenario
         drift = round(
-            between(unit(theatre.day.seed, "drift", self.name, self.starts), (-1.0, 1.0))
+            between(unit(theatre.schedule.seed, "drift", self.name, self.starts), (-1.0, 1.0))
             * scenario.simulation.drift_ppm
         )
         process = Process(
@@ -323,7 +323,7 @@
         """Whether its process lives."""
         return self.process is not None and self.process.alive
 
-    def tell(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal; its end by SIGTERM or SIGKILL is wanted then."""
         if not self.running:
             return
@@ -337,7 +337,7 @@
             self.lives[-1] = replace(life, told_to_end=self.theatre.clock(), wanted="TERM")
         self.process.tell(number)
 
-    def lose(self) -> None:
+    def lose_machine(self) -> None:
         """Its machine is gone without a word, with its disk."""
         self.theatre.network.vanish(self.host)
         self.host.disk = Disk()
@@ -356,7 +356,7 @@
                 pass
         return not self.running
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """The last fault of its process."""
         return self.process.faults[-1] if self.process is not None and self.process.faults else ""
 
@@ -426,7 +426,7 @@
         every = (self._host("tier", "", "10.0.0.5").ips[0], PEER_PORT)
         each = tuple((router.address[0], PEER_PORT) for router in self.routers.values())
         self.peers = {name: Peers(one, each, every) for name, one in zip(self.routers, each, strict=True)}
-        self.network.peers = relay_model(scenario, self.day.seed)
+        self.network.peers = relay_model(scenario, self.schedule.seed)
         self.network.groups[every] = list(each)
 
     def _host(self, name: str, zone: str, ip: str) -> Host:
@@ -436,16 +436,16 @@
 
     def _line(self, a: Host, b: Host) -> tuple[int, int]:
         """The least delay and the jitter between two hosts: as the scenario has it, the same both ways."""
-        fleet = self.day.scenario.fleet
+        fleet = self.schedule.scenario.fleet
         if "" in (a.zone, b.zone) or (
-            DISCOVERY in (a.name, b.name) and self.day.scenario.discovery.mode == "push"
+            DISCOVERY in (a.name, b.name) and self.schedule.scenario.discovery.mode == "push"
         ):
             least = 0.1  # the clients' line is not the fleet's, and an agent is on the router's own machine
         else:
             span = fleet.same_ms if a.zone == b.zone else fleet.cross_ms
-            least = between(unit(self.day.seed, "line", *sorted((a.name, b.name))), span)
+            least = between(unit(self.schedule.seed, "line", *sorted((a.name, b.name))), span)
         least_ns = int(least * NS_PER_MS)
-        return least_ns, int(least_ns * self.day.scenario.simulation.jitter)
+        return least_ns, int(least_ns * self.schedule.scenario.simulation.jitter)
 
     # What parts tell
 
@@ -457,7 +457,7 @@
 
     async def _fell(self, server: str) -> None:
         await asyncio.sleep(FALLEN_S)
-        await self.list_state("removed", server)
+        await self.set_endpoint_state("removed", server)
 
     def tell_nodes(self, message: Stored | Voided) -> None:
         """The package store's news goes to all nodes."""
@@ -520,22 +520,22 @@
         return outcome
 
     def _judged(self, seconds: float) -> Outcome:
-        scenario, history = self.day.scenario, self.history
+        scenario, history = self.schedule.scenario, self.history
         for name, router in self.routers.items():
             history.lives += router.lives
             self.watch.tell_faults(name)
-        broken = [] if self.failure else judge_run(self.day, history)
+        broken = [] if self.failure else rule_violations(self.schedule, history)
         broken = sorted([*broken, *self.watch.broken], key=lambda one: one.at)
-        played = RunResult(self.day, history, self.begun, scenario.length_s)
+        played = RunResult(self.schedule, history, self.begun, scenario.length_s)
         return Outcome(
-            self.day.seed,
+            self.schedule.seed,
             self.world.trace.digest(),
             self.world.trace.events,
             self.world.callbacks,
             seconds,
             broken,
             self.failure,
-            len(self.day.requests),
+            len(self.schedule.requests),
             sum(one.answer == "served" for one in history.tries),
             self.begun,
             played,
@@ -545,9 +545,9 @@
         self, name: str, host: Host, kind: type[_Seen], index: int = 0, count: int = 1
     ) -> SimulatedPart:
         process = Process(self.world, self.network, host, name)
-        setup = Setup("", index, count, name, self.day.scenario, self.day.seed, host.ips[0])
+        setup = Setup("", index, count, name, self.schedule.scenario, self.schedule.seed, host.ips[0])
 
-        def make() -> Part:
+        def make() -> WorkerRole:
             part = kind(_Outlet(self), setup, self._seconds, lambda: process.unix_ns() / NS_PER_S)
             part.theatre = self
             if isinstance(part, _Nodes):
@@ -557,7 +557,7 @@
         return SimulatedPart(self, process, make)
 
     async def _play(self) -> int:
-        scenario = self.day.scenario
+        scenario = self.schedule.scenario
         try:
             await self._start_parts(scenario)
             for router in self.routers.values():
@@ -565,12 +565,12 @@
         except HarnessError as error:
             self.fail(str(error))
             return 1
-        self.open_front()
+        self.announce_routers()
         self.begin()
         self.watch.begin()
-        await self.until_over()
+        await self.wait_until_finished()
         await self._grow_quiet()
-        await self.until_ended()
+        await self.stop_routers()
         for worker in (*self.client_workers, *self.node_workers, self.hub):
             worker.send(Finish())
         await asyncio.sleep(0.01)
@@ -580,10 +580,10 @@
         """End what is still wrong, have the clients leave, and look at what routers still hold."""
         self.network.cuts.clear()
         self.network.weather = Weather()
-        self.end_troubles()
+        self.end_faults()
         for worker in self.client_workers:
             worker.send(Finish())
-        await asyncio.sleep(self.longest + self.day.scenario.simulation.quiet_s)
+        await asyncio.sleep(self.longest + self.schedule.scenario.simulation.quiet_s)
         self.watch.quiet()
 
     async def _start_parts(self, scenario: Scenario) -> None:
@@ -592,29 +592,29 @@
             host = self._host(name, zone_of_server(scenario, name), f"10.2.{i // 250}.{1 + i % 250}")
             worker = self._part(name, host, _Nodes, i, len(names))
             self.node_workers.append(worker)
-            self.home[name] = worker
+            self.worker_of[name] = worker
         told = [await worker.start() for worker in self.node_workers]
         for addresses in told:
             for name, places in addresses.items():
-                self.add_place(name, places)
+                self.add_addresses(name, places)
         hub = self._part("hub", self.hosts[ORIGIN], _Hub)
         hub.process.homes.append(self.hosts[DISCOVERY])
         self.hub = hub
         for name, (ip, port) in (await hub.start()).items():
             self.discovery[name] = (ip, port)
-        hub.send(Places(servers=self.places))
+        hub.send(Addresses(servers=self.addresses))
         clients = self._part(CLIENTS, self.hosts[CLIENTS], _Clients)
         self.client_workers = [clients]
         await clients.start()
 
-    async def home_of_new(self, name: str, instead: str) -> Worker:
+    async def worker_for_new_node(self, name: str, instead: str) -> Worker:
         """A process of its own, or the one whose address it takes."""
         if instead:
             host = self.hosts[instead]
             self.ips[name], self.hosts[name] = self.ips[instead], host
             self._names.setdefault(host, [host.name]).append(name)
-            return self.home[instead]
-        scenario = self.day.scenario
+            return self.worker_of[instead]
+        scenario = self.schedule.scenario
         number = int(name[4:])
         host = self._host(name, zone_of_server(scenario, name), f"10.2.{number // 250}.{1 + number % 250}")
         worker = self._part(name, host, _Nodes, number, number + 1)
@@ -624,16 +624,16 @@
 
     # Troubles of the network and of processes
 
-    async def carry_out(self, step: ScheduledFault) -> None:
+    async def apply_fault(self, step: ScheduledFault) -> None:
         """Do one thing to the fleet, or to what lies between."""
         if step.verb != "stall":  # virtual time is never late
-            await super().carry_out(step)
+            await super().apply_fault(step)
 
-    async def _peers_trouble(self, verb: str, args: dict[str, Any]) -> None:
+    async def _apply_peer_fault(self, verb: str, args: dict[str, Any]) -> None:
         if self.network.peers is not None:
-            relay_trouble(self.network.peers, verb, args, self.clock())
+            apply_relay_fault(self.network.peers, verb, args, self.clock())
 
-    async def _network_trouble(self, verb: str, args: dict[str, Any]) -> None:
+    async def _apply_network_fault(self, verb: str, args: dict[str, Any]) -> None:
         network = self.network
         if "node" in args and args["node"] not in self.hosts:
             return  # a trouble chose a node whose own start lies later
@@ -651,16 +651,16 @@
                 self.history.add(Deaf(name, now, now + args["seconds"]))
         elif verb == "vanish":
             network.vanish(self.hosts[args["node"]])
-            await self.home[args["node"]].ask("kill", args["node"])
+            await self.worker_of[args["node"]].ask("kill", args["node"])
         elif verb == "noticed":
-            await self.list_state("removed", args["node"])
+            await self.set_endpoint_state("removed", args["node"])
         elif verb == "return":
             host = self.hosts[args["node"]]
             network.boot(host)
             if self._names.get(host, [args["node"]])[-1] != args["node"]:
                 return  # another node has its address by now
-            await self.home[args["node"]].ask("start", args["node"])
-            await self.list_state("up", args["node"])
+            await self.worker_of[args["node"]].ask("start", args["node"])
+            await self.set_endpoint_state("up", args["node"])
         elif verb == "cut":
             self._cuts[args["name"]] = Cut(args["share"], tuple(args["phases"]), self._hits(args["lines"]))
             network.cuts = list(self._cuts.values())
--- a/holdgw/simulation/invariants.py
+++ b/holdgw/simulation/invariants.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from holdgw.harness.checker import Broken
+from holdgw.harness.checker import Violation
 from holdgw.router.client_listener import MAX_REJECTING_CONNECTIONS
 from holdgw.router.descriptor_limits import CLIENT_DESCRIPTOR_FRACTION, OWN_DESCRIPTORS
 from holdgw.router.open_request import MAX_RECENT_IDS
@@ -59,7 +59,7 @@
 
     def __init__(self, world: World, theatre: SimulatedFleet) -> None:
         self._world, self._theatre = world, theatre
-        self.broken: list[Broken] = []
+        self.broken: list[Violation] = []
         self._lives: dict[str, list[Process]] = {}
         self._base: dict[str, Reading] = {}
         self._said: set[tuple[str, str]] = set()
@@ -68,7 +68,7 @@
         """An invariant is broken; each is told of once a router."""
         if (what, text) not in self._said:
             self._said.add((what, text))
-            self.broken.append(Broken(what, self._world.seconds, (), text))
+            self.broken.append(Violation(what, self._world.seconds, (), text))
 
     def began(self, name: str, process: Process) -> None:
         """A router's process has started."""
--- a/tests/harness/test_harness.py
+++ b/tests/harness/test_harness.py
@@ -70,7 +70,7 @@
     for name in ("asked", "served", "in_aim", "refused", "failed", "service", "rules", "p50_ms", "p99_ms",
                  "origin_fetches", "nodes", "routers"):  # fmt: skip
         assert name in body
-    assert body["asked"] == sum(ask.at >= 0 for ask in played.day.requests)
+    assert body["asked"] == sum(ask.at >= 0 for ask in played.schedule.requests)
     assert body["served"] + body["refused"] + body["failed"] == body["asked"]
     assert body["served"] > 0.8 * body["asked"]
     assert set(body["rules"]) == {"lost", "twice", "late_drain", "felled"}
--- a/tests/processes/test_aggregation.py
+++ b/tests/processes/test_aggregation.py
@@ -98,7 +98,7 @@
                 all_covered(seen) and all(one['lb_picture{of="servers"}'] == 9 for one in seen.values())
             )
         )
-        table.first.tell(signal.SIGKILL)
+        table.first.send_signal(signal.SIGKILL)
         await table.until(8.0)
         for name, one in (await table.soon(all_covered)).items():
             assert view(one, "fallbacks") == 0, name
@@ -111,9 +111,9 @@
 def test_an_aggregator_frozen_for_five_seconds_wakes_with_nothing_old(tmp_path: Path) -> None:
     async def scene(table: Table) -> None:
         await table.soon(all_covered)
-        table.first.tell(signal.SIGSTOP)
+        table.first.send_signal(signal.SIGSTOP)
         await asyncio.sleep(5.0)
-        table.first.tell(signal.SIGCONT)
+        table.first.send_signal(signal.SIGCONT)
         for name, one in (await table.soon(all_covered)).items():
             assert view(one, "fallbacks") == 0, name
             assert view(one, "age_ms") < 5000, name
@@ -128,8 +128,8 @@
 def test_with_all_aggregators_gone_routers_fall_back_and_come_back_with_the_first(tmp_path: Path) -> None:
     async def scene(table: Table) -> None:
         await table.soon(all_covered)
-        table.first.tell(signal.SIGKILL)
-        table.second.tell(signal.SIGKILL)
+        table.first.send_signal(signal.SIGKILL)
+        table.second.send_signal(signal.SIGKILL)
         seen = await table.soon(lambda seen: all(view(one, "fallback") for one in seen.values()))
         for name, one in seen.items():
             assert view(one, "reporters") == 0, name
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -155,9 +155,9 @@
     async def _join_peers(self) -> None:
         await super()._join_peers()
         if self._spoken is not None:
-            number = member_names(self.day.scenario).index(self._spoken)
+            number = member_names(self.schedule.scenario).index(self._spoken)
             role = Role.SET_ASIDE if self._spoken == AGGREGATOR else Role.ROUTER
-            zone = number % len(self.day.scenario.fleet.zones)
+            zone = number % len(self.schedule.scenario.fleet.zones)
             self.speaker = Speaker(number, self.peers.pop(self._spoken), zone, role)
             self.spawn(self.speaker.speak())
 
@@ -165,8 +165,8 @@
         if machine.name != self._spoken:
             await super().start_aggregator(machine)
 
-    async def until_over(self, progress: Callable[[float], None] = lambda _at: None) -> None:
-        await super().until_over(progress)
+    async def wait_until_finished(self, progress: Callable[[float], None] = lambda _at: None) -> None:
+        await super().wait_until_finished(progress)
         await self.scene_over.wait()
 
     async def until(self, second: float) -> None:
@@ -396,7 +396,7 @@
         speaker.slots = {OLD: 15}
         await stage.covered()
         await stage.until(2.5)
-        false = FalseReporter(speaker, node_names(stage.day.scenario.fleet))
+        false = FalseReporter(speaker, node_names(stage.schedule.scenario.fleet))
         assert len(false.recorded) >= 3
         speaker.alter = lambda _to, data: [] if sequenced_report.is_sequenced_report(data) else [data]
         speaker.views.clear()
@@ -534,7 +534,7 @@
         speaker = stage.speaker
         await stage.covered()
         await stage.until(2.5)
-        false = FalseAggregator(speaker, node_names(stage.day.scenario.fleet))
+        false = FalseAggregator(speaker, node_names(stage.schedule.scenario.fleet))
         assert len(false.recorded) >= ROUTERS
         speaker.alter = false.alter
         seen.extend(await stage.lie(false.lies))
@@ -573,7 +573,7 @@
 
     async def scene(stage: FalseStage) -> None:
         await stage.covered()
-        await stage.carry_out(ScheduledFault(0.0, "restart", RESTARTED, {"signal": "KILL"}))
+        await stage.apply_fault(ScheduledFault(0.0, "restart", RESTARTED, {"signal": "KILL"}))
         again = time.monotonic()
         # What its first process reported counts for 3 s, and a view for as long.
         while time.monotonic() < again + 2 * REPORT_MAX_AGE / NS_PER_S:
--- a/tests/router/test_lines.py
+++ b/tests/router/test_lines.py
@@ -306,7 +306,7 @@
         await asyncio.sleep(1.0)
         cut = {"a": ["router00"], "b": ["router01"], "way": "to", "seconds": 1.0}
         begun = theatre.clock()
-        await theatre.carry_out(ScheduledFault(0.0, "partition", PEERS, cut))
+        await theatre.apply_fault(ScheduledFault(0.0, "partition", PEERS, cut))
         await asyncio.sleep(2.0)
         reached = {name for name, at in heard if begun < at < begun + 1.0}
         assert reached == {"router02"}
--- a/tests/simulation/test_simulation_play.py
+++ b/tests/simulation/test_simulation_play.py
@@ -345,9 +345,9 @@
 
 
 def broken(outcome: Outcome, request: str) -> Outcome:
-    from holdgw.harness.checker import Broken
+    from holdgw.harness.checker import Violation
 
-    outcome.broken = [Broken("twice", outcome.begun + 1.0, (request,), "planted")]
+    outcome.broken = [Violation("twice", outcome.begun + 1.0, (request,), "planted")]
     return outcome
 
 
