--- a/bench/paired.py
+++ b/bench/paired.py
@@ -27,7 +27,7 @@
     from holdgw.harness.report import make_report
     from holdgw.harness.scenario import load_scenario
     from holdgw.harness.schedule import ORIGIN
-    from holdgw.harness.scoring import outcomes
+    from holdgw.harness.scoring import outcome_counts
     from holdgw.simulation.search import play_seed
 
     loaded = load_scenario(scenario)
@@ -35,7 +35,7 @@
     if outcome.fault or outcome.played is None:
         raise RuntimeError(f"{scenario}, seed {seed}: {outcome.fault}")
     report = make_report(outcome.played)
-    counted = outcomes(report.fates, loaded.classes)
+    counted = outcome_counts(report.outcome_counts, loaded.classes)
     asked = counted["asked"]
     fetches = sum(one.server == ORIGIN for one in report.attempts)
     return {
--- a/bench/start.py
+++ b/bench/start.py
@@ -87,7 +87,7 @@
     busiest = max(steps, key=lambda name: max(steps[name]))
     lives = [life for life in history.lives if life.started - begun >= KILL]
     last = max((life.started - begun for life in lives), default=KILL)
-    served = [(fate.ask.at, fate.took is not None) for fate in report.fates if fate.ask.at >= 0]
+    served = [(fate.request.at, fate.took is not None) for fate in report.outcomes if fate.request.at >= 0]
     calm_asks = [good for at, good in served if CALM[0] <= at < CALM[1]]
     calm = sum(calm_asks) / len(calm_asks)
     wait = recovered(served, calm, last)
--- a/holdgw/cli/rehearse.py
+++ b/holdgw/cli/rehearse.py
@@ -78,7 +78,7 @@
         if seconds <= 0:
             raise UsageError(f"--for: expected a number of seconds above 0, got {seconds:g}")
         scenario = scenario.cut(seconds)
-    if reason := scenario.not_on_sockets():
+    if reason := scenario.simulation_only_reason():
         raise UsageError(f"{file}: {reason}")
     return scenario
 
--- a/holdgw/harness/arrivals.py
+++ b/holdgw/harness/arrivals.py
@@ -19,7 +19,7 @@
 from holdgw.harness.scenario import Scenario, router_names
 from holdgw.harness.schedule import (
     BURST,
-    HOT,
+    HOT_CALLER,
     HOT_KEY,
     PRELUDE,
     SCAN,
@@ -246,7 +246,7 @@
         """The request's source, and its router where a hot caller sent it."""
         for fault, routers in self._hot_callers:
             if fault.at <= at < fault.at + fault.seconds and draws.hot_caller < fault.share:
-                return HOT, routers[int(draws.hot_router * len(routers))]
+                return HOT_CALLER, routers[int(draws.hot_router * len(routers))]
         return source, ""
 
     def _is_over_quota(self, tenant: int, at: float) -> bool:
--- a/holdgw/harness/channel.py
+++ b/holdgw/harness/channel.py
@@ -15,7 +15,7 @@
 from holdgw.emulators.records import Record
 from holdgw.harness.scenario import Scenario
 
-MOST_BYTES = 64 << 20
+MAX_FRAME_BYTES = 64 << 20
 
 
 class Setup(msgspec.Struct, tag="setup"):
@@ -45,7 +45,7 @@
     at: float
 
 
-class Do(msgspec.Struct, tag="do"):
+class Command(msgspec.Struct, tag="do"):
     """Do something to a part of the fleet; `number` comes back in Did."""
 
     verb: str
@@ -54,7 +54,7 @@
     number: int = 0
 
 
-class Did(msgspec.Struct, tag="did"):
+class CommandResult(msgspec.Struct, tag="did"):
     """Done."""
 
     number: int
@@ -82,7 +82,7 @@
     key: bytes
 
 
-class Batch(msgspec.Struct, tag="batch"):
+class RecordBatch(msgspec.Struct, tag="batch"):
     """What was seen since the last one."""
 
     records: list[Record]
@@ -102,7 +102,7 @@
     """The day is over: say what is left, and go."""
 
 
-class Fault(msgspec.Struct, tag="fault"):
+class WorkerFailure(msgspec.Struct, tag="fault"):
     """A worker can't go on."""
 
     text: str
@@ -112,15 +112,15 @@
     Setup
     | Addresses
     | Begin
-    | Do
-    | Did
+    | Command
+    | CommandResult
     | FrontUpdate
     | Stored
     | Voided
-    | Batch
+    | RecordBatch
     | ClientCounts
     | Finish
-    | Fault
+    | WorkerFailure
 )
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
@@ -129,18 +129,18 @@
 class Channel(asyncio.Protocol):
     """One end. `take` gets each message, `lost` is called once when the other end has gone."""
 
-    def __init__(self, take: Callable[[Message], None], lost: Callable[[], None]) -> None:
-        self._take, self._lost = take, lost
+    def __init__(self, on_message: Callable[[Message], None], on_disconnect: Callable[[], None]) -> None:
+        self._on_message, self._on_disconnect = on_message, on_disconnect
         self._transport: asyncio.Transport | None = None
-        self._held = bytearray()
+        self._buffer = bytearray()
 
     @classmethod
-    async def over(
-        cls, sock: socket.socket, take: Callable[[Message], None], lost: Callable[[], None]
+    async def connect(
+        cls, sock: socket.socket, on_message: Callable[[Message], None], on_disconnect: Callable[[], None]
     ) -> Channel:
         """A channel over one end of a socket pair."""
         loop = asyncio.get_running_loop()
-        _, channel = await loop.create_connection(lambda: cls(take, lost), sock=sock)
+        _, channel = await loop.create_connection(lambda: cls(on_message, on_disconnect), sock=sock)
         return channel
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -149,23 +149,23 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The other end has gone."""
-        self._lost()
+        self._on_disconnect()
 
     def data_received(self, data: bytes) -> None:
         """Take whole frames."""
-        held = self._held
-        held += data
+        buffer = self._buffer
+        buffer += data
         at = 0
-        while len(held) - at >= 4:
-            size = int.from_bytes(held[at : at + 4], "big")
-            if size > MOST_BYTES:
+        while len(buffer) - at >= 4:
+            size = int.from_bytes(buffer[at : at + 4], "big")
+            if size > MAX_FRAME_BYTES:
                 raise ValueError(f"a frame of {size} bytes")
-            if len(held) - at - 4 < size:
+            if len(buffer) - at - 4 < size:
                 break
-            self._take(_decoder.decode(memoryview(held)[at + 4 : at + 4 + size]))
+            self._on_message(_decoder.decode(memoryview(buffer)[at + 4 : at + 4 + size]))
             at += 4 + size
         if at:
-            del held[:at]
+            del buffer[:at]
 
     def send(self, message: Message) -> None:
         """Send; what can't be sent any more is dropped."""
--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -37,9 +37,9 @@
 )
 
 SLACK_S = 0.05
-TOLD_AT_LATEST_S = 6.0  # after the view had it, whether or not it was written to the router
+MAX_NOTICE_DELAY_S = 6.0  # after the view had it, whether or not it was written to the router
 RULES = ("lost", "twice", "late_drain", "felled")
-STARVED_PART = 0.25  # of the time that a router had for a request, waited for a core
+STARVED_FRACTION = 0.25  # of the time that a router had for a request, waited for a core
 STARVED = "starved"
 """No rule: a request that was lost because this machine gave its router no core in time. Each router has a
 core of its own where it serves."""
@@ -155,25 +155,25 @@
     text: str
 
 
-def judge(history: History, classes: Mapping[int, ClassRule], grace: float) -> list[Violation]:
+def find_violations(history: History, classes: Mapping[int, ClassRule], grace: float) -> list[Violation]:
     """All breaks, in order of time, and what counts as STARVED. `classes`: of each ask; `grace`: the drain
     rule's, seconds.
     """
     attempts = defaultdict[str, list[Attempt]](list)
     for attempt in history.attempts:
         attempts[attempt.request].append(attempt)
-    for several in attempts.values():
-        several.sort(key=lambda attempt: attempt.at)
+    for group in attempts.values():
+        group.sort(key=lambda attempt: attempt.at)
     lives = defaultdict[str, list[ProcessLifetime]](list)
     for life in history.lives:
         lives[life.router].append(life)
     stops = _by_router(history.stops)
-    broken = [
-        *_lost(history, attempts, lives, stops),
-        *_crashed(history.lives, stops),
-        *_twice(history, attempts, classes, lives),
+    violations = [
+        *_lost_requests(history, attempts, lives, stops),
+        *_crashes(history.lives, stops),
+        *_repeated_effects(history, attempts, classes, lives),
         *_late_drains(history, lives, stops, grace),
-        *_sent_though_out(history, lives, grace),
+        *_sent_in_maintenance(history, lives, grace),
         *(
             Violation(
                 "felled",
@@ -184,13 +184,13 @@
             for fall in history.fallen
         ),
     ]
-    return sorted(broken, key=lambda one: one.at)
+    return sorted(violations, key=lambda one: one.at)
 
 
-def counts(broken: Iterable[Violation]) -> dict[str, int]:
+def counts(violations: Iterable[Violation]) -> dict[str, int]:
     """How often each rule was broken."""
     found = dict.fromkeys(RULES, 0)
-    for one in broken:
+    for one in violations:
         found[one.rule] += 1
     return found
 
@@ -198,7 +198,7 @@
 # Rule 1
 
 
-def _excused(lives: list[ProcessLifetime], start: float, end: float) -> bool:
+def _killed_during(lives: list[ProcessLifetime], start: float, end: float) -> bool:
     """Whether the router was killed while a request was open; what it held then is the client's to retry."""
     return any(
         life.wanted == "KILL"
@@ -208,24 +208,24 @@
     )
 
 
-Rest = TypeVarTuple("Rest")
-Stretches = Mapping[str, Sequence[tuple[float, float]]]
+Fields = TypeVarTuple("Fields")
+Intervals = Mapping[str, Sequence[tuple[float, float]]]
 """By router: from when to when, in order of time."""
 
 
-def _by_router(stretches: Iterable[tuple[str, *Rest]]) -> Mapping[str, list[tuple[*Rest]]]:
-    found = defaultdict[str, list[tuple[*Rest]]](list)
-    for stretch in sorted(stretches):
-        found[stretch[0]].append(stretch[1:])
+def _by_router(intervals: Iterable[tuple[str, *Fields]]) -> Mapping[str, list[tuple[*Fields]]]:
+    found = defaultdict[str, list[tuple[*Fields]]](list)
+    for interval in sorted(intervals):
+        found[interval[0]].append(interval[1:])
     return found
 
 
-def _within(stretches: Sequence[tuple[float, float]], begun: float, until: float) -> bool:
+def _overlaps(intervals: Sequence[tuple[float, float]], begun: float, until: float) -> bool:
     """Whether one of them touches a time."""
-    return any(first <= until + SLACK_S and begun - SLACK_S <= last for first, last in stretches)
+    return any(first <= until + SLACK_S and begun - SLACK_S <= last for first, last in intervals)
 
 
-def _awake(stops: Sequence[tuple[float, float]], at: float) -> float:
+def _running_from(stops: Sequence[tuple[float, float]], at: float) -> float:
     """When a router's process could first see what came to it at a time."""
     for begun, until in stops:
         if begun - SLACK_S <= at < until:
@@ -233,18 +233,18 @@
     return at
 
 
-def _lost(
+def _lost_requests(
     history: History,
     attempts: Mapping[str, list[Attempt]],
     lives: Mapping[str, list[ProcessLifetime]],
-    stops: Stretches,
+    stops: Intervals,
 ) -> Iterable[Violation]:
     for extra in history.extras:
         yield Violation(
             "lost", extra.at, (extra.request,), f"one more answer came after its final one ({extra.router})"
         )
-    made = {(attempt.server, attempt.serial): attempt for attempt in history.attempts}
-    known = {one.request for one in history.tries}
+    attempts_by_serial = {(attempt.server, attempt.serial): attempt for attempt in history.attempts}
+    known_requests = {one.request for one in history.tries}
     gone = _by_router(history.gone)
     starved = _by_router(history.starved)
     for one in history.tries:
@@ -255,12 +255,12 @@
 
         excused = (
             one.request in history.severed
-            or _excused(lives.get(one.router, []), one.sent, one.ended)
-            or _within(gone.get(one.router, ()), one.sent, one.ended)
+            or _killed_during(lives.get(one.router, []), one.sent, one.ended)
+            or _overlaps(gone.get(one.router, ()), one.sent, one.ended)
         )
         # A process that goes on before a request's time is up has to answer it.
         due = one.sent + one.wait
-        asleep = _within(stops.get(one.router, ()), due, due)
+        asleep = _overlaps(stops.get(one.router, ()), due, due)
         if one.crossed and not excused and any(attempt.at < one.crossed for attempt in sent_on):
             yield lost("the connection was closed on a request that had been read")
         if one.answer == "none" and not excused and not asleep:
@@ -268,8 +268,8 @@
             waited = sum(took for since, until, took in waits if since <= due + SLACK_S and one.sent <= until)
             text = f"no answer within {one.wait * 1000:.0f} ms"
             # One that stood still, the request unread, had only the rest of its time.
-            had = due + SLACK_S - _awake(stops.get(one.router, ()), one.sent)
-            if waited > min(SLACK_S, had * STARVED_PART):
+            had = due + SLACK_S - _running_from(stops.get(one.router, ()), one.sent)
+            if waited > min(SLACK_S, had * STARVED_FRACTION):
                 text += f", of which its process waited {waited * 1000:.0f} ms for a core"
                 yield replace(lost(text), rule=STARVED)
             else:
@@ -278,31 +278,33 @@
             # One on which nothing was sent on has failed and is not lost (DAYS).
             yield lost("the connection ended with no whole answer")
         elif one.answer == "served":
-            maker = made.get((one.server, one.serial))
+            producer = attempts_by_serial.get((one.server, one.serial))
             if one.fault:
                 yield lost(f"served with a value that was not made for it: {one.fault}")
-            elif maker is None or maker.request != one.request:
+            elif producer is None or producer.request != one.request:
                 yield lost("served with a value that no server made for it")
-            elif maker.result not in GOOD or maker.fault:
-                yield lost(f"served with what {maker.server} did not answer ({maker.result} {maker.fault})")
+            elif producer.result not in GOOD or producer.fault:
+                yield lost(
+                    f"served with what {producer.server} did not answer ({producer.result} {producer.fault})"
+                )
         if one.answer in ("served", "refused", "failed") and not one.crossed:
             for attempt in sent_on:
                 late = history.left_at(attempt) - one.ended
                 if late > SLACK_S:
                     text = f"sent to {attempt.server} {late:.3f} s after its answer"
                     yield Violation("lost", attempt.at, (one.request,), text)
-    for request, several in attempts.items():
-        if request not in known:
-            text = f"{several[0].server} was sent a request that no client asked"
-            yield Violation("lost", several[0].at, (request,), text)
+    for request, group in attempts.items():
+        if request not in known_requests:
+            text = f"{group[0].server} was sent a request that no client asked"
+            yield Violation("lost", group[0].at, (request,), text)
 
 
-def _crashed(lives: Iterable[ProcessLifetime], stops: Stretches) -> Iterable[Violation]:
+def _crashes(lives: Iterable[ProcessLifetime], stops: Intervals) -> Iterable[Violation]:
     for life in lives:
         if life.exited is None or life.wanted == "KILL":
             continue
         told = life.told_to_end
-        if told is not None and _within(stops.get(life.router, ()), told, life.exited):
+        if told is not None and _overlaps(stops.get(life.router, ()), told, life.exited):
             continue  # whoever stands still can't end in time
         if life.wanted != "TERM":
             yield Violation("lost", life.exited, (), f"{life.router} ended by itself with code {life.code}")
@@ -313,7 +315,7 @@
 # Rule 2
 
 
-def _twice(
+def _repeated_effects(
     history: History,
     attempts: Mapping[str, list[Attempt]],
     classes: Mapping[int, ClassRule],
@@ -324,7 +326,7 @@
         if rule.effect == "safe":
             continue
         if one.crossed and (
-            one.request in history.severed or _excused(lives.get(one.router, []), one.sent, one.ended)
+            one.request in history.severed or _killed_during(lives.get(one.router, []), one.sent, one.ended)
         ):
             # The client itself sent it twice, on a connection that no router could have kept.
             continue
@@ -365,7 +367,7 @@
 
 
 def _late_drains(
-    history: History, lives: Mapping[str, list[ProcessLifetime]], stops: Stretches, grace: float
+    history: History, lives: Mapping[str, list[ProcessLifetime]], stops: Intervals, grace: float
 ) -> Iterable[Violation]:
     """Each router's knowledge of each server, as a line of (time, state); a process begins with
     nothing told.
@@ -377,75 +379,77 @@
     views = defaultdict[tuple[str, str], list[float]](list)  # when they had each state, in order
     for told in history.told:
         # A process that stood still reads what came meanwhile once it goes on.
-        at = _awake(stops.get(told.router, ()), told.at) if told.state != "up" else told.at
+        at = _running_from(stops.get(told.router, ()), told.at) if told.state != "up" else told.at
         # A watch of a process that was killed a moment ago is answered as if it were still there.
-        place = bisect_right(calls.get(told.router, ()), (told.at,)) - 1
-        asked_at = calls[told.router][place][0] if place >= 0 else told.at
+        index = bisect_right(calls.get(told.router, ()), (told.at,)) - 1
+        asked_at = calls[told.router][index][0] if index >= 0 else told.at
         knowledge[told.router, told.server].append((at, told.state, told.at, asked_at))
     deaf = _by_router((one.router, one.at, one.until) for one in history.deaf)
     for had in history.had:
         # What a router was told by word of the wire goes before; this only counts where nothing newer came,
         # from when the line to discovery was whole.
-        at = _awake(deaf.get(had.router, ()), had.at) + TOLD_AT_LATEST_S
+        at = _running_from(deaf.get(had.router, ()), had.at) + MAX_NOTICE_DELAY_S
         knowledge[had.router, had.server].append((at, had.state, had.at, None))
         views[had.router, had.server].append(had.at)
-    for line in knowledge.values():
-        line.sort(key=lambda word: word[0])  # and those of one time in the order in which a view had them
-    starts = {router: sorted(life.started for life in several) for router, several in lives.items()}
+    for statements in knowledge.values():
+        statements.sort(
+            key=lambda statement: statement[0]
+        )  # and those of one time in the order in which a view had them
+    starts = {router: sorted(life.started for life in group) for router, group in lives.items()}
     asked = {one.request: one for one in history.tries}
     for attempt in history.attempts:
         one = asked.get(attempt.request)
         if one is None:
             continue
-        line = knowledge.get((one.router, attempt.server), [])
+        statements = knowledge.get((one.router, attempt.server), [])
         begun = starts.get(one.router, [])
-        place = bisect_right(begun, attempt.at) - 1
-        since = begun[place] if place >= 0 else float("-inf")
-        unwelcome: float | None = None  # since when it has been told that the server wants nothing new
+        index = bisect_right(begun, attempt.at) - 1
+        since = begun[index] if index >= 0 else float("-inf")
+        closed_since: float | None = None  # since when it has been told that the server wants nothing new
         newest = float("-inf")  # of when the last of the states so far is
-        by_wire = False
+        from_wire = False
         # A process is told at its start what its view is then: what that was before is none of its business.
-        had_by_then = views.get((one.router, attempt.server), [])
-        place = bisect_right(had_by_then, since) - 1
-        oldest = had_by_then[place] if place >= 0 else float("-inf")
-        for at, state, of, called in line:
-            if at > attempt.at or at < since or of < newest:
+        view_times = views.get((one.router, attempt.server), [])
+        index = bisect_right(view_times, since) - 1
+        oldest = view_times[index] if index >= 0 else float("-inf")
+        for at, state, fact_time, called_at in statements:
+            if at > attempt.at or at < since or fact_time < newest:
                 continue
-            if of < oldest if called is None else called < since:
+            if fact_time < oldest if called_at is None else called_at < since:
                 continue
             # A view that had it no later than the last word of the wire is no news.
-            if of == newest and by_wire and called is None:
+            if fact_time == newest and from_wire and called_at is None:
                 continue
-            newest, by_wire = of, called is not None
+            newest, from_wire = fact_time, called_at is not None
             if state == "up":
-                unwelcome = None
-            elif unwelcome is None:
-                unwelcome = at
-        if unwelcome is not None and history.left_at(attempt) > unwelcome + grace + SLACK_S:
-            since_told = history.left_at(attempt) - unwelcome
+                closed_since = None
+            elif closed_since is None:
+                closed_since = at
+        if closed_since is not None and history.left_at(attempt) > closed_since + grace + SLACK_S:
+            since_told = history.left_at(attempt) - closed_since
             text = f"sent to {attempt.server} {since_told:.3f} s after {one.router} was told it goes"
             yield Violation("late_drain", attempt.at, (attempt.request,), text)
 
 
-def _sent_though_out(
+def _sent_in_maintenance(
     history: History, lives: Mapping[str, list[ProcessLifetime]], grace: float
 ) -> Iterable[Violation]:
     """Servers out by hand: nothing new from the router's yes on, plus the grace, until the call back,
     whatever discovery says; a process that starts anew has heard nothing.
     """
-    words = defaultdict[tuple[str, str], list[Handed]](list)
-    for word in sorted(history.handed, key=lambda word: word.at):
-        words[word.router, word.server].append(word)
+    statements = defaultdict[tuple[str, str], list[Handed]](list)
+    for statement in sorted(history.handed, key=lambda statement: statement.at):
+        statements[statement.router, statement.server].append(statement)
     asked = {one.request: one for one in history.tries}
     for attempt in history.attempts:
         one = asked.get(attempt.request)
-        if one is None or (one.router, attempt.server) not in words:
+        if one is None or (one.router, attempt.server) not in statements:
             continue
         started = max((life.started for life in lives[one.router] if life.started <= attempt.at), default=0.0)
         since: float | None = None
-        for word in words[one.router, attempt.server]:
-            if started <= word.at <= attempt.at:
-                since = (since if since is not None else word.at) if word.out else None
+        for statement in statements[one.router, attempt.server]:
+            if started <= statement.at <= attempt.at:
+                since = (since if since is not None else statement.at) if statement.out else None
         if since is not None and history.left_at(attempt) > since + grace + SLACK_S:
             late = history.left_at(attempt) - since
             text = f"sent to {attempt.server} {late:.3f} s after {one.router} said yes to leaving it out"
@@ -467,7 +471,7 @@
     """On the emulator's clock, at the end of the stretch in which it was."""
 
 
-def judge_lag(
+def check_lag(
     lags: Iterable[Lag], p99_ms: float, worst_ms: float, begun: float = float("-inf")
 ) -> LagVerdict:
     """Whether the emulator was in time, by its own readings; over 1 % of readings late, or one very late:
--- a/holdgw/harness/clients.py
+++ b/holdgw/harness/clients.py
@@ -20,9 +20,9 @@
 from holdgw.wire.address import Address
 from holdgw.wire.resp import command
 
-IDLE_KEPT = 64  # connections to one router that one worker keeps
-DIAL_S = 0.5
-LEAST_TRY_S = 0.02  # with less time left no further try is made
+MAX_IDLE_CONNECTIONS = 64  # connections to one router that one worker keeps
+CONNECT_TIMEOUT_S = 0.5
+MIN_ATTEMPT_TIME_S = 0.02  # with less time left no further try is made
 WRITE_VALUE = b"w" * 256
 
 
@@ -32,11 +32,11 @@
     def __init__(self, router: str) -> None:
         self.router = router
         self.transport: asyncio.Transport | None = None
-        self.attempt: AttemptAbandoned | None = None
-        self.used = 0
+        self.attempt: ClientAttempt | None = None
+        self.requests_sent = 0
         self.lost = False
-        self.last: AttemptAbandoned | None = None
-        self._reader = hiredis.Reader(replyError=RefusalError)
+        self.last_attempt: ClientAttempt | None = None
+        self._reader = hiredis.Reader(replyError=ReplyError)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport."""
@@ -49,12 +49,12 @@
             while (reply := self._reader.gets()) is not False:
                 attempt, self.attempt = self.attempt, None
                 if attempt is None:
-                    if self.last is not None:
-                        self.last.extra_answer()
+                    if self.last_attempt is not None:
+                        self.last_attempt.on_extra_reply()
                     self.abort()
                     return
-                self.last = attempt
-                attempt.answered(reply)
+                self.last_attempt = attempt
+                attempt.on_reply(reply)
         except hiredis.HiredisError:
             self.abort()
 
@@ -63,7 +63,7 @@
         self.lost = True
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
-            attempt.cut()
+            attempt.on_disconnect()
 
     def abort(self) -> None:
         """Close at once."""
@@ -71,18 +71,18 @@
             self.transport.abort()
 
 
-class RefusalError(Exception):
+class ReplyError(Exception):
     """An error line."""
 
 
-class AttemptAbandoned:
+class ClientAttempt:
     """One try on its way."""
 
-    def __init__(self, clients: Clients, ask: ScheduledRequest, number: int, deadline: float) -> None:
-        self.clients, self.ask, self.number, self.deadline = clients, ask, number, deadline
-        self.id = request_id(clients.schedule.seed, ask.number, number)
-        cls = clients.schedule.scenario.classes[ask.request_class]
-        self.wait = min(cls.give_up_ms / 1000 * ask.abandon_after_share, deadline - clients.clock())
+    def __init__(self, clients: Clients, request: ScheduledRequest, number: int, deadline: float) -> None:
+        self.clients, self.request, self.number, self.deadline = clients, request, number, deadline
+        self.id = request_id(clients.schedule.seed, request.number, number)
+        cls = clients.schedule.scenario.classes[request.request_class]
+        self.wait = min(cls.give_up_ms / 1000 * request.abandon_after_share, deadline - clients.clock())
         self.sent = 0.0
         self.crossed = 0.0
         self.connection: ClientConnection | None = None
@@ -92,110 +92,110 @@
     def start(self) -> None:
         """Send it on an idle connection, or dial."""
         self.sent = self.clients.clock()
-        router = self.clients.choose(self.ask, self.number)
+        router = self.clients.choose_router(self.request, self.number)
         if router is None:
-            self.ended("unsent")
+            self.finish("unsent")
             return
-        connection = None if self.ask.new_connection else self.clients.idle(router)
+        connection = None if self.request.new_connection else self.clients.take_idle(router)
         if connection is not None:
             self._send(connection)
         else:
-            self.clients.dial(router, self)
+            self.clients.connect(router, self)
 
-    def dialled(self, connection: ClientConnection | None) -> None:
+    def on_connected(self, connection: ClientConnection | None) -> None:
         """The connection is up, or it never came up."""
         if connection is None:
-            self.ended("unsent")
+            self.finish("unsent")
         else:
             self._send(connection)
 
     def _send(self, connection: ClientConnection) -> None:
         assert connection.transport is not None
-        ask, clients = self.ask, self.clients
+        request, clients = self.request, self.clients
         scenario = clients.schedule.scenario
-        cls = scenario.classes[ask.request_class]
-        tenant = scenario.tenants[ask.tenant].name
+        cls = scenario.classes[request.request_class]
+        tenant = scenario.tenants[request.tenant].name
         if not self.crossed:
             self.sent = clients.clock()
         info = f"c={cls.name},t={tenant},d={max(int(self.wait * 1000), 1)}"
-        words = [b"KV.GET", ask.key, self.id.encode()]
+        fields = [b"KV.GET", request.key, self.id.encode()]
         if cls.effect != "safe":
-            words[0] = b"KV.SET"
+            fields[0] = b"KV.SET"
             if cls.effect == "keyed":
-                info += f",k={idempotency_key(clients.schedule.seed, ask.number)}"
-        words.append(info.encode())
+                info += f",k={idempotency_key(clients.schedule.seed, request.number)}"
+        fields.append(info.encode())
         if cls.effect != "safe":
-            words.append(WRITE_VALUE)
+            fields.append(WRITE_VALUE)
         connection.attempt, self.connection = self, connection
-        connection.used += 1
-        connection.transport.write(command(*words))
+        connection.requests_sent += 1
+        connection.transport.write(command(*fields))
         if self._timer is None:
-            leaves = ask.disconnect_after_share if self.number == 0 else 1.0
+            leaves = request.disconnect_after_share if self.number == 0 else 1.0
             if leaves < 1.0:
-                self._timer = clients.loop.call_later(self.wait * leaves, self._leave)
+                self._timer = clients.loop.call_later(self.wait * leaves, self._disconnect)
             else:
-                self._timer = clients.loop.call_later(self.wait + SLACK_S, self._too_late)
+                self._timer = clients.loop.call_later(self.wait + SLACK_S, self._time_out)
 
-    def _leave(self) -> None:
-        self._drop()
-        self.ended("left")
+    def _disconnect(self) -> None:
+        self._abort_connection()
+        self.finish("left")
 
-    def _too_late(self) -> None:
-        self._drop()
-        self.ended("none")
+    def _time_out(self) -> None:
+        self._abort_connection()
+        self.finish("none")
 
-    def _drop(self) -> None:
+    def _abort_connection(self) -> None:
         if self.connection is not None:
             self.connection.attempt = None
             self.connection.abort()
 
-    def answered(self, reply: object) -> None:
+    def on_reply(self, reply: object) -> None:
         """A whole answer came."""
         connection = self.connection
         if connection is not None and not connection.lost:
-            if self.ask.new_connection:
+            if self.request.new_connection:
                 connection.abort()
             else:
-                self.clients.rest(connection)
+                self.clients.release(connection)
         if isinstance(reply, list) and reply:
             reply = reply[0]
         if isinstance(reply, bytes):
-            self._served(reply)
-        elif isinstance(reply, RefusalError) and str(reply).startswith("BUSY"):
-            words = str(reply).split()
-            again = int(words[1]) / 1000 if len(words) > 1 and words[1].isdigit() else -1.0
-            self.ended("refused", come_again=again)
+            self._on_value(reply)
+        elif isinstance(reply, ReplyError) and str(reply).startswith("BUSY"):
+            fields = str(reply).split()
+            retry_after = int(fields[1]) / 1000 if len(fields) > 1 and fields[1].isdigit() else -1.0
+            self.finish("refused", come_again=retry_after)
         else:
-            self.ended("failed")
+            self.finish("failed")
 
-    def _served(self, value: bytes) -> None:
-        words = value.split(b" ", 4)
+    def _on_value(self, value: bytes) -> None:
+        fields = value.split(b" ", 4)
         if (
-            len(words) < 5
-            or words[0] != self.id.encode()
-            or words[1] != self.ask.key
-            or not words[3].isdigit()
+            len(fields) < 5
+            or fields[0] != self.id.encode()
+            or fields[1] != self.request.key
+            or not fields[3].isdigit()
         ):
-            self.ended("served", fault=f"value begins with {value[:40]!r}")
+            self.finish("served", fault=f"value begins with {value[:40]!r}")
         else:
-            self.ended("served", server=words[2].decode("latin-1"), serial=int(words[3]))
+            self.finish("served", server=fields[2].decode("latin-1"), serial=int(fields[3]))
 
-    def cut(self) -> None:
+    def on_disconnect(self) -> None:
         """The connection ended with no whole answer."""
         connection = self.connection
-        if connection is not None and connection.used > 1 and not self.crossed:
+        if connection is not None and connection.requests_sent > 1 and not self.crossed:
             # The router may have closed an idle connection just then: sent once more, on a new one.
             self.crossed = self.clients.clock()
-            self.clients.dial(connection.router, self)
+            self.clients.connect(connection.router, self)
             return
-        self.ended("cut")
+        self.finish("cut")
 
-    def extra_answer(self) -> None:
+    def on_extra_reply(self) -> None:
         """One more answer came than was asked for."""
         router = self.connection.router if self.connection is not None else ""
         self.clients.witness.saw(Extra(self.id, router, self.clients.clock()))
 
-    def ended(
+    def finish(
         self, answer: str, server: str = "", serial: int = -1, fault: str = "", come_again: float = -1.0
     ) -> None:
         """The try is over; the ask may go on."""
@@ -205,7 +205,7 @@
             return
         self.record = Try(
             self.id,
-            self.ask.number,
+            self.request.number,
             self.number,
             self.connection.router if self.connection is not None else "",
             self.sent,
@@ -218,26 +218,28 @@
             come_again=come_again,
             crossed=self.crossed,
         )
-        self.clients.over(self, self.record)
+        self.clients.on_attempt_finished(self, self.record)
 
 
 class Clients:
     """A part of all clients: the asks whose number fits."""
 
-    def __init__(self, day: Schedule, index: int, count: int, witness: Witness, clock: Clock) -> None:
-        self.schedule, self.clock, self.loop = day, clock, asyncio.get_running_loop()
+    def __init__(self, schedule: Schedule, index: int, count: int, witness: Witness, clock: Clock) -> None:
+        self.schedule, self.clock, self.loop = schedule, clock, asyncio.get_running_loop()
         self.tally = ClientCounts()
-        self.open = 0  # asks that are not over
-        self._asks = [ask for ask in day.requests if ask.number % count == index]
-        self._next = 0
+        self.unfinished = 0  # asks that are not over
+        self._requests = [request for request in schedule.requests if request.number % count == index]
+        self._next_index = 0
         self.witness = witness
         self._begun = 0.0
         self._routers: dict[str, Address] = {}
         self._up: set[str] = set()
         self._idle: dict[str, list[ClientConnection]] = {}
-        self._dials: dict[asyncio.Task[None], None] = {}
+        self._connecting: dict[asyncio.Task[None], None] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._zone = {name: zone_of_router(day.scenario, name) for name in router_names(day.scenario.fleet)}
+        self._zone = {
+            name: zone_of_router(schedule.scenario, name) for name in router_names(schedule.scenario.fleet)
+        }
 
     def routers(self, addresses: dict[str, Address]) -> None:
         """Where routers listen."""
@@ -250,64 +252,64 @@
     def begin(self, at: float) -> None:
         """The day begins at that time; the prelude before it."""
         self._begun = at
-        self._fire()
+        self._start_due()
 
     @property
     def done(self) -> bool:
         """Whether all asks are made and over."""
-        return self._next >= len(self._asks) and not self.open
+        return self._next_index >= len(self._requests) and not self.unfinished
 
-    def _fire(self) -> None:
+    def _start_due(self) -> None:
         now = self.clock() - self._begun
-        asks = self._asks
-        while self._next < len(asks) and asks[self._next].at <= now:
-            ask = asks[self._next]
-            self._next += 1
-            self.open += 1
-            counts = ask.source != PRELUDE
+        requests = self._requests
+        while self._next_index < len(requests) and requests[self._next_index].at <= now:
+            request = requests[self._next_index]
+            self._next_index += 1
+            self.unfinished += 1
+            counts = request.source != PRELUDE
             self.tally.asked += counts
-            cls = self.schedule.scenario.classes[ask.request_class]
-            AttemptAbandoned(self, ask, 0, self._begun + ask.at + cls.give_up_ms / 1000).start()
-        if self._next < len(asks):
-            self._timer = self.loop.call_later(max(asks[self._next].at - now, 0.0), self._fire)
+            cls = self.schedule.scenario.classes[request.request_class]
+            ClientAttempt(self, request, 0, self._begun + request.at + cls.give_up_ms / 1000).start()
+        if self._next_index < len(requests):
+            self._timer = self.loop.call_later(max(requests[self._next_index].at - now, 0.0), self._start_due)
 
-    def choose(self, ask: ScheduledRequest, number: int) -> str | None:
+    def choose_router(self, request: ScheduledRequest, number: int) -> str | None:
         """The router of a try: the hot caller's own, else one that is up in the client's zone, else any."""
-        if ask.router and ask.router in self._up:
-            return ask.router
-        near = [name for name in sorted(self._up) if self._zone[name] == ask.zone]
-        those = near or sorted(self._up)
-        if not those:
+        if request.router and request.router in self._up:
+            return request.router
+        same_zone = [name for name in sorted(self._up) if self._zone[name] == request.zone]
+        candidates = same_zone or sorted(self._up)
+        if not candidates:
             return None
-        return those[(int(ask.spread * len(those)) + number) % len(those)]
+        return candidates[(int(request.spread * len(candidates)) + number) % len(candidates)]
 
-    def idle(self, router: str) -> ClientConnection | None:
+    def take_idle(self, router: str) -> ClientConnection | None:
         """A connection that rests, the one used last."""
-        resting = self._idle.get(router, [])
-        while resting:
-            connection = resting.pop()
+        idle_connections = self._idle.get(router, [])
+        while idle_connections:
+            connection = idle_connections.pop()
             if not connection.lost:
                 return connection
         return None
 
-    def rest(self, connection: ClientConnection) -> None:
+    def release(self, connection: ClientConnection) -> None:
         """A connection is free again."""
-        resting = self._idle.setdefault(connection.router, [])
-        if len(resting) < IDLE_KEPT:
-            resting.append(connection)
+        idle_connections = self._idle.setdefault(connection.router, [])
+        if len(idle_connections) < MAX_IDLE_CONNECTIONS:
+            idle_connections.append(connection)
         else:
             connection.abort()
 
-    def dial(self, router: str, attempt: AttemptAbandoned) -> None:
+    def connect(self, router: str, attempt: ClientAttempt) -> None:
         """Open a connection for a try."""
-        task = self.loop.create_task(self._dial(router, attempt))
-        self._dials[task] = None
-        task.add_done_callback(lambda over: self._dials.pop(over, None))
+        task = self.loop.create_task(self._connect(router, attempt))
+        self._connecting[task] = None
+        task.add_done_callback(lambda done: self._connecting.pop(done, None))
 
-    async def _dial(self, router: str, attempt: AttemptAbandoned) -> None:
+    async def _connect(self, router: str, attempt: ClientAttempt) -> None:
         connection: ClientConnection | None = None
         try:
-            async with asyncio.timeout(DIAL_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await self.loop.create_connection(
                     lambda: ClientConnection(router), *self._routers[router]
                 )
@@ -316,53 +318,54 @@
         if connection is not None and connection.lost:
             connection = None  # it broke between its coming up and this
         if attempt.record is None:
-            attempt.dialled(connection)
+            attempt.on_connected(connection)
         elif connection is not None:
             connection.abort()
 
-    def over(self, attempt: AttemptAbandoned, record: Try) -> None:
+    def on_attempt_finished(self, attempt: ClientAttempt, record: Try) -> None:
         """A try is over: the ask is too, or it goes on after a wait."""
         self.witness.saw(record)
-        ask, now = attempt.ask, self.clock()
+        request, now = attempt.request, self.clock()
         clients = self.schedule.scenario.clients
-        again = (
+        retryable = (
             record.answer in ("refused", "failed", "none", "cut", "unsent")
             and attempt.number < clients.retries
         )
-        if again and ask.source != PRELUDE:
+        if retryable and request.source != PRELUDE:
             low, high = (one / 1000 for one in clients.backoff_ms)
-            wait = (low + ask.backoff * (high - low)) * 2**attempt.number
-            if record.come_again > 0 and ask.honours_retry_after:
+            wait = (low + request.backoff * (high - low)) * 2**attempt.number
+            if record.come_again > 0 and request.honours_retry_after:
                 wait = max(wait, record.come_again)
-            if now + wait + LEAST_TRY_S < attempt.deadline:
-                following = AttemptAbandoned(self, ask, attempt.number + 1, attempt.deadline)
-                self.loop.call_later(wait, self._retry, following)
+            if now + wait + MIN_ATTEMPT_TIME_S < attempt.deadline:
+                next_attempt = ClientAttempt(self, request, attempt.number + 1, attempt.deadline)
+                self.loop.call_later(wait, self._retry, next_attempt)
                 return
-        self.open -= 1
-        if ask.source == PRELUDE:
+        self.unfinished -= 1
+        if request.source == PRELUDE:
             return
-        cls = self.schedule.scenario.classes[ask.request_class]
+        cls = self.schedule.scenario.classes[request.request_class]
         if record.answer == "served":
             self.tally.served += 1
-            self.tally.in_aim += now - self._begun - ask.at <= cls.aim_ms / 1000
+            self.tally.in_aim += now - self._begun - request.at <= cls.aim_ms / 1000
         elif record.answer == "refused":
             self.tally.refused += 1
         else:
             self.tally.failed += 1
 
-    def _retry(self, following: AttemptAbandoned) -> None:
-        cls = self.schedule.scenario.classes[following.ask.request_class]
-        following.wait = min(
-            cls.give_up_ms / 1000 * following.ask.abandon_after_share, following.deadline - self.clock()
+    def _retry(self, next_attempt: ClientAttempt) -> None:
+        cls = self.schedule.scenario.classes[next_attempt.request.request_class]
+        next_attempt.wait = min(
+            cls.give_up_ms / 1000 * next_attempt.request.abandon_after_share,
+            next_attempt.deadline - self.clock(),
         )
-        following.start()
+        next_attempt.start()
 
     def close(self) -> None:
         """The day is over."""
         if self._timer is not None:
             self._timer.cancel()
-        for dial in list(self._dials):
-            dial.cancel()
-        for resting in self._idle.values():
-            for connection in resting:
+        for connect in list(self._connecting):
+            connect.cancel()
+        for idle_connections in self._idle.values():
+            for connection in idle_connections:
                 connection.abort()
--- a/holdgw/harness/fault_schedule.py
+++ b/holdgw/harness/fault_schedule.py
@@ -85,93 +85,93 @@
         self._alive = node_names(scenario.fleet)
         self._new_numbers = itertools.count(scenario.fleet.nodes)
         self._routers = router_names(scenario.fleet)
-        self._now = _Current(random.Random(0), 0, 0.0, ())
+        self._current = _Current(random.Random(0), 0, 0.0, ())
         self.steps: list[ScheduledFault] = []
 
-    def draw(self, number: int, fault: t.Trouble) -> DrawnFault:
+    def draw(self, number: int, fault: t.Fault) -> DrawnFault:
         """Draw one fault, the scenario's `number`-th."""
         place = draw_number(number, fault)
         until = fault.at + getattr(fault, "seconds", 0.0)
-        self._now = _Current(generator(self._seed, f"trouble{place}"), place, until, tuple(self._alive))
+        self._current = _Current(generator(self._seed, f"trouble{place}"), place, until, tuple(self._alive))
         text = self._draw(fault)
-        return DrawnFault(kind_of(fault), fault.at, self._now.until, text)
+        return DrawnFault(kind_of(fault), fault.at, self._current.until, text)
 
     def _add(self, at: float, verb: str, target: str = "", args: dict[str, Any] | None = None) -> None:
         self.steps.append(ScheduledFault(at, verb, target, {} if args is None else args))
 
-    def _take_away(self, nodes: Sequence[str]) -> None:
+    def _remove_nodes(self, nodes: Sequence[str]) -> None:
         self._alive = [name for name in self._alive if name not in nodes]
 
     def _new_node(self) -> str:
         return f"node{next(self._new_numbers):03d}"
 
     @singledispatchmethod
-    def _draw(self, fault: t.Trouble) -> str:
+    def _draw(self, fault: t.Fault) -> str:
         raise NotImplementedError(kind_of(fault))
 
     # Nodes
 
     @_draw.register
     def _(self, fault: t.Pause) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
             self._add(fault.at, "pause", name, {"seconds": fault.seconds})
         return f"{', '.join(nodes)} paused {fault.seconds:g} s"
 
     @_draw.register
     def _(self, fault: t.FalseReport) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
             self._add(fault.at, "report", name, {"says": fault.says})
-            self._add(self._now.until, "report", name, {"says": ""})
+            self._add(self._current.until, "report", name, {"says": ""})
         return f"{', '.join(nodes)} report: {fault.says}"
 
     @_draw.register
     def _(self, fault: t.Kill) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
             self._add(fault.at, "kill", name)
-        self._take_away(nodes)
+        self._remove_nodes(nodes)
         return f"{', '.join(nodes)} killed"
 
     @_draw.register
     def _(self, fault: t.Restart) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
-        self._now.until = fault.at + fault.down_s
+        nodes = self._current.chosen_nodes(fault.nodes)
+        self._current.until = fault.at + fault.down_s
         for name in nodes:
             self._add(fault.at, "kill", name)
-            self._add(self._now.until, "start", name)
+            self._add(self._current.until, "start", name)
         return f"{', '.join(nodes)} restarted, cold"
 
     @_draw.register
     def _(self, fault: t.Replace) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
-        self._now.until = fault.at + fault.down_s
-        self._take_away(nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
+        self._current.until = fault.at + fault.down_s
+        self._remove_nodes(nodes)
         for name in nodes:
             new = self._new_node()
             self._add(fault.at, "kill", name)
-            self._add(self._now.until, "create", new, {"instead": name if fault.same_address else ""})
+            self._add(self._current.until, "create", new, {"instead": name if fault.same_address else ""})
             self._alive.append(new)
         return f"{', '.join(nodes)} replaced"
 
     @_draw.register
     def _(self, fault: t.Drain) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
             self._add(fault.at, "drain", name)
-            self._add(self._now.until, "kill", name)
-        self._take_away(nodes)
+            self._add(self._current.until, "kill", name)
+        self._remove_nodes(nodes)
         return f"{', '.join(nodes)} drain, gone after {fault.seconds:g} s"
 
     @_draw.register
-    def _(self, fault: t.ByHand) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+    def _(self, fault: t.Maintenance) -> str:
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
             self._add(fault.at, "out", ADMIN, {"node": name})
             self._add(fault.at + fault.seconds * MAINTENANCE_KILL, "kill", name)
             self._add(fault.at + fault.seconds * MAINTENANCE_START, "start", name)
-            self._add(self._now.until, "back", ADMIN, {"node": name})
+            self._add(self._current.until, "back", ADMIN, {"node": name})
         return f"{', '.join(nodes)} out by hand for {fault.seconds:g} s, restarted meanwhile"
 
     @_draw.register
@@ -184,14 +184,14 @@
 
     @_draw.register
     def _(self, fault: t.Flush) -> str:
-        self._add(fault.at, "flush", "", {"share": fault.share, "serial": self._now.number})
+        self._add(fault.at, "flush", "", {"share": fault.share, "serial": self._current.number})
         return f"{fault.share:.0%} of the keys flushed"
 
     @_draw.register
     def _(self, fault: t.Vanish) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
-            self._vanish(name, fault.at, fault.at + fault.notice_s, self._now.until)
+            self._vanish(name, fault.at, fault.at + fault.notice_s, self._current.until)
         return f"{', '.join(nodes)} vanish for {fault.seconds:g} s"
 
     def _vanish(self, name: str, at: float, noticed: float, back: float) -> None:
@@ -212,7 +212,7 @@
 
     @_draw.register
     def _(self, fault: t.HotCaller) -> str:
-        through = generator(self._seed, f"hot{self._now.number}").sample(self._routers, fault.routers)
+        through = generator(self._seed, f"hot{self._current.number}").sample(self._routers, fault.routers)
         return f"hot caller: {fault.share:.0%} through {', '.join(through)}"
 
     @_draw.register
@@ -225,13 +225,13 @@
     @_draw.register
     def _(self, fault: t.OriginSlow) -> str:
         self._add(fault.at, "slow", ORIGIN, {"factor": fault.factor})
-        self._add(self._now.until, "slow", ORIGIN, {"factor": 1.0})
+        self._add(self._current.until, "slow", ORIGIN, {"factor": 1.0})
         return f"package store {fault.factor:g} times as slow"
 
     @_draw.register
     def _(self, fault: t.OriginDown) -> str:
         self._add(fault.at, "down", ORIGIN)
-        self._add(self._now.until, "up", ORIGIN)
+        self._add(self._current.until, "up", ORIGIN)
         return "package store down"
 
     @_draw.register(t.Reset)
@@ -239,12 +239,12 @@
     @_draw.register(t.Silence)
     def _(self, fault: t.Reset | t.Garble | t.Silence) -> str:
         kind = kind_of(fault)
-        nodes = [""] if fault.nodes == "all" else self._now.chosen_nodes(fault.nodes)
+        nodes = [""] if fault.nodes == "all" else self._current.chosen_nodes(fault.nodes)
         if fault.store:
             nodes.append(ORIGIN)
         for name in nodes:
             self._add(fault.at, "spoil", name, {"fault": kind, "share": fault.share})
-            self._add(self._now.until, "spoil", name, {"fault": kind, "share": -fault.share})
+            self._add(self._current.until, "spoil", name, {"fault": kind, "share": -fault.share})
         return f"{kind}: {fault.share:.1%} of the answers"
 
     # Discovery
@@ -256,7 +256,7 @@
 
     @_draw.register
     def _(self, fault: t.DiscoveryStale) -> str:
-        views = self._now.rng.sample(self._routers, fault.routers) if fault.routers else self._routers
+        views = self._current.rng.sample(self._routers, fault.routers) if fault.routers else self._routers
         self._add(fault.at, "stale", DISCOVERY, {"seconds": fault.seconds, "routers": views})
         return f"discovery stale at {len(views)} routers"
 
@@ -269,16 +269,16 @@
 
     @_draw.register
     def _(self, fault: t.RouterRestart) -> str:
-        picked = self._now.chosen_routers(self._routers, fault.routers)
+        picked = self._current.chosen_routers(self._routers, fault.routers)
         for i, name in enumerate(picked):
             at = fault.at + i // fault.together * fault.gap_s
             self._add(at, "restart", name, {"signal": fault.signal})
-            self._now.until = at
+            self._current.until = at
         return f"{', '.join(picked)}: SIG{fault.signal} and a new start"
 
     @_draw.register
     def _(self, fault: t.RouterReload) -> str:
-        picked = self._now.rng.sample(self._routers, fault.routers)
+        picked = self._current.rng.sample(self._routers, fault.routers)
         for name in picked:
             self._add(fault.at, "reload", name)
         return f"{', '.join(picked)}: new configuration, SIGHUP"
@@ -286,17 +286,17 @@
     @_draw.register(t.Freeze)
     @_draw.register(t.RouterStop)
     def _(self, fault: t.Freeze | t.RouterStop) -> str:
-        picked = self._now.chosen_routers(self._routers, fault.routers)
+        picked = self._current.chosen_routers(self._routers, fault.routers)
         for name in picked:
             self._add(fault.at, "stop", ROUTERS, {"router": name})
         for name in picked:
-            self._add(self._now.until, "continue", ROUTERS, {"router": name})
+            self._add(self._current.until, "continue", ROUTERS, {"router": name})
         what = "frozen" if isinstance(fault, t.Freeze) else "stand still"
         return f"{', '.join(picked)} {what} for {fault.seconds:g} s"
 
     @_draw.register
     def _(self, fault: t.Slow) -> str:
-        picked = self._now.chosen_routers(self._routers, fault.routers)
+        picked = self._current.chosen_routers(self._routers, fault.routers)
         for name in picked:
             self._add(
                 fault.at,
@@ -308,16 +308,16 @@
 
     @_draw.register
     def _(self, fault: t.ClockJump) -> str:
-        picked = self._now.rng.sample(self._routers, fault.routers)
+        picked = self._current.rng.sample(self._routers, fault.routers)
         for name in picked:
             self._add(fault.at, "clock", NETWORK, {"router": name, "by_s": fault.by_s})
         return f"{', '.join(picked)}: clock set by {fault.by_s:+g} s"
 
     @_draw.register
     def _(self, fault: t.MachineLoss) -> str:
-        picked = self._now.chosen_routers(self._routers, fault.routers)
-        self._now.until = fault.at + fault.down_s
-        self._lose_machines(fault.at, self._now.until if fault.down_s else None, picked)
+        picked = self._current.chosen_routers(self._routers, fault.routers)
+        self._current.until = fault.at + fault.down_s
+        self._lose_machines(fault.at, self._current.until if fault.down_s else None, picked)
         back = f"back empty after {fault.down_s:g} s" if fault.down_s else "for good"
         return f"{', '.join(picked)}: machine lost, {back}"
 
@@ -326,8 +326,8 @@
         lost = [name for name in self._alive if zone_of_server(self._scenario, name) == fault.zone]
         picked = [name for name in self._routers if zone_of_router(self._scenario, name) == fault.zone]
         for name in lost:
-            self._vanish(name, fault.at, fault.at + fault.notice_s, self._now.until)
-        self._lose_machines(fault.at, self._now.until, picked)
+            self._vanish(name, fault.at, fault.at + fault.notice_s, self._current.until)
+        self._lose_machines(fault.at, self._current.until, picked)
         return f"zone {fault.zone} lost: {len(lost)} nodes and {len(picked)} routers"
 
     def _lose_machines(self, at: float, back: float | None, routers: Sequence[str]) -> None:
@@ -341,11 +341,13 @@
 
     @_draw.register
     def _(self, fault: t.Partition) -> str:
-        nodes = self._alive if fault.nodes == "all" else self._now.chosen_nodes(fault.nodes)
+        nodes = self._alive if fault.nodes == "all" else self._current.chosen_nodes(fault.nodes)
         servers = [*nodes, *([ORIGIN] if fault.store else [])]
-        picked = self._now.chosen_routers(self._routers, fault.routers) if fault.routers else self._routers
+        picked = (
+            self._current.chosen_routers(self._routers, fault.routers) if fault.routers else self._routers
+        )
         rest = [name for name in self._routers if name not in picked]
-        others = self._now.chosen_routers(rest, fault.peers)
+        others = self._current.chosen_routers(rest, fault.peers)
         if fault.zone:
             return self._partition_zone(fault)
         parts = [f"{len(others)} routers"] * bool(others) + servers
@@ -383,26 +385,26 @@
     def _(self, fault: t.LossyPeers) -> str:
         self._add(fault.at, "weather", PEERS, {name: getattr(fault, name) for name in DATAGRAM_FAULTS})
         usual = {name: getattr(self._scenario.peers, name) for name in DATAGRAM_FAULTS}
-        self._add(self._now.until, "weather", PEERS, usual)
+        self._add(self._current.until, "weather", PEERS, usual)
         return f"lines between routers: {fault.loss:.1%} lost"
 
     @_draw.register
     def _(self, fault: t.Cut) -> str:
         cut = {"share": fault.share, "phases": list(fault.phases), "lines": fault.lines}
-        self._add(fault.at, "cut", NETWORK, {**cut, "name": self._now.number})
-        self._add(self._now.until, "uncut", NETWORK, {"name": self._now.number})
+        self._add(fault.at, "cut", NETWORK, {**cut, "name": self._current.number})
+        self._add(self._current.until, "uncut", NETWORK, {"name": self._current.number})
         return f"{fault.share:.1%} of what is sent breaks off ({fault.lines})"
 
     @_draw.register
-    def _(self, fault: t.Weather) -> str:
+    def _(self, fault: t.LineConditions) -> str:
         weather = {
             "loss": fault.loss,
             "chop": fault.chop,
             "slow_ms": fault.slow_ms,
             "window_kb": fault.window_kb,
         }
-        self._add(fault.at, "weather", NETWORK, {**weather, "name": self._now.number})
-        self._add(self._now.until, "weather", NETWORK, {"name": self._now.number})
+        self._add(fault.at, "weather", NETWORK, {**weather, "name": self._current.number})
+        self._add(self._current.until, "weather", NETWORK, {"name": self._current.number})
         return f"bad lines: {fault.loss:.1%} lost, {fault.chop:.0%} in pieces"
 
     @_draw.register
@@ -429,6 +431,6 @@
     return found
 
 
-def may_be_cut(scenario: Scenario) -> bool:
+def has_partitions(scenario: Scenario) -> bool:
     """Whether a fault of the run cuts lines to servers or to discovery."""
     return any(isinstance(one, t.Partition | t.Vanish | t.ZoneLoss) for one in scenario.trouble)
--- a/holdgw/harness/html_report.py
+++ b/holdgw/harness/html_report.py
@@ -48,26 +48,27 @@
     return next(factor * power for factor in (1, 2, 5, 10) if factor * power >= raw)
 
 
-def plot(series: Series, length: float, marks: Sequence[DrawnFault], least: float = 0.0) -> str:
+def plot(series: Series, length: float, faults: Sequence[DrawnFault], least: float = 0.0) -> str:
     """An SVG of lines over the seconds of the day; bands are troubles."""
     most = max((y for line in series.values() for _, y in line), default=0.0)
     step = nice_step(max(most, least))
     top = max(step * ceil(max(most, least) / step), step)
-    wide, high = WIDTH - LEFT - RIGHT, HEIGHT - TOP - BOTTOM
+    plot_width, plot_height = WIDTH - LEFT - RIGHT, HEIGHT - TOP - BOTTOM
 
     def x(at: float) -> float:
-        return round(LEFT + wide * min(max(at / length, 0.0), 1.0), 1)
+        return round(LEFT + plot_width * min(max(at / length, 0.0), 1.0), 1)
 
     def y(value: float) -> float:
-        return round(TOP + high * (1 - value / top), 1)
+        return round(TOP + plot_height * (1 - value / top), 1)
 
     parts = [f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img">']
-    for i, mark in enumerate(marks):
-        width = max(x(mark.until) - x(mark.at), 2.0)
+    for i, fault in enumerate(faults):
+        width = max(x(fault.until) - x(fault.at), 2.0)
         parts.append(
-            f'<rect x="{x(mark.at)}" y="{TOP}" width="{width:.1f}" height="{high}" '
-            f'fill="{BANDS[i % len(BANDS)]}" fill-opacity=".6"><title>{escape(mark.text)}</title></rect>'
-            f'<text x="{x(mark.at) + 3}" y="{TOP + 11 + i % 6 * 11}" font-size="9" fill="#555">{i + 1}</text>'
+            f'<rect x="{x(fault.at)}" y="{TOP}" width="{width:.1f}" height="{plot_height}" '
+            f'fill="{BANDS[i % len(BANDS)]}" fill-opacity=".6"><title>{escape(fault.text)}</title></rect>'
+            f'<text x="{x(fault.at) + 3}" y="{TOP + 11 + i % 6 * 11}" font-size="9" '
+            f'fill="#555">{i + 1}</text>'
         )
     for i in range(int(top / step + 0.5) + 1):
         value = i * step
@@ -89,7 +90,7 @@
     return "".join([*parts, "</svg>"])
 
 
-def _key(names: Sequence[str]) -> str:
+def _legend(names: Sequence[str]) -> str:
     spans = (
         f'<span><i style="background:{LINES[i % len(LINES)]}"></i>{escape(name)}</span>'
         for i, name in enumerate(names)
@@ -103,17 +104,17 @@
 
 
 def _figure(title: str, series: Series, report: Report, note: str = "") -> str:
-    length, marks = report.schedule.scenario.length_s, report.schedule.drawn_faults
+    length, faults = report.schedule.scenario.length_s, report.schedule.drawn_faults
     text = f"<p>{escape(note)}</p>" if note else ""
-    return f"<h2>{escape(title)}</h2>{text}{_key(list(series))}{plot(series, length, marks)}"
+    return f"<h2>{escape(title)}</h2>{text}{_legend(list(series))}{plot(series, length, faults)}"
 
 
 def _latency(report: Report) -> Series:
     length = report.schedule.scenario.length_s
     took = defaultdict[int, list[float]](list)
-    for fate in report.fates:
-        if fate.took is not None:
-            took[int(fate.ask.at)].append(fate.took * 1000)
+    for outcome in report.outcomes:
+        if outcome.took is not None:
+            took[int(outcome.request.at)].append(outcome.took * 1000)
     lines: dict[str, list[tuple[float, float]]] = {"p50": [], "p90": [], "p99": []}
     for i in range(max(int(length), 1)):
         values = sorted(took[i])
@@ -125,13 +126,15 @@
 def _outcomes(report: Report) -> Series:
     length, classes = report.schedule.scenario.length_s, report.schedule.scenario.classes
     times: dict[str, list[float]] = {"asked": [], "in aim": [], "late": [], "refused": [], "failed": []}
-    for fate in report.fates:
-        times["asked"].append(fate.ask.at)
-        if fate.took is None:
-            kind = "refused" if fate.outcome == "refused" else "failed"
+    for outcome in report.outcomes:
+        times["asked"].append(outcome.request.at)
+        if outcome.took is None:
+            kind = "refused" if outcome.result == "refused" else "failed"
         else:
-            kind = "in aim" if fate.took <= classes[fate.ask.request_class].aim_ms / 1000 else "late"
-        times[kind].append(fate.ask.at)
+            kind = (
+                "in aim" if outcome.took <= classes[outcome.request.request_class].aim_ms / 1000 else "late"
+            )
+        times[kind].append(outcome.request.at)
     return {name: _per_second(at, length) for name, at in times.items()}
 
 
@@ -193,7 +196,7 @@
     return f"<table><tr>{top}</tr>{body}</table>"
 
 
-def _shares(report: Report, group: str) -> str:
+def _grouped(report: Report, group: str) -> str:
     rows = [
         (
             name,
@@ -209,8 +212,8 @@
     )
 
 
-def _when(mark: DrawnFault) -> str:
-    return f"{mark.at:g} to {mark.until:g} s" if mark.until > mark.at else f"{mark.at:g} s"
+def _when(fault: DrawnFault) -> str:
+    return f"{fault.at:g} to {fault.until:g} s" if fault.until > fault.at else f"{fault.at:g} s"
 
 
 def render(report: Report, usage: Mapping[str, Sequence[Usage]], begun: float) -> str:
@@ -235,7 +238,7 @@
         )
     )
     troubles = "".join(
-        f"<li><b>{_when(mark)}</b> {escape(mark.text)}</li>" for mark in report.schedule.drawn_faults
+        f"<li><b>{_when(fault)}</b> {escape(fault.text)}</li>" for fault in report.schedule.drawn_faults
     )
     broken = _table(
         ("rule", "second", "requests", "what"),
@@ -256,8 +259,8 @@
             _figure("Attempts a second at a node", _node_load(report), report),
             _figure("Skew of the routers", _skew(report), report, "By 5 s."),
             _figure("What routers take", _memory(usage, begun), report),
-            f"<h2>By class</h2>{_shares(report, 'classes')}<h2>By tenant</h2>{_shares(report, 'tenants')}",
-            f"<h2>By source</h2>{_shares(report, 'sources')}",
+            f"<h2>By class</h2>{_grouped(report, 'classes')}<h2>By tenant</h2>{_grouped(report, 'tenants')}",
+            f"<h2>By source</h2>{_grouped(report, 'sources')}",
             f"<h2>Broken rules</h2>{broken}" if body["broken"] else "",
             f"<p>Emulator: 99th percentile of its lag {body['emulator']['p99_ms']:g} ms, ",
             f"worst {body['emulator']['worst_ms']:g} ms.</p></html>",
--- a/holdgw/harness/orchestrator.py
+++ b/holdgw/harness/orchestrator.py
@@ -26,49 +26,52 @@
 from holdgw.emulators.relay import ALL
 from holdgw.harness.channel import (
     Addresses,
-    Batch,
     Channel,
     ClientCounts,
-    Did,
-    Do,
-    Fault,
+    Command,
+    CommandResult,
     Finish,
     Message,
+    RecordBatch,
     Setup,
     Stored,
     Voided,
+    WorkerFailure,
 )
 from holdgw.harness.checker import History
 from holdgw.harness.deployment import Peers, configuration
-from holdgw.harness.fault_injection import ANSWER_S, FaultInjector, HarnessError
+from holdgw.harness.fault_injection import WORKER_TIMEOUT_S, FaultInjector, HarnessError
 from holdgw.harness.routers import (
-    PING_EVERY_S,
+    PING_INTERVAL_S,
     READY_S,
     RouterProcess,
     Usage,
     child_of_orchestrator,
     cpu_seconds,
-    first_line,
     free_address,
-    share_cores,
+    read_first_line,
+    split_cores,
 )
 from holdgw.harness.scenario import Scenario, member_names, router_names
 from holdgw.harness.schedule import PEERS, Schedule
 
 CLOCK = time.monotonic
-AGGREGATE = f"exec {sys.executable} -m holdgw.router.aggregator_program"
-STATUS = b"GET /status HTTP/1.1\r\nHost: stage\r\n\r\n"
-NODES_RATE, CLIENTS_RATE = 500.0, 700.0  # requests a second that one worker is given
-MOST_NODE_WORKERS, MOST_CLIENT_WORKERS = 4, 4
-SAMPLE_S = 1.0
-WAITS_S = 0.1  # how often it is looked how long routers waited for a core
+AGGREGATOR_COMMAND = f"exec {sys.executable} -m holdgw.router.aggregator_program"
+STATUS_REQUEST = b"GET /status HTTP/1.1\r\nHost: stage\r\n\r\n"
+REQUESTS_PER_NODE_WORKER, REQUESTS_PER_CLIENT_WORKER = (
+    500.0,
+    700.0,
+)  # requests a second that one worker is given
+MAX_NODE_WORKERS, MAX_CLIENT_WORKERS = 4, 4
+USAGE_INTERVAL_S = 1.0
+CORE_WAIT_INTERVAL_S = 0.1  # how often it is looked how long routers waited for a core
 
 
 @dataclass(slots=True)
 class RunResult:
     """A day that was played. `begun`: the clock's time of second 0."""
 
-    day: Schedule
+    schedule: Schedule
     history: History
     begun: float
     length: float
@@ -82,8 +85,8 @@
 class WorkerProcess:
     """A worker process as the stage sees it."""
 
-    def __init__(self, stage: Orchestrator, name: str) -> None:
-        self.stage, self.name = stage, name
+    def __init__(self, orchestrator: Orchestrator, name: str) -> None:
+        self.orchestrator, self.name = orchestrator, name
         self.channel: Channel | None = None
         self.process: asyncio.subprocess.Process | None = None
         self.finished = asyncio.Event()
@@ -94,26 +97,26 @@
 
     async def start(self, setup: Setup, environment: dict[str, str]) -> None:
         """Start the process and give it its part."""
-        mine, its = socket.socketpair()
-        with its:
+        own_end, worker_end = socket.socketpair()
+        with worker_end:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "holdgw.harness.worker",
-                str(its.fileno()),
-                pass_fds=(its.fileno(),),
+                str(worker_end.fileno()),
+                pass_fds=(worker_end.fileno(),),
                 env=environment,
                 stdin=asyncio.subprocess.DEVNULL,
                 start_new_session=True,
-                preexec_fn=partial(child_of_orchestrator, self.stage.cores),
+                preexec_fn=partial(child_of_orchestrator, self.orchestrator.cores),
             )
-        self.channel = await Channel.over(mine, self._take, self._lost)
+        self.channel = await Channel.connect(own_end, self._on_message, self._on_disconnect)
         self.channel.send(setup)
 
     def ask(self, verb: str, target: str = "", args: dict[str, Any] | None = None) -> asyncio.Future[Any]:
         """Have it do something; the future is what came of it."""
         self._number += 1
-        self.send(Do(verb, target, args or {}, self._number))
+        self.send(Command(verb, target, args or {}, self._number))
         return self._expect(self._number)
 
     def ready(self) -> asyncio.Future[Any]:
@@ -130,25 +133,27 @@
         if self.channel is not None:
             self.channel.send(message)
 
-    def _take(self, message: Message) -> None:
-        if isinstance(message, Batch):
-            self.stage.saw(message)
+    def _on_message(self, message: Message) -> None:
+        if isinstance(message, RecordBatch):
+            self.orchestrator.add_records(message)
         elif isinstance(message, Stored | Voided):
-            self.stage.tell_nodes(message)
+            self.orchestrator.forward_to_nodes(message)
         elif isinstance(message, ClientCounts):
             self.tally = message
-        elif isinstance(message, Did):
+        elif isinstance(message, CommandResult):
             future = self._answers.pop(message.number, None)
             if future is not None and not future.done():
                 future.set_result(message.value)
         elif isinstance(message, Finish):
             self.finished.set()
-        elif isinstance(message, Fault):
-            self.stage.fail(f"worker {self.name}: {message.text.strip().splitlines()[-1]}", message.text)
+        elif isinstance(message, WorkerFailure):
+            self.orchestrator.fail(
+                f"worker {self.name}: {message.text.strip().splitlines()[-1]}", message.text
+            )
 
-    def _lost(self) -> None:
+    def _on_disconnect(self) -> None:
         if not self.finished.is_set():
-            self.stage.fail(f"worker {self.name} is gone")
+            self.orchestrator.fail(f"worker {self.name} is gone")
 
     def sample(self) -> None:
         """Read its CPU time."""
@@ -170,11 +175,11 @@
 class Orchestrator(FaultInjector):
     """One day's play."""
 
-    def __init__(self, day: Schedule, command: str, root: Path, keep_logs: Path | None = None) -> None:
-        super().__init__(day, CLOCK)
+    def __init__(self, schedule: Schedule, command: str, root: Path, keep_logs: Path | None = None) -> None:
+        super().__init__(schedule, CLOCK)
         self.history = History()
         self.felled = 0
-        self.cores, self._router_cores = share_cores(os.sched_getaffinity(0))
+        self.cores, self._router_cores = split_cores(os.sched_getaffinity(0))
         self._command, self._root, self._keep_logs = command, root, keep_logs
         self.node_workers: list[WorkerProcess] = []
         self.client_workers: list[WorkerProcess] = []
@@ -188,7 +193,7 @@
 
     # What workers tell
 
-    def saw(self, batch: Batch) -> None:
+    def add_records(self, batch: RecordBatch) -> None:
         """Keep what was seen."""
         for record in batch.records:
             self.history.add(record)
@@ -196,7 +201,7 @@
                 self.felled += 1
                 self.spawn(self.set_endpoint_state("removed", record.server))
 
-    def tell_nodes(self, message: Stored | Voided) -> None:
+    def forward_to_nodes(self, message: Stored | Voided) -> None:
         """The package store's news goes to all nodes."""
         for worker in self.node_workers:
             worker.send(message)
@@ -219,9 +224,9 @@
         """Do something beside all else; a fault in it ends the day."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._task_over)
+        task.add_done_callback(self._on_task_done)
 
-    def _task_over(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.fail(f"{type(error).__name__}: {error}")
@@ -229,7 +234,7 @@
     # The whole day
 
     async def play(
-        self, progress: Callable[[Orchestrator, float], None] = lambda _stage, _at: None
+        self, progress: Callable[[Orchestrator, float], None] = lambda _orchestrator, _at: None
     ) -> RunResult:
         """Play the day; `progress` is called some times a second with the second of the day."""
         self._failure = asyncio.get_running_loop().create_future()
@@ -262,7 +267,7 @@
         await self._start_routers(scenario, folder)
         self.begin()
         self.spawn(self._sample())
-        self.spawn(self._look_at_waits())
+        self.spawn(self._sample_core_waits())
         await self.wait_until_finished(partial(progress, self))
         return await self._gather()
 
@@ -278,7 +283,7 @@
             worker.sample()
             worker.send(Finish())
         for worker in workers:
-            await asyncio.wait_for(worker.finished.wait(), ANSWER_S)
+            await asyncio.wait_for(worker.finished.wait(), WORKER_TIMEOUT_S)
         for router in self.routers.values():
             self.history.lives += router.lives
             self.history.starved += router.starved
@@ -304,9 +309,9 @@
 
     async def _start_workers(self, scenario: Scenario) -> None:
         cores = max(len(self.cores), 1)
-        most = scenario.peak
-        nodes = min(ceil(most / NODES_RATE), MOST_NODE_WORKERS, cores, scenario.fleet.nodes)
-        clients = min(ceil(most / CLIENTS_RATE), MOST_CLIENT_WORKERS, cores)
+        peak_rate = scenario.peak
+        nodes = min(ceil(peak_rate / REQUESTS_PER_NODE_WORKER), MAX_NODE_WORKERS, cores, scenario.fleet.nodes)
+        clients = min(ceil(peak_rate / REQUESTS_PER_CLIENT_WORKER), MAX_CLIENT_WORKERS, cores)
         environment = dict(os.environ)
         setups = [("nodes", i, nodes) for i in range(nodes)]
         setups += [("hub", 0, 1), *(("clients", i, clients) for i in range(clients))]
@@ -325,19 +330,19 @@
             setup = Setup(role, index, count, worker.name, scenario, self.schedule.seed, "127.0.0.1")
             ready = worker.ready()
             await worker.start(setup, environment)
-            self._tasks.add(asyncio.ensure_future(self._told(worker, ready, role)))
-        await asyncio.wait_for(asyncio.gather(*self._tasks), ANSWER_S + 30)
+            self._tasks.add(asyncio.ensure_future(self._register_worker(worker, ready, role)))
+        await asyncio.wait_for(asyncio.gather(*self._tasks), WORKER_TIMEOUT_S + 30)
         self._tasks.clear()
         self.hub.send(Addresses(servers=self.addresses))
 
-    async def _told(self, worker: WorkerProcess, ready: asyncio.Future[Any], role: str) -> None:
-        told = await ready
+    async def _register_worker(self, worker: WorkerProcess, ready: asyncio.Future[Any], role: str) -> None:
+        reply = await ready
         if role == "nodes":
-            for name, addresses in told.items():
+            for name, addresses in reply.items():
                 self.worker_of[name] = worker
                 self.add_addresses(name, addresses)
         elif role == "hub":
-            self.discovery = {name: (host, port) for name, (host, port) in told.items()}
+            self.discovery = {name: (host, port) for name, (host, port) in reply.items()}
 
     async def _start_routers(self, scenario: Scenario, folder: Path) -> None:
         high, low = 64 + os.getpid() % 128, os.getpid() // 128 % 250
@@ -349,61 +354,63 @@
                 name, self._command, self._root, folder, address, CLOCK, self._router_cores
             )
         if scenario.peers.allowed:
-            self._place_aggregators(scenario, folder, f"127.{high}.{low + len(self.routers) // 200}")
+            self._create_aggregators(scenario, folder, f"127.{high}.{low + len(self.routers) // 200}")
             await self._join_peers()
         await asyncio.gather(*(self.start_aggregator(one) for one in self.aggregators.values()))
         await asyncio.gather(*(self.start_router(router) for router in self.routers.values()))
         self.announce_routers()
 
-    def _place_aggregators(self, scenario: Scenario, folder: Path, net: str) -> None:
+    def _create_aggregators(self, scenario: Scenario, folder: Path, net: str) -> None:
         for i, name in enumerate(member_names(scenario)[len(self.routers) :]):
             address = free_address(f"{net}.{230 + i}")
             self.aggregators[name] = RouterProcess(
-                name, AGGREGATE, self._root, folder, address, CLOCK, self._router_cores
+                name, AGGREGATOR_COMMAND, self._root, folder, address, CLOCK, self._router_cores
             )
 
     async def start_aggregator(self, machine: RouterProcess) -> None:
         """Start a machine set aside, and wait until it aggregates."""
-        day, discovery = self.schedule, next(iter(self.discovery.values()))
-        place = machine.address, discovery, None, machine.ops, self.peers[machine.name]
-        machine.configure(configuration(day.scenario, day.seed, machine.name, machine.starts, *place))
+        schedule, discovery = self.schedule, next(iter(self.discovery.values()))
+        addresses = machine.address, discovery, None, machine.ops, self.peers[machine.name]
+        machine.configure(
+            configuration(schedule.scenario, schedule.seed, machine.name, machine.starts, *addresses)
+        )
         await machine.start(discovery)
-        due = self.clock() + READY_S
-        while not (await first_line(machine.ops, STATUS)).startswith(b"HTTP/1.1 200"):
-            if not machine.running or self.clock() > due:
+        deadline = self.clock() + READY_S
+        while not (await read_first_line(machine.ops, STATUS_REQUEST)).startswith(b"HTTP/1.1 200"):
+            if not machine.running or self.clock() > deadline:
                 raise HarnessError(
                     f"{machine.name} did not get ready: {machine.last_log_line()}".rstrip(": ")
                 )
-            await asyncio.sleep(PING_EVERY_S)
+            await asyncio.sleep(PING_INTERVAL_S)
 
     async def _join_peers(self) -> None:
         """Every router is told of the relay's addresses, and of no other router's own."""
         members = {**self.routers, **self.aggregators}
         listens = {name: member.peer for name, member in members.items()}
-        told = await asyncio.wait_for(self.relay.ask("listen", "", listens), ANSWER_S)
-        known = {name: (host, port) for name, (host, port) in told.items()}
+        reply = await asyncio.wait_for(self.relay.ask("listen", "", listens), WORKER_TIMEOUT_S)
+        known = {name: (host, port) for name, (host, port) in reply.items()}
         each = tuple(known[name] for name in members)
         aggregators = tuple(known[name] for name in self.aggregators)
         self.peers = {name: Peers(listen, each, known[ALL], aggregators) for name, listen in listens.items()}
 
-    async def _look_at_waits(self) -> None:
+    async def _sample_core_waits(self) -> None:
         while True:
             for router in self.routers.values():
-                router.look_at_waits()
-            await asyncio.sleep(WAITS_S)
+                router.sample_core_waits()
+            await asyncio.sleep(CORE_WAIT_INTERVAL_S)
 
     async def _sample(self) -> None:
         while True:
             for router in self.routers.values():
                 router.sample()
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(USAGE_INTERVAL_S)
 
 
 async def play(
-    day: Schedule,
+    schedule: Schedule,
     command: str,
     root: Path,
-    progress: Callable[[Orchestrator, float], None] = lambda _stage, _at: None,
+    progress: Callable[[Orchestrator, float], None] = lambda _orchestrator, _at: None,
     keep_logs: Path | None = None,
 ) -> RunResult:
     """Play a day with routers started by `command` from `root`; SIGTERM ends it like Ctrl-C."""
@@ -414,7 +421,7 @@
         loop.add_signal_handler(signal.SIGTERM, task.cancel)
         loop.add_signal_handler(signal.SIGINT, task.cancel)
     try:
-        return await Orchestrator(day, command, root, keep_logs).play(progress)
+        return await Orchestrator(schedule, command, root, keep_logs).play(progress)
     finally:
         with contextlib.suppress(ValueError, RuntimeError):
             loop.remove_signal_handler(signal.SIGTERM)
--- a/holdgw/harness/report.py
+++ b/holdgw/harness/report.py
@@ -17,20 +17,20 @@
     History,
     LagVerdict,
     Violation,
+    check_lag,
     counts,
-    judge,
-    judge_lag,
+    find_violations,
 )
 from holdgw.harness.orchestrator import RunResult
 from holdgw.harness.routers import Usage
 from holdgw.harness.scenario import node_names, router_names
 from holdgw.harness.schedule import ORIGIN, Schedule
-from holdgw.harness.scoring import Fate, Service, fates, quantile
+from holdgw.harness.scoring import RequestOutcome, Service, quantile, request_outcomes
 from holdgw.harness.topology import zone_of_router, zone_of_server
 
 WINDOW_S = 5.0
-BUSIEST = 5
-MOST_BROKEN = 200  # breaks listed; all are counted
+MAX_LISTED_ROUTERS = 5
+MAX_LISTED_VIOLATIONS = 200  # breaks listed; all are counted
 
 
 @dataclass(slots=True)
@@ -38,10 +38,10 @@
     """A day's report. `body` is what `--json` writes; the rest is for those who draw."""
 
     body: dict[str, Any]
-    day: Schedule
+    schedule: Schedule
     broken: list[Violation]
     lag: LagVerdict
-    fates: list[Fate]
+    outcomes: list[RequestOutcome]
     service: Service
     attempts: list[Attempt] = field(default_factory=list)
     """Of the day itself, times in seconds of the day."""
@@ -55,11 +55,11 @@
         return 1 if self.broken else 0
 
 
-def _summary(found: Sequence[Fate], day: Schedule) -> dict[str, Any]:
+def _summary(found: Sequence[RequestOutcome], schedule: Schedule) -> dict[str, Any]:
     """Counts, service and latencies of some asks."""
-    classes = day.scenario.classes
-    counted = scoring.outcomes(found, classes)
-    took = sorted(fate.took * 1000 for fate in found if fate.took is not None)
+    classes = schedule.scenario.classes
+    counted = scoring.outcome_counts(found, classes)
+    took = sorted(outcome.took * 1000 for outcome in found if outcome.took is not None)
     share = scoring.shares(found, classes, lambda _: 0).get(0, scoring.Share())
     return {
         **{name: counted[name] for name in ("asked", "served", "in_aim", "refused", "failed")},
@@ -69,29 +69,31 @@
     }
 
 
-def _grouped(found: Iterable[Fate], day: Schedule, group: Callable[[Fate], str]) -> dict[str, Any]:
-    parts = defaultdict[str, list[Fate]](list)
-    for fate in found:
-        parts[group(fate)].append(fate)
-    return {name: _summary(parts[name], day) for name in sorted(parts)}
+def _grouped(
+    found: Iterable[RequestOutcome], schedule: Schedule, group: Callable[[RequestOutcome], str]
+) -> dict[str, Any]:
+    parts = defaultdict[str, list[RequestOutcome]](list)
+    for outcome in found:
+        parts[group(outcome)].append(outcome)
+    return {name: _summary(parts[name], schedule) for name in sorted(parts)}
 
 
-def _used(usage: Sequence[Usage], begun: float) -> dict[str, Any]:
+def _router_usage(usage: Sequence[Usage], begun: float) -> dict[str, Any]:
     """A router's memory, descriptors and CPU over the day."""
-    day = [one for one in usage if one.at >= begun]
-    if not day:
+    samples = [one for one in usage if one.at >= begun]
+    if not samples:
         return {}
-    span = day[-1].at - day[0].at
+    span = samples[-1].at - samples[0].at
     return {
-        "memory_mb": round(max(one.memory for one in day) / (1 << 20), 1),
-        "memory_mb_end": round(day[-1].memory / (1 << 20), 1),
-        "descriptors": max(one.descriptors for one in day),
-        "cpu_share": round((day[-1].cpu - day[0].cpu) / span, 4) if span > 0 else 0.0,
-        "cpu_s": round(day[-1].cpu - day[0].cpu, 3),
+        "memory_mb": round(max(one.memory for one in samples) / (1 << 20), 1),
+        "memory_mb_end": round(samples[-1].memory / (1 << 20), 1),
+        "descriptors": max(one.descriptors for one in samples),
+        "cpu_share": round((samples[-1].cpu - samples[0].cpu) / span, 4) if span > 0 else 0.0,
+        "cpu_s": round(samples[-1].cpu - samples[0].cpu, 3),
     }
 
 
-def _laboratory(played: RunResult) -> dict[str, Any]:
+def _harness_usage(played: RunResult) -> dict[str, Any]:
     """What the laboratory itself took: processes, memory, starts, and cores that were waited for."""
     latest: dict[int, dict[str, int]] = defaultdict(dict)
     for router, usage in played.usage.items():
@@ -120,58 +122,61 @@
     }
 
 
-def _missing(attempts: Iterable[Attempt]) -> Counter[str]:
+def _misses_by_cause(attempts: Iterable[Attempt]) -> Counter[str]:
     return Counter(attempt.missing for attempt in attempts if attempt.missing)
 
 
 def _windows(
-    found: Sequence[Fate], attempts: Sequence[Attempt], day: Schedule, router_of: dict[str, str]
+    found: Sequence[RequestOutcome],
+    attempts: Sequence[Attempt],
+    schedule: Schedule,
+    router_of: dict[str, str],
 ) -> list[dict[str, Any]]:
     """Every 5 s: what was asked, what became of it, and the signs by which troubles are told apart."""
-    asks = defaultdict[int, list[Fate]](list)
+    requests = defaultdict[int, list[RequestOutcome]](list)
     sent = defaultdict[int, list[Attempt]](list)
-    for fate in found:
-        asks[int(fate.ask.at / WINDOW_S)].append(fate)
+    for outcome in found:
+        requests[int(outcome.request.at / WINDOW_S)].append(outcome)
     for attempt in attempts:
         sent[int(attempt.at / WINDOW_S)].append(attempt)
     rows = []
-    for i in range(int((day.scenario.length_s - 1e-9) / WINDOW_S) + 1):
-        here, tried = asks[i], sent[i]
+    for i in range(int((schedule.scenario.length_s - 1e-9) / WINDOW_S) + 1):
+        here, tried = requests[i], sent[i]
         routers = Counter(router for attempt in tried if (router := router_of.get(attempt.request, "")))
-        mean = sum(routers.values()) / len(router_names(day.scenario.fleet))
+        mean = sum(routers.values()) / len(router_names(schedule.scenario.fleet))
         rows.append(
             {
                 "at": i * WINDOW_S,
-                **_summary(here, day),
-                "sources": dict(Counter(fate.ask.source for fate in here)),
+                **_summary(here, schedule),
+                "sources": dict(Counter(outcome.request.source for outcome in here)),
                 "origin_fetches": sum(one.server == ORIGIN and not one.idempotency for one in tried),
                 "attempts": len(tried),
-                "missing": dict(_missing(tried)),
+                "missing": dict(_misses_by_cause(tried)),
                 "router_skew": round(max(routers.values(), default=0) / mean, 2) if mean else 0.0,
             }
         )
     return rows
 
 
-def _told_apart(
-    found: Sequence[Fate], attempts: Sequence[Attempt], day: Schedule, flushed: int
+def _faults_told_apart(
+    found: Sequence[RequestOutcome], attempts: Sequence[Attempt], schedule: Schedule, flushed: int
 ) -> dict[str, Any]:
     """Troubles that overlap, each by its own sign: a scan by keys wanted once, a hot caller by who asked and
     through which router, a flush by copies that had been kept and were missed.
     """
-    scanned = [fate for fate in found if fate.ask.source == "scan"]
-    hot = [fate for fate in found if fate.ask.source == "hot_caller"]
-    through = Counter(fate.ask.router for fate in hot)
-    missing = _missing(attempts)
+    scanned = [outcome for outcome in found if outcome.request.source == "scan"]
+    hot = [outcome for outcome in found if outcome.request.source == "hot_caller"]
+    through = Counter(outcome.request.router for outcome in hot)
+    missing = _misses_by_cause(attempts)
     return {
-        "scan": {**_summary(scanned, day), "keys": len({fate.ask.key for fate in scanned})},
-        "hot_caller": {**_summary(hot, day), "through": dict(through.most_common(BUSIEST))},
+        "scan": {**_summary(scanned, schedule), "keys": len({outcome.request.key for outcome in scanned})},
+        "hot_caller": {**_summary(hot, schedule), "through": dict(through.most_common(MAX_LISTED_ROUTERS))},
         "flush": {"copies_gone": flushed, "misses_of_flushed": missing["flushed"]},
         "misses": dict(missing),
     }
 
 
-def _nodes(attempts: Iterable[Attempt], day: Schedule) -> dict[str, Any]:
+def _nodes(attempts: Iterable[Attempt], schedule: Schedule) -> dict[str, Any]:
     rows: dict[str, Counter[str]] = defaultdict(Counter)
     work = defaultdict[str, float](float)
     for attempt in attempts:
@@ -180,42 +185,47 @@
         row[attempt.result] += 1
         row["spoilt"] += bool(attempt.fault)
         work[attempt.server] += attempt.work
-    names = {*node_names(day.scenario.fleet), *rows} - {ORIGIN}
+    names = {*node_names(schedule.scenario.fleet), *rows} - {ORIGIN}
     return {
-        name: {**rows[name], "work_s": round(work[name], 2), "zone": zone_of_server(day.scenario, name)}
+        name: {**rows[name], "work_s": round(work[name], 2), "zone": zone_of_server(schedule.scenario, name)}
         for name in sorted(names)
     }
 
 
-def rule_violations(day: Schedule, history: History) -> list[Violation]:
+def rule_violations(schedule: Schedule, history: History) -> list[Violation]:
     """All breaks of the four rules on a day, in order of time."""
-    return [one for one in failures_of(day, history) if one.rule != STARVED]
+    return [one for one in all_violations(schedule, history) if one.rule != STARVED]
 
 
-def failures_of(day: Schedule, history: History) -> list[Violation]:
+def all_violations(schedule: Schedule, history: History) -> list[Violation]:
     """All breaks on a day, and requests lost for want of a core, in order of time."""
-    classes = day.scenario.classes
+    classes = schedule.scenario.classes
     rules = {
-        ask.number: ClassRule(cls.effect, cls.window_ms / 1000)
-        for ask in day.requests
-        for cls in (classes[ask.request_class],)
+        request.number: ClassRule(cls.effect, cls.window_ms / 1000)
+        for request in schedule.requests
+        for cls in (classes[request.request_class],)
     }
-    return judge(history, rules, day.scenario.router.drain_grace_ms / 1000)
+    return find_violations(history, rules, schedule.scenario.router.drain_grace_ms / 1000)
 
 
 def make_report(played: RunResult) -> Report:
     """Judge and count a played day."""
-    day, scenario, history, begun = played.schedule, played.schedule.scenario, played.history, played.begun
-    wrong = failures_of(day, history)
-    broken = [one for one in wrong if one.rule != STARVED]
-    lag = judge_lag(history.lags, scenario.emulator.lag_ms, scenario.emulator.worst_ms, begun)
-    found = fates(day.requests, history.tries, begun)
+    schedule, scenario, history, begun = (
+        played.schedule,
+        played.schedule.scenario,
+        played.history,
+        played.begun,
+    )
+    violations = all_violations(schedule, history)
+    broken = [one for one in violations if one.rule != STARVED]
+    lag = check_lag(history.lags, scenario.emulator.lag_ms, scenario.emulator.worst_ms, begun)
+    found = request_outcomes(schedule.requests, history.tries, begun)
     routers = router_names(scenario.fleet)
     zones = {name: zone_of_router(scenario, name) for name in routers}
     servers = {attempt.server for attempt in history.attempts}
     zones |= {name: zone_of_server(scenario, name) for name in servers}
     tenants = [one.name for one in scenario.tenants]
-    service = scoring.count(found, history, scenario.classes, tenants, scenario.length_s, begun, zones)
+    service = scoring.score(found, history, scenario.classes, tenants, scenario.length_s, begun, zones)
     router_of = {one.request: one.router for one in history.tries}
     attempts = sorted(
         (
@@ -225,7 +235,7 @@
         ),
         key=lambda one: one.at,
     )
-    total = _summary(found, day)
+    total = _summary(found, schedule)
     flushed = sum(one.gone for one in history.flushed)
     tries = [one for one in history.tries if one.sent >= begun]
     asked = Counter(one.router for one in tries)
@@ -238,14 +248,14 @@
         "failed": total["failed"],
         "service": round(service.service, 4),
         "rules": counts(broken),
-        "starved": len(wrong) - len(broken),
+        "starved": len(violations) - len(broken),
         "p50_ms": total["p50_ms"],
         "p99_ms": total["p99_ms"],
         "origin_fetches": sum(one.server == ORIGIN and not one.idempotency for one in attempts),
-        "nodes": _nodes(attempts, day),
+        "nodes": _nodes(attempts, schedule),
         "routers": {
             name: {
-                **_used(played.usage.get(name, ()), begun),
+                **_router_usage(played.usage.get(name, ()), begun),
                 "starts": starts[name],
                 "asked": asked[name],
                 "memory_limit_mb": scenario.router.memory_mb,
@@ -253,10 +263,10 @@
             for name in routers
         },
         "scenario": scenario.name,
-        "seed": day.seed,
+        "seed": schedule.seed,
         "length_s": scenario.length_s,
         "void": lag.void,
-        "laboratory": _laboratory(played),
+        "laboratory": _harness_usage(played),
         "emulator": {
             **asdict(lag),
             "worst_at": round(lag.worst_at - begun, 2),
@@ -265,26 +275,28 @@
         "service_parts": asdict(service),
         "attempts": len(attempts),
         "tries": len(tries),
-        "classes": _grouped(found, day, lambda fate: scenario.classes[fate.ask.request_class].name),
-        "tenants": _grouped(found, day, lambda fate: tenants[fate.ask.tenant]),
-        "sources": _grouped(found, day, lambda fate: fate.ask.source),
-        "told_apart": _told_apart(found, attempts, day, flushed),
-        "windows": _windows(found, attempts, day, router_of),
-        "troubles": [asdict(mark) for mark in day.drawn_faults],
+        "classes": _grouped(
+            found, schedule, lambda outcome: scenario.classes[outcome.request.request_class].name
+        ),
+        "tenants": _grouped(found, schedule, lambda outcome: tenants[outcome.request.tenant]),
+        "sources": _grouped(found, schedule, lambda outcome: outcome.request.source),
+        "told_apart": _faults_told_apart(found, attempts, schedule, flushed),
+        "windows": _windows(found, attempts, schedule, router_of),
+        "troubles": [asdict(mark) for mark in schedule.drawn_faults],
         "broken": [
             {"rule": one.rule, "at": round(one.at - begun, 3), "requests": one.requests, "text": one.text}
-            for one in broken[:MOST_BROKEN]
+            for one in broken[:MAX_LISTED_VIOLATIONS]
         ],
         "starved_requests": [
             {"at": round(one.at - begun, 3), "requests": one.requests, "text": one.text}
-            for one in wrong
+            for one in violations
             if one.rule == STARVED
-        ][:MOST_BROKEN],
+        ][:MAX_LISTED_VIOLATIONS],
         "odd": [
             {"server": one.server, "at": round(one.at - begun, 3), "text": one.text}
-            for one in history.odd[:MOST_BROKEN]
+            for one in history.odd[:MAX_LISTED_VIOLATIONS]
         ],
         "spoilt": dict(Counter(one.fault for one in attempts if one.fault)),
         "answers": dict(Counter(one.answer for one in tries)),
     }
-    return Report(body, day, broken, lag, found, service, attempts, router_of)
+    return Report(body, schedule, broken, lag, found, service, attempts, router_of)
--- a/holdgw/harness/routers.py
+++ b/holdgw/harness/routers.py
@@ -24,10 +24,10 @@
 from holdgw.wire.address import Address, format_address
 
 READY_S = 30.0
-PING_EVERY_S = 0.02
+PING_INTERVAL_S = 0.02
 PING_S = 1.0
-LEAST_TO_DIVIDE = 4  # cores
-WAIT_NOTED_S = 0.004  # shorter waits for a core are everyday
+MIN_CORES_TO_SPLIT = 4  # cores
+MIN_RECORDED_WAIT_S = 0.004  # shorter waits for a core are everyday
 _PR_SET_PDEATHSIG = 1
 _TICKS = os.sysconf("SC_CLK_TCK")
 _PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -45,15 +45,15 @@
     os.sched_setaffinity(0, cores)
 
 
-def share_cores(cores: Collection[int]) -> tuple[set[int], set[int]]:
+def split_cores(cores: Collection[int]) -> tuple[set[int], set[int]]:
     """Cores for the emulator, and cores for the routers."""
     # When the endpoint list changes, all routers apply it at once. On machines of their own none would notice
     # the others; here they would delay the emulator by 50 ms. With few cores they have to share.
     ordered = sorted(cores)
-    if len(ordered) < LEAST_TO_DIVIDE:
+    if len(ordered) < MIN_CORES_TO_SPLIT:
         return set(ordered), set(ordered)
-    mine = len(ordered) * 3 // 8
-    return set(ordered[:mine]), set(ordered[mine:])
+    emulator_count = len(ordered) * 3 // 8
+    return set(ordered[:emulator_count]), set(ordered[emulator_count:])
 
 
 def cpu_seconds(pid: int) -> float:
@@ -67,7 +67,7 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * _PAGE
 
 
-def waited_seconds(pid: int) -> float:
+def core_wait_seconds(pid: int) -> float:
     """How long a process has stood in line for a core so far; raises OSError where it is gone."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
 
@@ -86,7 +86,7 @@
             return found
 
 
-async def first_line(address: Address, data: bytes) -> bytes:
+async def read_first_line(address: Address, data: bytes) -> bytes:
     """The first line of what a router answers there; empty where nothing came in time."""
     writer = None
     try:
@@ -101,24 +101,24 @@
             writer.close()
 
 
-async def pings(address: Address) -> bool:
+async def answers_ping(address: Address) -> bool:
     """Whether a router answers PING with PONG there: it has a list, and takes requests."""
-    return (await first_line(address, resp.command(b"PING"))).startswith(b"+PONG")
+    return (await read_first_line(address, resp.command(b"PING"))).startswith(b"+PONG")
 
 
-async def call_door(address: Address, path: str, body: str) -> bool:
+async def call_admin_endpoint(address: Address, path: str, body: str) -> bool:
     """Call at a router's door; returns whether the answer was yes, in time."""
     call = http.request("PUT", path, format_address(address), body=body.encode())
-    return (await first_line(address, call)).startswith(b"HTTP/1.1 200")
+    return (await read_first_line(address, call)).startswith(b"HTTP/1.1 200")
 
 
 async def until_ready(address: Address, running: Callable[[], bool], clock: Clock) -> bool:
     """Wait until a router answers there; False: it ended, or did not answer in time."""
-    due = clock() + READY_S
-    while running() and clock() < due:
-        if await pings(address):
+    deadline = clock() + READY_S
+    while running() and clock() < deadline:
+        if await answers_ping(address):
             return True
-        await asyncio.sleep(PING_EVERY_S)
+        await asyncio.sleep(PING_INTERVAL_S)
     return False
 
 
@@ -154,7 +154,7 @@
         self.usage: list[Usage] = []
         self.starved: list[tuple[str, float, float, float]] = []
         """Stretches in which it waited for a core, as the checker's history has them."""
-        self._waited = (0.0, 0.0)  # when that was last looked at, and how much it was
+        self._last_wait_sample = (0.0, 0.0)  # when that was last looked at, and how much it was
         self._command, self._root, self._clock = command, root, clock
         self._folder = folder / name
         self._config = self._folder / "config.json"
@@ -163,13 +163,13 @@
         self._cores = cores
         self._process: asyncio.subprocess.Process | None = None
         self._watch: asyncio.Task[None] | None = None
-        self._cpu_before = 0.0  # of lives that are over
+        self._cpu_of_ended = 0.0  # of lives that are over
 
-    def configure(self, told: dict[str, Any]) -> None:
+    def configure(self, settings: dict[str, Any]) -> None:
         """Write its configuration, all at once."""
         self._folder.mkdir(exist_ok=True)
         new = self._config.with_suffix(".new")
-        new.write_bytes(orjson.dumps(told))
+        new.write_bytes(orjson.dumps(settings))
         new.replace(self._config)
 
     async def start(self, discovery: Address) -> None:
@@ -202,29 +202,29 @@
                 preexec_fn=partial(child_of_orchestrator, self._cores),
             )
         self.lives.append(ProcessLifetime(self.name, self._clock()))
-        self._waited = self._clock(), 0.0
-        self._watch = asyncio.create_task(self._wait(self._process, len(self.lives) - 1))
+        self._last_wait_sample = self._clock(), 0.0
+        self._watch = asyncio.create_task(self._wait_for_exit(self._process, len(self.lives) - 1))
 
     def last_log_line(self) -> str:
         """The last line of its log; empty where there is none."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
         return lines[-1] if lines else ""
 
-    async def _wait(self, process: asyncio.subprocess.Process, life: int) -> None:
+    async def _wait_for_exit(self, process: asyncio.subprocess.Process, index: int) -> None:
         code = await process.wait()
-        self._change(life, exited=self._clock(), code=code)
+        self._update_lifetime(index, exited=self._clock(), code=code)
         if self.usage:
-            self._cpu_before = self.usage[-1].cpu
+            self._cpu_of_ended = self.usage[-1].cpu
 
-    def _change(self, life: int, **changes: Any) -> None:
-        self.lives[life] = replace(self.lives[life], **changes)
+    def _update_lifetime(self, index: int, **changes: Any) -> None:
+        self.lives[index] = replace(self.lives[index], **changes)
 
     async def ready(self) -> bool:
         """Wait until it answers PING with PONG; False: it ended, or did not in time."""
         assert self._process is not None
         if not await until_ready(self.address, lambda: self.running, self._clock):
             return False
-        self._change(-1, ready=self._clock())
+        self._update_lifetime(-1, ready=self._clock())
         return True
 
     @property
@@ -248,14 +248,14 @@
             return
         if number is signal.SIGKILL:
             wanted = self.lives[-1].wanted or "KILL"
-            self._change(-1, told_to_end=self._clock(), wanted=wanted)
+            self._update_lifetime(-1, told_to_end=self._clock(), wanted=wanted)
             self._to_group(signal.SIGKILL)
             return
         if number in (signal.SIGSTOP, signal.SIGCONT):
             self._to_group(number)
             return
         if number is signal.SIGTERM:
-            self._change(-1, told_to_end=self._clock(), wanted="TERM")
+            self._update_lifetime(-1, told_to_end=self._clock(), wanted="TERM")
         with contextlib.suppress(ProcessLookupError):
             os.kill(self.pid, number)
 
@@ -265,7 +265,7 @@
         """
         # A kill would have the kernel reset all connections at once; a lost machine resets none.
         self._to_group(signal.SIGSTOP)
-        self._change(-1, told_to_end=self._clock(), wanted="KILL")
+        self._update_lifetime(-1, told_to_end=self._clock(), wanted="KILL")
         self.lost = True
         shutil.rmtree(self._folder, ignore_errors=True)
 
@@ -274,10 +274,10 @@
         with contextlib.suppress(ProcessLookupError):
             os.killpg(self._process.pid, number)
 
-    async def ended(self, within: float) -> bool:
+    async def ended(self, timeout: float) -> bool:
         """Wait for its end; False: it still runs."""
         if self._watch is not None:
-            await asyncio.wait((self._watch,), timeout=within)
+            await asyncio.wait((self._watch,), timeout=timeout)
         return not self.running
 
     async def end(self) -> None:
@@ -287,17 +287,17 @@
             if self._watch is not None:
                 await self._watch
 
-    def look_at_waits(self) -> None:
+    def sample_core_waits(self) -> None:
         """Read how long its process has waited for a core since the last look."""
         if not self.running:
             return
         try:
-            now, waited = self._clock(), waited_seconds(self.pid)
+            now, waited = self._clock(), core_wait_seconds(self.pid)
         except (OSError, IndexError, ValueError):
             return  # it is ending just now
-        since, before = self._waited
-        self._waited = now, waited
-        if since and waited - before > WAIT_NOTED_S:
+        since, before = self._last_wait_sample
+        self._last_wait_sample = now, waited
+        if since and waited - before > MIN_RECORDED_WAIT_S:
             self.starved.append((self.name, since, now, waited - before))
 
     def sample(self) -> None:
@@ -305,9 +305,9 @@
         if not self.running:
             return
         memory = descriptors = 0
-        cpu = self._cpu_before
+        cpu = self._cpu_of_ended
         try:
-            for pid in _tree(self.pid):
+            for pid in _process_tree(self.pid):
                 cpu += cpu_seconds(pid)
                 memory += resident_bytes(pid)
                 descriptors += len(os.listdir(f"/proc/{pid}/fd"))
@@ -316,7 +316,7 @@
         self.usage.append(Usage(self._clock(), memory, descriptors, cpu))
 
 
-def _tree(pid: int) -> list[int]:
+def _process_tree(pid: int) -> list[int]:
     """A process and all below it."""
     found = [pid]
     for parent in found:
--- a/holdgw/harness/scenario.py
+++ b/holdgw/harness/scenario.py
@@ -19,8 +19,8 @@
     STORM_ONLY,
     Burst,
     ColdStart,
+    Fault,
     Stall,
-    Trouble,
     kind_of,
     only_simulated,
 )
@@ -34,11 +34,11 @@
     not_finite,
 )
 
-MOST_NODES = 2000
-MOST_ROUTERS = 400
-MOST_SECONDS = 3600.0
-MOST_PEAK = 50_000.0  # first tries a second: ten times what the emulator plays on 8 cores
-MOST_DRAWS = 5_000_000  # of a whole day: asks are drawn ahead and held, some 500 bytes each
+MAX_NODES = 2000
+MAX_ROUTERS = 400
+MAX_LENGTH_S = 3600.0
+MAX_PEAK_RATE = 50_000.0  # first tries a second: ten times what the emulator plays on 8 cores
+MAX_REQUESTS = 5_000_000  # of a whole day: asks are drawn ahead and held, some 500 bytes each
 
 
 class ScenarioError(Exception):
@@ -48,8 +48,8 @@
 class Fleet(ScenarioTable, frozen=True, kw_only=True):
     """Mirror nodes and routers, and the lines between their zones."""
 
-    nodes: Annotated[int, Meta(ge=1, le=MOST_NODES)] = 36
-    routers: Annotated[int, Meta(ge=1, le=MOST_ROUTERS)] = 3
+    nodes: Annotated[int, Meta(ge=1, le=MAX_NODES)] = 36
+    routers: Annotated[int, Meta(ge=1, le=MAX_ROUTERS)] = 3
     zones: Annotated[tuple[str, ...], Meta(min_length=1)] = ("lozenets", "mladost", "druzhba")
     same_ms: Span = (0.1, 0.3)
     """One way, within a zone."""
@@ -251,7 +251,7 @@
     name: Annotated[str, Meta(min_length=1)]
     about: str = ""
     seed: int = 1
-    length_s: Annotated[float, Meta(gt=0, le=MOST_SECONDS)]
+    length_s: Annotated[float, Meta(gt=0, le=MAX_LENGTH_S)]
     load: Load
     fleet: Fleet = Fleet()
     node: Node = Node()
@@ -269,22 +269,22 @@
     emulator: Emulator = Emulator()
     simulation: Simulation = Simulation()
     storm: Storm = Storm()
-    trouble: tuple[Trouble, ...] = ()
+    trouble: tuple[Fault, ...] = ()
 
     def __post_init__(self) -> None:
         """Hold what no single field can: raises ValueError naming the field."""
         for name in not_finite(self):
             raise ValueError(f"{name}: expected a finite number")
-        _no_twins("classes", [one.name for one in self.classes])
-        _no_twins("tenants", [one.name for one in self.tenants])
-        _no_twins("fleet.zones", self.fleet.zones)
+        _check_unique("classes", [one.name for one in self.classes])
+        _check_unique("tenants", [one.name for one in self.tenants])
+        _check_unique("fleet.zones", self.fleet.zones)
         for name in ("same_ms", "cross_ms"):
-            _span(f"fleet.{name}", getattr(self.fleet, name))
+            _check_range(f"fleet.{name}", getattr(self.fleet, name))
         for name in ("slots", "queue", "speed", "report_ms", "report_late_ms"):
-            _span(f"node.{name}", getattr(self.node, name))
-        _span("discovery.notice_s", self.discovery.notice_s)
+            _check_range(f"node.{name}", getattr(self.node, name))
+        _check_range("discovery.notice_s", self.discovery.notice_s)
         for name in ("try_share", "backoff_ms", "front_notice_s"):
-            _span(f"clients.{name}", getattr(self.clients, name))
+            _check_range(f"clients.{name}", getattr(self.clients, name))
         for i, one in enumerate(self.classes):
             if one.aim_ms > one.give_up_ms:
                 raise ValueError(f"classes[{i}].aim_ms: {one.aim_ms:g} is over give_up_ms {one.give_up_ms:g}")
@@ -295,8 +295,8 @@
         if not any(factor > 0 for _, factor in self.load.shape):
             raise ValueError("load.shape: some factor must be above 0")
         for i, trouble in enumerate(self.trouble):
-            self._check_trouble(f"trouble[{i}] ({kind_of(trouble)})", trouble)
-        _span("storm.count", self.storm.count)
+            self._check_fault(f"trouble[{i}] ({kind_of(trouble)})", trouble)
+        _check_range("storm.count", self.storm.count)
         for kind in self.storm.kinds:
             if kind not in (*KINDS, *STORM_ONLY) or kind == kind_of(Stall(at=0, seconds=1)):
                 raise ValueError(f"storm.kinds: no trouble {kind!r} that a storm may have")
@@ -306,12 +306,12 @@
         """Refuse what can't be played: to draw it would take for ever, and hold all there is of memory."""
         usual = self.load.rate * max(factor for _, factor in self.load.shape)
         for what, peak in (("load.rate times load.shape", usual), ("load with its bursts", self.peak)):
-            if peak > MOST_PEAK:
-                raise ValueError(f"{what}: a peak of {peak:.6g} a second; {MOST_PEAK:g} can be played")
-        if self.peak * self.length_s > MOST_DRAWS:
+            if peak > MAX_PEAK_RATE:
+                raise ValueError(f"{what}: a peak of {peak:.6g} a second; {MAX_PEAK_RATE:g} can be played")
+        if self.peak * self.length_s > MAX_REQUESTS:
             raise ValueError(
                 f"load.rate: up to {self.peak * self.length_s:.6g} first tries in {self.length_s:g} s; "
-                f"{MOST_DRAWS} can be played"
+                f"{MAX_REQUESTS} can be played"
             )
 
     @property
@@ -327,7 +327,7 @@
         ]
         return most * (1.0 + max(more, default=0.0))
 
-    def not_on_sockets(self) -> str:
+    def simulation_only_reason(self) -> str:
         """Why only the simulation can play it, naming the field; empty: real sockets can, too."""
         if self.storm.count[1]:
             return "storm: drawn troubles are for `holdgw simulate`"
@@ -336,7 +336,7 @@
                 return f"trouble[{i}] ({kind_of(one)}): only `holdgw simulate` can play it"
         return ""
 
-    def _check_trouble(self, where: str, trouble: Trouble) -> None:
+    def _check_fault(self, where: str, trouble: Fault) -> None:
         if trouble.at >= self.length_s:
             raise ValueError(f"{where}.at: {trouble.at:g} is beyond length_s {self.length_s:g}")
         nodes = getattr(trouble, "nodes", 1)
@@ -371,12 +371,12 @@
         return msgspec.structs.replace(self, length_s=length, trouble=kept)
 
 
-def _no_twins(where: str, names: Sequence[str]) -> None:
+def _check_unique(where: str, names: Sequence[str]) -> None:
     if len(set(names)) != len(names):
         raise ValueError(f"{where}: a name stands there twice")
 
 
-def _span(where: str, span: tuple[float, float]) -> None:
+def _check_range(where: str, span: tuple[float, float]) -> None:
     if span[0] > span[1]:
         raise ValueError(f"{where}: {span[0]:g} is over {span[1]:g}")
 
--- a/holdgw/harness/schedule.py
+++ b/holdgw/harness/schedule.py
@@ -26,7 +26,7 @@
 # Where a request comes from.
 USUAL = "usual"
 SCAN = "scan"
-HOT = "hot_caller"
+HOT_CALLER = "hot_caller"
 HOT_KEY = "hot_key"
 BURST = "burst"
 PRELUDE = "prelude"
@@ -94,7 +94,7 @@
         return self.scenario.fleet.zones
 
 
-def draw_number(place: int, fault: t.Trouble) -> int:
+def draw_number(place: int, fault: t.Fault) -> int:
     """The number of the draw that a fault takes its targets from."""
     return place if fault.draw < 0 else fault.draw
 
--- a/holdgw/harness/scoring.py
+++ b/holdgw/harness/scoring.py
@@ -21,7 +21,7 @@
 
 K = TypeVar("K")
 
-OVER_WORTH = 0.05
+OVER_QUOTA_FACTOR = 0.05
 WORST_WINDOW_S = 10.0
 WINDOW_STEP_S = 1.0
 # Weights of the parts of the score; together 1.
@@ -38,37 +38,39 @@
 
 
 @dataclass(slots=True)
-class Fate:
+class RequestOutcome:
     """What became of an ask. `took`: seconds from its first try to its good answer, None without one."""
 
-    ask: ScheduledRequest
+    request: ScheduledRequest
     took: float | None = None
-    outcome: str = "failed"
+    result: str = "failed"
     """served, refused or failed: what its last try got; `left` where the client went away by itself."""
     tries: int = 0
     ended: float = 0.0
     """Seconds of the day."""
 
 
-def fates(asks: Iterable[ScheduledRequest], tries: Iterable[Try], begun: float) -> list[Fate]:
+def request_outcomes(
+    requests: Iterable[ScheduledRequest], tries: Iterable[Try], begun: float
+) -> list[RequestOutcome]:
     """Every ask of the day itself and what became of it. `begun`: the clock's time of second 0."""
-    by_ask = defaultdict[int, list[Try]](list)
+    tries_by_request = defaultdict[int, list[Try]](list)
     for one in tries:
-        by_ask[one.ask].append(one)
-    found = []
-    for ask in asks:
+        tries_by_request[one.ask].append(one)
+    outcomes = []
+    for ask in requests:
         if ask.source == PRELUDE:
             continue
-        fate = Fate(ask, ended=ask.at)
-        for one in sorted(by_ask.get(ask.number, ()), key=lambda one: one.number):
-            fate.tries += 1
-            fate.ended = max(fate.ended, one.ended - begun)
+        outcome = RequestOutcome(ask, ended=ask.at)
+        for one in sorted(tries_by_request.get(ask.number, ()), key=lambda one: one.number):
+            outcome.tries += 1
+            outcome.ended = max(outcome.ended, one.ended - begun)
             if one.answer == "served" and not one.fault:
-                fate.outcome, fate.took = "served", one.ended - begun - ask.at
-            elif fate.took is None:
-                fate.outcome = one.answer if one.answer in ("refused", "left") else "failed"
-        found.append(fate)
-    return found
+                outcome.result, outcome.took = "served", one.ended - begun - ask.at
+            elif outcome.took is None:
+                outcome.result = one.answer if one.answer in ("refused", "left") else "failed"
+        outcomes.append(outcome)
+    return outcomes
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,47 +99,47 @@
     deductions: dict[str, float] = field(default_factory=dict)
 
 
-def value(fate: Fate, classes: Sequence[RequestClass]) -> tuple[float, float]:
+def worth_of(outcome: RequestOutcome, classes: Sequence[RequestClass]) -> tuple[float, float]:
     """Worth asked for and worth got by one ask."""
-    cls = classes[fate.ask.request_class]
-    worth = cls.worth * (OVER_WORTH if fate.ask.over_quota else 1.0)
-    if fate.took is None or fate.took > cls.give_up_ms / 1000:
+    cls = classes[outcome.request.request_class]
+    worth = cls.worth * (OVER_QUOTA_FACTOR if outcome.request.over_quota else 1.0)
+    if outcome.took is None or outcome.took > cls.give_up_ms / 1000:
         return worth, 0.0
-    return worth, worth * (1.0 if fate.took <= cls.aim_ms / 1000 else cls.late_worth)
+    return worth, worth * (1.0 if outcome.took <= cls.aim_ms / 1000 else cls.late_worth)
 
 
 def shares(
-    found: Iterable[Fate], classes: Sequence[RequestClass], group: Callable[[Fate], K]
+    outcomes: Iterable[RequestOutcome], classes: Sequence[RequestClass], group: Callable[[RequestOutcome], K]
 ) -> dict[K, Share]:
     """Worth by group."""
     asked, got = defaultdict[K, float](float), defaultdict[K, float](float)
-    for fate in found:
-        a, g = value(fate, classes)
-        asked[group(fate)] += a
-        got[group(fate)] += g
+    for outcome in outcomes:
+        a, g = worth_of(outcome, classes)
+        asked[group(outcome)] += a
+        got[group(outcome)] += g
     return {name: Share(asked[name], got[name]) for name in asked}
 
 
 def worst_window(
-    found: Sequence[Fate], classes: Sequence[RequestClass], length: float
+    outcomes: Sequence[RequestOutcome], classes: Sequence[RequestClass], length: float
 ) -> tuple[float, float]:
     """The service of the worst 10 s and where they begin; of the whole day where it is shorter."""
     if length <= WORST_WINDOW_S:
-        total = shares(found, classes, lambda _: 0).get(0, Share())
+        total = shares(outcomes, classes, lambda _: 0).get(0, Share())
         return total.service, 0.0
-    steps = shares(found, classes, lambda fate: int(fate.ask.at / WINDOW_STEP_S))
-    wide = int(WORST_WINDOW_S / WINDOW_STEP_S)
+    steps = shares(outcomes, classes, lambda outcome: int(outcome.request.at / WINDOW_STEP_S))
+    window_steps = int(WORST_WINDOW_S / WINDOW_STEP_S)
     worst, at = 1.0, 0.0
-    for start in range(max(int(length / WINDOW_STEP_S) - wide + 1, 1)):
-        part = [steps.get(i, Share()) for i in range(start, start + wide)]
+    for start in range(max(int(length / WINDOW_STEP_S) - window_steps + 1, 1)):
+        part = [steps.get(i, Share()) for i in range(start, start + window_steps)]
         service = Share(sum(one.asked for one in part), sum(one.got for one in part)).service
         if service < worst:
             worst, at = service, start * WINDOW_STEP_S
     return worst, at
 
 
-def count(
-    found: Sequence[Fate],
+def score(
+    outcomes: Sequence[RequestOutcome],
     history: History,
     classes: Sequence[RequestClass],
     tenants: Sequence[str],
@@ -147,10 +149,10 @@
     probes: int = 0,
 ) -> Service:
     """The service of a day. `zones`: of each router and server."""
-    total = shares(found, classes, lambda _: 0).get(0, Share())
-    by_class = shares(found, classes, lambda fate: fate.ask.request_class)
-    by_tenant = shares(found, classes, lambda fate: fate.ask.tenant)
-    window, window_at = worst_window(found, classes, length)
+    total = shares(outcomes, classes, lambda _: 0).get(0, Share())
+    by_class = shares(outcomes, classes, lambda outcome: outcome.request.request_class)
+    by_tenant = shares(outcomes, classes, lambda outcome: outcome.request.tenant)
+    window, window_at = worst_window(outcomes, classes, length)
     worst_class = min(((classes[i].name, one.service) for i, one in by_class.items()), key=lambda x: x[1])
     worst_tenant = min(((tenants[i], one.service) for i, one in by_tenant.items()), key=lambda x: x[1])
     goal = (
@@ -159,7 +161,7 @@
         + CLASS_WEIGHT * worst_class[1]
         + TENANT_WEIGHT * worst_tenant[1]
     )
-    taken = deductions(found, history, classes, begun, zones, probes)
+    taken = deductions(outcomes, history, classes, begun, zones, probes)
     return Service(
         max(goal - sum(taken.values()), 0.0),
         total.service,
@@ -172,7 +174,7 @@
 
 
 def deductions(
-    found: Sequence[Fate],
+    outcomes: Sequence[RequestOutcome],
     history: History,
     classes: Sequence[RequestClass],
     begun: float,
@@ -180,25 +182,26 @@
     probes: int = 0,
 ) -> dict[str, float]:
     """What is taken off, by its name."""
-    asked = max(len(found), 1)
-    day = [attempt for attempt in history.attempts if attempt.at >= begun]
+    asked = max(len(outcomes), 1)
+    attempts = [attempt for attempt in history.attempts if attempt.at >= begun]
     router = {one.request: one.router for one in history.tries}
     used = {(one.server, one.serial) for one in history.tries if one.answer == "served"}
-    fetches = sum(attempt.server == ORIGIN and not attempt.idempotency for attempt in day)
+    fetches = sum(attempt.server == ORIGIN and not attempt.idempotency for attempt in attempts)
     crossing = sum(
         zones.get(attempt.server) != zones.get(router.get(attempt.request, ""))
-        for attempt in day
+        for attempt in attempts
         if attempt.server != ORIGIN
     )
-    ran = [attempt for attempt in day if attempt.server != ORIGIN and attempt.result in GOOD]
+    ran = [attempt for attempt in attempts if attempt.server != ORIGIN and attempt.result in GOOD]
     wasted = sum(attempt.work for attempt in ran if (attempt.server, attempt.serial) not in used)
-    work = sum(classes[fate.ask.request_class].work_ms / 1000 for fate in found)
+    work = sum(classes[outcome.request.request_class].work_ms / 1000 for outcome in outcomes)
     late = sum(
-        value(fate, classes)[0]
-        for fate in found
-        if fate.took is None and fate.ended - fate.ask.at > classes[fate.ask.request_class].aim_ms / 1000
+        worth_of(outcome, classes)[0]
+        for outcome in outcomes
+        if outcome.took is None
+        and outcome.ended - outcome.request.at > classes[outcome.request.request_class].aim_ms / 1000
     )
-    worth = sum(value(fate, classes)[0] for fate in found)
+    worth = sum(worth_of(outcome, classes)[0] for outcome in outcomes)
     return {
         "origin": ORIGIN_DEDUCTION * fetches / asked,
         "late_fail": LATE_FAILURE_DEDUCTION * late / worth if worth else 0.0,
@@ -215,13 +218,15 @@
     return sorted_values[min(int(q * len(sorted_values)), len(sorted_values) - 1)]
 
 
-def outcomes(found: Iterable[Fate], classes: Sequence[RequestClass]) -> Counter[str]:
+def outcome_counts(outcomes: Iterable[RequestOutcome], classes: Sequence[RequestClass]) -> Counter[str]:
     """How many asks were served, in their aim, refused, and failed (with those left by their clients)."""
     counted = Counter[str]()
-    for fate in found:
+    for outcome in outcomes:
         counted["asked"] += 1
-        kind = fate.outcome if fate.outcome in ("served", "refused") else "failed"
+        kind = outcome.result if outcome.result in ("served", "refused") else "failed"
         counted[kind] += 1
-        in_aim = fate.took is not None and fate.took <= classes[fate.ask.request_class].aim_ms / 1000
+        in_aim = (
+            outcome.took is not None and outcome.took <= classes[outcome.request.request_class].aim_ms / 1000
+        )
         counted["in_aim"] += in_aim
     return counted
--- a/holdgw/harness/worker.py
+++ b/holdgw/harness/worker.py
@@ -30,44 +30,44 @@
 from holdgw.emulators.seeded_draws import between, unit
 from holdgw.harness.channel import (
     Addresses,
-    Batch,
     Begin,
     Channel,
-    Did,
-    Do,
-    Fault,
+    Command,
+    CommandResult,
     Finish,
     FrontUpdate,
     Message,
+    RecordBatch,
     Setup,
     Stored,
     Voided,
+    WorkerFailure,
 )
 from holdgw.harness.clients import Clients
 from holdgw.harness.deployment import NODE_KIND, STORE_KIND
-from holdgw.harness.fault_schedule import DATAGRAM_FAULTS, lines_of_routers, may_be_cut
+from holdgw.harness.fault_schedule import DATAGRAM_FAULTS, has_partitions, lines_of_routers
 from holdgw.harness.scenario import Scenario, node_names, router_names
 from holdgw.harness.schedule import ORIGIN, PEERS, Schedule
 from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.harness.topology import lines, node_spec, origin_spec, workload, zone_of_router, zone_of_server
 from holdgw.wire.address import Address
 
-BEAT_S = 0.005  # how often a worker looks at how late it is
-FLUSH_S = 0.25
-COLLECT_EVERY = (20_000, 20, 50)
+LAG_SAMPLE_INTERVAL_S = 0.005  # how often a worker looks at how late it is
+FLUSH_INTERVAL_S = 0.25
+GC_THRESHOLDS = (20_000, 20, 50)
 CLOCK = time.monotonic
 
 
-def settle_memory() -> None:
+def freeze_startup_objects() -> None:
     """What is there before the day begins is not looked through again: a full collection takes 50 ms and
     more.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT_EVERY)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
-class Lateness:
+class EventLoopLagMonitor:
     """How late the loop's timers are, by one that is always on."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, name: str) -> None:
@@ -75,27 +75,29 @@
         self._buckets = [0] * (len(LAG_BOUNDS_MS) + 1)
         self._worst = 0.0
         self._due = 0.0
-        self._next()
+        self._schedule_sample()
 
-    def _next(self) -> None:
-        self._due = CLOCK() + BEAT_S
-        self._loop.call_later(BEAT_S, self._beat)
+    def _schedule_sample(self) -> None:
+        self._due = CLOCK() + LAG_SAMPLE_INTERVAL_S
+        self._loop.call_later(LAG_SAMPLE_INTERVAL_S, self._sample)
 
-    def _beat(self) -> None:
+    def _sample(self) -> None:
         late = max(CLOCK() - self._due, 0.0)
         self._worst = max(self._worst, late)
-        place = next((i for i, bound in enumerate(LAG_BOUNDS_MS) if late * 1000 <= bound), len(LAG_BOUNDS_MS))
-        self._buckets[place] += 1
-        self._next()
+        bucket = next(
+            (i for i, bound in enumerate(LAG_BOUNDS_MS) if late * 1000 <= bound), len(LAG_BOUNDS_MS)
+        )
+        self._buckets[bucket] += 1
+        self._schedule_sample()
 
-    def take(self) -> Lag:
+    def read_and_reset(self) -> Lag:
         """The readings since the last call."""
         lag = Lag(self._name, CLOCK(), self._worst, tuple(self._buckets))
         self._buckets, self._worst = [0] * len(self._buckets), 0.0
         return lag
 
 
-class Outlet(Protocol):
+class MessageSink(Protocol):
     """The way to the stage."""
 
     def send(self, message: Message) -> None:
@@ -110,7 +112,7 @@
 
     def __init__(
         self,
-        channel: Outlet,
+        channel: MessageSink,
         setup: Setup,
         clock: Clock = CLOCK,
         unix: Clock = time.time,
@@ -129,7 +131,7 @@
         scenario = self.setup.scenario
         delays = lines(scenario, self.setup.seed, name, zone)
         own = {line: delays[zone_of_router(scenario, router)] for router, line in self.line_of.items()}
-        return Host(self.setup.ip, delays | own, may_be_cut(scenario))
+        return Host(self.setup.ip, delays | own, has_partitions(scenario))
 
     def saw(self, record: Record) -> None:
         """Keep a record."""
@@ -147,12 +149,12 @@
         """Send what was seen."""
         if self.records:
             records, self.records = self.records, []
-            self.channel.send(Batch(records))
+            self.channel.send(RecordBatch(records))
 
     async def start(self) -> Any:
         """Take up the role; returns what the stage should know."""
 
-    def set_addresses(self, places: Addresses) -> None:
+    def set_addresses(self, addresses: Addresses) -> None:
         """Learn addresses."""
 
     def begin(self, at: float) -> None:
@@ -260,7 +262,7 @@
     async def start(self) -> Any:
         """Start both; the nodes' addresses come later."""
         scenario, seed = self.setup.scenario, self.setup.seed
-        self._places: dict[str, dict[str, Address]] = {}
+        self._addresses: dict[str, dict[str, Address]] = {}
         routers = router_names(scenario.fleet)
         windows = {one.name: one.window_ms / 1000 for one in scenario.classes}
         zone = zone_of_server(scenario, ORIGIN)
@@ -269,21 +271,21 @@
             ORIGIN, spec, workload(scenario, seed), windows, self.host(ORIGIN, zone), self, self.clock
         )
         await self.store.start()
-        self._places[ORIGIN] = self.store.addresses
+        self._addresses[ORIGIN] = self.store.addresses
         entries = [self._entry(name) for name in node_names(scenario.fleet)]
         entries.append(Entry(ORIGIN, State.UP, zone, STORE_KIND))
 
-        def notice(view: str, version: int) -> float:
+        def notice_delay(view: str, version: int) -> float:
             return between(unit(seed, "notice", view, version), scenario.discovery.notice_s)
 
-        model = DiscoveryModel(entries, routers, notice, self.clock())
+        model = DiscoveryModel(entries, routers, notice_delay, self.clock())
         call_s = scenario.discovery.call_ms / 1000 if scenario.discovery.mode == "ask" else 0.0
         self.discovery = self.make_discovery(model, routers, call_s)
         return await self.discovery.start()
 
     def make_discovery(self, model: DiscoveryModel, routers: list[str], call_s: float) -> DiscoveryServer:
         """Discovery's sockets."""
-        gated = may_be_cut(self.setup.scenario)
+        gated = has_partitions(self.setup.scenario)
         return DiscoveryServer(model, routers, self._where, self, self.clock, self.setup.ip, call_s, gated)
 
     def _entry(self, name: str, started_ms: int = 0) -> Entry:
@@ -292,11 +294,11 @@
         return Entry(name, State.UP, zone_of_server(scenario, name), NODE_KIND, cell, started_ms=started_ms)
 
     def _where(self, router: str, server: str) -> Address:
-        return self._places[server][self.line_of[router]]
+        return self._addresses[server][self.line_of[router]]
 
-    def set_addresses(self, places: Addresses) -> None:
+    def set_addresses(self, addresses: Addresses) -> None:
         """Learn where nodes listen."""
-        self._places.update(places.servers)
+        self._addresses.update(addresses.servers)
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
         """Troubles of the package store and of discovery, and changes of the list."""
@@ -360,13 +362,13 @@
         """Draw the day."""
         self.set_schedule(draw_schedule(self.setup.scenario, self.setup.seed))
 
-    def set_schedule(self, day: Schedule) -> None:
+    def set_schedule(self, schedule: Schedule) -> None:
         """Have the clients of a day that is drawn."""
-        self.clients = Clients(day, self.setup.index, self.setup.count, self, self.clock)
+        self.clients = Clients(schedule, self.setup.index, self.setup.count, self, self.clock)
 
-    def set_addresses(self, places: Addresses) -> None:
+    def set_addresses(self, addresses: Addresses) -> None:
         """Learn where routers listen."""
-        self.clients.routers(places.routers)
+        self.clients.routers(addresses.routers)
 
     def begin(self, at: float) -> None:
         """Make the asks, each at its time."""
@@ -423,8 +425,8 @@
 
     def line(a: str, b: str) -> float:
         if (a, b) not in delays:
-            near = zone_of_router(scenario, a) == zone_of_router(scenario, b)
-            span = fleet.same_ms if near else fleet.cross_ms
+            same_zone = zone_of_router(scenario, a) == zone_of_router(scenario, b)
+            span = fleet.same_ms if same_zone else fleet.cross_ms
             delays[a, b] = between(unit(seed, "line", *sorted((a, b))), span) / 1000
         return delays[a, b]
 
@@ -453,35 +455,35 @@
     """Takes the stage's messages, one after the other, and sees to the end."""
 
     def __init__(self) -> None:
-        self.over = asyncio.Event()
-        self.part: WorkerRole | None = None
+        self.stopped = asyncio.Event()
+        self.role: WorkerRole | None = None
         self.channel: Channel | None = None
         self._messages: asyncio.Queue[Message] = asyncio.Queue()
-        self._lateness: Lateness | None = None
+        self._lag_monitor: EventLoopLagMonitor | None = None
         self._flush_timer: asyncio.TimerHandle | None = None
 
     async def run(self, sock: socket.socket) -> None:
         """Until the stage says that the day is over, or is gone."""
         loop = asyncio.get_running_loop()
-        self.channel = await Channel.over(sock, self._came, self.over.set)
-        takes = loop.create_task(self._take_all())
-        takes.add_done_callback(lambda _: self.over.set())
-        await self.over.wait()
-        takes.cancel()
-        if self.part is not None:
-            self.part.close()
+        self.channel = await Channel.connect(sock, self._on_message, self.stopped.set)
+        processing = loop.create_task(self._process_messages())
+        processing.add_done_callback(lambda _: self.stopped.set())
+        await self.stopped.wait()
+        processing.cancel()
+        if self.role is not None:
+            self.role.close()
         if self._flush_timer is not None:
             self._flush_timer.cancel()
 
-    def _came(self, message: Message) -> None:
-        if isinstance(message, Stored | Voided) and isinstance(self.part, NodesRole):
-            self.part.received(message)
-        elif isinstance(message, FrontUpdate) and isinstance(self.part, ClientsRole):
-            self.part.clients.front(message.router, message.up)
+    def _on_message(self, message: Message) -> None:
+        if isinstance(message, Stored | Voided) and isinstance(self.role, NodesRole):
+            self.role.received(message)
+        elif isinstance(message, FrontUpdate) and isinstance(self.role, ClientsRole):
+            self.role.clients.front(message.router, message.up)
         else:
             self._messages.put_nowait(message)
 
-    async def _take_all(self) -> None:
+    async def _process_messages(self) -> None:
         assert self.channel is not None
         try:
             while True:
@@ -489,44 +491,44 @@
                 if isinstance(message, Finish):
                     await self._finish()
                     return
-                await self._take(message)
+                await self._process(message)
         except Exception:
-            self.channel.send(Fault(traceback.format_exc()))
+            self.channel.send(WorkerFailure(traceback.format_exc()))
             await asyncio.sleep(0.2)  # for it to be written
 
-    async def _take(self, message: Message) -> None:
+    async def _process(self, message: Message) -> None:
         assert self.channel is not None
         if isinstance(message, Setup):
             loop = asyncio.get_running_loop()
-            self.part = ROLES[message.role](self.channel, message)
-            value = await self.part.start()
-            settle_memory()
-            self._lateness = Lateness(loop, message.name)
+            self.role = ROLES[message.role](self.channel, message)
+            value = await self.role.start()
+            freeze_startup_objects()
+            self._lag_monitor = EventLoopLagMonitor(loop, message.name)
             self._flush()
-            self.channel.send(Did(0, value))
-        elif self.part is None:
+            self.channel.send(CommandResult(0, value))
+        elif self.role is None:
             raise ValueError(f"{type(message).__name__} before the setup")
         elif isinstance(message, Addresses):
-            self.part.set_addresses(message)
+            self.role.set_addresses(message)
         elif isinstance(message, Begin):
-            self.part.begin(message.at)
-        elif isinstance(message, Do):
+            self.role.begin(message.at)
+        elif isinstance(message, Command):
             self.channel.send(
-                Did(message.number, await self.part.do(message.verb, message.target, message.args))
+                CommandResult(message.number, await self.role.do(message.verb, message.target, message.args))
             )
 
     def _flush(self) -> None:
-        assert self.part is not None
-        assert self._lateness is not None
-        self.part.saw(self._lateness.take())
-        self.part.flush()
-        self._flush_timer = self.part.loop.call_later(FLUSH_S, self._flush)
+        assert self.role is not None
+        assert self._lag_monitor is not None
+        self.role.saw(self._lag_monitor.read_and_reset())
+        self.role.flush()
+        self._flush_timer = self.role.loop.call_later(FLUSH_INTERVAL_S, self._flush)
 
     async def _finish(self) -> None:
-        assert self.part is not None
+        assert self.role is not None
         assert self.channel is not None
-        self.part.close()
-        self.part.flush()
+        self.role.close()
+        self.role.flush()
         self.channel.send(Finish())
         self.channel.close()
         await asyncio.sleep(10)  # the stage reads all and then goes away, which ends this
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -583,7 +583,7 @@
         self.end_faults()
         for worker in self.client_workers:
             worker.send(Finish())
-        await asyncio.sleep(self.longest + self.schedule.scenario.simulation.quiet_s)
+        await asyncio.sleep(self.max_client_wait + self.schedule.scenario.simulation.quiet_s)
         self.watch.quiet()
 
     async def _start_parts(self, scenario: Scenario) -> None:
--- a/holdgw/simulation/random_faults.py
+++ b/holdgw/simulation/random_faults.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from holdgw.harness.fault_types import KINDS, PHASES, Trouble, kind_of
+from holdgw.harness.fault_types import KINDS, PHASES, Fault, kind_of
 from holdgw.harness.scenario import Scenario, Storm, node_names
 
 FIRST, LAST = 0.05, 0.8  # of the day, between which a storm's troubles begin
@@ -146,7 +146,7 @@
         kind = rng.choice(kinds)
         at = round(scenario.length_s * rng.uniform(FIRST, LAST), 3)
         table = {"kind": kind, "at": at, "draw": 1000 + i, **DRAWS[kind](rng, scenario)}
-        drawn.append(msgspec.convert(table, Trouble, strict=False))
+        drawn.append(msgspec.convert(table, Fault, strict=False))
     every = sorted([*fixed, *drawn], key=lambda trouble: trouble.at)
     return msgspec.structs.replace(scenario, seed=seed, storm=Storm(), trouble=tuple(every))
 
--- a/tests/harness/test_checker.py
+++ b/tests/harness/test_checker.py
@@ -22,7 +22,7 @@
     Told,
     Try,
 )
-from holdgw.harness.checker import ClassRule, History, ProcessLifetime, counts, judge, judge_lag
+from holdgw.harness.checker import ClassRule, History, ProcessLifetime, check_lag, counts, find_violations
 
 CLASSES = {1: ClassRule("safe"), 2: ClassRule("keyed", 2.5), 3: ClassRule("unsafe")}
 GRACE = 0.5
@@ -53,7 +53,7 @@
 
 
 def rules(found: History) -> list[str]:
-    return [one.rule for one in judge(found, CLASSES, GRACE)]
+    return [one.rule for one in find_violations(found, CLASSES, GRACE)]
 
 
 def test_a_day_as_it_should_be_breaks_nothing() -> None:
@@ -67,7 +67,7 @@
         Told("r1", "n2", "draining", 9.0, 8.9), Had("r1", "n2", "draining", 8.9),
         Flushed("n1", 9.0, 5, 5), Odd("n1", 9.0, "x"),
     )  # fmt: skip
-    assert judge(found, CLASSES, GRACE) == []
+    assert find_violations(found, CLASSES, GRACE) == []
 
 
 # Rule 1
@@ -94,7 +94,7 @@
     ],
 )
 def test_lost_requests_are_found(records: tuple[Record, ...], text: str) -> None:
-    broken = judge(history(*records), CLASSES, GRACE)
+    broken = find_violations(history(*records), CLASSES, GRACE)
     assert {one.rule for one in broken} == {"lost"}
     assert any(text in one.text for one in broken)
 
@@ -340,7 +340,7 @@
 
 
 def test_counts_name_every_rule() -> None:
-    broken = judge(history(Fallen("n1", 5.0, 2.0, 1.0), attempt("nobody")), CLASSES, GRACE)
+    broken = find_violations(history(Fallen("n1", 5.0, 2.0, 1.0), attempt("nobody")), CLASSES, GRACE)
     assert counts(broken) == {"lost": 1, "twice": 0, "late_drain": 0, "felled": 1}
     assert [one.at for one in broken] == sorted(one.at for one in broken)
 
@@ -357,12 +357,12 @@
 
 
 def test_an_emulator_in_time_may_judge() -> None:
-    verdict = judge_lag([lag(0.004, _4=5)], 5.0, 40.0)
+    verdict = check_lag([lag(0.004, _4=5)], 5.0, 40.0)
     assert (verdict.p99_ms, verdict.worst_ms, verdict.void) == (0.5, 4.0, "")
 
 
 def test_an_emulator_that_was_late_makes_the_run_void() -> None:
-    assert "late once" in judge_lag([lag(0.2)], 5.0, 40.0).void
-    assert "99th percentile" in judge_lag([lag(0.02, _20=100)], 5.0, 40.0).void
-    assert "no reading" in judge_lag([], 5.0, 40.0).void
-    assert "no reading" in judge_lag([lag(0.0)], 5.0, 40.0, begun=6.0).void
+    assert "late once" in check_lag([lag(0.2)], 5.0, 40.0).void
+    assert "99th percentile" in check_lag([lag(0.02, _20=100)], 5.0, 40.0).void
+    assert "no reading" in check_lag([], 5.0, 40.0).void
+    assert "no reading" in check_lag([lag(0.0)], 5.0, 40.0, begun=6.0).void
--- a/tests/harness/test_harness.py
+++ b/tests/harness/test_harness.py
@@ -59,8 +59,8 @@
 
 
 def rehearse(text: str, command: str = ROUTER, seed: int = 1) -> tuple[RunResult, Report]:
-    day = draw_schedule(read_scenario(text, "test"), seed)
-    played = uvloop.run(asyncio.wait_for(play(day, command, ROOT), LIMIT_S))
+    schedule = draw_schedule(read_scenario(text, "test"), seed)
+    played = uvloop.run(asyncio.wait_for(play(schedule, command, ROOT), LIMIT_S))
     return played, make_report(played)
 
 
@@ -160,7 +160,7 @@
     assert apart["flush"]["misses_of_flushed"] > 5
     assert apart["misses"]["never"] > 5
     assert min(one.ended for one in report.attempts if one.missing == "flushed") >= 4.0
-    assert {fate.ask.source for fate in report.fates if fate.ask.at < 4.0} == {"usual"}
+    assert {fate.request.source for fate in report.outcomes if fate.request.at < 4.0} == {"usual"}
     assert {"scan", "hot_caller"} <= set(report.body["windows"][1]["sources"])
 
 
--- a/tests/harness/test_scenario.py
+++ b/tests/harness/test_scenario.py
@@ -12,19 +12,19 @@
 from holdgw.emulators.records import Try
 from holdgw.harness import scenario as s
 from holdgw.harness.arrivals import load_at
-from holdgw.harness.channel import MOST_BYTES, Channel, Setup
+from holdgw.harness.channel import MAX_FRAME_BYTES, Channel, Setup
 from holdgw.harness.checker import History
 from holdgw.harness.fault_types import kind_of
 from holdgw.harness.scenario import Scenario, ScenarioError, load_scenario, read_scenario, shipped
 from holdgw.harness.schedule import NETWORK, ScheduledRequest, idempotency_key, request_id
 from holdgw.harness.schedule_drawing import draw_schedule
-from holdgw.harness.scoring import Fate, count, fates, value, worst_window
+from holdgw.harness.scoring import RequestOutcome, request_outcomes, score, worst_window, worth_of
 from holdgw.harness.topology import origin_spec
 
 BASE = 'name = "x"\nlength_s = 20.0\n[load]\nrate = 50.0\n'
 
 
-def day_of(text: str = "") -> Scenario:
+def scenario_of(text: str = "") -> Scenario:
     return read_scenario(BASE + text, "x.toml")
 
 
@@ -111,8 +111,8 @@
 
 
 def test_a_trouble_moves_no_arrival_of_the_day_without_it() -> None:
-    plain = draw_schedule(day_of(), 1)
-    scanned = draw_schedule(day_of('[[trouble]]\nkind = "scan"\nat = 5\nseconds = 5\nshare = 0.5'), 1)
+    plain = draw_schedule(scenario_of(), 1)
+    scanned = draw_schedule(scenario_of('[[trouble]]\nkind = "scan"\nat = 5\nseconds = 5\nshare = 0.5'), 1)
     assert [ask.at for ask in plain.requests] == [ask.at for ask in scanned.requests]
     for a, b in zip(plain.requests, scanned.requests, strict=True):
         assert a == b or (b.source == "scan" and 5 <= b.at < 10)
@@ -124,7 +124,7 @@
         '[[trouble]]\nkind = "hot_caller"\nat = 5\nseconds = 5\nshare = 0.25\n'
         '[[trouble]]\nkind = "burst"\nat = 10\nseconds = 10\nfactor = 3\ntenant = "public"\n'
     )
-    scenario = msgspec.structs.replace(day_of(text), load=s.Load(rate=400.0))
+    scenario = msgspec.structs.replace(scenario_of(text), load=s.Load(rate=400.0))
     asks = [ask for ask in draw_schedule(scenario, 1).requests if ask.at >= 0]
 
     def rate(a: float, b: float) -> float:
@@ -150,23 +150,23 @@
         '[[trouble]]\nkind = "hot_key"\nat = 2\nseconds = 5\nshare = 0.5\nzone = "mladost"\n'
         '[[trouble]]\nkind = "false_report"\nat = 3\nseconds = 4\nnodes = ["node002"]\nsays = "full"\n'
     )
-    day = draw_schedule(msgspec.structs.replace(day_of(text), load=s.Load(rate=200.0)), 1)
-    hot = [ask for ask in day.requests if ask.source == "hot_key"]
+    schedule = draw_schedule(msgspec.structs.replace(scenario_of(text), load=s.Load(rate=200.0)), 1)
+    hot = [ask for ask in schedule.requests if ask.source == "hot_key"]
     assert {ask.zone for ask in hot} == {"mladost"}
-    there = [ask for ask in day.requests if 2 <= ask.at < 7 and ask.zone == "mladost"]
+    there = [ask for ask in schedule.requests if 2 <= ask.at < 7 and ask.zone == "mladost"]
     assert len(hot) / len(there) == pytest.approx(0.5 * 0.97, abs=0.06)
-    said = [(step.at, step.target, step.args["says"]) for step in day.faults if step.verb == "report"]
+    said = [(step.at, step.target, step.args["says"]) for step in schedule.faults if step.verb == "report"]
     assert said == [(3, "node002", "full"), (7, "node002", "")]
 
 
 def test_a_shape_is_straight_between_its_points() -> None:
-    scenario = day_of("shape = [[2, 1.0], [4, 3.0]]")
+    scenario = scenario_of("shape = [[2, 1.0], [4, 3.0]]")
     assert [load_at(scenario, at) for at in (0, 2, 3, 4, 9)] == [50, 50, 100, 150, 150]
 
 
 def test_beyond_a_quota_worth_is_little() -> None:
     text = '[[tenants]]\nname = "a"\nshare = 1\nquota_per_s = 20'
-    asks = [ask for ask in draw_schedule(day_of(text), 1).requests if ask.at >= 0]
+    asks = [ask for ask in draw_schedule(scenario_of(text), 1).requests if ask.at >= 0]
     within = sum(not ask.over_quota for ask in asks) / 20.0
     assert 15 <= within <= 20.5
 
@@ -185,19 +185,21 @@
         '[[trouble]]\nkind = "cold_start"\nat = 3\nnodes = 2\n'
         '[[trouble]]\nkind = "kill"\nat = 10\nnodes = 9\n'
     )
-    day = draw_schedule(day_of(text), 1)
-    killed = [step.target for step in day.faults if step.verb == "kill"]
+    schedule = draw_schedule(scenario_of(text), 1)
+    killed = [step.target for step in schedule.faults if step.verb == "kill"]
     assert len(killed) == len(set(killed)) == 32
-    created = [step.target for step in day.faults if step.verb == "create"]
+    created = [step.target for step in schedule.faults if step.verb == "create"]
     assert created == ["node036", "node037", "node038", "node039", "node040"]
-    assert [step.args["instead"] for step in day.faults if step.verb == "create"][:3] == killed[:3]
-    assert [step.at for step in day.faults] == sorted(step.at for step in day.faults)
+    assert [step.args["instead"] for step in schedule.faults if step.verb == "create"][:3] == killed[:3]
+    assert [step.at for step in schedule.faults] == sorted(step.at for step in schedule.faults)
 
 
 def test_routers_restart_so_many_at_a_time() -> None:
     text = 'kind = "router_restart"\nat = 2\nrouters = 3\ntogether = 2\ngap_s = 1.5'
     steps = [
-        step for step in draw_schedule(day_of(f"[[trouble]]\n{text}"), 1).faults if step.verb == "restart"
+        step
+        for step in draw_schedule(scenario_of(f"[[trouble]]\n{text}"), 1).faults
+        if step.verb == "restart"
     ]
     assert [step.at for step in steps] == [2.0, 2.0, 3.5]
     assert len({step.target for step in steps}) == 3
@@ -206,7 +208,7 @@
 def test_a_zone_is_cut_off_from_the_others_and_not_from_itself() -> None:
     text = '[[trouble]]\nkind = "partition"\nat = 2\nseconds = 3\nzone = "mladost"\nstore = true'
     steps = [
-        s for s in draw_schedule(day_of(text), 1).faults if s.verb == "partition" and s.target == NETWORK
+        s for s in draw_schedule(scenario_of(text), 1).faults if s.verb == "partition" and s.target == NETWORK
     ]
     parted = {(one, other) for s in steps for one in s.args["routers"] for other in s.args["servers"]}
     assert ("router01", "node000") in parted
@@ -223,7 +225,7 @@
 
 
 def test_the_store_does_what_its_rate_says() -> None:
-    scenario = day_of("[store]\nper_s = 77.0\nread_ms = 40.0")
+    scenario = scenario_of("[store]\nper_s = 77.0\nread_ms = 40.0")
     spec = origin_spec(scenario)
     assert spec.slots / spec.read_s == pytest.approx(77.0)
 
@@ -244,8 +246,8 @@
         Try("c", 2, 0, "r", 102.0, 0.9, "failed", 102.9),
         Try("d", 3, 0, "r", 103.0, 0.9, "served", 103.1, fault="not its value"),
     ]
-    found = fates([ask(1, 1.0), ask(2, 2.0), ask(3, 3.0), ask(4, 4.0)], tries, begun=100.0)
-    assert [(fate.outcome, fate.tries) for fate in found] == [
+    found = request_outcomes([ask(1, 1.0), ask(2, 2.0), ask(3, 3.0), ask(4, 4.0)], tries, begun=100.0)
+    assert [(fate.result, fate.tries) for fate in found] == [
         ("served", 2),
         ("failed", 1),
         ("failed", 1),
@@ -258,22 +260,22 @@
 def test_worth_is_full_in_the_aim_less_when_late_and_little_beyond_the_quota() -> None:
     classes = load_scenario("quiet").classes
     got = [
-        value(Fate(one, took=took), classes)
+        worth_of(RequestOutcome(one, took=took), classes)
         for one, took in ((ask(1, 0), 0.3), (ask(1, 0), 0.31), (ask(1, 0, over=True), 0.1), (ask(1, 0), None))
     ]
     assert got == [(3.0, 3.0), (3.0, 0.75), (pytest.approx(0.15), pytest.approx(0.15)), (3.0, 0.0)]
-    assert value(Fate(ask(1, 0), took=1.3), classes) == (3.0, 0.0)
+    assert worth_of(RequestOutcome(ask(1, 0), took=1.3), classes) == (3.0, 0.0)
 
 
 def test_service_weighs_the_worst_as_the_brief_says() -> None:
     classes = load_scenario("quiet").classes
-    found = [Fate(ask(i, i * 0.1, tenant=i % 2), took=0.1) for i in range(400)]
+    found = [RequestOutcome(ask(i, i * 0.1, tenant=i % 2), took=0.1) for i in range(400)]
     for fate in found:
-        if fate.ask.tenant == 1 and 10 <= fate.ask.at < 20:
+        if fate.request.tenant == 1 and 10 <= fate.request.at < 20:
             fate.took = None
     window, window_at = worst_window(found, classes, 40.0)
     assert (round(window, 6), window_at) == (0.5, 10.0)
-    counted = count(found, History(), classes, ["public", "municipal"], 40.0, 0.0, {})
+    counted = score(found, History(), classes, ["public", "municipal"], 40.0, 0.0, {})
     whole, tenant = 350 / 400, 150 / 200
     expected = 0.55 * whole + 0.15 * 0.5 + 0.05 * whole + 0.25 * tenant
     assert counted.service == pytest.approx(expected - counted.deductions["late_fail"], abs=1e-9)
@@ -294,4 +296,4 @@
         channel.data_received(data[i : i + 100])
     assert took == [setup]
     with pytest.raises(ValueError, match="a frame of"):
-        channel.data_received((MOST_BYTES + 1).to_bytes(4, "big"))
+        channel.data_received((MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
