--- a/bench/paired.py
+++ b/bench/paired.py
@@ -35,7 +35,7 @@
     if outcome.fault or outcome.played is None:
         raise RuntimeError(f"{scenario}, seed {seed}: {outcome.fault}")
     report = make_report(outcome.played)
-    counted = outcome_counts(report.outcome_counts, loaded.classes)
+    counted = outcome_counts(report.outcomes, loaded.classes)
     asked = counted["asked"]
     fetches = sum(one.server == ORIGIN for one in report.attempts)
     return {
--- a/holdgw/harness/orchestrator.py
+++ b/holdgw/harness/orchestrator.py
@@ -370,9 +370,9 @@
     async def start_aggregator(self, machine: RouterProcess) -> None:
         """Start a machine set aside, and wait until it aggregates."""
         schedule, discovery = self.schedule, next(iter(self.discovery.values()))
-        addresses = machine.address, discovery, None, machine.ops, self.peers[machine.name]
+        member_args = machine.address, discovery, None, machine.ops, self.peers[machine.name]
         machine.configure(
-            configuration(schedule.scenario, schedule.seed, machine.name, machine.starts, *addresses)
+            configuration(schedule.scenario, schedule.seed, machine.name, machine.starts, *member_args)
         )
         await machine.start(discovery)
         deadline = self.clock() + READY_S
