--- a/holdgw/harness/__init__.py
+++ b/holdgw/harness/__init__.py
@@ -1,6 +1,6 @@
-"""Rehearsals: real routers amid a whole fleet of stand-ins on loopback, and the judgement of what they did.
+"""The emulation harness: real routers among emulated endpoints, origin, discovery and clients on loopback.
 
-Pure: `scenario` (the file), `day` (everything drawn ahead from one seed), `checker` (the four rules),
-`counting` (service), `report`, `page`. Sockets and processes: `clients`, `routers`, `worker`, `channel`,
-`stage`.
+Modules without input or output: `scenario` (the scenario file), `schedule` (everything drawn ahead from one
+seed), `checker` (the four rules), `scoring` (the service score), `report` and `html_report`. Modules with
+sockets and processes: `clients`, `routers`, `worker`, `channel` and `orchestrator`.
 """
--- a/holdgw/harness/channel.py
+++ b/holdgw/harness/channel.py
@@ -1,6 +1,7 @@
-"""How the stage and its worker processes talk: length-bounded frames of typed messages over a socket pair.
+"""Messages between the orchestrator and its worker processes: bounded frames over a socket pair.
 
-When one side goes, the other sees the end of the stream: a worker whose stage has gone ends by itself.
+When one process exits, the other sees the end of the stream. A worker whose orchestrator has exited therefore
+exits by itself.
 """
 
 from __future__ import annotations
@@ -19,8 +20,9 @@
 
 
 class Setup(msgspec.Struct, tag="setup"):
-    """What a worker is: `role` nodes, hub or clients; its part is those whose number fits `index` of
-    `count`.
+    """Assigns a worker its role: nodes, hub (origin and discovery), clients or peers (the relay).
+
+    Of the nodes or clients, the worker runs those whose number modulo `count` is `index`.
     """
 
     role: str
@@ -33,20 +35,20 @@
 
 
 class Addresses(msgspec.Struct, tag="places"):
-    """Addresses: of servers by zone, of routers under the zone "" ."""
+    """Addresses of servers, by name and by the line over which they are reached, and of routers by name."""
 
     servers: dict[str, dict[str, tuple[str, int]]] = {}
     routers: dict[str, tuple[str, int]] = {}
 
 
 class Begin(msgspec.Struct, tag="begin"):
-    """Second 0 of the day on the machine's monotonic clock."""
+    """Gives second 0 of the run on the machine's monotonic clock."""
 
     at: float
 
 
 class Command(msgspec.Struct, tag="do"):
-    """Do something to a part of the fleet; `number` comes back in Did."""
+    """Has a worker act on its part of the fleet; `number` comes back in the CommandResult."""
 
     verb: str
     target: str = ""
@@ -55,21 +57,21 @@
 
 
 class CommandResult(msgspec.Struct, tag="did"):
-    """Done."""
+    """Says that the command of that number was carried out, and returns its value."""
 
     number: int
     value: Any = None
 
 
 class FrontUpdate(msgspec.Struct, tag="front"):
-    """What the front layer sees of a router: whether new connections go there."""
+    """Says whether the front layer sends new connections of clients to a router."""
 
     router: str
     up: bool
 
 
 class Stored(msgspec.Struct, tag="stored"):
-    """The package store answered a read."""
+    """Says that the origin answered a read; endpoints that missed for the request store the value."""
 
     request: bytes
     key: bytes
@@ -77,19 +79,19 @@
 
 
 class Voided(msgspec.Struct, tag="voided"):
-    """A write was carried out."""
+    """Says that the origin carried out a write; every cached copy of the key is invalid."""
 
     key: bytes
 
 
 class RecordBatch(msgspec.Struct, tag="batch"):
-    """What was seen since the last one."""
+    """Carries the records that a worker took since its last batch."""
 
     records: list[Record]
 
 
 class ClientCounts(msgspec.Struct, tag="tally"):
-    """What a clients' worker has counted so far, for the eye."""
+    """The outcomes that a worker of clients has counted so far, for the progress display."""
 
     asked: int = 0
     served: int = 0
@@ -99,11 +101,11 @@
 
 
 class Finish(msgspec.Struct, tag="finish"):
-    """The day is over: say what is left, and go."""
+    """Ends the run: the worker sends its last records, answers with Finish and exits."""
 
 
 class WorkerFailure(msgspec.Struct, tag="fault"):
-    """A worker can't go on."""
+    """Reports an exception after which a worker cannot continue; `text` is its traceback."""
 
     text: str
 
@@ -127,7 +129,12 @@
 
 
 class Channel(asyncio.Protocol):
-    """One end. `take` gets each message, `lost` is called once when the other end has gone."""
+    """One end of the connection.
+
+    Args:
+        on_message: Called with each message.
+        on_disconnect: Called once, when the other end has closed.
+    """
 
     def __init__(self, on_message: Callable[[Message], None], on_disconnect: Callable[[], None]) -> None:
         self._on_message, self._on_disconnect = on_message, on_disconnect
@@ -138,28 +145,28 @@
     async def connect(
         cls, sock: socket.socket, on_message: Callable[[Message], None], on_disconnect: Callable[[], None]
     ) -> Channel:
-        """A channel over one end of a socket pair."""
+        """Return a channel over one end of a socket pair."""
         loop = asyncio.get_running_loop()
         _, channel = await loop.create_connection(lambda: cls(on_message, on_disconnect), sock=sock)
         return channel
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Keep the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The other end has gone."""
+        """Report that the other end has closed."""
         self._on_disconnect()
 
     def data_received(self, data: bytes) -> None:
-        """Take whole frames."""
+        """Decode every complete frame; raises ValueError for one over MAX_FRAME_BYTES."""
         buffer = self._buffer
         buffer += data
         at = 0
         while len(buffer) - at >= 4:
             size = int.from_bytes(buffer[at : at + 4], "big")
             if size > MAX_FRAME_BYTES:
-                raise ValueError(f"a frame of {size} bytes")
+                raise ValueError(f"a frame of {size} bytes is over the limit")
             if len(buffer) - at - 4 < size:
                 break
             self._on_message(_decoder.decode(memoryview(buffer)[at + 4 : at + 4 + size]))
@@ -168,13 +175,13 @@
             del buffer[:at]
 
     def send(self, message: Message) -> None:
-        """Send; what can't be sent any more is dropped."""
+        """Send a message; a message on a closed channel is dropped."""
         if self._transport is None or self._transport.is_closing():
             return
         frame = _encoder.encode(message)
         self._transport.write(len(frame).to_bytes(4, "big") + frame)
 
     def close(self) -> None:
-        """Close once all is sent."""
+        """Close the connection once everything is written."""
         if self._transport is not None:
             self._transport.close()
--- a/holdgw/harness/worker.py
+++ b/holdgw/harness/worker.py
@@ -1,7 +1,8 @@
-"""One process of the emulator: some mirror nodes, or the package store with discovery, or some clients.
+"""A worker process of the harness, which runs one role of the emulated fleet.
 
-Started by the stage with a socket as its only way to the world outside loopback: `python -m
-holdgw.harness.worker FD`. When the stage goes, it goes.
+The roles are some of the emulated endpoints, the origin with discovery, some of the clients, and the relay
+between routers. The orchestrator starts a worker as `python -m holdgw.harness.worker FD`, where FD is the
+worker's end of their socket pair. A worker exits when the orchestrator's end is closed.
 """
 
 from __future__ import annotations
@@ -52,15 +53,16 @@
 from holdgw.harness.topology import lines, node_spec, origin_spec, workload, zone_of_router, zone_of_server
 from holdgw.wire.address import Address
 
-LAG_SAMPLE_INTERVAL_S = 0.005  # how often a worker looks at how late it is
+LAG_SAMPLE_INTERVAL_S = 0.005
 FLUSH_INTERVAL_S = 0.25
 GC_THRESHOLDS = (20_000, 20, 50)
 CLOCK = time.monotonic
 
 
 def freeze_startup_objects() -> None:
-    """What is there before the day begins is not looked through again: a full collection takes 50 ms and
-    more.
+    """Exclude the objects that exist before the run begins from garbage collection.
+
+    A full collection takes 50 ms and more, and would delay everything that the worker emulates.
     """
     gc.collect()
     gc.freeze()
@@ -68,7 +70,7 @@
 
 
 class EventLoopLagMonitor:
-    """How late the loop's timers are, by one that is always on."""
+    """Measures event-loop lag: how late a periodic timer of the loop fires."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, name: str) -> None:
         self._loop, self._name = loop, name
@@ -91,23 +93,27 @@
         self._schedule_sample()
 
     def read_and_reset(self) -> Lag:
-        """The readings since the last call."""
+        """Return the readings since the last call, and begin anew."""
         lag = Lag(self._name, CLOCK(), self._worst, tuple(self._buckets))
         self._buckets, self._worst = [0] * len(self._buckets), 0.0
         return lag
 
 
 class MessageSink(Protocol):
-    """The way to the stage."""
+    """Takes a role's messages to the orchestrator."""
 
     def send(self, message: Message) -> None:
-        """Send a message."""
+        """Send a message to the orchestrator."""
 
 
 class WorkerRole:
-    """What all roles have in common: it keeps the records and sends them on.
+    """The base class of all roles: keeps the records that its servers or clients take, and sends them on.
 
-    `clock` is in seconds and the same for all parts; `unix` is a wall clock in seconds.
+    Args:
+        channel: Where messages to the orchestrator go.
+        setup: The role's assignment.
+        clock: The monotonic clock that all workers share, in seconds.
+        unix: The wall clock, in seconds since the epoch.
     """
 
     def __init__(
@@ -123,61 +129,61 @@
 
     @cached_property
     def line_of(self) -> dict[str, str]:
-        """The line over which each router comes to servers."""
+        """The line over which each router reaches servers, by the router's name."""
         return lines_of_routers(self.setup.scenario, self.setup.seed)
 
     def host(self, name: str, zone: str) -> Host:
-        """Where a server of that name listens, and over which lines."""
+        """Return where the server of that name listens: its IP address, and the delay of each line."""
         scenario = self.setup.scenario
         delays = lines(scenario, self.setup.seed, name, zone)
         own = {line: delays[zone_of_router(scenario, router)] for router, line in self.line_of.items()}
         return Host(self.setup.ip, delays | own, has_partitions(scenario))
 
     def saw(self, record: Record) -> None:
-        """Keep a record."""
+        """Keep a record until the next flush."""
         self.records.append(record)
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
-        """The package store answered a read."""
+        """Report that the origin answered a read."""
         self.channel.send(Stored(request, key, size))
 
     def voided(self, key: bytes) -> None:
-        """A write was carried out."""
+        """Report that the origin carried out a write."""
         self.channel.send(Voided(key))
 
     def flush(self) -> None:
-        """Send what was seen."""
+        """Send the records that were taken since the last flush."""
         if self.records:
             records, self.records = self.records, []
             self.channel.send(RecordBatch(records))
 
     async def start(self) -> Any:
-        """Take up the role; returns what the stage should know."""
+        """Start the role's servers or clients; returns what the orchestrator needs to know of them."""
 
     def set_addresses(self, addresses: Addresses) -> None:
-        """Learn addresses."""
+        """Take over the addresses of servers or routers."""
 
     def begin(self, at: float) -> None:
-        """The day begins then."""
+        """Set second 0 of the run, as a time of `clock`."""
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
-        """Do something."""
+        """Carry out a command; raises ValueError for a verb that the role does not have."""
         if verb == "stall":
             time.sleep(args["seconds"])
             return None
-        raise ValueError(f"no such thing to do: {verb}")
+        raise ValueError(f"unknown command: {verb}")
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the role's servers or connections."""
 
 
 class NodesRole(WorkerRole):
-    """Some of the mirror nodes."""
+    """Runs some of the emulated endpoints."""
 
     nodes: dict[str, NodeServer]
 
     async def start(self) -> Any:
-        """Start the nodes whose number fits."""
+        """Start the nodes of this worker; returns each one's addresses by line."""
         self.nodes = {}
         names = node_names(self.setup.scenario.fleet)[self.setup.index :: self.setup.count]
         for name in names:
@@ -196,7 +202,7 @@
         return node
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
-        """Troubles of nodes."""
+        """Carry out a command on one node, or on all nodes of this worker."""
         if verb == "learn":
             for node in self.nodes.values():
                 node.model.learning = False
@@ -204,7 +210,7 @@
             for node in list(self.nodes.values()):
                 if node.alive:
                     node.flush(args["share"], self.setup.seed, args["serial"])
-                # To flush forty nodes in one turn of the loop would delay all of them by 50 ms.
+                # Flushing forty nodes in one iteration of the loop would delay all of them by 50 ms.
                 await asyncio.sleep(0)
         elif verb == "spoil":
             for node in self.nodes.values() if not target else [self.nodes[target]]:
@@ -217,7 +223,7 @@
         elif verb == "kill":
             self.nodes[target].kill()
         elif verb == "start":
-            if not self.nodes[target].alive:  # another trouble may have brought it back already
+            if not self.nodes[target].alive:  # another fault may have restarted the node already
                 await self.nodes[target].start(cold=True)
         elif verb == "drain":
             self.nodes[target].drain()
@@ -231,7 +237,7 @@
         elif verb == "create":
             node = self._make(target)
             if args["instead"]:
-                self.nodes[args["instead"]].kill()  # another trouble may have brought it back meanwhile
+                self.nodes[args["instead"]].kill()  # another fault may have restarted it meanwhile
                 node.take_place_of(self.nodes[args["instead"]])
             await node.start(cold=True)
             return node.addresses
@@ -240,7 +246,7 @@
         return None
 
     def received(self, message: Stored | Voided) -> None:
-        """News of the package store, for all nodes here."""
+        """Pass a message of the origin on to all nodes of this worker."""
         for node in self.nodes.values():
             if isinstance(message, Stored):
                 node.stored(message.request, message.key, message.size)
@@ -248,19 +254,22 @@
                 node.voided(message.key)
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the role's servers or connections."""
         for node in self.nodes.values():
             node.close()
 
 
 class HubRole(WorkerRole):
-    """The package store and discovery."""
+    """Runs the origin and discovery."""
 
     store: OriginServer
     discovery: DiscoveryServer
 
     async def start(self) -> Any:
-        """Start both; the nodes' addresses come later."""
+        """Start both; returns discovery's address for each router.
+
+        The nodes' addresses follow in an Addresses message.
+        """
         scenario, seed = self.setup.scenario, self.setup.seed
         self._addresses: dict[str, dict[str, Address]] = {}
         routers = router_names(scenario.fleet)
@@ -284,7 +293,7 @@
         return await self.discovery.start()
 
     def make_discovery(self, model: DiscoveryModel, routers: list[str], call_s: float) -> DiscoveryServer:
-        """Discovery's sockets."""
+        """Return the server of discovery; the simulation overrides this method."""
         gated = has_partitions(self.setup.scenario)
         return DiscoveryServer(model, routers, self._where, self, self.clock, self.setup.ip, call_s, gated)
 
@@ -297,11 +306,11 @@
         return self._addresses[server][self.line_of[router]]
 
     def set_addresses(self, addresses: Addresses) -> None:
-        """Learn where nodes listen."""
+        """Take over the addresses at which nodes listen."""
         self._addresses.update(addresses.servers)
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
-        """Troubles of the package store and of discovery, and changes of the list."""
+        """Carry out a command on the origin or on discovery, or change the endpoint list."""
         if target == ORIGIN:
             return await self._do_store(verb, args)
         if target == "discovery":
@@ -335,7 +344,7 @@
             share = getattr(self.store.shares, args["fault"]) + args["share"]
             setattr(self.store.shares, args["fault"], max(share, 0.0))
         else:
-            raise ValueError(f"the package store can't {verb}")
+            raise ValueError(f"unknown command for the origin: {verb}")
 
     def _do_discovery(self, verb: str, args: dict[str, Any]) -> None:
         if verb == "late":
@@ -345,61 +354,61 @@
         elif verb == "down":
             self.discovery.down(args["seconds"])
         else:
-            raise ValueError(f"discovery can't {verb}")
+            raise ValueError(f"unknown command for discovery: {verb}")
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the role's servers or connections."""
         self.store.close()
         self.discovery.close()
 
 
 class ClientsRole(WorkerRole):
-    """Some of the clients."""
+    """Runs some of the clients."""
 
     clients: Clients
 
     async def start(self) -> Any:
-        """Draw the day."""
+        """Draw the schedule."""
         self.set_schedule(draw_schedule(self.setup.scenario, self.setup.seed))
 
     def set_schedule(self, schedule: Schedule) -> None:
-        """Have the clients of a day that is drawn."""
+        """Create the clients of a schedule that is drawn already."""
         self.clients = Clients(schedule, self.setup.index, self.setup.count, self, self.clock)
 
     def set_addresses(self, addresses: Addresses) -> None:
-        """Learn where routers listen."""
+        """Take over the addresses at which routers listen."""
         self.clients.routers(addresses.routers)
 
     def begin(self, at: float) -> None:
-        """Make the asks, each at its time."""
+        """Send the requests, each at its time; `at` is second 0 of the run."""
         self.clients.begin(at)
 
     def flush(self) -> None:
-        """Send what was seen, and the count."""
+        """Send the records and the counts of outcomes."""
         super().flush()
         self.channel.send(self.clients.tally)
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
-        """Whether all is over."""
+        """Say whether every request is over (`done`), or carry out a common command."""
         if verb == "done":
             return self.clients.done
         return await super().do(verb, target, args)
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the role's servers or connections."""
         self.clients.close()
 
 
 class RelayRole(WorkerRole):
-    """The lines between routers."""
+    """Runs the relay that emulates the lines between routers."""
 
     relay: Relay
 
     async def start(self) -> Any:
-        """Nothing is known of the routers yet."""
+        """Start nothing: the relay starts with the command `listen`, which names the routers' addresses."""
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
-        """Troubles of the lines between routers."""
+        """Start the relay, carry out a fault of its lines, or return its counts."""
         if verb == "listen":
             listens = {name: (host, port) for name, (host, port) in args.items()}
             model = relay_model(self.setup.scenario, self.setup.seed)
@@ -414,12 +423,12 @@
         return None
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the role's servers or connections."""
         self.relay.close()
 
 
 def relay_model(scenario: Scenario, seed: int) -> RelayModel:
-    """The lines between routers: as long as those between their zones."""
+    """Return the model of the lines between routers, whose delays are those between their zones."""
     table, fleet = scenario.peers, scenario.fleet
     delays: dict[tuple[str, str], float] = {}
 
@@ -435,7 +444,7 @@
 
 
 def apply_relay_fault(model: RelayModel, verb: str, args: dict[str, Any], now: float) -> None:
-    """A partition between routers, or what befalls all lines from now on."""
+    """Begin a partition between routers, or change the conditions of all lines from now on."""
     if verb == "partition":
         a, b = (args["b"], args["a"]) if args["way"] == "from" else (args["a"], args["b"])
         model.block(a, b, now + args["seconds"], args["way"] == "both")
@@ -452,7 +461,7 @@
 
 
 class Worker:
-    """Takes the stage's messages, one after the other, and sees to the end."""
+    """Processes the orchestrator's messages one after the other, and closes the role at the end."""
 
     def __init__(self) -> None:
         self.stopped = asyncio.Event()
@@ -463,7 +472,7 @@
         self._flush_timer: asyncio.TimerHandle | None = None
 
     async def run(self, sock: socket.socket) -> None:
-        """Until the stage says that the day is over, or is gone."""
+        """Run until the orchestrator ends the run or closes its end of the socket pair."""
         loop = asyncio.get_running_loop()
         self.channel = await Channel.connect(sock, self._on_message, self.stopped.set)
         processing = loop.create_task(self._process_messages())
@@ -494,7 +503,7 @@
                 await self._process(message)
         except Exception:
             self.channel.send(WorkerFailure(traceback.format_exc()))
-            await asyncio.sleep(0.2)  # for it to be written
+            await asyncio.sleep(0.2)  # until the message is written
 
     async def _process(self, message: Message) -> None:
         assert self.channel is not None
@@ -531,12 +540,12 @@
         self.role.flush()
         self.channel.send(Finish())
         self.channel.close()
-        await asyncio.sleep(10)  # the stage reads all and then goes away, which ends this
+        await asyncio.sleep(10)  # ended by the orchestrator, which reads everything and then closes its end
 
 
 def main() -> int:
-    """Serve the stage at the other end of the descriptor that the first argument names."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is the stage's
+    """Serve the orchestrator over the socket whose descriptor is the first argument."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is handled by the orchestrator
     sock = socket.socket(fileno=int(sys.argv[1]))
 
     async def serve() -> None:
