--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -1,13 +1,16 @@
-"""The four rules, judged from what stand-ins and clients saw, never from a router's word; pure.
+"""Checks the four rules on a recorded history, without input or output.
 
-1. lost: a request that a router took has exactly one final answer in time, made for it, and nothing more goes
-   out for it afterwards.
-2. twice: no effect happens twice, and nothing that may have run is sent again beyond what its class allows.
-3. late_drain: nothing new goes to a node later than the grace after this router was told that it drains or is
-   gone.
-4. felled: no cold node is pushed over.
+The evidence is what emulated servers and clients recorded, never what a router reports of itself.
 
-Every time limit is 50 ms longer here than the rule says, for the way and for the clocks of the emulator.
+1. lost: a request that a router accepted gets exactly one final answer in time, made for this request, and
+   the router forwards nothing more for it afterwards.
+2. twice: no effect happens twice, and a request that may have run is sent again only as its class allows.
+3. late_drain: a router forwards nothing new to an endpoint later than the drain grace after the router was
+   told that the endpoint is draining or removed.
+4. felled: no cold endpoint is overloaded until it fails.
+
+Every time limit is 50 ms (SLACK_S) longer here than in the rule, for network delay and for the emulator's
+clocks.
 """
 
 from __future__ import annotations
@@ -37,20 +40,24 @@
 )
 
 SLACK_S = 0.05
-MAX_NOTICE_DELAY_S = 6.0  # after the view had it, whether or not it was written to the router
+MAX_NOTICE_DELAY_S = 6.0
+"""A router counts as told of a state this long after its view had it, whether or not it was written to it."""
 RULES = ("lost", "twice", "late_drain", "felled")
-STARVED_FRACTION = 0.25  # of the time that a router had for a request, waited for a core
+STARVED_FRACTION = 0.25
+"""Fraction of a request's time for which the router must have waited for a core for it to count as starved."""
 STARVED = "starved"
-"""No rule: a request that was lost because this machine gave its router no core in time. Each router has a
-core of its own where it serves."""
+"""Marks a request that was lost because the test machine gave its router no core in time, which breaks no
+rule: in production each router has a core of its own."""
 GOOD = ("hit", "served", "repeat")
-NO_EFFECT = ("busy", "miss", "pending")  # turned away and told so, or a look at a mirror node
+NO_EFFECT = ("busy", "miss", "pending")  # rejected with an answer that says so, or only a cache lookup
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessLifetime:
-    """A router's process: `exited` None if it never ended, `wanted` how it was told to end (TERM, KILL or
-    "").
+    """One process of a router, from its start to its exit; times are seconds on the harness's clock.
+
+    `exited` is None if the process never ended. `wanted` names the signal that ended it (TERM or KILL) and is
+    empty if none was sent.
     """
 
     router: str
@@ -64,7 +71,7 @@
 
 @dataclass(slots=True)
 class History:
-    """All that was seen."""
+    """Everything that a run recorded, sorted by the kind of record."""
 
     tries: list[Try] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
@@ -80,33 +87,34 @@
     dials: list[Dialled] = field(default_factory=list)
     lives: list[ProcessLifetime] = field(default_factory=list)
     severed: set[str] = field(default_factory=set)
-    """Requests whose client's own connection the network broke: no router could have answered them."""
+    """Requests whose client's connection was broken by the network: no router could have answered them."""
     stops: list[tuple[str, float, float]] = field(default_factory=list)
-    """Routers whose processes were made to stand still, from when to when."""
+    """When processes of routers were stopped: (router, from, to)."""
     gone: list[tuple[str, float, float]] = field(default_factory=list)
-    """Routers whose machines were lost, from when until they took requests again."""
+    """When machines of routers were lost: (router, from, until the router took requests again)."""
     starved: list[tuple[str, float, float, float]] = field(default_factory=list)
-    """Routers whose processes waited for a core of this machine: from when to when, and how long of it."""
+    """When processes of routers waited for a core of this machine: (router, from, to, seconds waited)."""
     deaf: list[Deaf] = field(default_factory=list)
-    """When routers' lines to discovery were cut."""
+    """When connections from routers to discovery were cut."""
     held: dict[tuple[str, float], float] = field(default_factory=dict)
-    """When a router had written what the network held back: by server, and when it came there."""
+    """When a router had written what the network held back, by server and time of arrival."""
 
     def left_at(self, attempt: Attempt) -> float:
-        """When an attempt left its router, at the latest: when it came to the machine, unless it was held
-        back.
+        """Return the latest time at which an attempt can have left its router.
+
+        That is when the attempt came to the server's machine, unless the network held it back.
         """
         return self._held_since(attempt) or attempt.came or attempt.at
 
     def reached_at(self, attempt: Attempt) -> float:
-        """When an attempt reached its server's machine: before `at` where the process was late to read it."""
+        """Return when an attempt reached its server's machine: before `at` if the process read it late."""
         return attempt.at if self._held_since(attempt) else attempt.came or attempt.at
 
     def _held_since(self, attempt: Attempt) -> float:
         return attempt.left or self.held.get((attempt.server, attempt.at), 0.0)
 
     def add(self, record: Record) -> None:
-        """Sort a record in."""
+        """Add a record to the list of its kind."""
         match record:
             case Try():
                 self.tries.append(record)
@@ -138,16 +146,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassRule:
-    """What a class allows."""
+    """What a request class allows: its effect (safe, keyed or unsafe) and its dedup window."""
 
     effect: str
     window: float = 0.0
-    """Seconds for which repeats of a keyed one are dropped."""
+    """Seconds for which the origin drops repeats of a keyed request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One break of a rule."""
+    """One violation of a rule: when, by which requests, and a text for reports."""
 
     rule: str
     at: float
@@ -156,8 +164,12 @@
 
 
 def find_violations(history: History, classes: Mapping[int, ClassRule], grace: float) -> list[Violation]:
-    """All breaks, in order of time, and what counts as STARVED. `classes`: of each ask; `grace`: the drain
-    rule's, seconds.
+    """Return all violations, and the requests that count as STARVED, in order of time.
+
+    Args:
+        history: The records of the run.
+        classes: What the class of each request allows, by the request's number.
+        grace: The drain grace in seconds.
     """
     attempts = defaultdict[str, list[Attempt]](list)
     for attempt in history.attempts:
@@ -188,18 +200,18 @@
 
 
 def counts(violations: Iterable[Violation]) -> dict[str, int]:
-    """How often each rule was broken."""
+    """Return the number of violations of each rule."""
     found = dict.fromkeys(RULES, 0)
     for one in violations:
         found[one.rule] += 1
     return found
 
 
-# Rule 1
+# Rule 1: lost
 
 
 def _killed_during(lives: list[ProcessLifetime], start: float, end: float) -> bool:
-    """Whether the router was killed while a request was open; what it held then is the client's to retry."""
+    """Whether the router was killed while a request was open; the client has to retry such a request."""
     return any(
         life.wanted == "KILL"
         and life.told_to_end is not None
@@ -210,7 +222,7 @@
 
 Fields = TypeVarTuple("Fields")
 Intervals = Mapping[str, Sequence[tuple[float, float]]]
-"""By router: from when to when, in order of time."""
+"""Intervals (from, to) in order of time, by router."""
 
 
 def _by_router(intervals: Iterable[tuple[str, *Fields]]) -> Mapping[str, list[tuple[*Fields]]]:
@@ -221,12 +233,12 @@
 
 
 def _overlaps(intervals: Sequence[tuple[float, float]], begun: float, until: float) -> bool:
-    """Whether one of them touches a time."""
+    """Whether an interval overlaps the time from `begun` to `until`, within SLACK_S."""
     return any(first <= until + SLACK_S and begun - SLACK_S <= last for first, last in intervals)
 
 
 def _running_from(stops: Sequence[tuple[float, float]], at: float) -> float:
-    """When a router's process could first see what came to it at a time."""
+    """When a router's process could first read what arrived at `at`: when it continued if it was stopped."""
     for begun, until in stops:
         if begun - SLACK_S <= at < until:
             return until
@@ -258,7 +270,7 @@
             or _killed_during(lives.get(one.router, []), one.sent, one.ended)
             or _overlaps(gone.get(one.router, ()), one.sent, one.ended)
         )
-        # A process that goes on before a request's time is up has to answer it.
+        # A process that continues before the request's deadline has to answer the request.
         due = one.sent + one.wait
         asleep = _overlaps(stops.get(one.router, ()), due, due)
         if one.crossed and not excused and any(attempt.at < one.crossed for attempt in sent_on):
@@ -267,7 +279,7 @@
             waits = starved.get(one.router, ())
             waited = sum(took for since, until, took in waits if since <= due + SLACK_S and one.sent <= until)
             text = f"no answer within {one.wait * 1000:.0f} ms"
-            # One that stood still, the request unread, had only the rest of its time.
+            # A router that was stopped with the request unread had only the rest of the request's time.
             had = due + SLACK_S - _running_from(stops.get(one.router, ()), one.sent)
             if waited > min(SLACK_S, had * STARVED_FRACTION):
                 text += f", of which its process waited {waited * 1000:.0f} ms for a core"
@@ -275,7 +287,7 @@
             else:
                 yield lost(text)
         elif one.answer == "cut" and not excused and sent_on:
-            # One on which nothing was sent on has failed and is not lost (DAYS).
+            # A request of which nothing was forwarded has failed and is not lost (DAYS).
             yield lost("the connection ended with no whole answer")
         elif one.answer == "served":
             producer = attempts_by_serial.get((one.server, one.serial))
@@ -305,14 +317,14 @@
             continue
         told = life.told_to_end
         if told is not None and _overlaps(stops.get(life.router, ()), told, life.exited):
-            continue  # whoever stands still can't end in time
+            continue  # a stopped process cannot exit in time
         if life.wanted != "TERM":
             yield Violation("lost", life.exited, (), f"{life.router} ended by itself with code {life.code}")
         elif life.code != 0:
             yield Violation("lost", life.exited, (), f"{life.router} ended on SIGTERM with code {life.code}")
 
 
-# Rule 2
+# Rule 2: twice
 
 
 def _repeated_effects(
@@ -328,12 +340,13 @@
         if one.crossed and (
             one.request in history.severed or _killed_during(lives.get(one.router, []), one.sent, one.ended)
         ):
-            # The client itself sent it twice, on a connection that no router could have kept.
+            # The client itself sent the request twice, on a connection that no router could have kept open.
             continue
         ran = [attempt for attempt in attempts.get(one.request, []) if attempt.result not in NO_EFFECT]
         if not ran:
             continue
-        # Not by when they were read: the second could then pass for the first, with no time between them.
+        # Ordered by arrival and not by when they were read: a server that read late could read the second
+        # attempt first, with no time between the two.
         first, began = min(ran, key=history.reached_at), ran[0].at
         for attempt in attempts[one.request]:
             late = history.left_at(attempt) - history.reached_at(first)
@@ -347,8 +360,8 @@
                     f"sent again {late:.3f} s after it may have run, beyond its window of {rule.window:g} s"
                 )
                 yield Violation("twice", attempt.at, (one.request,), f"{text} ({one.router})")
-        # A repeat that was written in time counts as dropped if only the line, or a process of the emulator
-        # that had no core, held it back until too late.
+        # A repeat that was sent within the window counts as dropped if only the network, or a process of the
+        # emulator that had no core, delayed it beyond the window.
         held_back = {
             attempt.serial
             for attempt in ran
@@ -363,38 +376,38 @@
             yield Violation("twice", one.ended, (one.request,), f"{text} ({one.router})")
 
 
-# Rule 3
+# Rule 3: late_drain
 
 
 def _late_drains(
     history: History, lives: Mapping[str, list[ProcessLifetime]], stops: Intervals, grace: float
 ) -> Iterable[Violation]:
-    """Each router's knowledge of each server, as a line of (time, state); a process begins with
-    nothing told.
+    """Find attempts sent after the drain grace, from what each router knew of each server and since when.
+
+    A new process of a router has been told nothing yet.
     """
-    # (when it counts as told, state, the time that an earlier word must not be newer than, and, of a word of
-    # the wire, when it was called for)
+    # For each router and server, one entry a statement: when it counts as told; the state; since when the
+    # state holds, which decides between two statements; and, of a statement that discovery wrote to the
+    # router, when the router called for it (None of one that only the view had).
     knowledge = defaultdict[tuple[str, str], list[tuple[float, str, float, float | None]]](list)
     calls = _by_router((call.router, call.at) for call in history.calls)
-    views = defaultdict[tuple[str, str], list[float]](list)  # when they had each state, in order
+    views = defaultdict[tuple[str, str], list[float]](list)  # since when a view had each state, in order
     for told in history.told:
-        # A process that stood still reads what came meanwhile once it goes on.
+        # A stopped process reads what arrived meanwhile once it continues.
         at = _running_from(stops.get(told.router, ()), told.at) if told.state != "up" else told.at
-        # A watch of a process that was killed a moment ago is answered as if it were still there.
+        # Discovery still answers the watch of a process that was killed a moment ago.
         index = bisect_right(calls.get(told.router, ()), (told.at,)) - 1
         asked_at = calls[told.router][index][0] if index >= 0 else told.at
         knowledge[told.router, told.server].append((at, told.state, told.at, asked_at))
     deaf = _by_router((one.router, one.at, one.until) for one in history.deaf)
     for had in history.had:
-        # What a router was told by word of the wire goes before; this only counts where nothing newer came,
-        # from when the line to discovery was whole.
+        # Statements that were written to the router take precedence. What its view had counts only where
+        # nothing newer was written, and only from when the connection to discovery was whole.
         at = _running_from(deaf.get(had.router, ()), had.at) + MAX_NOTICE_DELAY_S
         knowledge[had.router, had.server].append((at, had.state, had.at, None))
         views[had.router, had.server].append(had.at)
     for statements in knowledge.values():
-        statements.sort(
-            key=lambda statement: statement[0]
-        )  # and those of one time in the order in which a view had them
+        statements.sort(key=lambda entry: entry[0])  # stable: of one time, in the order of the view
     starts = {router: sorted(life.started for life in group) for router, group in lives.items()}
     asked = {one.request: one for one in history.tries}
     for attempt in history.attempts:
@@ -405,10 +418,10 @@
         begun = starts.get(one.router, [])
         index = bisect_right(begun, attempt.at) - 1
         since = begun[index] if index >= 0 else float("-inf")
-        closed_since: float | None = None  # since when it has been told that the server wants nothing new
-        newest = float("-inf")  # of when the last of the states so far is
+        closed_since: float | None = None  # since when the router knows that the server drains or is removed
+        newest = float("-inf")  # since when the newest state so far holds
         from_wire = False
-        # A process is told at its start what its view is then: what that was before is none of its business.
+        # A process is told at its start what its view is then; earlier states of the view don't count.
         view_times = views.get((one.router, attempt.server), [])
         index = bisect_right(view_times, since) - 1
         oldest = view_times[index] if index >= 0 else float("-inf")
@@ -417,7 +430,7 @@
                 continue
             if fact_time < oldest if called_at is None else called_at < since:
                 continue
-            # A view that had it no later than the last word of the wire is no news.
+            # A view's state that is no newer than the last written statement adds nothing.
             if fact_time == newest and from_wire and called_at is None:
                 continue
             newest, from_wire = fact_time, called_at is not None
@@ -434,8 +447,10 @@
 def _sent_in_maintenance(
     history: History, lives: Mapping[str, list[ProcessLifetime]], grace: float
 ) -> Iterable[Violation]:
-    """Servers out by hand: nothing new from the router's yes on, plus the grace, until the call back,
-    whatever discovery says; a process that starts anew has heard nothing.
+    """Find attempts sent to servers in maintenance by administrative override.
+
+    The router may forward nothing new from when it acknowledged the override, plus the grace, until the
+    override ends, whatever discovery says. A new process of the router knows of no override.
     """
     statements = defaultdict[tuple[str, str], list[Handed]](list)
     for statement in sorted(history.handed, key=lambda statement: statement.at):
@@ -456,26 +471,36 @@
             yield Violation("late_drain", attempt.at, (attempt.request,), text)
 
 
-# The emulator itself
+# The lag of the emulator
 
 
 @dataclass(frozen=True, slots=True)
 class LagVerdict:
-    """How late the emulator was: milliseconds, and why that makes the run void, if it does."""
+    """The emulator's event-loop lag in milliseconds, and why it makes the run void.
+
+    `void` is empty if the run counts.
+    """
 
     p99_ms: float
     worst_ms: float
     worker: str
     void: str = ""
     worst_at: float = 0.0
-    """On the emulator's clock, at the end of the stretch in which it was."""
+    """End of the interval with the worst reading, in seconds on the emulator's clock."""
 
 
 def check_lag(
     lags: Iterable[Lag], p99_ms: float, worst_ms: float, begun: float = float("-inf")
 ) -> LagVerdict:
-    """Whether the emulator was in time, by its own readings; over 1 % of readings late, or one very late:
-    void.
+    """Judge from its own lag readings whether the emulator was in time.
+
+    The run is void if the 99th percentile or a single reading is over its limit, or if there are no readings.
+
+    Args:
+        lags: The readings of all workers.
+        p99_ms: Limit of the 99th percentile.
+        worst_ms: Limit of every single reading.
+        begun: Readings before this time are left out; seconds on the emulator's clock.
     """
     readings = [lag for lag in lags if lag.at >= begun]
     if not readings:
