--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -44,7 +44,8 @@
 """A router counts as told of a state this long after its view had it, whether or not it was written to it."""
 RULES = ("lost", "twice", "late_drain", "felled")
 STARVED_FRACTION = 0.25
-"""Fraction of a request's time for which the router must have waited for a core for it to count as starved."""
+"""A lost request counts as starved if its router waited for a core for more than this fraction of the time it
+had, or for more than SLACK_S."""
 STARVED = "starved"
 """Marks a request that was lost because the test machine gave its router no core in time, which breaks no
 rule: in production each router has a core of its own."""
--- a/holdgw/harness/clients.py
+++ b/holdgw/harness/clients.py
@@ -1,6 +1,7 @@
-"""The clients: drawn asks as requests on real connections, with time-outs, retries and impatience.
+"""The emulated clients: send the scheduled requests over real connections, with timeouts and client retries.
 
-A connection carries one request at a time; a client keeps its connections and opens more when all are busy.
+A connection carries one request at a time. Idle connections are kept in a pool, and more are opened when all
+are busy.
 """
 
 from __future__ import annotations
@@ -20,9 +21,9 @@
 from holdgw.wire.address import Address
 from holdgw.wire.resp import command
 
-MAX_IDLE_CONNECTIONS = 64  # connections to one router that one worker keeps
+MAX_IDLE_CONNECTIONS = 64  # of one worker to one router
 CONNECT_TIMEOUT_S = 0.5
-MIN_ATTEMPT_TIME_S = 0.02  # with less time left no further try is made
+MIN_ATTEMPT_TIME_S = 0.02  # with less time left before the deadline a client does not retry
 WRITE_VALUE = b"w" * 256
 
 
@@ -39,11 +40,11 @@
         self._reader = hiredis.Reader(replyError=ReplyError)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Keep the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Read an answer; what comes unasked for is a second answer to the last request."""
+        """Read replies; an unexpected one is a second reply to the last request."""
         try:
             self._reader.feed(data)
             while (reply := self._reader.gets()) is not False:
@@ -59,24 +60,31 @@
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The router closed, or the client did."""
+        """Report the end of the connection to the client attempt that was open on it."""
         self.lost = True
         attempt, self.attempt = self.attempt, None
         if attempt is not None:
             attempt.on_disconnect()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class ReplyError(Exception):
-    """An error line."""
+    """An error reply of a router, with its text."""
 
 
 class ClientAttempt:
-    """One try on its way."""
+    """One request to one router: the first for a scheduled request, or a client retry.
+
+    Args:
+        clients: The clients that it belongs to.
+        request: The scheduled request.
+        number: 0 for the first, the number of the client retry for the others.
+        deadline: When the client gives up, on the clients' clock.
+    """
 
     def __init__(self, clients: Clients, request: ScheduledRequest, number: int, deadline: float) -> None:
         self.clients, self.request, self.number, self.deadline = clients, request, number, deadline
@@ -90,7 +98,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Send it on an idle connection, or dial."""
+        """Send the request on an idle connection, or open a connection for it."""
         self.sent = self.clients.clock()
         router = self.clients.choose_router(self.request, self.number)
         if router is None:
@@ -103,7 +111,7 @@
             self.clients.connect(router, self)
 
     def on_connected(self, connection: ClientConnection | None) -> None:
-        """The connection is up, or it never came up."""
+        """Send the request on the new connection; None: the connection could not be opened."""
         if connection is None:
             self.finish("unsent")
         else:
@@ -150,7 +158,7 @@
             self.connection.abort()
 
     def on_reply(self, reply: object) -> None:
-        """A whole answer came."""
+        """Take a complete reply, and return the connection to the pool."""
         connection = self.connection
         if connection is not None and not connection.lost:
             if self.request.new_connection:
@@ -181,24 +189,33 @@
             self.finish("served", server=fields[2].decode("latin-1"), serial=int(fields[3]))
 
     def on_disconnect(self) -> None:
-        """The connection ended with no whole answer."""
+        """Take the end of the connection before a complete reply."""
         connection = self.connection
         if connection is not None and connection.requests_sent > 1 and not self.crossed:
-            # The router may have closed an idle connection just then: sent once more, on a new one.
+            # The router may have closed the idle connection as the request was sent: send it once more, on a
+            # new connection.
             self.crossed = self.clients.clock()
             self.clients.connect(connection.router, self)
             return
         self.finish("cut")
 
     def on_extra_reply(self) -> None:
-        """One more answer came than was asked for."""
+        """Record a second reply to this request."""
         router = self.connection.router if self.connection is not None else ""
         self.clients.witness.saw(Extra(self.id, router, self.clients.clock()))
 
     def finish(
         self, answer: str, server: str = "", serial: int = -1, fault: str = "", come_again: float = -1.0
     ) -> None:
-        """The try is over; the ask may go on."""
+        """Record the client attempt with its answer; only the first call counts.
+
+        Args:
+            answer: As in `Try.answer`.
+            server: The server whose value was received.
+            serial: The serial number of the server's answer; -1 without one.
+            fault: What is wrong with the value.
+            come_again: Seconds of the router's Retry-After; -1 without one.
+        """
         if self._timer is not None:
             self._timer.cancel()
         if self.record is not None:
@@ -222,12 +239,12 @@
 
 
 class Clients:
-    """A part of all clients: the asks whose number fits."""
+    """The clients of one worker: the scheduled requests whose number modulo `count` is `index`."""
 
     def __init__(self, schedule: Schedule, index: int, count: int, witness: Witness, clock: Clock) -> None:
         self.schedule, self.clock, self.loop = schedule, clock, asyncio.get_running_loop()
         self.tally = ClientCounts()
-        self.unfinished = 0  # asks that are not over
+        self.unfinished = 0  # requests that are begun and not over
         self._requests = [request for request in schedule.requests if request.number % count == index]
         self._next_index = 0
         self.witness = witness
@@ -242,21 +259,21 @@
         }
 
     def routers(self, addresses: dict[str, Address]) -> None:
-        """Where routers listen."""
+        """Take over the addresses of routers."""
         self._routers.update(addresses)
 
     def front(self, router: str, up: bool) -> None:
-        """What the front layer sees."""
+        """Take over whether the front layer sends new connections to a router."""
         (self._up.add if up else self._up.discard)(router)
 
     def begin(self, at: float) -> None:
-        """The day begins at that time; the prelude before it."""
+        """Start sending: second 0 of the run is at `at`, and the prelude's requests come before it."""
         self._begun = at
         self._start_due()
 
     @property
     def done(self) -> bool:
-        """Whether all asks are made and over."""
+        """Whether all requests are sent and over."""
         return self._next_index >= len(self._requests) and not self.unfinished
 
     def _start_due(self) -> None:
@@ -274,7 +291,10 @@
             self._timer = self.loop.call_later(max(requests[self._next_index].at - now, 0.0), self._start_due)
 
     def choose_router(self, request: ScheduledRequest, number: int) -> str | None:
-        """The router of a try: the hot caller's own, else one that is up in the client's zone, else any."""
+        """Return the router for a client attempt, None if no router is up.
+
+        That is the hot caller's own router, else one in the client's zone, else any.
+        """
         if request.router and request.router in self._up:
             return request.router
         same_zone = [name for name in sorted(self._up) if self._zone[name] == request.zone]
@@ -284,7 +304,7 @@
         return candidates[(int(request.spread * len(candidates)) + number) % len(candidates)]
 
     def take_idle(self, router: str) -> ClientConnection | None:
-        """A connection that rests, the one used last."""
+        """Take the most recently used idle connection out of the pool; None if there is none."""
         idle_connections = self._idle.get(router, [])
         while idle_connections:
             connection = idle_connections.pop()
@@ -293,7 +313,7 @@
         return None
 
     def release(self, connection: ClientConnection) -> None:
-        """A connection is free again."""
+        """Return a connection to the pool, or close it if the pool is full."""
         idle_connections = self._idle.setdefault(connection.router, [])
         if len(idle_connections) < MAX_IDLE_CONNECTIONS:
             idle_connections.append(connection)
@@ -301,7 +321,7 @@
             connection.abort()
 
     def connect(self, router: str, attempt: ClientAttempt) -> None:
-        """Open a connection for a try."""
+        """Open a connection for a client attempt."""
         task = self.loop.create_task(self._connect(router, attempt))
         self._connecting[task] = None
         task.add_done_callback(lambda done: self._connecting.pop(done, None))
@@ -316,14 +336,14 @@
         except (OSError, TimeoutError):
             pass
         if connection is not None and connection.lost:
-            connection = None  # it broke between its coming up and this
+            connection = None  # closed between the handshake and here
         if attempt.record is None:
             attempt.on_connected(connection)
         elif connection is not None:
             connection.abort()
 
     def on_attempt_finished(self, attempt: ClientAttempt, record: Try) -> None:
-        """A try is over: the ask is too, or it goes on after a wait."""
+        """Schedule a client retry after its backoff, or count the request's outcome."""
         self.witness.saw(record)
         request, now = attempt.request, self.clock()
         clients = self.schedule.scenario.clients
@@ -361,7 +381,7 @@
         next_attempt.start()
 
     def close(self) -> None:
-        """The day is over."""
+        """Cancel what is still to be sent and close all idle connections."""
         if self._timer is not None:
             self._timer.cancel()
         for connect in list(self._connecting):
--- a/holdgw/harness/fault_injection.py
+++ b/holdgw/harness/fault_injection.py
@@ -1,6 +1,7 @@
-"""The time line of a day: what is done to the fleet, to whom, and what discovery and the front hear of it.
+"""Carries out a schedule's faults on the fleet, and tells discovery and the front layer of their effects.
 
-Whoever plays a day (real processes on loopback, or simulated ones) has these parts under one interface each.
+The workers and routers stand behind one interface each, for real processes on loopback (`orchestrator`) and
+for the simulation.
 """
 
 from __future__ import annotations
@@ -23,60 +24,60 @@
 from holdgw.harness.schedule import ADMIN, NETWORK, ORIGIN, PEERS, ROUTERS, Schedule, ScheduledFault
 from holdgw.wire.address import Address
 
-WORKER_TIMEOUT_S = 30.0  # for a worker to do what it is told
-START_DELAY_S = 0.7  # from when all is ready to the prelude
-SETTLE_TIME_S = 0.6  # after the last answer that may still come
-FRONT_DELAY_S = 0.3  # new connections still go to a router that was told to end
-KILL_MARGIN_S = 0.75  # beyond the longest deadline
+WORKER_TIMEOUT_S = 30.0  # for a worker to carry out a command
+START_DELAY_S = 0.7  # from when everything is ready to the start of the prelude
+SETTLE_TIME_S = 0.6  # after the last answer that can still come
+FRONT_DELAY_S = 0.3  # the front layer still sends new connections to a router this long after its SIGTERM
+KILL_MARGIN_S = 0.75  # beyond the longest deadline of a client, until a draining router is killed
 EXIT_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.2
-SLOW_PERIOD_S = 0.1  # a slow process runs for a part of each
+SLOW_PERIOD_S = 0.1  # a slowed process runs for a part of each period
 
 
 class HarnessError(Exception):
-    """The day could not be played to its end; one plain line."""
+    """The run could not be played to its end; the text is one line that names the cause."""
 
 
 class Worker(Protocol):
-    """A part of the emulator."""
+    """A worker of the emulator, as the fault injector uses it."""
 
     def ask(self, verb: str, target: str = "", args: dict[str, Any] | None = None) -> Awaitable[Any]:
-        """Have it do something; returns what came of it."""
+        """Have the worker carry out a command; returns its value."""
 
     def send(self, message: Message) -> None:
-        """Send it a message."""
+        """Send the worker a message."""
 
 
 class RouterHandle(Protocol):
-    """A router and its lives."""
+    """A router, as the fault injector uses it."""
 
     name: str
     address: Address
     ops: Address
-    """Where its door is."""
+    """Address of its admin endpoint."""
     starts: int
     lives: list[ProcessLifetime]
 
     def configure(self, settings: dict[str, Any]) -> None:
-        """Write its configuration."""
+        """Write its configuration file."""
 
     async def start(self, discovery: Address) -> None:
         """Start a process."""
 
     async def ready(self) -> bool:
-        """Wait until it takes requests."""
+        """Wait until it accepts requests; False if it does not."""
 
     async def ended(self, timeout: float) -> bool:
-        """Wait for its end."""
+        """Wait for its exit at most `timeout` seconds; False if it still runs."""
 
     def send_signal(self, number: signal.Signals) -> None:
         """Send a signal."""
 
     def lose_machine(self) -> None:
-        """Its machine is gone, with all that was on it, and silent until it is started again."""
+        """Lose its machine with everything on it; its addresses are silent until the next start."""
 
     def last_log_line(self) -> str:
-        """The last line of its log."""
+        """The last line of its log; empty if there is none."""
 
     @property
     def running(self) -> bool:
@@ -85,7 +86,7 @@
 
 @dataclass(slots=True)
 class Suspension:
-    """A router's process that stands still: since when, in which of its lives, and for how many reasons."""
+    """A stopped router process: since when, the number of its start, and by how many faults that overlap."""
 
     since: float
     start: int
@@ -93,7 +94,10 @@
 
 
 class FaultInjector:
-    """Carries out a day's steps. Whoever plays the day fills in who is there."""
+    """Plays a schedule: begins the run, carries out its faults and waits for its end.
+
+    A subclass creates the workers and routers: real processes, or simulated ones.
+    """
 
     node_workers: Sequence[Worker]
     client_workers: Sequence[Worker]
@@ -105,33 +109,33 @@
     def __init__(self, schedule: Schedule, clock: Clock = time.monotonic) -> None:
         self.schedule, self.clock = schedule, clock
         self.begun = 0.0
-        self.worker_of: dict[str, Worker] = {}  # of each node
+        self.worker_of: dict[str, Worker] = {}  # by node
         self.addresses: dict[str, dict[str, Address]] = {}
         self.discovery: dict[str, Address] = {}
         self.peers: dict[str, Peers] = {}
-        """What each router is told of the others; empty where they are not allowed to speak."""
+        """Addresses of peers for each router; empty if the scenario allows no peers."""
         self._restarting: set[str] = set()
-        self._lost_since: dict[str, float] = {}  # routers whose machines are gone, and since when
-        self._suspensions: dict[str, Suspension] = {}  # routers whose processes stand still
+        self._lost_since: dict[str, float] = {}  # by router, of lost machines
+        self._suspensions: dict[str, Suspension] = {}  # by router, of stopped processes
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do something beside all else; a fault in it ends the day."""
+        """Start a task in the background; an exception in it ends the run."""
         raise NotImplementedError
 
     @property
     def max_client_wait(self) -> float:
-        """Seconds for which a client waits at most."""
+        """The longest time that a client of any class waits, in seconds."""
         return max(one.give_up_ms for one in self.schedule.scenario.classes) / 1000
 
     async def run_at(self, at: float, action: Callable[..., Any], *args: Any) -> None:
-        """Act at a second of the day."""
+        """Call `action` at a second of the run, and await its result if it returns an awaitable."""
         await asyncio.sleep(max(self.begun + at - self.clock(), 0.0))
         result = action(*args)
         if result is not None:
             await result
 
     def announce_routers(self) -> None:
-        """Clients learn of the routers, all of which run."""
+        """Tell clients the addresses of the routers, all of which run."""
         addresses = Addresses(routers={name: router.address for name, router in self.routers.items()})
         for worker in self.client_workers:
             worker.send(addresses)
@@ -139,7 +143,7 @@
             self._front(name, True)
 
     def begin(self) -> None:
-        """The day, with its prelude before it, begins now; its steps follow by themselves."""
+        """Begin the prelude and then the run, and schedule every fault."""
         self.begun = self.clock() + START_DELAY_S + self.schedule.scenario.emulator.prelude_s
         for worker in self.client_workers:
             worker.send(Begin(self.begun))
@@ -150,8 +154,10 @@
             self.spawn(self.run_at(fault.at, self.apply_fault, fault))
 
     async def wait_until_finished(self, progress: Callable[[float], None] = lambda _at: None) -> None:
-        """Wait until the day is over and all its requests are, or can't be answered any more; `progress` is
-        called some times a second with the second of the day.
+        """Wait until the run is over and every request has its outcome, or can't get one any more.
+
+        Args:
+            progress: Called every POLL_INTERVAL_S with the second of the run.
         """
         length = self.schedule.scenario.length_s
         while (now := self.clock() - self.begun) < length + self.max_client_wait + SETTLE_TIME_S:
@@ -166,7 +172,7 @@
         return all([await asyncio.wait_for(one.ask("done"), WORKER_TIMEOUT_S) for one in self.client_workers])
 
     async def stop_routers(self) -> None:
-        """Have all routers end in good order, and those that don't, anyhow."""
+        """Shut down all routers gracefully, and kill those that do not exit in time."""
         self.end_faults()
         running = [router for router in self.routers.values() if router.running]
         for router in running:
@@ -180,11 +186,11 @@
         await asyncio.gather(*(router.ended(EXIT_TIMEOUT_S) for router in running))
 
     def add_addresses(self, name: str, addresses: dict[str, Any]) -> None:
-        """Where a server listens, by zone."""
+        """Take over a server's addresses, by line."""
         self.addresses[name] = {zone: (host, port) for zone, (host, port) in addresses.items()}
 
     async def start_router(self, router: RouterHandle) -> None:
-        """Start one, and wait until it takes requests; it is told the list as discovery has it now."""
+        """Start a router with discovery's current endpoint list, and wait until it accepts requests."""
         await self._configure(router)
         await router.start(self.discovery[router.name])
         if not await router.ready():
@@ -206,7 +212,7 @@
         router.configure(settings)
 
     async def watch_routers(self) -> None:
-        """A router that ends by itself is seen by the front, too; it stays away."""
+        """Let the front layer notice routers that exit by themselves; these are not restarted."""
         reported: set[str] = set()
         while True:
             for name, router in self.routers.items():
@@ -227,11 +233,11 @@
             worker.send(FrontUpdate(name, up))
 
     async def set_endpoint_state(self, state: str, server: str) -> None:
-        """The list changes."""
+        """Change an endpoint's state in the endpoint list."""
         await asyncio.wait_for(self.hub.ask(state, server), WORKER_TIMEOUT_S)
 
     async def apply_fault(self, fault: ScheduledFault) -> None:
-        """Do one thing to the fleet."""
+        """Carry out one scheduled fault; the fault's verb and target decide who does it."""
         verb, target, args = fault.verb, fault.target, fault.args
         if verb == "restart":
             await self._restart(self.routers[target], args["signal"])
@@ -260,7 +266,7 @@
         else:
             await self._change_node(verb, target, args)
 
-    # Routers that stand still, and machines that are gone
+    # Stopped routers and lost machines
 
     async def _apply_router_fault(self, verb: str, router: RouterHandle, args: dict[str, Any]) -> None:
         if verb == "stop":
@@ -274,10 +280,10 @@
         elif verb == "return":
             await self._return(router)
         else:
-            raise ValueError(f"no such thing to do to a router: {verb}")
+            raise ValueError(f"unknown fault of a router: {verb}")
 
     def suspend(self, router: RouterHandle) -> None:
-        """Have its process stand still; reasons that overlap end with the last one."""
+        """Stop a router's process; of faults that overlap, the last one to end lets it continue."""
         if not router.running:
             return
         suspension = self._suspensions.get(router.name)
@@ -287,7 +293,7 @@
         suspension.reasons += 1
 
     def resume(self, router: RouterHandle) -> None:
-        """One reason less to stand still; it goes on with the last."""
+        """End one reason for a stop; the process continues when no reason is left."""
         suspension = self._suspensions.get(router.name)
         if suspension is None:
             return
@@ -297,7 +303,9 @@
         del self._suspensions[router.name]
         if suspension.start == router.starts:
             router.send_signal(signal.SIGCONT)
-        ended = router.lives[suspension.start - 1].exited  # it may have been killed as it stood
+        ended = router.lives[
+            suspension.start - 1
+        ].exited  # set if the process was killed while it was stopped
         self.history.stops.append((router.name, suspension.since, self.clock() if ended is None else ended))
 
     async def _slow(self, router: RouterHandle, seconds: float, run_s: float) -> None:
@@ -319,7 +327,7 @@
     async def _return(self, router: RouterHandle) -> None:
         since = self._lost_since.pop(router.name, None)
         if since is None:
-            return  # it was being restarted when its machine was to be lost
+            return  # the router was being restarted when its machine was to be lost, so it was not
         try:
             await self.start_router(router)
         finally:
@@ -328,18 +336,18 @@
         self._front(router.name, True)
 
     def end_faults(self) -> None:
-        """Whatever still stands still goes on; what is lost for good is told."""
+        """Let every stopped process continue, and record machines that are still lost as lost for good."""
         for name, suspension in list(self._suspensions.items()):
             suspension.reasons = 1
             self.resume(self.routers[name])
         for name, since in self._lost_since.items():
             self.history.gone.append((name, since, float("inf")))
 
-    # Lines
+    # Network
 
     async def _apply_network_fault(self, verb: str, args: dict[str, Any]) -> None:
         if "node" in args and args["node"] not in self.worker_of:
-            return  # a trouble chose a node whose own start lies later
+            return  # the fault chose a node whose own start comes later
         if verb == "partition":
             line_of = lines_of_routers(self.schedule.scenario, self.schedule.seed)
             lines = sorted({line_of[name] for name in args["routers"]})
@@ -356,24 +364,28 @@
             await self.worker_of[args["node"]].ask("start", args["node"])
             await self.set_endpoint_state("up", args["node"])
         else:
-            raise ValueError(f"only the simulation can have the network {verb}")
+            raise ValueError(f"unknown network fault, or one that only the simulation has: {verb}")
 
     async def _apply_peer_fault(self, verb: str, args: dict[str, Any]) -> None:
         if self.peers:
             await self.relay.ask(verb, "", args)
 
     async def _call_maintenance(self, router: RouterHandle, out: bool, node: str) -> None:
-        """Staff call at one router's door, and believe it only when it says yes."""
+        """Set or end a node's maintenance at one router; recorded only if the router answers 200."""
         path = "/maintenance/enter" if out else "/maintenance/exit"
         if router.running and await call_admin_endpoint(router.ops, path, node):
             self.history.add(Handed(router.name, node, out, self.clock()))
 
     async def worker_for_new_node(self, name: str, instead: str) -> Worker:
-        """The worker that a new node runs in; `instead`: the node whose address it takes, if it does."""
+        """Return the worker for a new node; `instead` names the node whose address it takes, if any."""
         return self.worker_of[instead] if instead else self.node_workers[0]
 
     async def _change_node(self, verb: str, target: str, args: dict[str, Any]) -> None:
-        """Discovery sees only whether a process runs, so the list changes with starts and ends alone."""
+        """Carry out a fault on a node.
+
+        Discovery sees only whether a process runs, so the endpoint list changes only when a node starts,
+        drains or exits.
+        """
         if verb == "create":
             worker = self.worker_of[target] = await self.worker_for_new_node(target, args["instead"])
             self.add_addresses(target, await worker.ask(verb, target, args))
@@ -382,16 +394,16 @@
             return
         host_worker = self.worker_of.get(target)
         if host_worker is None:
-            return  # a trouble chose a node whose own start lies later
+            return  # the fault chose a node whose own start comes later
         await host_worker.ask(verb, target, args)
         state = {"kill": "removed", "start": "up", "drain": "draining"}.get(verb)
         if state is not None:
             await self.set_endpoint_state(state, target)
 
     async def _restart(self, router: RouterHandle, signal_name: str) -> None:
-        """A planned restart as PROTOCOL has it, or a death that the front sees in its time."""
+        """Restart a router: as planned (PROTOCOL), or by SIGKILL, which the front layer notices later."""
         if router.name in self._restarting:
-            return  # two troubles chose the same one
+            return  # two faults chose the same router
         self._restarting.add(router.name)
         try:
             await self._stop_and_start(router, signal_name)
@@ -414,7 +426,7 @@
         self._front(router.name, True)
 
     async def _reload(self, router: RouterHandle) -> None:
-        """A new file names another address of discovery, and SIGHUP has it read."""
+        """Write a configuration with another address of discovery, and have the router read it by SIGHUP."""
         if not router.running:
             return
         host, port = await asyncio.wait_for(self.hub.ask("move", router.name), WORKER_TIMEOUT_S)
--- a/holdgw/harness/orchestrator.py
+++ b/holdgw/harness/orchestrator.py
@@ -1,8 +1,8 @@
-"""Plays a day: starts workers and real routers, carries the time line out, gathers what was seen, ends it
-all.
+"""Plays a run with real processes: starts workers and routers, injects faults and collects the records.
 
-Whatever happens, also Ctrl-C, a router that dies or a worker that fails, every process it started is ended
-before it returns; if it is killed outright, the kernel ends the routers and the workers see their stage gone.
+Every process that the orchestrator started has exited before it returns, also after Ctrl-C, the crash of a
+router or the failure of a worker. If the orchestrator itself is killed, the kernel kills the routers, and the
+workers see the end of their channel and exit.
 """
 
 from __future__ import annotations
@@ -61,15 +61,18 @@
 REQUESTS_PER_NODE_WORKER, REQUESTS_PER_CLIENT_WORKER = (
     500.0,
     700.0,
-)  # requests a second that one worker is given
+)  # requests a second for each worker
 MAX_NODE_WORKERS, MAX_CLIENT_WORKERS = 4, 4
 USAGE_INTERVAL_S = 1.0
-CORE_WAIT_INTERVAL_S = 0.1  # how often it is looked how long routers waited for a core
+CORE_WAIT_INTERVAL_S = 0.1  # between samples of how long routers waited for a core
 
 
 @dataclass(slots=True)
 class RunResult:
-    """A day that was played. `begun`: the clock's time of second 0."""
+    """The records of a run that was played to its end.
+
+    `begun` is the time of second 0 on the harness's clock.
+    """
 
     schedule: Schedule
     history: History
@@ -77,13 +80,13 @@
     length: float
     usage: dict[str, list[Usage]] = field(default_factory=dict)
     workers: dict[str, float] = field(default_factory=dict)
-    """CPU seconds of each worker and of the stage."""
+    """CPU seconds of each worker and of the orchestrator (under `stage`)."""
     processes: int = 0
-    """Routers, workers and the stage, at the beginning."""
+    """The number of routers, workers and orchestrator at the beginning."""
 
 
 class WorkerProcess:
-    """A worker process as the stage sees it."""
+    """A worker process, as the orchestrator uses it."""
 
     def __init__(self, orchestrator: Orchestrator, name: str) -> None:
         self.orchestrator, self.name = orchestrator, name
@@ -96,7 +99,7 @@
         self._number = 0
 
     async def start(self, setup: Setup, environment: dict[str, str]) -> None:
-        """Start the process and give it its part."""
+        """Start the process and assign its role."""
         own_end, worker_end = socket.socketpair()
         with worker_end:
             self.process = await asyncio.create_subprocess_exec(
@@ -114,13 +117,13 @@
         self.channel.send(setup)
 
     def ask(self, verb: str, target: str = "", args: dict[str, Any] | None = None) -> asyncio.Future[Any]:
-        """Have it do something; the future is what came of it."""
+        """Have the worker carry out a command; the future gets its value."""
         self._number += 1
         self.send(Command(verb, target, args or {}, self._number))
         return self._expect(self._number)
 
     def ready(self) -> asyncio.Future[Any]:
-        """What it tells once it has taken up its part."""
+        """Return a future for what the worker reports once its role has started."""
         return self._expect(0)
 
     def _expect(self, number: int) -> asyncio.Future[Any]:
@@ -129,7 +132,7 @@
         return future
 
     def send(self, message: Message) -> None:
-        """Send it a message."""
+        """Send the worker a message."""
         if self.channel is not None:
             self.channel.send(message)
 
@@ -153,16 +156,16 @@
 
     def _on_disconnect(self) -> None:
         if not self.finished.is_set():
-            self.orchestrator.fail(f"worker {self.name} is gone")
+            self.orchestrator.fail(f"worker {self.name} exited before the end of the run")
 
     def sample(self) -> None:
-        """Read its CPU time."""
+        """Read the worker's CPU time."""
         if self.process is not None:
             with contextlib.suppress(OSError, IndexError, ValueError):
                 self.cpu = cpu_seconds(self.process.pid)
 
     async def end(self) -> None:
-        """End it now."""
+        """Kill the process and wait for its exit."""
         if self.channel is not None:
             self.channel.close()
         if self.process is not None:
@@ -173,7 +176,7 @@
 
 
 class Orchestrator(FaultInjector):
-    """One day's play."""
+    """Plays one run with real processes."""
 
     def __init__(self, schedule: Schedule, command: str, root: Path, keep_logs: Path | None = None) -> None:
         super().__init__(schedule, CLOCK)
@@ -185,16 +188,16 @@
         self.client_workers: list[WorkerProcess] = []
         self.routers: dict[str, RouterProcess] = {}
         self.aggregators: dict[str, RouterProcess] = {}
-        """Machines set aside; whoever kills or halts one does it by its process."""
+        """Dedicated aggregators by name; tests kill or stop one by its process."""
         self._workers: list[WorkerProcess] = []
         self._failure: asyncio.Future[None] | None = None
         self._fault_text = ""
         self._tasks: set[asyncio.Task[None]] = set()
 
-    # What workers tell
+    # Messages of workers
 
     def add_records(self, batch: RecordBatch) -> None:
-        """Keep what was seen."""
+        """Keep a worker's records; the node of a `Fallen` record leaves the endpoint list."""
         for record in batch.records:
             self.history.add(record)
             if isinstance(record, Fallen):
@@ -202,18 +205,18 @@
                 self.spawn(self.set_endpoint_state("removed", record.server))
 
     def forward_to_nodes(self, message: Stored | Voided) -> None:
-        """The package store's news goes to all nodes."""
+        """Pass a message of the origin on to all workers of nodes."""
         for worker in self.node_workers:
             worker.send(message)
 
     def fail(self, text: str, details: str = "") -> None:
-        """The day can't be played on."""
+        """End the run with a HarnessError; `details` is written to `fault.txt` beside the kept logs."""
         if self._failure is not None and not self._failure.done():
             self._fault_text = details
             self._failure.set_exception(HarnessError(text))
 
     def tally(self) -> ClientCounts:
-        """What all clients have counted so far."""
+        """Return the sum of what all workers of clients have counted so far."""
         total = ClientCounts()
         for worker in self.client_workers:
             for name in ClientCounts.__struct_fields__:
@@ -221,7 +224,7 @@
         return total
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do something beside all else; a fault in it ends the day."""
+        """Start a task in the background; an exception in it ends the run."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._on_task_done)
@@ -231,12 +234,16 @@
         if not task.cancelled() and (error := task.exception()) is not None:
             self.fail(f"{type(error).__name__}: {error}")
 
-    # The whole day
+    # The whole run
 
     async def play(
         self, progress: Callable[[Orchestrator, float], None] = lambda _orchestrator, _at: None
     ) -> RunResult:
-        """Play the day; `progress` is called some times a second with the second of the day."""
+        """Play the run; `progress` is called several times a second with the second of the run.
+
+        Raises:
+            HarnessError: The run could not be played to its end.
+        """
         self._failure = asyncio.get_running_loop().create_future()
         with tempfile.TemporaryDirectory(prefix="holdgw-rehearsal-") as folder:
             main = asyncio.ensure_future(self._play(Path(folder), progress))
@@ -272,7 +279,7 @@
         return await self._gather()
 
     async def _gather(self) -> RunResult:
-        """End routers in good order, and have workers tell all that is left."""
+        """Shut down the routers gracefully, and collect the workers' last records."""
         for task in list(self._tasks):
             task.cancel()
         for router in self.routers.values():
@@ -347,8 +354,8 @@
     async def _start_routers(self, scenario: Scenario, folder: Path) -> None:
         high, low = 64 + os.getpid() % 128, os.getpid() // 128 % 250
         for i, name in enumerate(router_names(scenario.fleet)):
-            # An ip of its own: the kernel takes no port here for anybody's outgoing connection, so that a
-            # router finds its address free when it starts again.
+            # Each router has an IP address of its own, on which the kernel picks no port for other processes'
+            # outgoing connections, so that a restarted router finds its port free.
             address = free_address(f"127.{high}.{low + i // 200}.{10 + i % 200}")
             self.routers[name] = RouterProcess(
                 name, self._command, self._root, folder, address, CLOCK, self._router_cores
@@ -368,7 +375,7 @@
             )
 
     async def start_aggregator(self, machine: RouterProcess) -> None:
-        """Start a machine set aside, and wait until it aggregates."""
+        """Start a dedicated aggregator, and wait until its status says that it aggregates."""
         schedule, discovery = self.schedule, next(iter(self.discovery.values()))
         member_args = machine.address, discovery, None, machine.ops, self.peers[machine.name]
         machine.configure(
@@ -384,7 +391,7 @@
             await asyncio.sleep(PING_INTERVAL_S)
 
     async def _join_peers(self) -> None:
-        """Every router is told of the relay's addresses, and of no other router's own."""
+        """Start the relay; every router is told the relay's address for each peer, and no peer's own."""
         members = {**self.routers, **self.aggregators}
         listens = {name: member.peer for name, member in members.items()}
         reply = await asyncio.wait_for(self.relay.ask("listen", "", listens), WORKER_TIMEOUT_S)
@@ -413,7 +420,18 @@
     progress: Callable[[Orchestrator, float], None] = lambda _orchestrator, _at: None,
     keep_logs: Path | None = None,
 ) -> RunResult:
-    """Play a day with routers started by `command` from `root`; SIGTERM ends it like Ctrl-C."""
+    """Play a run with real routers; SIGTERM ends it as Ctrl-C does.
+
+    Args:
+        schedule: The drawn run.
+        command: The shell command that starts one router, run in `root`.
+        root: The working directory of routers.
+        progress: Called several times a second with the orchestrator and the second of the run.
+        keep_logs: Folder for the routers' logs; None: they are deleted.
+
+    Raises:
+        HarnessError: The run could not be played to its end.
+    """
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
--- a/holdgw/harness/routers.py
+++ b/holdgw/harness/routers.py
@@ -1,4 +1,4 @@
-"""Real routers as processes: started by the deploy file's `run`, watched, and ended whatever happens."""
+"""Runs real routers as processes: starts them by the deploy file's `run` command, watches and ends them."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 READY_S = 30.0
 PING_INTERVAL_S = 0.02
 PING_S = 1.0
-MIN_CORES_TO_SPLIT = 4  # cores
-MIN_RECORDED_WAIT_S = 0.004  # shorter waits for a core are everyday
+MIN_CORES_TO_SPLIT = 4
+MIN_RECORDED_WAIT_S = 0.004  # shorter waits for a core are normal scheduling
 _PR_SET_PDEATHSIG = 1
 _TICKS = os.sysconf("SC_CLK_TCK")
 _PAGE = os.sysconf("SC_PAGE_SIZE")
@@ -35,20 +35,20 @@
 
 
 def die_with_parent() -> None:
-    """For a child before its program starts: it is killed when whoever started it is gone, in any way."""
+    """Have the kernel kill this process when its parent exits for any reason; for use as `preexec_fn`."""
     _libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0)
 
 
 def child_of_orchestrator(cores: Collection[int]) -> None:
-    """For a child before its program starts: it ends with the stage, and keeps to these cores."""
+    """Have this process end with the orchestrator and run on these cores; for use as `preexec_fn`."""
     die_with_parent()
     os.sched_setaffinity(0, cores)
 
 
 def split_cores(cores: Collection[int]) -> tuple[set[int], set[int]]:
-    """Cores for the emulator, and cores for the routers."""
-    # When the endpoint list changes, all routers apply it at once. On machines of their own none would notice
-    # the others; here they would delay the emulator by 50 ms. With few cores they have to share.
+    """Split the cores; returns those of the emulator and those of the routers."""
+    # When the endpoint list changes, all routers apply it at the same time. In production each has a machine
+    # of its own; here, on shared cores, they would delay the emulator by 50 ms. Few cores have to be shared.
     ordered = sorted(cores)
     if len(ordered) < MIN_CORES_TO_SPLIT:
         return set(ordered), set(ordered)
@@ -57,27 +57,30 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """CPU time of a process so far; raises OSError where it is gone."""
+    """Return the CPU time of a process so far; raises OSError if it has exited."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS
 
 
 def resident_bytes(pid: int) -> int:
-    """Memory of a process now; raises OSError where it is gone."""
+    """Return the resident memory of a process now; raises OSError if it has exited."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * _PAGE
 
 
 def core_wait_seconds(pid: int) -> float:
-    """How long a process has stood in line for a core so far; raises OSError where it is gone."""
+    """Return how many seconds a process has waited for a core so far; raises OSError if it has exited."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[1]) / 1e9
 
 
 def free_address(
     ip: str, kind: socket.SocketKind = socket.SOCK_STREAM, taken: Collection[Address] = ()
 ) -> Address:
-    """An address that nobody listens on, and none of those `taken`; nobody else uses this ip."""
-    # The kernel may draw a port again that was free a moment ago and is already promised to another listener:
-    # in one run of some hundred, one of 200 routers did not start. Hence `taken`.
+    """Return an address that nobody listens on and that is not among `taken`.
+
+    The caller has the IP address to itself.
+    """
+    # The kernel may pick a port again that was found free before and is reserved for another listener, which
+    # has not bound it yet: in one of some hundred runs one of 200 routers failed to start. Hence `taken`.
     while True:
         with socket.socket(type=kind) as probe:
             probe.bind((ip, 0))
@@ -87,7 +90,7 @@
 
 
 async def read_first_line(address: Address, data: bytes) -> bytes:
-    """The first line of what a router answers there; empty where nothing came in time."""
+    """Send `data` to a router and return the first line of its answer; empty if none came within PING_S."""
     writer = None
     try:
         async with asyncio.timeout(PING_S):
@@ -102,18 +105,18 @@
 
 
 async def answers_ping(address: Address) -> bool:
-    """Whether a router answers PING with PONG there: it has a list, and takes requests."""
+    """Whether a router answers PING with PONG, as it does once it has a list and accepts requests."""
     return (await read_first_line(address, resp.command(b"PING"))).startswith(b"+PONG")
 
 
 async def call_admin_endpoint(address: Address, path: str, body: str) -> bool:
-    """Call at a router's door; returns whether the answer was yes, in time."""
+    """Send a PUT to a router's admin endpoint; returns whether it answered 200 in time."""
     call = http.request("PUT", path, format_address(address), body=body.encode())
     return (await read_first_line(address, call)).startswith(b"HTTP/1.1 200")
 
 
 async def until_ready(address: Address, running: Callable[[], bool], clock: Clock) -> bool:
-    """Wait until a router answers there; False: it ended, or did not answer in time."""
+    """Wait until a router answers PING; False if it exited or did not answer within READY_S."""
     deadline = clock() + READY_S
     while running() and clock() < deadline:
         if await answers_ping(address):
@@ -123,7 +126,7 @@
 
 
 class Usage(msgspec.Struct, array_like=True):
-    """What a router's processes take: bytes, descriptors, and CPU seconds since its start."""
+    """One sample of a router's processes: memory in bytes, descriptors, and CPU seconds since its start."""
 
     at: float
     memory: int
@@ -132,7 +135,7 @@
 
 
 class RouterProcess:
-    """One router and its lives."""
+    """One router: its addresses and configuration, its process, and the lifetimes of all its processes."""
 
     def __init__(
         self,
@@ -147,34 +150,34 @@
         self.name, self.address, self.starts = name, address, 0
         self.ops = free_address(address[0], taken=[address])
         self.peer = free_address(address[0], socket.SOCK_DGRAM)
-        """Where it listens for other routers, if these may speak to it."""
+        """Address for datagrams of other routers, if peers are allowed."""
         self.lost = False
-        """Its machine is gone: the process stands still for ever, as silent as that."""
+        """Whether its machine is lost: the process stays stopped and so sends nothing."""
         self.lives: list[ProcessLifetime] = []
         self.usage: list[Usage] = []
         self.starved: list[tuple[str, float, float, float]] = []
-        """Stretches in which it waited for a core, as the checker's history has them."""
-        self._last_wait_sample = (0.0, 0.0)  # when that was last looked at, and how much it was
+        """When it waited for a core, in the form of `History.starved`."""
+        self._last_wait_sample = (0.0, 0.0)  # time of the last sample, and seconds waited until then
         self._command, self._root, self._clock = command, root, clock
         self._folder = folder / name
         self._config = self._folder / "config.json"
         self.log = folder / f"{name}.log"
-        """What it has written to its standard output and error: the laboratory's, not the machine's."""
+        """Its standard output and error; kept by the harness when the router's machine is lost."""
         self._cores = cores
         self._process: asyncio.subprocess.Process | None = None
         self._watch: asyncio.Task[None] | None = None
-        self._cpu_of_ended = 0.0  # of lives that are over
+        self._cpu_of_ended = 0.0  # CPU seconds of processes that have exited
 
     def configure(self, settings: dict[str, Any]) -> None:
-        """Write its configuration, all at once."""
+        """Write its configuration file atomically."""
         self._folder.mkdir(exist_ok=True)
         new = self._config.with_suffix(".new")
         new.write_bytes(orjson.dumps(settings))
         new.replace(self._config)
 
     async def start(self, discovery: Address) -> None:
-        """Start a process; returns as soon as it runs."""
-        if self.lost:  # the machine boots: who still has a connection to it gets a reset
+        """Start a process; returns as soon as the process exists."""
+        if self.lost:  # the machine boots: connections that are still open to it are reset
             await self.end()
             self.lost = False
         self.starts += 1
@@ -206,7 +209,7 @@
         self._watch = asyncio.create_task(self._wait_for_exit(self._process, len(self.lives) - 1))
 
     def last_log_line(self) -> str:
-        """The last line of its log; empty where there is none."""
+        """The last line of its log; empty if there is none."""
         lines = self.log.read_text(errors="replace").strip().splitlines()
         return lines[-1] if lines else ""
 
@@ -220,7 +223,7 @@
         self.lives[index] = replace(self.lives[index], **changes)
 
     async def ready(self) -> bool:
-        """Wait until it answers PING with PONG; False: it ended, or did not in time."""
+        """Wait until it answers PING with PONG; False if it exited or did not answer in time."""
         assert self._process is not None
         if not await until_ready(self.address, lambda: self.running, self._clock):
             return False
@@ -229,12 +232,12 @@
 
     @property
     def running(self) -> bool:
-        """Whether its process runs, or stands still on a machine that is there."""
+        """Whether its process exists, running or stopped, on a machine that is not lost."""
         return self._process is not None and self._process.returncode is None and not self.lost
 
     @property
     def pid(self) -> int:
-        """The program that `run` started, not the shell round it."""
+        """The process id of the program that `run` started, not that of the shell around it."""
         assert self._process is not None
         pid = self._process.pid
         with contextlib.suppress(OSError, IndexError, ValueError):
@@ -243,7 +246,7 @@
         return pid
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal; its end by SIGTERM or SIGKILL is wanted then."""
+        """Send a signal; after SIGTERM or SIGKILL the end of the process is expected."""
         if not self.running:
             return
         if number is signal.SIGKILL:
@@ -260,10 +263,12 @@
             os.kill(self.pid, number)
 
     def lose_machine(self) -> None:
-        """Its machine is gone with all that was on it. Its kernel's connections stay open and silent until it
-        is started again, and are reset then (PROTOCOL, "The network"): until then it is only stopped.
+        """Lose its machine with everything on it.
+
+        The connections of a lost machine stay open and silent until the machine starts again, and are reset
+        then (PROTOCOL, "The network"). The process is therefore only stopped until the next start.
         """
-        # A kill would have the kernel reset all connections at once; a lost machine resets none.
+        # After SIGKILL the kernel would reset all connections at once; a lost machine resets none.
         self._to_group(signal.SIGSTOP)
         self._update_lifetime(-1, told_to_end=self._clock(), wanted="KILL")
         self.lost = True
@@ -275,33 +280,33 @@
             os.killpg(self._process.pid, number)
 
     async def ended(self, timeout: float) -> bool:
-        """Wait for its end; False: it still runs."""
+        """Wait for its exit at most `timeout` seconds; False if it still runs."""
         if self._watch is not None:
             await asyncio.wait((self._watch,), timeout=timeout)
         return not self.running
 
     async def end(self) -> None:
-        """End it now, and all it started."""
+        """Kill its process and everything the process started."""
         if self._process is not None:
             self._to_group(signal.SIGKILL)
             if self._watch is not None:
                 await self._watch
 
     def sample_core_waits(self) -> None:
-        """Read how long its process has waited for a core since the last look."""
+        """Record how long its process has waited for a core since the last sample."""
         if not self.running:
             return
         try:
             now, waited = self._clock(), core_wait_seconds(self.pid)
         except (OSError, IndexError, ValueError):
-            return  # it is ending just now
+            return  # the process is exiting
         since, before = self._last_wait_sample
         self._last_wait_sample = now, waited
         if since and waited - before > MIN_RECORDED_WAIT_S:
             self.starved.append((self.name, since, now, waited - before))
 
     def sample(self) -> None:
-        """Read what its processes take now."""
+        """Record the memory, descriptors and CPU time of its processes."""
         if not self.running:
             return
         memory = descriptors = 0
@@ -312,12 +317,12 @@
                 memory += resident_bytes(pid)
                 descriptors += len(os.listdir(f"/proc/{pid}/fd"))
         except (OSError, IndexError, ValueError):
-            return  # it is ending just now
+            return  # the process is exiting
         self.usage.append(Usage(self._clock(), memory, descriptors, cpu))
 
 
 def _process_tree(pid: int) -> list[int]:
-    """A process and all below it."""
+    """Return a process and all its descendants."""
     found = [pid]
     for parent in found:
         with contextlib.suppress(OSError):
