--- a/holdgw/harness/arrivals.py
+++ b/holdgw/harness/arrivals.py
@@ -1,6 +1,7 @@
-"""Requests of a run, drawn ahead from the scenario and the seed; pure.
+"""Draws the requests of a run ahead, from the scenario and the seed, without input or output.
 
-Every arrival uses the same count of draws, whether it is kept or not, so that a fault moves no other arrival.
+Every arrival uses the same number of draws, whether it is kept or not, so that a fault moves no other
+arrival.
 """
 
 from __future__ import annotations
@@ -62,13 +63,13 @@
         self._sums = list(itertools.accumulate(weights))
 
     def key(self, draw: float) -> bytes:
-        """The key that a draw in [0, 1) falls to."""
+        """Return the key that a draw in [0, 1) selects."""
         return key_name(bisect_right(self._sums, draw * self._sums[-1], hi=len(self._sums) - 1))
 
 
 @dataclass(slots=True)
 class _HotKeys:
-    """One fault of hot keys: its draw's number and a generator of its own."""
+    """One fault of hot keys, with the number of its draw and its generator."""
 
     fault: t.HotKey
     number: int
@@ -76,12 +77,12 @@
 
 
 def key_name(rank: int) -> bytes:
-    """The name of the key of that popularity, 0 for the most popular."""
+    """Return the name of the key with a popularity rank; 0 is the most popular."""
     return b"pkg-%06d" % rank
 
 
 def load_at(scenario: Scenario, at: float) -> float:
-    """First attempts of clients a second at a time, without bursts."""
+    """Return the scheduled requests per second at a time of the run, without bursts and client retries."""
     shape = scenario.load.shape
     before = [point for point in shape if point[0] <= at]
     after = [point for point in shape if point[0] > at]
@@ -92,7 +93,7 @@
 
 
 def draw_prelude(scenario: Scenario, seed: int) -> Iterator[ScheduledRequest]:
-    """The most popular keys, each asked for once before the run begins (at negative times)."""
+    """Yield one request for each of the most popular keys, at negative times before the run begins."""
     count = min(scenario.emulator.prelude_keys, scenario.keys.count)
     if not scenario.emulator.prelude_s or not count:
         return
@@ -103,7 +104,7 @@
     for i in range(count):
         at = scenario.emulator.prelude_s * (i / count - 1)
         zone = rng.choice(scenario.fleet.zones)
-        # The rarest first: the most popular are the last to be evicted.
+        # The least popular key comes first, so that the most popular ones are evicted last.
         key = key_name(count - 1 - i)
         yield ScheduledRequest(
             i - count, at, safe, 0, key, PRELUDE, zone, rng.random(), "", 0.8, 0.5, True, 1.0, False, False
@@ -111,7 +112,7 @@
 
 
 def draw_arrivals(scenario: Scenario, seed: int) -> Iterator[ScheduledRequest]:
-    """Every request of the run, in order of time."""
+    """Yield every request of the run, in order of time."""
     return _ArrivalDrawing(scenario, seed).requests()
 
 
@@ -149,7 +150,7 @@
         ]
 
     def requests(self) -> Iterator[ScheduledRequest]:
-        """Every request of the run, in order of time."""
+        """Yield every request of the run, in order of time."""
         peak = self._scenario.peak
         at = 0.0
         number = 0
@@ -167,7 +168,7 @@
                 number += 1
 
     def _burst_load(self, at: float) -> list[tuple[float, t.Burst]]:
-        """What each burst of the moment adds, requests a second."""
+        """Return what each burst at that time adds, in requests per second."""
         base = load_at(self._scenario, at)
         found = []
         for burst in self._bursts:
@@ -176,7 +177,7 @@
         return found
 
     def _share_of(self, tenant: str) -> float:
-        """A tenant's part of all requests; 1 for no name, which means all tenants."""
+        """Return a tenant's share of all requests; 1 for an empty name, which means all tenants."""
         if not tenant:
             return 1.0
         return self._tenant_shares[self._tenant_names.index(tenant)] / self._tenant_sums[-1]
@@ -213,7 +214,7 @@
     def _tenant_and_source(
         self, draws: _Draws, extra: Sequence[tuple[float, t.Burst]], rate: float
     ) -> tuple[int, str]:
-        """The request's tenant, and whether a burst brought it."""
+        """Return the request's tenant, and its source: usual or a burst."""
         tenant = _drawn_index(self._tenant_sums, draws.tenant)
         point = draws.burst * rate
         for more, burst in extra:
@@ -225,7 +226,10 @@
     def _key_and_source(
         self, number: int, at: float, draws: _Draws, source: str, read_zone: str | None
     ) -> tuple[bytes, str]:
-        """The request's key, where a scan or a hot key changes it for a read; `read_zone` None: a write."""
+        """Return the request's key and source, which a scan or a hot key may change for a read.
+
+        `read_zone` is the zone of a read's client, and None for a write.
+        """
         key = self._popularity.key(draws.key)
         if read_zone is not None and any(
             scan.at <= at < scan.at + scan.seconds and draws.scan < scan.share for scan in self._scans
@@ -243,7 +247,7 @@
         return key, source
 
     def _caller(self, at: float, draws: _Draws, source: str) -> tuple[str, str]:
-        """The request's source, and its router where a hot caller sent it."""
+        """Return the request's source, and its router if a hot caller sends it."""
         for fault, routers in self._hot_callers:
             if fault.at <= at < fault.at + fault.seconds and draws.hot_caller < fault.share:
                 return HOT_CALLER, routers[int(draws.hot_router * len(routers))]
@@ -263,5 +267,5 @@
 
 
 def _drawn_index(sums: Sequence[float], draw: float) -> int:
-    """The index that a draw in [0, 1) falls to, by running sums of weights."""
+    """Return the index that a draw in [0, 1) selects, by running sums of weights."""
     return min(bisect_right(sums, draw * sums[-1]), len(sums) - 1)
--- a/holdgw/harness/fault_schedule.py
+++ b/holdgw/harness/fault_schedule.py
@@ -1,6 +1,6 @@
-"""Faults of a run, drawn ahead from the scenario and the seed; pure.
+"""Draws the faults of a run ahead, from the scenario and the seed, without input or output.
 
-Each fault draws from a generator of its own, so that another fault in the file moves none of its targets.
+Each fault draws from a generator of its own, so that another fault in the file changes none of its targets.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 DISCOVERY = "discovery"
 DATAGRAM_FAULTS = ("loss", "duplicates", "reordered", "late_ms", "bytes_per_s")
 """Settings of the lines between routers that a fault may change."""
-# An endpoint in maintenance is restarted meanwhile: from and to these fractions of the time.
+# A node in maintenance is killed and started again at these fractions of the maintenance.
 MAINTENANCE_KILL = 0.4
 MAINTENANCE_START = 0.6
 
@@ -41,7 +41,7 @@
     """Draw every fault of the scenario.
 
     Returns:
-        What is done to the fleet, in order of time, and one entry for each fault of the scenario.
+        The scheduled faults in order of time, and one entry for reports of each fault of the scenario.
     """
     drawing = _FaultDrawing(scenario, seed)
     order = sorted(enumerate(scenario.trouble), key=lambda pair: pair[1].at)
@@ -52,7 +52,11 @@
 
 @dataclass(slots=True)
 class _Current:
-    """The fault being drawn: its generator, the number of its draw, when it ends, who is up at its start."""
+    """The fault that is being drawn.
+
+    It has its generator, the number of its draw, the second at which it ends, and the nodes that are up at
+    its start.
+    """
 
     rng: random.Random
     number: int
@@ -60,23 +64,23 @@
     alive: tuple[str, ...]
 
     def chosen_nodes(self, wanted: int | tuple[str, ...]) -> list[str]:
-        """Nodes by name, or so many drawn among those that are up."""
+        """Return the nodes given by name, or a number of them drawn among those that are up."""
         if isinstance(wanted, int):
             return sorted(self.rng.sample(self.alive, min(wanted, len(self.alive))))
         return [name for name in wanted if name in self.alive]
 
     def chosen_routers(self, routers: Sequence[str], wanted: int | tuple[str, ...]) -> list[str]:
-        """Routers by name, or so many drawn."""
+        """Return the routers given by name, or a number of them drawn."""
         if isinstance(wanted, tuple):
             return [name for name in wanted if name in routers]
         return self.rng.sample(routers, min(wanted, len(routers)))
 
 
 class _FaultDrawing:
-    """Draws faults in order of their beginnings; keeps which nodes no fault so far has taken away for good.
+    """Draws faults in order of their beginnings, and tracks which nodes no fault has removed for good.
 
-    A method of `_draw` adds the steps of one kind of fault and returns its text for reports. It sets
-    `_now.until` where the fault does not end after its `seconds`.
+    Each method of `_draw` schedules one kind of fault and returns its text for reports. The method sets
+    `_current.until` where the fault does not end after its `seconds`.
     """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
@@ -89,7 +93,7 @@
         self.steps: list[ScheduledFault] = []
 
     def draw(self, number: int, fault: t.Fault) -> DrawnFault:
-        """Draw one fault, the scenario's `number`-th."""
+        """Draw one fault, at position `number` of the scenario file."""
         place = draw_number(number, fault)
         until = fault.at + getattr(fault, "seconds", 0.0)
         self._current = _Current(generator(self._seed, f"trouble{place}"), place, until, tuple(self._alive))
@@ -220,7 +224,7 @@
         whose = f" of {fault.tenant}" if fault.tenant else ""
         return f"burst: {fault.factor:g} times the load{whose}"
 
-    # Origin and spoilt answers
+    # Origin and faulty answers
 
     @_draw.register
     def _(self, fault: t.OriginSlow) -> str:
@@ -337,7 +341,7 @@
             for name in routers:
                 self._add(back, "return", ROUTERS, {"router": name})
 
-    # Lines
+    # Network
 
     @_draw.register
     def _(self, fault: t.Partition) -> str:
@@ -372,7 +376,14 @@
         without_discovery: list[str],
         peers: tuple[list[str], list[str]],
     ) -> None:
-        """Part routers from servers by `sides`, some from discovery, and two groups from each other."""
+        """Schedule a partition.
+
+        Args:
+            fault: The fault, for its time and direction.
+            sides: Pairs of routers and the servers they are cut off from.
+            without_discovery: Routers cut off from discovery, if the fault includes discovery.
+            peers: Two groups of routers cut off from each other; none if the second one is empty.
+        """
         common = {"way": fault.way, "seconds": fault.seconds}
         for routers, servers in sides:
             self._add(fault.at, "partition", NETWORK, {"routers": routers, "servers": servers, **common})
@@ -414,10 +425,10 @@
 
 
 def lines_of_routers(scenario: Scenario, seed: int) -> dict[str, str]:
-    """The line over which each router comes to servers.
+    """Return the line over which each router reaches servers, by router.
 
-    That is its zone, or, for routers that a partition of the run cuts off, one of a zone's lines of their
-    own, shared by all that are cut off by the same partitions.
+    That is the router's zone. Routers that a partition of the run cuts off have a line of their own within
+    the zone, shared by all routers that the same partitions cut off.
     """
     steps, _ = draw_faults(scenario, seed)
     cuts = [step.args["routers"] for step in steps if step.verb == "partition" and step.target == NETWORK]
@@ -432,5 +443,5 @@
 
 
 def has_partitions(scenario: Scenario) -> bool:
-    """Whether a fault of the run cuts lines to servers or to discovery."""
+    """Whether a fault of the run cuts connections to servers or to discovery."""
     return any(isinstance(one, t.Partition | t.Vanish | t.ZoneLoss) for one in scenario.trouble)
--- a/holdgw/harness/fault_types.py
+++ b/holdgw/harness/fault_types.py
@@ -1,4 +1,4 @@
-"""What may go wrong on a day: one table a kind, each a `[[trouble]]` of the scenario file."""
+"""The kinds of faults, each a `[[trouble]]` table of the scenario file with its kind as the tag."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 
 class _Fault(ScenarioTable, frozen=True, kw_only=True, tag_field="kind"):
-    """Something that goes wrong at a second of the day."""
+    """The base of all faults; `at` is the second of the run at which the fault begins."""
 
     at: AtLeast0
     draw: int = -1
-    """Which draw of the seed it takes its nodes and routers from; -1: the one of its place in the file."""
+    """Number of the random draw for its nodes and routers; -1: its position in the file."""
 
 
 class _SimulationOnlyFault(_Fault, frozen=True, kw_only=True):
-    """A trouble that only simulated lines and clocks can have."""
+    """A fault that only the simulation's network and clocks can have."""
 
 
 Nodes = Count | tuple[str, ...]
-"""So many nodes, drawn by the seed, or these by name."""
+"""A number of nodes, drawn from the seed, or nodes by name."""
 Routers = Count | tuple[str, ...]
-"""So many routers, drawn by the seed, or these by name."""
+"""A number of routers, drawn from the seed, or routers by name."""
 
 
 class Pause(_Fault, frozen=True, kw_only=True, tag="pause"):
-    """Nodes stand still with their processes running."""
+    """Nodes are unresponsive, with their processes running and their connections open."""
 
     seconds: Positive
     nodes: Nodes = 1
 
 
 class FalseReport(_Fault, frozen=True, kw_only=True, tag="false_report"):
-    """Nodes' load reports are not true: always idle, always full, or as they were when it began."""
+    """Nodes send false load reports: always idle, always full, or unchanged since the fault began."""
 
     seconds: Positive
     nodes: Nodes = 1
@@ -43,20 +43,20 @@
 
 
 class Kill(_Fault, frozen=True, kw_only=True, tag="kill"):
-    """Nodes' processes die and stay away."""
+    """Nodes' processes are killed and not restarted."""
 
     nodes: Nodes = 1
 
 
 class Restart(_Fault, frozen=True, kw_only=True, tag="restart"):
-    """Nodes' processes die and start again, cold and empty, under the same ids."""
+    """Nodes' processes are killed and restarted, cold and empty, under the same ids."""
 
     nodes: Nodes = 1
     down_s: AtLeast0 = 0.5
 
 
 class Replace(_Fault, frozen=True, kw_only=True, tag="replace"):
-    """Nodes die, and others take their place under new ids, cold and empty."""
+    """Nodes are killed and replaced by others under new ids, cold and empty."""
 
     nodes: Nodes = 1
     down_s: AtLeast0 = 1.0
@@ -64,14 +64,14 @@
 
 
 class Drain(_Fault, frozen=True, kw_only=True, tag="drain"):
-    """Nodes drain for so long and leave."""
+    """Nodes drain for `seconds` and are then removed."""
 
     nodes: Nodes = 1
     seconds: Positive = 5.0
 
 
 class Maintenance(_Fault, frozen=True, kw_only=True, tag="by_hand"):
-    """Staff take nodes out at every router's door, restart them meanwhile, and call them back."""
+    """Nodes are put into maintenance at every router's admin endpoint, restarted, and taken out of it."""
 
     nodes: Nodes = 1
     seconds: Positive = 5.0
@@ -84,21 +84,22 @@
 
 
 class Flush(_Fault, frozen=True, kw_only=True, tag="flush"):
-    """The copies of a share of the keys go void at once."""
+    """The cached copies of a share of the keys become invalid at the same moment."""
 
     share: Share
 
 
 class Scan(_Fault, frozen=True, kw_only=True, tag="scan"):
-    """A share of the reads asks for keys that are wanted once only."""
+    """A share of the reads asks for keys that are requested only once."""
 
     seconds: Positive
     share: Share
 
 
 class HotKey(_Fault, frozen=True, kw_only=True, tag="hot_key"):
-    """Keys that nobody wanted get a share of all reads, from one moment to the next, and then none; of the
-    reads of one `zone`'s clients only, if it is named.
+    """Keys that were never requested suddenly get a share of all reads, and none after the fault.
+
+    With a `zone`, only reads of that zone's clients change.
     """
 
     seconds: Positive
@@ -108,7 +109,7 @@
 
 
 class HotCaller(_Fault, frozen=True, kw_only=True, tag="hot_caller"):
-    """One caller sends a share of all traffic through few routers."""
+    """One client sends a share of all traffic through a few routers."""
 
     seconds: Positive
     share: Share
@@ -116,7 +117,7 @@
 
 
 class Burst(_Fault, frozen=True, kw_only=True, tag="burst"):
-    """The load is so many times as high; of one tenant only, if it is named."""
+    """The load is multiplied by `factor`; with a `tenant`, only that tenant's."""
 
     seconds: Positive
     factor: Positive
@@ -124,14 +125,14 @@
 
 
 class OriginSlow(_Fault, frozen=True, kw_only=True, tag="origin_slow"):
-    """The package store takes so many times as long."""
+    """The origin takes `factor` times as long."""
 
     seconds: Positive
     factor: Positive
 
 
 class OriginDown(_Fault, frozen=True, kw_only=True, tag="origin_down"):
-    """The package store can't be reached."""
+    """The origin is unreachable."""
 
     seconds: Positive
 
@@ -144,40 +145,41 @@
 
 
 class Reset(_AnswerFault, frozen=True, kw_only=True, tag="reset"):
-    """A share of the answers is a reset; `store`: the package store's too."""
+    """A share of the answers is replaced by a connection reset; with `store`, the origin's as well."""
 
 
 class Garble(_AnswerFault, frozen=True, kw_only=True, tag="garble"):
-    """A share of the answers is noise."""
+    """A share of the answers is replaced by bytes that are no valid answer."""
 
 
 class Silence(_AnswerFault, frozen=True, kw_only=True, tag="silence"):
-    """A share of the answers never comes."""
+    """A share of the answers is never sent, though the work is done."""
 
 
 class DiscoveryLate(_Fault, frozen=True, kw_only=True, tag="discovery_late"):
-    """Changes of the list come so much later."""
+    """Changes of the endpoint list reach the routers `extra_s` later."""
 
     seconds: Positive
     extra_s: Positive
 
 
 class DiscoveryStale(_Fault, frozen=True, kw_only=True, tag="discovery_stale"):
-    """Routers' views of the list stand still; 0 routers: all of them."""
+    """Routers' views of the endpoint list do not change; 0 routers: those of all routers."""
 
     seconds: Positive
     routers: Annotated[int, Meta(ge=0)] = 0
 
 
 class DiscoveryDown(_Fault, frozen=True, kw_only=True, tag="discovery_down"):
-    """Discovery is out."""
+    """Discovery is unreachable."""
 
     seconds: Positive
 
 
 class RouterRestart(_Fault, frozen=True, kw_only=True, tag="router_restart"):
-    """Routers are restarted; TERM: as planned, KILL: they die. `gap_s` lies between one and the next, or
-    between so many `together` and the next ones.
+    """Routers are restarted: gracefully by TERM, or by KILL.
+
+    `together` routers are restarted at the same time, and `gap_s` passes between one group and the next.
     """
 
     routers: Routers = 1
@@ -187,39 +189,40 @@
 
 
 class RouterReload(_Fault, frozen=True, kw_only=True, tag="router_reload"):
-    """Routers get a new configuration that names another address of discovery, and SIGHUP."""
+    """Routers get a new configuration, with another address of discovery, and SIGHUP."""
 
     routers: Count = 1
 
 
 class Stall(_Fault, frozen=True, kw_only=True, tag="emulator_stall"):
-    """The emulator itself stands still: to see that such a run is marked void."""
+    """The emulator itself stalls, to check that such a run is marked void."""
 
     seconds: Positive
     where: Literal["nodes", "clients"] = "nodes"
 
 
 class Partition(_Fault, frozen=True, kw_only=True, tag="partition"):
-    """Nothing comes through between routers and nodes; `way`: both ways, or only to or from the nodes. With a
-    `zone`, that zone's routers and nodes are cut off from those of the others, routers from routers too, and
-    `nodes`, `routers` and `peers` say nothing.
+    """Nothing passes between routers and nodes: both ways, or only to or only from the nodes (`way`).
+
+    With a `zone`, that zone's routers and nodes are cut off from those of the other zones, and routers from
+    routers as well; `nodes`, `routers` and `peers` are then ignored.
     """
 
     seconds: Positive
     nodes: Annotated[int, Meta(ge=0)] | tuple[str, ...] | Literal["all"] = 1
     routers: Annotated[int, Meta(ge=0)] | tuple[str, ...] = 0
-    """So many, drawn by the seed, or these by name; 0: all of them."""
+    """A number of routers, drawn from the seed, or routers by name; 0: all of them."""
     way: Literal["both", "to", "from"] = "both"
     store: bool = False
     discovery: bool = False
-    """From the list service as well; with a `zone`, those routers that it does not stand beside."""
+    """Also cuts the routers off from discovery; with a `zone`, the routers on the side without discovery."""
     peers: Annotated[int, Meta(ge=0)] | tuple[str, ...] = 0
-    """From so many other routers, or these by name."""
+    """A number of other routers from which they are cut off as well, or such routers by name."""
     zone: str = ""
 
 
 class Freeze(_Fault, frozen=True, kw_only=True, tag="freeze"):
-    """Routers' processes stand still (SIGSTOP), and go on with all they believed; their kernels go on."""
+    """Routers' processes are stopped (SIGSTOP) and continue with all their state; their kernels run on."""
 
     seconds: Positive
     routers: Routers = 1
@@ -234,8 +237,9 @@
 
 
 class MachineLoss(_Fault, frozen=True, kw_only=True, tag="machine_loss"):
-    """Routers' machines are gone with all that was on them, and their addresses are silent. They come back
-    empty under their old names after `down_s`, or, with 0, never.
+    """Routers' machines are lost with everything on them, and their addresses are silent.
+
+    They come back empty under their old names after `down_s`; with 0 they never come back.
     """
 
     routers: Routers = 1
@@ -243,8 +247,10 @@
 
 
 class ZoneLoss(_Fault, frozen=True, kw_only=True, tag="zone_loss"):
-    """Every machine of a zone is gone without a word, nodes and routers; the list hears of the nodes after
-    `notice_s`. All come back after `seconds`, cold and empty.
+    """Every machine of a zone is lost without notice, nodes and routers.
+
+    The endpoint list loses the nodes after `notice_s`. All machines come back after `seconds`, cold and
+    empty.
     """
 
     zone: str
@@ -253,8 +259,9 @@
 
 
 class LossyPeers(_Fault, frozen=True, kw_only=True, tag="lossy_peers"):
-    """Lines from router to router are bad: shares of the datagrams are lost, come twice, or come up to
-    `late_ms` late and so behind later ones; `bytes_per_s` bounds each line, 0: not at all.
+    """Datagrams between routers are disturbed: shares of them are lost, duplicated or reordered.
+
+    A reordered datagram arrives up to `late_ms` late. `bytes_per_s` limits each line; 0: no limit.
     """
 
     seconds: Positive
@@ -266,7 +273,10 @@
 
 
 class Vanish(_Fault, frozen=True, kw_only=True, tag="vanish"):
-    """Nodes' machines are gone without a word; the list hears of it after `notice_s`. They come back cold."""
+    """Nodes' machines are lost without notice; the endpoint list loses them after `notice_s`.
+
+    The nodes come back cold after `seconds`.
+    """
 
     seconds: Positive
     nodes: Nodes = 1
@@ -278,8 +288,10 @@
 
 
 class Cut(_SimulationOnlyFault, frozen=True, kw_only=True, tag="cut"):
-    """A share of what is sent breaks its connection: before it is accepted, amid a request or an answer,
-    right behind either, by an end in good order behind an answer, or (`vanish`) so that nobody is told.
+    """A share of what is sent breaks its connection, at one of `phases`.
+
+    The connection breaks before it is accepted, within a request, within an answer, right behind either, by
+    an orderly close behind an answer, or (`vanish`) without either end being told.
     """
 
     seconds: Positive
@@ -289,25 +301,28 @@
 
 
 class LineConditions(_SimulationOnlyFault, frozen=True, kw_only=True, tag="weather"):
-    """All lines are bad: segments are lost and sent again, come in pieces, late, into small buffers."""
+    """All connections are disturbed: segments are lost and retransmitted, split or delayed.
+
+    New connections may have small kernel buffers (`window_kb`).
+    """
 
     seconds: Positive
     loss: Annotated[float, Meta(ge=0, le=0.9)] = 0.0
     chop: Share = 0.0
     slow_ms: AtLeast0 = 0.0
     window_kb: Annotated[int, Meta(ge=0)] = 0
-    """Of connections made meanwhile: the bytes that kernels hold of one direction; 0: as usual."""
+    """Kernel buffer of one direction, in KiB, for connections opened during the fault; 0: the usual size."""
 
 
 class RouterStop(_Fault, frozen=True, kw_only=True, tag="router_stop"):
-    """Routers' processes stand still, as by SIGSTOP; their kernels go on."""
+    """Routers' processes are stopped briefly, as by SIGSTOP; their kernels run on."""
 
     seconds: Annotated[float, Meta(gt=0, le=0.3)]
     routers: Count = 1
 
 
 class ClockJump(_SimulationOnlyFault, frozen=True, kw_only=True, tag="clock_jump"):
-    """Routers' wall clocks are set forward, or back."""
+    """Routers' wall clocks are set forward or back by `by_s`."""
 
     by_s: float
     routers: Count = 1
@@ -353,15 +368,16 @@
 
 
 def kind_of(fault: Fault) -> str:
-    """The kind as the file words it."""
+    """The kind of a fault, as the scenario file names it."""
     return str(type(fault).__struct_config__.tag)
 
 
 def only_simulated(fault: Fault) -> bool:
-    """Whether real sockets and processes can't play it."""
+    """Whether only the simulation can play a fault."""
     return isinstance(fault, _SimulationOnlyFault)
 
 
 STORM_ONLY = ("isolate",)
-"""Kinds that a storm may name, and that are drawn as others: routers cut off from some of all there is."""
+"""Kinds that only a storm may name and that are drawn as other kinds: `isolate` cuts routers off from some
+nodes, peers or discovery."""
 KINDS: tuple[str, ...] = tuple(str(one.__struct_config__.tag) for one in Fault.__args__)
--- a/holdgw/harness/scenario_fields.py
+++ b/holdgw/harness/scenario_fields.py
@@ -1,4 +1,4 @@
-"""The kinds of fields that a scenario's tables have, and the table they stand in."""
+"""The types of fields in a scenario's tables, and the base class of the tables."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class ScenarioTable(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table of the file."""
+    """The base class of all tables of a scenario file; unknown keys are rejected."""
 
 
 def not_finite(value: Any, where: str = "") -> Iterator[str]:
-    """The fields, as dotted names, that hold an infinity or no number: TOML has both."""
+    """Yield the dotted names of fields that hold an infinity or NaN, both of which TOML allows."""
     if isinstance(value, float):
         if not math.isfinite(value):
             yield where
--- a/holdgw/harness/schedule.py
+++ b/holdgw/harness/schedule.py
@@ -1,8 +1,8 @@
-"""What a run does, drawn ahead from a scenario and a seed: every arrival, every choice and fault.
+"""The schedule of a run, drawn ahead from a scenario and a seed: every arrival, choice and fault.
 
-Nothing in it depends on how the run goes. Each part draws from a generator of its own, so that another fault
-does not move the arrivals, and whoever needs the schedule (each worker process does) draws the same one for
-itself (`schedule_drawing`).
+Nothing in a schedule depends on how the run goes. Each part draws from a generator of its own, so that
+another fault does not move the arrivals. Each process that needs the schedule draws the same one for itself
+(`schedule_drawing`).
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from holdgw.harness import fault_types as t
 from holdgw.harness.scenario import Scenario
 
-# Targets of faults beside nodes, by the names that the schedule gives them.
+# Targets of faults other than nodes, as they stand in `ScheduledFault.target`.
 ORIGIN = "store"
 NETWORK = "network"
-ROUTERS = "routers"  # processes and machines of routers
-PEERS = "peers"  # lines from router to router
-ADMIN = "doors"  # calls at every router's admin endpoint
-LINE_MARK = "+"  # behind a zone's name, in the name of one of its lines
+ROUTERS = "routers"  # routers' processes and machines
+PEERS = "peers"  # the lines between routers
+ADMIN = "doors"  # calls to every router's admin endpoint
+LINE_MARK = "+"  # between a zone's name and a number, in the name of a line within the zone
 
-# Where a request comes from.
+# Sources of requests, as reports name them.
 USUAL = "usual"
 SCAN = "scan"
 HOT_CALLER = "hot_caller"
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScheduledRequest:
-    """What one client wants once, with its retries; `at` is seconds from the run's start."""
+    """One request of a client, sent once and retried; `at` is in seconds from the run's start."""
 
     number: int
     at: float
@@ -44,23 +44,23 @@
     source: str
     zone: str
     spread: float
-    """Which of the routers that may be had it goes through."""
+    """Selects one of the available routers; in [0, 1)."""
     router: str
-    """The router that a hot caller goes through; empty for all others."""
+    """The router that a hot caller uses; empty for all other requests."""
     abandon_after_share: float
-    """The share of the give-up time after which a try is given up."""
+    """Fraction of the class's give-up time after which the client abandons an attempt and may retry."""
     backoff: float
     honours_retry_after: bool
     disconnect_after_share: float
-    """The share of its first try's time after which an impatient client leaves; 1 for the patient."""
+    """Fraction of the first attempt's time after which an impatient client disconnects; 1: it does not."""
     new_connection: bool
     over_quota: bool
-    """Beyond its tenant's quota: worth little."""
+    """Beyond its tenant's quota, and therefore worth little in the service score."""
 
 
 @dataclass(slots=True, frozen=True)
 class ScheduledFault:
-    """Something that is done to the fleet `at` seconds from the run's start."""
+    """One change to the fleet, `at` seconds from the run's start."""
 
     at: float
     verb: str
@@ -80,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Schedule:
-    """A drawn run. `asks` and `steps` are in order of time; the prelude's requests lie before 0."""
+    """A drawn run: requests and faults in order of time; the prelude's requests have negative times."""
 
     scenario: Scenario
     seed: int
@@ -90,25 +90,25 @@
 
     @property
     def zones(self) -> tuple[str, ...]:
-        """The zones."""
+        """The zones of the fleet."""
         return self.scenario.fleet.zones
 
 
 def draw_number(place: int, fault: t.Fault) -> int:
-    """The number of the draw that a fault takes its targets from."""
+    """Return the number of a fault's random draw; `place` is the fault's position in the file."""
     return place if fault.draw < 0 else fault.draw
 
 
 def generator(seed: int, purpose: str) -> random.Random:
-    """A generator of random numbers for one purpose."""
+    """Return a generator of random numbers for one purpose, independent of those for others."""
     return random.Random(f"{seed}/{purpose}")
 
 
 def request_id(seed: int, ask: int, number: int) -> str:
-    """A try's id; new with every try, and always the same in every run."""
+    """Return the request id of a client's attempt: another one for each attempt, the same in every run."""
     return f"{int(unit(seed, 'id', ask, number) * (1 << 32)):08x}-{ask}-{number}"
 
 
 def idempotency_key(seed: int, ask: int) -> str:
-    """A keyed write's key; the same in all its tries."""
+    """Return the idempotency key of a keyed write, the same in all its attempts."""
     return f"{int(unit(seed, 'k', ask) * (1 << 48)):012x}"
--- a/holdgw/harness/schedule_drawing.py
+++ b/holdgw/harness/schedule_drawing.py
@@ -1,4 +1,4 @@
-"""Draws a schedule from a scenario and a seed; pure."""
+"""Draws a schedule from a scenario and a seed, without input or output."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def draw_schedule(scenario: Scenario, seed: int) -> Schedule:
-    """Draw a run."""
+    """Draw a run's requests and faults; the same scenario and seed give the same schedule."""
     requests = tuple(draw_prelude(scenario, seed)) + tuple(draw_arrivals(scenario, seed))
     steps, drawn = draw_faults(scenario, seed)
     return Schedule(scenario, seed, requests, tuple(steps), tuple(drawn))
--- a/holdgw/harness/topology.py
+++ b/holdgw/harness/topology.py
@@ -1,4 +1,4 @@
-"""Zones, sizes and delays of a run's fleet: by name, or drawn by name from the seed; pure."""
+"""Zones, sizes and delays of a run's fleet, given by name or drawn from the seed by name."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def node_spec(scenario: Scenario, seed: int, name: str) -> NodeSpec:
-    """A node's sizes."""
+    """Return a node's sizes; those with bounds in the scenario are drawn from the seed by name."""
     table = scenario.node
 
     def span(what: str, bounds: tuple[float, float]) -> float:
@@ -45,7 +45,7 @@
 
 
 def origin_spec(scenario: Scenario) -> OriginSpec:
-    """The origin's sizes: as many slots as its rate takes, each at the speed that gives just that rate."""
+    """Return the origin's sizes: enough slots for its rate, at the speed that gives exactly that rate."""
     table = scenario.store
     slots = max(1, round(table.per_s * table.read_ms / 1000))
     fit = slots / (table.per_s * table.read_ms / 1000)
@@ -59,7 +59,7 @@
 
 
 def workload(scenario: Scenario, seed: int) -> Workload:
-    """Work and sizes by request and key."""
+    """Return the work of each class's requests and the sizes of values."""
     return Workload(
         seed,
         {one.name: (one.work_ms / 1000, one.cv) for one in scenario.classes},
@@ -69,7 +69,7 @@
 
 
 def lines(scenario: Scenario, seed: int, name: str, zone: str) -> dict[str, float]:
-    """One-way delays in seconds from each zone to a server in `zone`."""
+    """Return the one-way delays in seconds from each zone to a server in `zone`."""
     fleet = scenario.fleet
     return {
         other: between(unit(seed, "line", name, other), fleet.same_ms if other == zone else fleet.cross_ms)
@@ -79,11 +79,11 @@
 
 
 def zone_of_server(scenario: Scenario, name: str) -> str:
-    """A node's zone; the origin stands in the first one."""
+    """Return a server's zone; the origin is in the first one."""
     return zone_of(scenario.fleet.zones, int(name[4:]) if name != ORIGIN else 0)
 
 
 def zone_of_router(scenario: Scenario, name: str) -> str:
-    """The zone of a router, or of a machine set aside."""
+    """Return the zone of a router or of a dedicated aggregator."""
     prefix = AGGREGATOR if name.startswith(AGGREGATOR) else "router"
     return zone_of(scenario.fleet.zones, int(name.removeprefix(prefix)))
