--- a/holdgw/harness/deployment.py
+++ b/holdgw/harness/deployment.py
@@ -1,5 +1,6 @@
-"""What a router is told at its start (DEPLOY, "What a router is told"), made from a scenario; and the deploy
-file.
+"""Makes a router's configuration from a scenario, and reads the deploy file.
+
+The configuration's form is that of DEPLOY, "What a router is told".
 """
 
 from __future__ import annotations
@@ -23,28 +24,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """Where a router listens for others, and where others are to be had, in the order of their numbers."""
+    """Addresses for a router's datagrams: its own, and those of its peers in the order of their numbers."""
 
     listen: Address
     each: tuple[Address, ...]
     all: Address
     aggregators: tuple[Address, ...] = ()
-    """Those of `each` that aggregate load reports: machines set aside, behind the routers."""
+    """Those of `each` that are dedicated aggregators of load reports; they come after the routers."""
 
 
 class DeployError(Exception):
-    """The deploy file can't be used; one plain line that names file and field."""
+    """The deploy file cannot be used; the text is one line that names the file and the field."""
 
 
 def run_command(path: Path) -> str:
-    """The command that starts one router; raises DeployError."""
+    """Return the command that starts one router; raises DeployError."""
     return _command(path, "run")
 
 
 def build(path: Path) -> None:
-    """Run the deploy file's `build`, if it names one, as whoever deploys does before `run`.
+    """Run the deploy file's `build` command, if it has one, as a deployment does before `run`.
 
-    Without it `run` may start what an earlier build left, and not the sources as they are.
+    Without the build, `run` may start the result of an earlier build instead of the current sources.
 
     Raises:
         DeployError: The build failed.
@@ -80,7 +81,7 @@
 
 
 def settings(scenario: Scenario, number: int) -> dict[str, Any]:
-    """The settings of the router of that number, in the simulator's names and units."""
+    """Return the settings of the router with this number, in the names and units of its configuration."""
     node, router = scenario.node, scenario.router
     share = sum(one.share for one in scenario.tenants)
     ceilings = {
@@ -147,7 +148,19 @@
     ops: Address | None = None,
     peers: Peers | None = None,
 ) -> dict[str, Any]:
-    """The whole file of LB_CONFIG for a router's `start`-th start."""
+    """Return the content of a router's configuration file (LB_CONFIG).
+
+    Args:
+        scenario: The scenario of the run.
+        seed: The seed of the run.
+        name: The router's name.
+        start: The number of this start of the router, which changes the router's own seed.
+        listen: Where the router listens for clients.
+        discovery: Where discovery listens for this router.
+        known: The endpoint list as discovery has it now; None if there is none to tell.
+        ops: Where the router's admin endpoint listens; None: it has none.
+        peers: Addresses for datagrams of peers; None: peers are not allowed.
+    """
     among: dict[str, Any] = {"peers": []}
     if peers is not None:
         among = {
--- a/holdgw/harness/html_report.py
+++ b/holdgw/harness/html_report.py
@@ -1,4 +1,4 @@
-"""The report as one self-contained page: plots over time, the troubles marked on them; pure."""
+"""Renders the report as one self-contained HTML page: plots over time with the faults marked on them."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def nice_step(most: float, steps: int = 4) -> float:
-    """A round distance between grid lines, so that about so many reach `most`."""
+    """Return a round distance between grid lines, so that at most `steps` of them reach `most`."""
     if most <= 0:
         return 1.0
     raw = most / steps
@@ -49,7 +49,14 @@
 
 
 def plot(series: Series, length: float, faults: Sequence[DrawnFault], least: float = 0.0) -> str:
-    """An SVG of lines over the seconds of the day; bands are troubles."""
+    """Return an SVG plot of lines over the seconds of the run, with faults as coloured bands.
+
+    Args:
+        series: Points (second, value) by the line's name.
+        length: The length of the run in seconds.
+        faults: The faults to mark.
+        least: The value that the vertical axis reaches at least.
+    """
     most = max((y for line in series.values() for _, y in line), default=0.0)
     step = nice_step(max(most, least))
     top = max(step * ceil(max(most, least) / step), step)
@@ -141,9 +148,7 @@
 def _misses(report: Report) -> Series:
     length = report.schedule.scenario.length_s
     times: dict[str, list[float]] = {
-        "package store fetches": [
-            one.at for one in report.attempts if one.server == ORIGIN and not one.idempotency
-        ]
+        "origin fetches": [one.at for one in report.attempts if one.server == ORIGIN and not one.idempotency]
     }
     for why in ("never", "flushed", "evicted", "voided", "expired"):
         found = [one.at for one in report.attempts if one.missing == why]
@@ -174,7 +179,7 @@
 
 
 def _memory(usage: Mapping[str, Sequence[Usage]], begun: float) -> Series:
-    """The router with the most memory, the one with the least, and the most descriptors, by second."""
+    """Return the most memory and the most descriptors of a router, by second."""
     rows = defaultdict[int, list[Usage]](list)
     for several in usage.values():
         for one in several:
@@ -217,7 +222,13 @@
 
 
 def render(report: Report, usage: Mapping[str, Sequence[Usage]], begun: float) -> str:
-    """The whole page."""
+    """Return the whole page.
+
+    Args:
+        report: The report of the run.
+        usage: The samples of each router's memory and descriptors.
+        begun: The time of second 0 on the clock of `usage`.
+    """
     body = report.body
     rules = "".join(
         f'<span><b class="{"bad" if number else "good"}">{number}</b>{escape(rule)}</span>'
@@ -232,7 +243,7 @@
             ("in aim", body["in_aim"]),
             ("refused", body["refused"]),
             ("failed", body["failed"]),
-            ("store fetches", body["origin_fetches"]),
+            ("origin fetches", body["origin_fetches"]),
             ("p50 ms", body["p50_ms"]),
             ("p99 ms", body["p99_ms"]),
         )
@@ -250,19 +261,17 @@
             f"<style>{STYLE}</style><h1>{escape(body['scenario'])}, seed {body['seed']}</h1>",
             f"<p>{escape(report.schedule.scenario.about)}</p>{void}",
             f'<div class="figures">{figures}</div><div class="figures">{rules}</div>',
-            f"<ol>{troubles}</ol>" if troubles else "<p>No troubles.</p>",
-            _figure("Requests a second, by what became of them", _outcomes(report), report),
-            _figure(
-                "Time to the answer, ms", _latency(report), report, "By the second in which they were asked."
-            ),
-            _figure("Misses by cause, and fetches from the package store, a second", _misses(report), report),
-            _figure("Attempts a second at a node", _node_load(report), report),
+            f"<ol>{troubles}</ol>" if troubles else "<p>No faults.</p>",
+            _figure("Requests per second, by outcome", _outcomes(report), report),
+            _figure("Latency, ms", _latency(report), report, "By the second of the request."),
+            _figure("Misses by cause and origin fetches, per second", _misses(report), report),
+            _figure("Attempts per second at a node", _node_load(report), report),
             _figure("Skew of the routers", _skew(report), report, "By 5 s."),
-            _figure("What routers take", _memory(usage, begun), report),
+            _figure("Memory and descriptors of routers", _memory(usage, begun), report),
             f"<h2>By class</h2>{_grouped(report, 'classes')}<h2>By tenant</h2>{_grouped(report, 'tenants')}",
             f"<h2>By source</h2>{_grouped(report, 'sources')}",
             f"<h2>Broken rules</h2>{broken}" if body["broken"] else "",
-            f"<p>Emulator: 99th percentile of its lag {body['emulator']['p99_ms']:g} ms, ",
+            f"<p>Emulator lag: 99th percentile {body['emulator']['p99_ms']:g} ms, ",
             f"worst {body['emulator']['worst_ms']:g} ms.</p></html>",
         ]
     )
--- a/holdgw/harness/report.py
+++ b/holdgw/harness/report.py
@@ -1,4 +1,4 @@
-"""What a played day came to, as one plain object for `--json`, the page and the terminal; pure."""
+"""Makes the report of a run as one JSON object, for `--json`, the HTML page and the terminal."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 
 WINDOW_S = 5.0
 MAX_LISTED_ROUTERS = 5
-MAX_LISTED_VIOLATIONS = 200  # breaks listed; all are counted
+MAX_LISTED_VIOLATIONS = 200  # all are counted
 
 
 @dataclass(slots=True)
 class Report:
-    """A day's report. `body` is what `--json` writes; the rest is for those who draw."""
+    """A run's report. `body` is what `--json` writes; the other fields are for plots and tests."""
 
     body: dict[str, Any]
     schedule: Schedule
@@ -44,19 +44,19 @@
     outcomes: list[RequestOutcome]
     service: Service
     attempts: list[Attempt] = field(default_factory=list)
-    """Of the day itself, times in seconds of the day."""
+    """The attempts of the run without its prelude, with times in seconds of the run."""
     router_of: dict[str, str] = field(default_factory=dict)
 
     @property
     def exit_code(self) -> int:
-        """0: the rules were kept; 1: one was broken; 3: the emulator was late, and nothing is judged."""
+        """0: no rule was violated; 1: a rule was violated; 3: the emulator was late, and the run is void."""
         if self.lag.void:
             return 3
         return 1 if self.broken else 0
 
 
 def _summary(found: Sequence[RequestOutcome], schedule: Schedule) -> dict[str, Any]:
-    """Counts, service and latencies of some asks."""
+    """Return counts, service and latencies of some requests."""
     classes = schedule.scenario.classes
     counted = scoring.outcome_counts(found, classes)
     took = sorted(outcome.took * 1000 for outcome in found if outcome.took is not None)
@@ -79,7 +79,7 @@
 
 
 def _router_usage(usage: Sequence[Usage], begun: float) -> dict[str, Any]:
-    """A router's memory, descriptors and CPU over the day."""
+    """Return a router's memory, descriptors and CPU over the run."""
     samples = [one for one in usage if one.at >= begun]
     if not samples:
         return {}
@@ -94,7 +94,7 @@
 
 
 def _harness_usage(played: RunResult) -> dict[str, Any]:
-    """What the laboratory itself took: processes, memory, starts, and cores that were waited for."""
+    """Return the harness's own figures: processes, memory, start times, and waits for a core."""
     latest: dict[int, dict[str, int]] = defaultdict(dict)
     for router, usage in played.usage.items():
         for one in usage:
@@ -132,7 +132,7 @@
     schedule: Schedule,
     router_of: dict[str, str],
 ) -> list[dict[str, Any]]:
-    """Every 5 s: what was asked, what became of it, and the signs by which troubles are told apart."""
+    """Return the requests and outcomes of each 5 s, with the figures that tell overlapping faults apart."""
     requests = defaultdict[int, list[RequestOutcome]](list)
     sent = defaultdict[int, list[Attempt]](list)
     for outcome in found:
@@ -161,8 +161,10 @@
 def _faults_told_apart(
     found: Sequence[RequestOutcome], attempts: Sequence[Attempt], schedule: Schedule, flushed: int
 ) -> dict[str, Any]:
-    """Troubles that overlap, each by its own sign: a scan by keys wanted once, a hot caller by who asked and
-    through which router, a flush by copies that had been kept and were missed.
+    """Return the figures that tell overlapping faults apart.
+
+    A scan shows in keys that are requested once, a hot caller in its requests and their routers, and a flush
+    in misses of copies that had been cached.
     """
     scanned = [outcome for outcome in found if outcome.request.source == "scan"]
     hot = [outcome for outcome in found if outcome.request.source == "hot_caller"]
@@ -193,12 +195,12 @@
 
 
 def rule_violations(schedule: Schedule, history: History) -> list[Violation]:
-    """All breaks of the four rules on a day, in order of time."""
+    """Return all violations of the four rules in a run, in order of time."""
     return [one for one in all_violations(schedule, history) if one.rule != STARVED]
 
 
 def all_violations(schedule: Schedule, history: History) -> list[Violation]:
-    """All breaks on a day, and requests lost for want of a core, in order of time."""
+    """Return all violations in a run, and the requests lost for lack of a core, in order of time."""
     classes = schedule.scenario.classes
     rules = {
         request.number: ClassRule(cls.effect, cls.window_ms / 1000)
@@ -209,7 +211,7 @@
 
 
 def make_report(played: RunResult) -> Report:
-    """Judge and count a played day."""
+    """Check a run against the rules, and compute its report."""
     schedule, scenario, history, begun = (
         played.schedule,
         played.schedule.scenario,
--- a/holdgw/harness/scenario.py
+++ b/holdgw/harness/scenario.py
@@ -1,6 +1,6 @@
-"""A scenario file (TOML): the fleet, its clients and load, and a time line of troubles that overlap freely.
+"""Reads scenario files (TOML): the fleet, its clients and load, and faults that may overlap freely.
 
-Anything unknown or out of bounds is refused with one line that names the file and the field.
+Unknown keys and values out of bounds are rejected with one line that names the file and the field.
 """
 
 from __future__ import annotations
@@ -37,29 +37,29 @@
 MAX_NODES = 2000
 MAX_ROUTERS = 400
 MAX_LENGTH_S = 3600.0
-MAX_PEAK_RATE = 50_000.0  # first tries a second: ten times what the emulator plays on 8 cores
-MAX_REQUESTS = 5_000_000  # of a whole day: asks are drawn ahead and held, some 500 bytes each
+MAX_PEAK_RATE = 50_000.0  # scheduled requests a second: ten times what the emulator can play on 8 cores
+MAX_REQUESTS = 5_000_000  # of a run: requests are drawn ahead and held in memory, some 500 bytes each
 
 
 class ScenarioError(Exception):
-    """The file can't be used; the text is one plain line that names file and field."""
+    """The file cannot be used; the text is one line that names the file and the field."""
 
 
 class Fleet(ScenarioTable, frozen=True, kw_only=True):
-    """Mirror nodes and routers, and the lines between their zones."""
+    """Sizes of the fleet of nodes and routers, and the delays between its zones."""
 
     nodes: Annotated[int, Meta(ge=1, le=MAX_NODES)] = 36
     routers: Annotated[int, Meta(ge=1, le=MAX_ROUTERS)] = 3
     zones: Annotated[tuple[str, ...], Meta(min_length=1)] = ("lozenets", "mladost", "druzhba")
     same_ms: Span = (0.1, 0.3)
-    """One way, within a zone."""
+    """One-way delay within a zone."""
     cross_ms: Span = (2.8, 5.2)
-    """One way, between two zones."""
+    """One-way delay between two zones."""
     cell: Count = 6
 
 
 class Node(ScenarioTable, frozen=True, kw_only=True):
-    """A mirror node (emulators/node_model.py); spans are drawn for each node."""
+    """An emulated endpoint (emulators/node_model.py); a value within each span is drawn for each node."""
 
     cores: Count = 1
     slots: tuple[Count, Count] = (2, 6)
@@ -85,30 +85,30 @@
 
 
 class Store(ScenarioTable, frozen=True, kw_only=True):
-    """The package store."""
+    """The origin."""
 
     per_s: Positive = 120.0
-    """Reads a second that it can do."""
+    """Reads per second that the origin can serve."""
     read_ms: Positive = 45.0
     write_ms: Positive = 70.0
     cv: AtLeast0 = 0.5
     queue_s: AtLeast0 = 1.0
-    """Its line, as seconds of its work."""
+    """Length of its queue, in seconds of its work."""
     error_share: Share = 0.0
 
 
 class Discovery(ScenarioTable, frozen=True, kw_only=True):
-    """How the list of nodes reaches the routers."""
+    """How the endpoint list reaches the routers: pushed by discovery, or asked for by the routers."""
 
     mode: Literal["push", "ask"] = "push"
     notice_s: Span = (0.5, 3.0)
-    """From a change to when a router's view has it."""
+    """From a change to when a router's view has the change."""
     call_ms: AtLeast0 = 2.0
-    """Asked: work of one call, all routers in one line."""
+    """With mode `ask`: work of one call; the calls of all routers share one queue."""
 
 
 class RequestClass(ScenarioTable, frozen=True, kw_only=True):
-    """A class of requests."""
+    """A request class: its share of requests, its work, its latency objective (`aim_ms`) and its worth."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z][a-z0-9_-]*$")]
     share: Positive
@@ -123,7 +123,7 @@
 
 
 class Tenant(ScenarioTable, frozen=True, kw_only=True):
-    """A namespace. `quota_per_s` 0: no quota."""
+    """A tenant, with its share of requests and its quota; `quota_per_s` 0: no quota."""
 
     name: Annotated[str, Meta(pattern=r"^[a-z][a-z0-9_-]*$")]
     share: Positive
@@ -131,7 +131,7 @@
 
 
 class Keys(ScenarioTable, frozen=True, kw_only=True):
-    """What is asked for."""
+    """The keys that are requested: their popularity (a Zipf law with an offset) and the sizes of values."""
 
     count: Count = 4000
     zipf: AtLeast0 = 1.05
@@ -141,8 +141,9 @@
 
 
 class Load(ScenarioTable, frozen=True, kw_only=True):
-    """First tries a second, all clients together; `shape` is a list of (second, factor), straight in
-    between.
+    """Scheduled requests per second of all clients together, without client retries.
+
+    `shape` is a list of (second, factor), with linear interpolation in between.
     """
 
     rate: Positive
@@ -150,24 +151,24 @@
 
 
 class Clients(ScenarioTable, frozen=True, kw_only=True):
-    """What clients do."""
+    """How clients retry, abandon requests and use connections."""
 
     retries: Annotated[int, Meta(ge=0, le=5)] = 2
     try_share: tuple[Share, Share] = (0.5, 0.8)
-    """A try is given up after this share of the class's give-up time."""
+    """An attempt of a client is abandoned after this fraction of the class's give-up time."""
     backoff_ms: Span = (20.0, 80.0)
-    """Before the first retry; doubled for each one after it."""
+    """Backoff before the first client retry, doubled for each further one."""
     honour: Share = 0.85
-    """Share of clients that come again no sooner than a refusal says."""
+    """Share of clients that retry no earlier than Retry-After says."""
     impatient: Share = 0.005
     fresh: Share = 0.0
-    """Share of tries that come on a new connection, closed after it."""
+    """Share of requests that use a new connection, which is closed afterwards."""
     front_notice_s: Span = (1.0, 3.0)
-    """Until the front sees that a router is gone."""
+    """Time until the front layer notices that a router has exited."""
 
 
 class Router(ScenarioTable, frozen=True, kw_only=True):
-    """What a router is given."""
+    """The limits and settings that a router is given."""
 
     memory_mb: Count = 192
     sockets: Annotated[int, Meta(ge=64)] = 1024
@@ -179,39 +180,40 @@
 
 
 class Peers(ScenarioTable, frozen=True, kw_only=True):
-    """Lines from router to router: datagrams of 256 bytes at most, over the fleet's lines between zones."""
+    """Lines between routers: datagrams of at most 256 bytes, with the fleet's delays between zones."""
 
     allowed: bool = False
-    """Whether routers are told of one another (DEPLOY, `peer_listen`, `peers`, `peers_all`)."""
+    """Whether routers are told each other's addresses (DEPLOY, `peer_listen`, `peers`, `peers_all`)."""
     jitter: Share = 0.2
-    """Of a line's delay, drawn for every datagram."""
+    """Fraction of a line's delay, drawn for every datagram."""
     loss: Share = 0.0
     duplicates: Share = 0.0
     reordered: Share = 0.0
     late_ms: AtLeast0 = 50.0
-    """By up to so much later come those that are out of order."""
+    """Largest extra delay of a reordered datagram."""
     bytes_per_s: AtLeast0 = 0.0
-    """Bound of each line, from one router to another; 0: none."""
+    """Limit of each line in one direction; 0: no limit."""
     aggregators: Annotated[int, Meta(ge=0, le=8)] = 0
-    """Machines set aside to aggregate routers' load reports, each a process; 0: routers gossip them. Real
-    processes only: the simulated day has none.
+    """Dedicated aggregators of routers' load reports, one process each; 0: routers gossip their reports. Only
+    with real processes: the simulation has none.
     """
 
 
 class Emulator(ScenarioTable, frozen=True, kw_only=True):
-    """When the emulator itself is too late to judge by."""
+    """Limits of the emulator's own lag, beyond which a run is void, and the prelude before a run."""
 
     lag_ms: Positive = 5.0
-    """The 99th percentile of its lag may not be over this."""
+    """Limit of the 99th percentile of the emulator's lag."""
     worst_ms: Positive = 40.0
-    """Nor any reading over this."""
+    """Limit of every single reading of the emulator's lag."""
     prelude_s: AtLeast0 = 4.0
-    """Before the day begins the keys asked for most are asked for once, and count as kept since long ago."""
+    """Time before the run in which each of the most popular keys is requested once; these keys count as cached
+    since long ago."""
     prelude_keys: int = 2500
 
 
 AGGREGATOR = "aggregator"
-"""What the names of machines set aside begin with."""
+"""Prefix of the names of dedicated aggregators."""
 
 FETCH = RequestClass(name="fetch", share=0.97, work_ms=45.0, aim_ms=300.0, give_up_ms=1200.0, worth=3.0)
 YANK = RequestClass(
@@ -225,28 +227,28 @@
 
 
 class Simulation(ScenarioTable, frozen=True, kw_only=True):
-    """What only `holdgw simulate` plays by."""
+    """Settings that only `holdgw simulate` uses."""
 
     jitter: Annotated[float, Meta(ge=0, le=10)] = 0.2
-    """Of a line's delay, drawn for every segment."""
+    """Fraction of a line's delay, drawn for every segment."""
     drift_ppm: Annotated[int, Meta(ge=0, le=1000)] = 100
-    """Routers' clocks are too fast or too slow by up to this."""
+    """Largest drift of routers' clocks, in either direction."""
     quiet_s: Annotated[float, Meta(ge=1, le=600)] = 34.0
-    """After the day, until routers are looked at for what is left over: beyond their longest idle time."""
+    """From the end of the run until routers are checked for leaks: beyond their longest idle timeout."""
     workers: Annotated[int, Meta(ge=0, le=16)] = 0
-    """Processes that each router serves with; they are killed, held up and replaced. 0: it is one process."""
+    """Worker processes of each router, which are killed, stopped and replaced; 0: one process, no workers."""
 
 
 class Storm(ScenarioTable, frozen=True, kw_only=True):
-    """Troubles that are drawn by the seed, beside those of the file; for `holdgw simulate`."""
+    """Faults that are drawn from the seed, in addition to those of the file; for `holdgw simulate`."""
 
     count: tuple[Annotated[int, Meta(ge=0, le=40)], Annotated[int, Meta(ge=0, le=40)]] = (0, 0)
     kinds: tuple[str, ...] = ()
-    """Empty: all kinds."""
+    """Kinds of faults to draw from; empty: all kinds."""
 
 
 class Scenario(ScenarioTable, frozen=True, kw_only=True):
-    """A whole day."""
+    """A whole scenario: fleet, load, clients, settings and faults of one run."""
 
     name: Annotated[str, Meta(min_length=1)]
     about: str = ""
@@ -272,7 +274,7 @@
     trouble: tuple[Fault, ...] = ()
 
     def __post_init__(self) -> None:
-        """Hold what no single field can: raises ValueError naming the field."""
+        """Check what depends on more than one field; raises ValueError naming the field."""
         for name in not_finite(self):
             raise ValueError(f"{name}: expected a finite number")
         _check_unique("classes", [one.name for one in self.classes])
@@ -299,24 +301,26 @@
         _check_range("storm.count", self.storm.count)
         for kind in self.storm.kinds:
             if kind not in (*KINDS, *STORM_ONLY) or kind == kind_of(Stall(at=0, seconds=1)):
-                raise ValueError(f"storm.kinds: no trouble {kind!r} that a storm may have")
+                raise ValueError(f"storm.kinds: no fault of kind {kind!r} that a storm can draw")
         self._check_load()
 
     def _check_load(self) -> None:
-        """Refuse what can't be played: to draw it would take for ever, and hold all there is of memory."""
+        """Reject a load too large to play: drawing its requests would take too long and exhaust memory."""
         usual = self.load.rate * max(factor for _, factor in self.load.shape)
         for what, peak in (("load.rate times load.shape", usual), ("load with its bursts", self.peak)):
             if peak > MAX_PEAK_RATE:
-                raise ValueError(f"{what}: a peak of {peak:.6g} a second; {MAX_PEAK_RATE:g} can be played")
+                raise ValueError(
+                    f"{what}: a peak of {peak:.6g} requests a second; at most {MAX_PEAK_RATE:g} can be played"
+                )
         if self.peak * self.length_s > MAX_REQUESTS:
             raise ValueError(
-                f"load.rate: up to {self.peak * self.length_s:.6g} first tries in {self.length_s:g} s; "
+                f"load.rate: up to {self.peak * self.length_s:.6g} requests in {self.length_s:g} s; at most "
                 f"{MAX_REQUESTS} can be played"
             )
 
     @property
     def peak(self) -> float:
-        """The most first tries a second that the day may have, bursts that overlap added up."""
+        """The highest rate of scheduled requests per second, with overlapping bursts added up."""
         most = self.load.rate * max(factor for _, factor in self.load.shape)
         bursts = [one for one in self.trouble if isinstance(one, Burst)]
         if len(bursts) == 1:
@@ -328,9 +332,9 @@
         return most * (1.0 + max(more, default=0.0))
 
     def simulation_only_reason(self) -> str:
-        """Why only the simulation can play it, naming the field; empty: real sockets can, too."""
+        """Why only the simulation can play the scenario, naming the field; empty if real processes can."""
         if self.storm.count[1]:
-            return "storm: drawn troubles are for `holdgw simulate`"
+            return "storm: only `holdgw simulate` can play drawn faults"
         for i, one in enumerate(self.trouble):
             if only_simulated(one):
                 return f"trouble[{i}] ({kind_of(one)}): only `holdgw simulate` can play it"
@@ -365,7 +369,7 @@
                 raise ValueError(f"{where}: no router {name!r}; they are {names[0]} to {names[-1]}")
 
     def cut(self, seconds: float) -> Scenario:
-        """The same day, ended earlier; troubles past its end are left out."""
+        """Return the same scenario, ended earlier; faults that would begin after its end are left out."""
         length = min(seconds, self.length_s)
         kept = tuple(trouble for trouble in self.trouble if trouble.at < length)
         return msgspec.structs.replace(self, length_s=length, trouble=kept)
@@ -373,7 +377,7 @@
 
 def _check_unique(where: str, names: Sequence[str]) -> None:
     if len(set(names)) != len(names):
-        raise ValueError(f"{where}: a name stands there twice")
+        raise ValueError(f"{where}: a name is used twice")
 
 
 def _check_range(where: str, span: tuple[float, float]) -> None:
@@ -382,28 +386,28 @@
 
 
 def node_names(fleet: Fleet) -> list[str]:
-    """The nodes' ids at the start of the day."""
+    """Return the ids of the nodes at the start of the run."""
     return [f"node{i:03d}" for i in range(fleet.nodes)]
 
 
 def router_names(fleet: Fleet) -> list[str]:
-    """The routers' names."""
+    """Return the names of the routers."""
     return [f"router{i:02d}" for i in range(fleet.routers)]
 
 
 def member_names(scenario: Scenario) -> list[str]:
-    """Routers, then the machines set aside to aggregate, in the order of their numbers as peers."""
+    """Return the names of routers, then of dedicated aggregators, in the order of their peer numbers."""
     routers = router_names(scenario.fleet)
     return [*routers, *(f"{AGGREGATOR}{i:02d}" for i in range(scenario.peers.aggregators))]
 
 
 def zone_of(zones: Sequence[str], number: int) -> str:
-    """Nodes and routers take the zones in turn."""
+    """Return the zone of a node or router by its number; they are spread over the zones in turn."""
     return zones[number % len(zones)]
 
 
 def shipped() -> list[str]:
-    """Names of the scenarios that come with holdgw."""
+    """Return the names of the scenarios that come with holdgw."""
     folder = resources.files("holdgw.harness") / "scenarios"
     return sorted(
         entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml")
@@ -411,20 +415,20 @@
 
 
 def load_scenario(name: str | Path) -> Scenario:
-    """Read a file, or a scenario that comes with holdgw, by its name; raises ScenarioError."""
+    """Read a scenario from a file, or by name one that comes with holdgw; raises ScenarioError."""
     path = Path(name)
     if not path.exists() and str(name) in shipped():
         path = Path(str(resources.files("holdgw.harness") / "scenarios" / f"{name}.toml"))
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
-        reason = error.strerror if isinstance(error, OSError) else "is no text"
+        reason = error.strerror if isinstance(error, OSError) else "is not a text file"
         raise ScenarioError(f"{name}: {reason}; the shipped ones are {', '.join(shipped())}") from None
     return read_scenario(text, str(name))
 
 
 def read_scenario(text: str, name: str) -> Scenario:
-    """Read a scenario's text; raises ScenarioError that names `name` and the field."""
+    """Read a scenario from its text; raises ScenarioError, which names `name` and the field."""
     try:
         return msgspec.convert(tomllib.loads(text), Scenario)
     except tomllib.TOMLDecodeError as error:
--- a/holdgw/harness/scoring.py
+++ b/holdgw/harness/scoring.py
@@ -1,10 +1,13 @@
-"""Service as the brief counts it, from drawn asks and what became of them; pure.
+"""Computes the service score of a run as the brief defines it, from scheduled requests and their outcomes.
 
-Worth answered within the aim over the worth asked for, a late answer at its class's late share, what goes
-beyond a tenant's quota at 5 %: 55 % the whole run, 15 % the worst 10 s, 5 % the worst-served class, 25 % the
-worst-served tenant. Deductions: 15 points in 100 for a fetch from the package store for each request, 8 for
-all failing only after the wanted time, 4 for as much work wasted as was asked for, 1 for one probe a request,
-1 for each request crossing zones once.
+Service is the worth of requests answered within the latency objective over the worth of all requests. A late
+answer counts with its class's late share, and a request beyond its tenant's quota with 5 % of its worth. The
+score weighs the service of the whole run with 55 %, of the worst 10 s with 15 %, of the worst-served class
+with 5 % and of the worst-served tenant with 25 %.
+
+Deductions, in points of 100: 15 for one origin fetch per request, 8 if all requests fail only after their
+latency objective, 4 for as much wasted work as was requested, 1 for one health check per request, and 1 for
+one attempt across zones per request.
 """
 
 from __future__ import annotations
@@ -24,12 +27,12 @@
 OVER_QUOTA_FACTOR = 0.05
 WORST_WINDOW_S = 10.0
 WINDOW_STEP_S = 1.0
-# Weights of the parts of the score; together 1.
+# Weights of the parts of the score, which add up to 1.
 TOTAL_WEIGHT = 0.55
 WINDOW_WEIGHT = 0.15
 CLASS_WEIGHT = 0.05
 TENANT_WEIGHT = 0.25
-# Deductions, at a ratio of 1.
+# Deductions from the score at a ratio of 1.
 ORIGIN_DEDUCTION = 0.15
 LATE_FAILURE_DEDUCTION = 0.08
 WASTE_DEDUCTION = 0.04
@@ -39,21 +42,30 @@
 
 @dataclass(slots=True)
 class RequestOutcome:
-    """What became of an ask. `took`: seconds from its first try to its good answer, None without one."""
+    """The outcome of a scheduled request with all its attempts.
+
+    `took` is the time in seconds from the request's first arrival to its good answer, None without one.
+    """
 
     request: ScheduledRequest
     took: float | None = None
     result: str = "failed"
-    """served, refused or failed: what its last try got; `left` where the client went away by itself."""
+    """The result of the last attempt: served, refused or failed; `left` if the client disconnected."""
     tries: int = 0
     ended: float = 0.0
-    """Seconds of the day."""
+    """In seconds of the run."""
 
 
 def request_outcomes(
     requests: Iterable[ScheduledRequest], tries: Iterable[Try], begun: float
 ) -> list[RequestOutcome]:
-    """Every ask of the day itself and what became of it. `begun`: the clock's time of second 0."""
+    """Return the outcome of every request of the run itself, without those of the prelude.
+
+    Args:
+        requests: The scheduled requests.
+        tries: The recorded attempts of clients.
+        begun: The time of second 0 on the clock of `tries`.
+    """
     tries_by_request = defaultdict[int, list[Try]](list)
     for one in tries:
         tries_by_request[one.ask].append(one)
@@ -75,20 +87,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """Worth asked for and worth got."""
+    """The worth of some requests, and the worth of their answers."""
 
     asked: float = 0.0
     got: float = 0.0
 
     @property
     def service(self) -> float:
-        """Got over asked; 1 where nothing was asked for."""
+        """The worth of answers over that of requests; 1 without requests."""
         return self.got / self.asked if self.asked else 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """The figure and its parts, each from 0 to 1; deductions as they are taken off."""
+    """The service score and its parts, each from 0 to 1; `deductions` are already subtracted."""
 
     service: float
     whole: float
@@ -100,7 +112,7 @@
 
 
 def worth_of(outcome: RequestOutcome, classes: Sequence[RequestClass]) -> tuple[float, float]:
-    """Worth asked for and worth got by one ask."""
+    """Return the worth of one request, and the worth of its answer."""
     cls = classes[outcome.request.request_class]
     worth = cls.worth * (OVER_QUOTA_FACTOR if outcome.request.over_quota else 1.0)
     if outcome.took is None or outcome.took > cls.give_up_ms / 1000:
@@ -111,7 +123,7 @@
 def shares(
     outcomes: Iterable[RequestOutcome], classes: Sequence[RequestClass], group: Callable[[RequestOutcome], K]
 ) -> dict[K, Share]:
-    """Worth by group."""
+    """Return the worth of requests and answers by group."""
     asked, got = defaultdict[K, float](float), defaultdict[K, float](float)
     for outcome in outcomes:
         a, g = worth_of(outcome, classes)
@@ -123,7 +135,10 @@
 def worst_window(
     outcomes: Sequence[RequestOutcome], classes: Sequence[RequestClass], length: float
 ) -> tuple[float, float]:
-    """The service of the worst 10 s and where they begin; of the whole day where it is shorter."""
+    """Return the service of the worst 10 s and the second at which they begin.
+
+    Of a shorter run, return the service of the whole run.
+    """
     if length <= WORST_WINDOW_S:
         total = shares(outcomes, classes, lambda _: 0).get(0, Share())
         return total.service, 0.0
@@ -148,7 +163,18 @@
     zones: Mapping[str, str],
     probes: int = 0,
 ) -> Service:
-    """The service of a day. `zones`: of each router and server."""
+    """Return the service score of a run.
+
+    Args:
+        outcomes: The outcomes of all requests.
+        history: The records of the run.
+        classes: The scenario's request classes.
+        tenants: The names of the scenario's tenants.
+        length: The length of the run in seconds.
+        begun: The time of second 0 on the clock of the records.
+        zones: The zone of each router and server.
+        probes: The number of health checks.
+    """
     total = shares(outcomes, classes, lambda _: 0).get(0, Share())
     by_class = shares(outcomes, classes, lambda outcome: outcome.request.request_class)
     by_tenant = shares(outcomes, classes, lambda outcome: outcome.request.tenant)
@@ -181,7 +207,7 @@
     zones: Mapping[str, str],
     probes: int = 0,
 ) -> dict[str, float]:
-    """What is taken off, by its name."""
+    """Return the deductions from the score by name; the arguments are those of `score`."""
     asked = max(len(outcomes), 1)
     attempts = [attempt for attempt in history.attempts if attempt.at >= begun]
     router = {one.request: one.router for one in history.tries}
@@ -212,14 +238,17 @@
 
 
 def quantile(sorted_values: Sequence[float], q: float) -> float:
-    """A quantile of sorted values by nearest rank; 0 of none."""
+    """Return a quantile of sorted values by nearest rank; 0 without values."""
     if not sorted_values:
         return 0.0
     return sorted_values[min(int(q * len(sorted_values)), len(sorted_values) - 1)]
 
 
 def outcome_counts(outcomes: Iterable[RequestOutcome], classes: Sequence[RequestClass]) -> Counter[str]:
-    """How many asks were served, in their aim, refused, and failed (with those left by their clients)."""
+    """Count the requests that were served, in time, refused and failed.
+
+    Requests abandoned by their clients count as failed.
+    """
     counted = Counter[str]()
     for outcome in outcomes:
         counted["asked"] += 1
--- a/tests/harness/test_scenario.py
+++ b/tests/harness/test_scenario.py
@@ -88,7 +88,7 @@
     with pytest.raises(ScenarioError, match="No such file"):
         load_scenario(tmp_path / "none.toml")
     (tmp_path / "binary.toml").write_bytes(b"\xff\xfe\x00")
-    with pytest.raises(ScenarioError, match="is no text"):
+    with pytest.raises(ScenarioError, match="is not a text file"):
         load_scenario(tmp_path / "binary.toml")
 
 
