--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -41,7 +41,8 @@
 
 SLACK_S = 0.05
 MAX_NOTICE_DELAY_S = 6.0
-"""A router counts as told of a state this long after its view had it, whether or not it was written to it."""
+"""A router counts as told of a state this long after its view had the state, whether or not discovery wrote
+the state to the router."""
 RULES = ("lost", "twice", "late_drain", "felled")
 STARVED_FRACTION = 0.25
 """A lost request counts as starved if its router waited for a core for more than this fraction of the time it
@@ -387,8 +388,8 @@
 
     A new process of a router has been told nothing yet.
     """
-    # For each router and server, one entry a statement: when it counts as told; the state; since when the
-    # state holds, which decides between two statements; and, of a statement that discovery wrote to the
+    # For each router and server, one entry for each statement: when it counts as told; the state; since when
+    # the state holds, which decides between two statements; and, of a statement that discovery wrote to the
     # router, when the router called for it (None of one that only the view had).
     knowledge = defaultdict[tuple[str, str], list[tuple[float, str, float, float | None]]](list)
     calls = _by_router((call.router, call.at) for call in history.calls)
--- a/holdgw/harness/scenario.py
+++ b/holdgw/harness/scenario.py
@@ -98,7 +98,7 @@
 
 
 class Discovery(ScenarioTable, frozen=True, kw_only=True):
-    """How the endpoint list reaches the routers: pushed by discovery, or asked for by the routers."""
+    """How the endpoint list reaches the routers: pushed by discovery, or polled by the routers (`ask`)."""
 
     mode: Literal["push", "ask"] = "push"
     notice_s: Span = (0.5, 3.0)
@@ -207,7 +207,7 @@
     worst_ms: Positive = 40.0
     """Limit of every single reading of the emulator's lag."""
     prelude_s: AtLeast0 = 4.0
-    """Time before the run in which each of the most popular keys is requested once; these keys count as cached
+    """Time before the run in which each of the most popular keys is requested once; these count as cached
     since long ago."""
     prelude_keys: int = 2500
 
@@ -236,7 +236,7 @@
     quiet_s: Annotated[float, Meta(ge=1, le=600)] = 34.0
     """From the end of the run until routers are checked for leaks: beyond their longest idle timeout."""
     workers: Annotated[int, Meta(ge=0, le=16)] = 0
-    """Worker processes of each router, which are killed, stopped and replaced; 0: one process, no workers."""
+    """Worker processes of each router, which are killed, stopped and replaced; 0: no workers."""
 
 
 class Storm(ScenarioTable, frozen=True, kw_only=True):
--- a/tests/harness/test_checker.py
+++ b/tests/harness/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker on recorded histories: each rule broken once, each excuse held."""
+"""Tests of the checker on recorded histories: every rule violated, and every exception to a rule."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     return [one.rule for one in find_violations(found, CLASSES, GRACE)]
 
 
-def test_a_day_as_it_should_be_breaks_nothing() -> None:
+def test_a_correct_run_violates_no_rule() -> None:
     found = history(
         tried(), attempt(),
         tried("q2", ask=2, server="store", serial=1),
@@ -93,7 +93,7 @@
         ((tried(crossed=10.05), attempt(at=10.02), attempt(at=10.08, serial=2)), "had been read"),
     ],
 )
-def test_lost_requests_are_found(records: tuple[Record, ...], text: str) -> None:
+def test_lost_requests_are_detected(records: tuple[Record, ...], text: str) -> None:
     broken = find_violations(history(*records), CLASSES, GRACE)
     assert {one.rule for one in broken} == {"lost"}
     assert any(text in one.text for one in broken)
@@ -102,22 +102,22 @@
 @pytest.mark.parametrize(
     ("came", "rules_broken"),
     [
-        (10.09, []),  # its server's process had no core to read it
+        (10.09, []),  # came in time, and its server's process had no core to read it sooner
         (10.14, []),
-        (10.16, ["lost"]),  # within the same 57 ms, but its router did send on after its answer
+        (10.16, ["lost"]),  # within the same 57 ms, but its router did forward it after the answer
         (10.207, ["lost"]),
-        (0.0, ["lost"]),  # nothing tells that it came sooner than it was read
+        (0.0, ["lost"]),  # no record says that it came sooner than it was read
     ],
 )
-def test_what_is_sent_on_after_an_answer_is_judged_by_when_it_came_and_not_by_when_it_was_read(
+def test_attempt_after_an_answer_is_judged_by_its_arrival_and_not_by_its_read_time(
     came: float, rules_broken: list[str]
 ) -> None:
     found = history(tried(answer="refused", ended=10.1), attempt(at=10.207, came=came, ended=10.3))
     assert rules(found) == rules_broken
 
 
-def test_what_fails_and_is_not_lost() -> None:
-    assert rules(history(tried(answer="cut"))) == []  # nothing was sent on for it
+def test_failed_requests_that_do_not_count_as_lost() -> None:
+    assert rules(history(tried(answer="cut"))) == []  # nothing was forwarded for it
     killed = ProcessLifetime("r1", 0.0, 0.1, told_to_end=10.05, wanted="KILL", exited=10.06, code=-9)
     assert rules(history(tried(answer="cut"), attempt(), lives=(killed,))) == []
     assert rules(history(tried(answer="none", ended=10.95), lives=(killed,))) == []
@@ -132,12 +132,12 @@
     ("waited", "slept_until", "rule"),
     [
         (0.06, 0.0, "starved"),
-        (0.04, 0.0, "lost"),  # of 950 ms
-        (0.04, 10.82, "starved"),  # of 130 ms: it stood still until then, with the request unread
+        (0.04, 0.0, "lost"),  # of the 950 ms it had
+        (0.04, 10.82, "starved"),  # of 130 ms: its process was stopped until then, the request unread
         (0.02, 10.82, "lost"),
     ],
 )
-def test_one_that_this_machine_gave_no_core_is_no_lost_one(
+def test_request_whose_router_got_no_core_counts_as_starved_and_not_as_lost(
     waited: float, slept_until: float, rule: str
 ) -> None:
     found = history(tried(answer="none", ended=10.95))
@@ -147,7 +147,7 @@
     assert rules(found) == [rule]
 
 
-def test_a_planned_end_loses_nothing_and_a_router_that_ends_by_itself_has_crashed() -> None:
+def test_graceful_shutdown_loses_nothing_and_an_exit_without_a_signal_is_a_crash() -> None:
     planned = ProcessLifetime("r1", 0.0, 0.1, told_to_end=10.05, wanted="TERM", exited=10.8, code=0)
     assert rules(history(lives=(planned,))) == []
     assert rules(history(tried(answer="cut"), attempt(), lives=(planned,))) == ["lost"]
@@ -172,7 +172,7 @@
         (1, "served", 9.0, False),
     ],
 )
-def test_what_may_have_run_is_sent_again_only_as_its_class_allows(
+def test_request_that_may_have_run_is_sent_again_only_as_its_class_allows(
     ask: int, first: str, second: float, broken: bool
 ) -> None:
     found = history(
@@ -186,14 +186,14 @@
 @pytest.mark.parametrize(
     ("ask", "second", "came", "broken"),
     [
-        (3, 10.201, 10.1, True),  # both came while their servers had no core, the second 0.1 s later
-        (3, 10.199, 10.1, True),  # and was read first
-        (2, 12.6, 12.44, False),  # written in its window, and read beyond it
+        (3, 10.201, 10.1, True),  # both came while their servers had no core, the second one 0.1 s later
+        (3, 10.199, 10.1, True),  # and the second one was read first
+        (2, 12.6, 12.44, False),  # sent within its window, and read beyond it
         (2, 12.6, 12.58, True),
-        (2, 12.0, 11.9, True),  # read within it too: its effect is a second one
+        (2, 12.0, 11.9, True),  # read within it as well: its effect is a second one
     ],
 )
-def test_what_is_sent_again_is_judged_by_when_it_came_and_not_by_when_it_was_read(
+def test_repeated_attempt_is_judged_by_its_arrival_and_not_by_its_read_time(
     ask: int, second: float, came: float, broken: bool
 ) -> None:
     found = history(
@@ -206,13 +206,13 @@
     assert set(rules(found)) == ({"twice"} if broken else set())
 
 
-def test_a_drain_is_judged_by_when_an_attempt_came() -> None:
+def test_drain_rule_judges_an_attempt_by_its_arrival() -> None:
     told = Told("r1", "n1", "draining", 9.0, 8.0)
     assert rules(history(told, tried(), attempt(at=9.7, came=9.54))) == []
     assert rules(history(told, tried(), attempt(at=9.7, came=9.56))) == ["late_drain"]
 
 
-def test_an_effect_that_happened_twice_is_found_within_its_window_too() -> None:
+def test_effect_that_happened_twice_is_detected_within_its_dedup_window() -> None:
     found = history(
         tried(ask=2, server="store", serial=2, ended=12.0),
         attempt(server="store", result="served", serial=1, effect=True),
@@ -221,14 +221,14 @@
     assert rules(found) == ["twice"]
 
 
-def test_an_unsafe_request_is_not_refused_once_it_may_have_run() -> None:
+def test_unsafe_request_must_not_be_rejected_once_it_may_have_run() -> None:
     refused = tried(ask=3, answer="refused")
     assert rules(history(refused, attempt(server="store", result="served"))) == ["twice"]
     assert rules(history(refused, attempt(server="store", result="busy"))) == []
     assert rules(history(tried(ask=2, answer="refused"), attempt(server="store", result="served"))) == []
 
 
-def test_a_miss_at_a_node_has_no_effect() -> None:
+def test_cache_miss_at_a_node_has_no_effect() -> None:
     found = history(
         tried(ask=3, server="store", serial=5),
         attempt(result="miss"),
@@ -240,7 +240,7 @@
 # Rule 3
 
 
-def test_a_drain_heard_and_not_kept_is_found() -> None:
+def test_attempt_after_the_drain_grace_is_detected() -> None:
     told = Told("r1", "n1", "draining", 9.0, 8.0)
     assert rules(history(told, tried(), attempt(at=9.54))) == []
     assert rules(history(told, tried(), attempt(at=9.56))) == ["late_drain"]
@@ -252,7 +252,7 @@
     return Told(**{**fields, **changes})
 
 
-def test_a_drain_counts_from_its_first_word_and_ends_with_the_next_start() -> None:
+def test_drain_counts_from_its_first_notice_and_ends_when_the_server_is_up_again() -> None:
     first = Told("r1", "n1", "draining", 9.0, 8.0)
     again = Told("r1", "n1", "removed", 9.9, 9.8)
     up = Told("r1", "n1", "up", 9.95, 9.9)
@@ -260,7 +260,7 @@
     assert rules(history(first, again, up, tried(), attempt())) == []
 
 
-def test_another_router_and_a_new_process_have_not_been_told() -> None:
+def test_drain_notice_counts_only_for_the_router_process_that_got_it() -> None:
     told = Told("r1", "n1", "draining", 5.0, 4.0)
     assert rules(history(told, tried(router="r2"), attempt(), lives=(ProcessLifetime("r2", 0.0),))) == []
     lives = (
@@ -270,27 +270,27 @@
     assert rules(history(told, tried(), attempt(), lives=lives)) == []
 
 
-def test_what_was_never_written_counts_as_told_after_six_seconds() -> None:
+def test_state_that_was_never_written_counts_as_told_after_six_seconds() -> None:
     had = Had("r1", "n1", "draining", 3.0)
     assert rules(history(had, tried(), attempt(at=9.5))) == []
     assert rules(history(had, tried(), attempt(at=9.6))) == ["late_drain"]
-    # An older fact does not undo a newer one that came by the wire.
+    # An older state of the view does not replace a newer one that was written to the router.
     newer = Told("r1", "n1", "up", 5.0, 4.5)
     assert rules(history(had, newer, tried(), attempt(at=9.6))) == []
 
 
-def test_a_later_fact_that_was_never_written_either_undoes_an_older_one() -> None:
-    # Found by bench/scenarios/by-hand.toml, seed 87: what a view had at 4 counted as older than what counts
-    # as told at 9.
+def test_later_state_of_a_view_replaces_an_older_one_when_neither_was_written() -> None:
+    # Found by bench/scenarios/by-hand.toml, seed 87: a state that a view had at 4 s counted as older than one
+    # that counts as told at 9 s.
     gone, back = Had("r1", "n1", "removed", 3.0), Had("r1", "n1", "up", 3.5)
     assert rules(history(gone, back, tried(), attempt(at=9.7))) == []
-    told = Told("r1", "n1", "up", 3.5, 3.5)  # written at the instant at which the view had both
+    told = Told("r1", "n1", "up", 3.5, 3.5)  # written at the moment at which the view had both
     gone_then = Had("r1", "n1", "removed", 3.5)
     found = history(gone_then, back, told, tried(ended=10.5), attempt(at=10.4, ended=10.45))
     assert rules(found) == []
 
 
-def test_a_new_process_knows_what_its_view_is_at_its_start_and_nothing_of_before() -> None:
+def test_new_process_knows_its_view_at_its_start_and_no_earlier_state() -> None:
     # Found by bench/scenarios/black-start.toml, seeds 2 and 6.
     gone, back = Had("r1", "n1", "removed", 3.0), Had("r1", "n1", "up", 4.0)
     lives = (
@@ -299,13 +299,14 @@
     )
     assert rules(history(gone, back, tried(), attempt(at=9.7), lives=lives)) == []
     at_once = Had("r1", "n1", "up", 3.0)
-    told = Told("r1", "n1", "up", 3.0, 3.0)  # to the process that died
+    told = Told("r1", "n1", "up", 3.0, 3.0)  # to the process that was killed
     assert rules(history(gone, at_once, told, tried(), attempt(at=9.7), lives=lives)) == []
     assert rules(history(gone, tried(), attempt(at=9.7), lives=lives)) == ["late_drain"]
 
 
-def test_a_word_to_a_process_that_has_died_is_told_to_nobody() -> None:
-    # Found by bench/scenarios/black-start.toml, seeds 9 and 11: its watch is answered before its end is seen.
+def test_notice_to_a_process_that_has_exited_does_not_count() -> None:
+    # Found by bench/scenarios/black-start.toml, seeds 9 and 11: discovery answers the watch of a process
+    # before it notices the process's exit.
     lives = (
         ProcessLifetime("r1", 0.0, told_to_end=8.0, wanted="KILL", exited=8.0),
         ProcessLifetime("r1", 8.1),
@@ -317,7 +318,7 @@
     assert rules(history(watch, again, told, tried(), attempt(), lives=lives)) == ["late_drain"]
 
 
-def test_a_server_out_by_hand_gets_nothing_whatever_discovery_says() -> None:
+def test_server_in_maintenance_gets_no_attempts_whatever_discovery_says() -> None:
     out, back = Handed("r1", "n1", True, 9.0), Handed("r1", "n1", False, 9.9)
     up = Told("r1", "n1", "up", 9.2, 9.1)
     assert rules(history(out, up, tried(), attempt())) == ["late_drain"]
@@ -335,17 +336,17 @@
 # Rule 4
 
 
-def test_a_node_pushed_over_is_found() -> None:
+def test_overloaded_cold_node_is_detected() -> None:
     assert rules(history(Fallen("n1", 5.0, 2.0, 1.0))) == ["felled"]
 
 
-def test_counts_name_every_rule() -> None:
+def test_counts_include_every_rule() -> None:
     broken = find_violations(history(Fallen("n1", 5.0, 2.0, 1.0), attempt("nobody")), CLASSES, GRACE)
     assert counts(broken) == {"lost": 1, "twice": 0, "late_drain": 0, "felled": 1}
     assert [one.at for one in broken] == sorted(one.at for one in broken)
 
 
-# The emulator's own lag
+# The lag of the emulator
 
 
 def lag(worst: float, **over: int) -> Lag:
@@ -356,12 +357,12 @@
     return Lag("nodes0", 5.0, worst, tuple(buckets))
 
 
-def test_an_emulator_in_time_may_judge() -> None:
+def test_run_counts_if_the_emulator_was_in_time() -> None:
     verdict = check_lag([lag(0.004, _4=5)], 5.0, 40.0)
     assert (verdict.p99_ms, verdict.worst_ms, verdict.void) == (0.5, 4.0, "")
 
 
-def test_an_emulator_that_was_late_makes_the_run_void() -> None:
+def test_late_emulator_makes_the_run_void() -> None:
     assert "late once" in check_lag([lag(0.2)], 5.0, 40.0).void
     assert "99th percentile" in check_lag([lag(0.02, _20=100)], 5.0, 40.0).void
     assert "no reading" in check_lag([], 5.0, 40.0).void
--- a/tests/harness/test_harness.py
+++ b/tests/harness/test_harness.py
@@ -1,6 +1,6 @@
-"""Short rehearsals over sockets: every trouble seen to act, a naive router caught, nothing left behind.
+"""Short runs with real processes: faults take effect, a router's mistakes are detected, nothing is left.
 
-What is asserted holds on a slow machine as well: counts, order and who did what, never how fast.
+The assertions hold on a slow machine as well: they check counts, order and who did what, never speed.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
     return played, make_report(played)
 
 
-def test_a_quiet_day_is_served_and_its_report_is_whole() -> None:
+def test_quiet_run_is_served_and_its_report_is_complete() -> None:
     played, report = rehearse(small())
     body = orjson.loads(orjson.dumps(report.body))
     for name in ("asked", "served", "in_aim", "refused", "failed", "service", "rules", "p50_ms", "p99_ms",
@@ -87,7 +87,7 @@
 
 
 @pytest.fixture(scope="module")
-def nodes_in_trouble() -> tuple[RunResult, Report]:
+def run_with_node_faults() -> tuple[RunResult, Report]:
     return rehearse(
         small(
             trouble("pause", 1.0, nodes=["node000"], seconds=2.0)
@@ -111,23 +111,25 @@
 
 
 @pytest.mark.xdist_group("one day")
-def test_a_paused_node_answers_nothing_and_goes_on_with_what_it_held(
-    nodes_in_trouble: tuple[RunResult, Report],
+def test_paused_node_answers_nothing_and_then_continues_with_its_open_requests(
+    run_with_node_faults: tuple[RunResult, Report],
 ) -> None:
-    played, _ = nodes_in_trouble
+    played, _ = run_with_node_faults
     answered = [one.ended - played.begun for _, one in at_node(played, "node000")]
     assert any(at < 1.0 for at in answered)
     assert not [at for at in answered if 1.5 < at < 2.9]
     held = [one for at, one in at_node(played, "node000") if 1.1 < at < 2.9]
-    assert held, "discovery lists it still, so some is sent"
+    assert held, "discovery still lists the node, so it gets requests"
     assert all(one.ended - played.begun >= 2.9 for one in held)
     states = [one.state for one in played.history.had if one.server == "node000"]
     assert states == []
 
 
 @pytest.mark.xdist_group("one day")
-def test_nodes_die_drain_restart_join_and_are_replaced(nodes_in_trouble: tuple[RunResult, Report]) -> None:
-    played, report = nodes_in_trouble
+def test_nodes_are_killed_drained_restarted_added_and_replaced(
+    run_with_node_faults: tuple[RunResult, Report],
+) -> None:
+    played, report = run_with_node_faults
     states: dict[str, list[str]] = {}
     for one in played.history.had:
         if one.router == "router00":
@@ -147,10 +149,10 @@
 
 
 @pytest.mark.xdist_group("one day")
-def test_a_flush_amid_a_scan_amid_a_hot_caller_are_told_apart(
-    nodes_in_trouble: tuple[RunResult, Report],
+def test_overlapping_flush_scan_and_hot_caller_are_told_apart(
+    run_with_node_faults: tuple[RunResult, Report],
 ) -> None:
-    _, report = nodes_in_trouble
+    _, report = run_with_node_faults
     apart = report.body["told_apart"]
     assert apart["scan"]["asked"] > 10
     assert apart["scan"]["keys"] == apart["scan"]["asked"]
@@ -186,12 +188,12 @@
     assert not [at for at, _ in reached if 2.1 < at < 3.4]
     assert [at for at, _ in reached if at > 3.6]
     slow = [one.ended - one.at for at, one in reached if 0.6 < at < 1.3 and one.result == "served"]
-    assert sorted(slow)[len(slow) // 2] > 0.1  # 0.02 s as a rule; a busy machine only makes it more
+    assert sorted(slow)[len(slow) // 2] > 0.1  # 0.02 s without the fault; a busy machine only makes it more
     assert report.body["sources"]["burst"]["asked"] > 30
     assert report.exit_code == 0, report.broken[:3]
 
 
-def test_discovery_that_is_late_stale_or_down_tells_so_much_later() -> None:
+def test_late_stale_or_unreachable_discovery_delays_updates_by_its_fault() -> None:
     played, report = rehearse(
         small(
             trouble("discovery_late", 0.5, seconds=1.0, extra_s=1.5)
@@ -210,9 +212,9 @@
 
     late, stale, down = had("node000"), had("node001"), had("node002")
     assert len(late) == len(stale) == len(down) == 2
-    assert late[0] >= 0.8 + 1.5 - 0.05  # a timer of the loop may be early by its step
+    assert late[0] >= 0.8 + 1.5 - 0.05  # a timer of the loop may fire early by its resolution
     assert stale[1] >= 4.45
-    assert stale[0] < stale[1] - 0.5, "the other router's view goes on"
+    assert stale[0] < stale[1] - 0.5, "the other router's view is still updated"
     assert down[0] >= 6.15
     written = [one.at - played.begun for one in played.history.told]
     assert not [at for at in written if 5.1 < at < 6.15]
@@ -223,12 +225,12 @@
     return set(Path(f"/proc/{os.getpid()}/task/{os.getpid()}/children").read_text().split())
 
 
-def test_a_crashed_router_leaves_no_descriptor_no_process_and_no_folder(
+def test_crashed_router_leaves_no_descriptor_process_or_folder(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
-    rehearse(small(length=1.0))  # what is loaded once is loaded now
-    before, helpers = len(os.listdir("/proc/self/fd")), children()  # another test's pool may have one
+    rehearse(small(length=1.0))  # opens what is opened only once in a process
+    before, helpers = len(os.listdir("/proc/self/fd")), children()  # of another test's pool, if any
     played, _ = rehearse(small(length=4.0), f"exec {sys.executable} -m tests.crashing_router")
     assert [life.code for life in played.history.lives] == [7, 7]
     assert len(os.listdir("/proc/self/fd")) == before
@@ -236,7 +238,7 @@
     assert children() <= helpers
 
 
-def test_routers_restart_as_planned_die_and_reload_with_nothing_lost() -> None:
+def test_routers_restart_gracefully_are_killed_and_reload_without_losing_requests() -> None:
     played, report = rehearse(
         small(
             trouble("router_reload", 0.5, routers=2)
@@ -250,13 +252,13 @@
     assert report.exit_code == 0, report.broken[:3]
     ends = [life.wanted for life in played.history.lives if life.exited is not None]
     assert ends.count("KILL") == 1
-    assert ends.count("TERM") == 3  # one planned, and two at the day's end
+    assert ends.count("TERM") == 3  # one by the fault, and two at the end of the run
     assert all(life.code == 0 for life in played.history.lives if life.wanted == "TERM")
     told = {one.router for one in played.history.told if one.server == "node000" and one.state == "draining"}
-    assert told == {"router00", "router01"}, "also by the address of discovery that the reload named"
+    assert told == {"router00", "router01"}, "also at the discovery address of the new configuration"
 
 
-def test_an_ask_mode_discovery_serves_as_well() -> None:
+def test_discovery_in_ask_mode_serves_routers() -> None:
     played, report = rehearse(
         small(
             trouble("cold_start", 0.5, nodes=1) + '\n[discovery]\nmode = "ask"\nnotice_s = [0.1, 0.2]\n',
@@ -277,24 +279,24 @@
 )
 
 
-def test_a_naive_router_fells_a_fresh_node_and_ours_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    # In simulated time: on a busy machine the load that fells a node may never come about.
+def test_only_a_router_without_slow_start_overloads_a_new_node(monkeypatch: pytest.MonkeyPatch) -> None:
+    # In simulated time: on a busy machine the load that overloads the node may never be reached.
     scenario = read_scenario(FRESH, "fresh")
     assert play_seed(scenario, 1).broken == []
-    monkeypatch.setattr(Clock, "monotonic", lambda _clock, _unix_ms: 0)  # blind to how long a node has run
+    monkeypatch.setattr(Clock, "monotonic", lambda _clock, _unix_ms: 0)  # hides how long a node has run
     naive = play_seed(scenario, 1)
     assert {one.rule for one in naive.broken} == {"felled"}
     assert any("node004" in one.text for one in naive.broken)
 
 
-def test_an_emulator_that_was_late_marks_the_run_void() -> None:
+def test_stalled_emulator_marks_the_run_void() -> None:
     text = small(trouble("emulator_stall", 1.0, seconds=0.3)).replace("10000.0", "200.0")
     _, report = rehearse(text)
     assert "late once" in report.body["void"]
     assert report.exit_code == 3
 
 
-def test_a_router_that_ends_by_itself_has_crashed_and_one_that_never_starts_ends_the_day() -> None:
+def test_router_exit_is_a_crash_and_a_router_that_never_gets_ready_ends_the_run() -> None:
     _, report = rehearse(small(length=5.0), f"exec {sys.executable} -m tests.crashing_router")
     assert report.exit_code == 1
     assert any("ended by itself with code 7" in one.text for one in report.broken)
@@ -302,18 +304,18 @@
         rehearse(small(), "echo no such luck; exit 3")
 
 
-# What is left behind
+# Processes that are left behind
 
 
 @pytest.fixture
-def marked() -> Iterator[str]:
+def process_mark() -> Iterator[str]:
     yield (mark := uuid.uuid4().hex)
-    for pid in of_mark(mark):
+    for pid in processes_with_mark(mark):
         os.kill(pid, signal.SIGKILL)
 
 
-def of_mark(mark: str) -> list[int]:
-    """Processes that carry the mark in their environment, but this one."""
+def processes_with_mark(mark: str) -> list[int]:
+    """Return the processes, except this one, that have the mark in their environment."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit() and int(entry.name) != os.getpid():
@@ -325,8 +327,8 @@
     return found
 
 
-def started(mark: str, tmp_path: Path) -> subprocess.Popen[str]:
-    """The command line amid a day: routers run, and clients ask."""
+def start_command_line(mark: str, tmp_path: Path) -> subprocess.Popen[str]:
+    """Start the command line, and return in the middle of its run: routers run, and clients send requests."""
     scenario = tmp_path / "day.toml"
     scenario.write_text(small(length=60.0))
     deploy = tmp_path / "deploy" / "balancer.toml"
@@ -342,30 +344,33 @@
         text=True,
     )
     due = time.monotonic() + LIMIT_S
-    while time.monotonic() < due and len(of_mark(mark)) < 6:  # itself, three workers or more, two routers
+    # The command line itself, at least three workers and two routers.
+    while time.monotonic() < due and len(processes_with_mark(mark)) < 6:
         time.sleep(0.05)
-    time.sleep(1.0)  # some of the day; nothing below needs it to be so much
+    time.sleep(1.0)  # some time into the run; the tests do not depend on how much
     return process
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_ctrl_c_ends_every_process(number: signal.Signals, marked: str, tmp_path: Path) -> None:
-    process = started(marked, tmp_path)
+def test_sigint_and_sigterm_end_every_process(
+    number: signal.Signals, process_mark: str, tmp_path: Path
+) -> None:
+    process = start_command_line(process_mark, tmp_path)
     process.send_signal(number)
-    _, told = process.communicate(timeout=LIMIT_S)
-    assert process.returncode == 130, told
-    assert "every process that was started is ended" in told
-    assert of_mark(marked) == []
+    _, stderr = process.communicate(timeout=LIMIT_S)
+    assert process.returncode == 130, stderr
+    assert "every process that was started is ended" in stderr
+    assert processes_with_mark(process_mark) == []
 
 
-def test_a_command_line_that_is_killed_outright_leaves_nothing(marked: str, tmp_path: Path) -> None:
-    process = started(marked, tmp_path)
+def test_killed_command_line_leaves_no_process(process_mark: str, tmp_path: Path) -> None:
+    process = start_command_line(process_mark, tmp_path)
     process.kill()
     process.communicate(timeout=LIMIT_S)
     due = time.monotonic() + LIMIT_S
-    while of_mark(marked) and time.monotonic() < due:
+    while processes_with_mark(process_mark) and time.monotonic() < due:
         time.sleep(0.05)
-    assert of_mark(marked) == []
+    assert processes_with_mark(process_mark) == []
 
 
 # The command line and the deploy file
@@ -386,14 +391,16 @@
         (("rehearse", "quiet", "--json", "nowhere/x.json"), "nowhere/x.json"),
     ],
 )
-def test_what_cannot_be_used_is_one_line_and_exit_2(words: tuple[str, ...], part: str) -> None:
+def test_unusable_argument_is_reported_in_one_line_with_exit_code_2(
+    words: tuple[str, ...], part: str
+) -> None:
     done = holdgw(*words)
     assert done.returncode == 2
     assert done.stderr.count("\n") == 1
     assert part in done.stderr
 
 
-def test_the_command_line_plays_and_writes_its_report(tmp_path: Path) -> None:
+def test_command_line_plays_a_run_and_writes_its_report(tmp_path: Path) -> None:
     scenario = tmp_path / "day.toml"
     scenario.write_text(small(length=9.0))
     out, page = tmp_path / "out.json", tmp_path / "out.html"
@@ -413,7 +420,7 @@
     return path
 
 
-def test_a_deploy_file_without_a_run_names_the_field(tmp_path: Path) -> None:
+def test_deploy_file_without_a_run_command_names_the_field(tmp_path: Path) -> None:
     path = tmp_path / "d.toml"
     path.write_text("run = 5")
     with pytest.raises(DeployError, match=r"d\.toml: run"):
@@ -423,18 +430,18 @@
         run_command(path)
 
 
-def test_grid_lines_are_round() -> None:
+def test_grid_lines_are_at_round_values() -> None:
     assert [nice_step(most) for most in (0, 0.9, 4, 37, 1000)] == [1.0, 0.5, 1, 10, 500]
 
 
-def test_an_address_that_is_promised_already_is_not_drawn_again() -> None:
-    """It is free until its listener comes, and the kernel may draw it a second time."""
+def test_address_that_is_already_reserved_is_not_returned_again() -> None:
+    """A reserved port is free until its listener binds it, and the kernel may pick it a second time."""
 
-    class Promised(list[tuple[str, int]]):
+    class Reserved(list[tuple[str, int]]):
         def __contains__(self, found: object) -> bool:
             self.append(found)  # type: ignore[arg-type]
             return len(self) < 3
 
-    promised = Promised()
-    assert free_address("127.0.0.1", taken=promised) == promised[-1]
-    assert len(promised) == 3
+    reserved = Reserved()
+    assert free_address("127.0.0.1", taken=reserved) == reserved[-1]
+    assert len(reserved) == 3
--- a/tests/harness/test_scenario.py
+++ b/tests/harness/test_scenario.py
@@ -1,5 +1,6 @@
-"""Scenario files and drawn days: clear errors, the same day from the same seed, troubles where they
-belong.
+"""Tests of scenario files and schedules: clear errors, reproducible draws, faults at the right place.
+
+Also covers the service score and the channel between orchestrator and workers.
 """
 
 from __future__ import annotations
@@ -70,7 +71,7 @@
         (BASE + "shape = [[0, 0.0]]", ("load.shape", "above 0")),
     ],
 )
-def test_a_file_that_cannot_be_used_names_file_and_field_in_one_line(
+def test_invalid_scenario_is_reported_in_one_line_with_file_and_field(
     text: str, parts: tuple[str, ...]
 ) -> None:
     with pytest.raises(ScenarioError) as caught:
@@ -82,7 +83,7 @@
         assert part in line
 
 
-def test_a_file_that_is_not_there_names_those_that_ship(tmp_path: Path) -> None:
+def test_missing_scenario_file_is_reported_with_the_shipped_names(tmp_path: Path) -> None:
     with pytest.raises(ScenarioError, match="release-morning"):
         load_scenario("no-such")
     with pytest.raises(ScenarioError, match="No such file"):
@@ -92,7 +93,7 @@
         load_scenario(tmp_path / "binary.toml")
 
 
-def test_the_shipped_ones_are_whole() -> None:
+def test_shipped_scenarios_are_complete() -> None:
     assert {"quiet", "release-morning", "storm", "rolling-restart", "incident-130"} <= set(shipped())
     for name in shipped():
         scenario = load_scenario(name)
@@ -104,81 +105,81 @@
     assert len(set(kinds)) >= 5
 
 
-def test_the_same_seed_is_the_same_day_and_another_is_another() -> None:
+def test_schedule_depends_on_the_seed_alone() -> None:
     scenario = load_scenario("storm").cut(15.0)
     assert draw_schedule(scenario, 3) == draw_schedule(scenario, 3)
     assert draw_schedule(scenario, 3).requests != draw_schedule(scenario, 4).requests
 
 
-def test_a_trouble_moves_no_arrival_of_the_day_without_it() -> None:
+def test_fault_moves_no_arrival() -> None:
     plain = draw_schedule(scenario_of(), 1)
     scanned = draw_schedule(scenario_of('[[trouble]]\nkind = "scan"\nat = 5\nseconds = 5\nshare = 0.5'), 1)
-    assert [ask.at for ask in plain.requests] == [ask.at for ask in scanned.requests]
+    assert [request.at for request in plain.requests] == [request.at for request in scanned.requests]
     for a, b in zip(plain.requests, scanned.requests, strict=True):
         assert a == b or (b.source == "scan" and 5 <= b.at < 10)
 
 
-def test_troubles_of_the_load_are_as_stated() -> None:
+def test_faults_of_the_load_have_the_stated_rates() -> None:
     text = (
         '[[trouble]]\nkind = "scan"\nat = 5\nseconds = 5\nshare = 0.5\n'
         '[[trouble]]\nkind = "hot_caller"\nat = 5\nseconds = 5\nshare = 0.25\n'
         '[[trouble]]\nkind = "burst"\nat = 10\nseconds = 10\nfactor = 3\ntenant = "public"\n'
     )
     scenario = msgspec.structs.replace(scenario_of(text), load=s.Load(rate=400.0))
-    asks = [ask for ask in draw_schedule(scenario, 1).requests if ask.at >= 0]
+    requests = [request for request in draw_schedule(scenario, 1).requests if request.at >= 0]
 
     def rate(a: float, b: float) -> float:
-        return sum(a <= ask.at < b for ask in asks) / (b - a)
+        return sum(a <= request.at < b for request in requests) / (b - a)
 
     assert rate(0, 5) == pytest.approx(400, rel=0.1)
     assert rate(5, 10) == pytest.approx(400, rel=0.1)
     assert rate(10, 20) == pytest.approx(400 * (1 + 0.63 * 2), rel=0.1)
-    amid = [ask for ask in asks if 5 <= ask.at < 10]
-    hot = [ask for ask in amid if ask.source == "hot_caller"]
-    assert len(hot) / len(amid) == pytest.approx(0.25, abs=0.04)
-    assert len({ask.router for ask in hot}) == 1
-    once = [ask.key for ask in amid if ask.key.startswith(b"once-")]
+    during = [request for request in requests if 5 <= request.at < 10]
+    hot = [request for request in during if request.source == "hot_caller"]
+    assert len(hot) / len(during) == pytest.approx(0.25, abs=0.04)
+    assert len({request.router for request in hot}) == 1
+    once = [request.key for request in during if request.key.startswith(b"once-")]
     assert len(once) == len(set(once))
-    assert len(once) / len(amid) == pytest.approx(0.5 * 0.97, abs=0.04)
-    burst = [ask for ask in asks if ask.source == "burst"]
-    assert {ask.tenant for ask in burst} == {0}
-    assert all(10 <= ask.at < 20 for ask in burst)
+    assert len(once) / len(during) == pytest.approx(0.5 * 0.97, abs=0.04)
+    burst = [request for request in requests if request.source == "burst"]
+    assert {request.tenant for request in burst} == {0}
+    assert all(10 <= request.at < 20 for request in burst)
 
 
-def test_a_hot_key_of_a_zone_is_asked_for_by_its_clients_alone_and_a_false_report_ends() -> None:
+def test_hot_key_of_a_zone_is_requested_by_its_clients_alone_and_a_false_report_ends() -> None:
     text = (
         '[[trouble]]\nkind = "hot_key"\nat = 2\nseconds = 5\nshare = 0.5\nzone = "mladost"\n'
         '[[trouble]]\nkind = "false_report"\nat = 3\nseconds = 4\nnodes = ["node002"]\nsays = "full"\n'
     )
     schedule = draw_schedule(msgspec.structs.replace(scenario_of(text), load=s.Load(rate=200.0)), 1)
-    hot = [ask for ask in schedule.requests if ask.source == "hot_key"]
-    assert {ask.zone for ask in hot} == {"mladost"}
-    there = [ask for ask in schedule.requests if 2 <= ask.at < 7 and ask.zone == "mladost"]
+    hot = [request for request in schedule.requests if request.source == "hot_key"]
+    assert {request.zone for request in hot} == {"mladost"}
+    there = [request for request in schedule.requests if 2 <= request.at < 7 and request.zone == "mladost"]
     assert len(hot) / len(there) == pytest.approx(0.5 * 0.97, abs=0.06)
     said = [(step.at, step.target, step.args["says"]) for step in schedule.faults if step.verb == "report"]
     assert said == [(3, "node002", "full"), (7, "node002", "")]
 
 
-def test_a_shape_is_straight_between_its_points() -> None:
+def test_load_shape_is_linear_between_its_points() -> None:
     scenario = scenario_of("shape = [[2, 1.0], [4, 3.0]]")
     assert [load_at(scenario, at) for at in (0, 2, 3, 4, 9)] == [50, 50, 100, 150, 150]
 
 
-def test_beyond_a_quota_worth_is_little() -> None:
+def test_requests_beyond_a_quota_are_marked() -> None:
     text = '[[tenants]]\nname = "a"\nshare = 1\nquota_per_s = 20'
-    asks = [ask for ask in draw_schedule(scenario_of(text), 1).requests if ask.at >= 0]
-    within = sum(not ask.over_quota for ask in asks) / 20.0
+    requests = [request for request in draw_schedule(scenario_of(text), 1).requests if request.at >= 0]
+    within = sum(not request.over_quota for request in requests) / 20.0
     assert 15 <= within <= 20.5
 
 
-def test_ids_are_new_with_every_try_and_idempotency_keys_are_not() -> None:
+def test_request_ids_differ_between_attempts_and_idempotency_keys_do_not() -> None:
     assert request_id(1, 5, 0) != request_id(1, 5, 1)
     assert request_id(1, 5, 0) == request_id(1, 5, 0)
     assert request_id(1, 5, 0) != request_id(2, 5, 0)
     assert idempotency_key(1, 5) != idempotency_key(1, 6)
 
 
-def test_the_time_line_of_nodes_never_reuses_one_that_left() -> None:
+def test_fault_schedule_never_uses_a_removed_node_again() -> None:
     text = (
         '[[trouble]]\nkind = "replace"\nat = 1\nnodes = 3\nsame_address = true\n'
         '[[trouble]]\nkind = "drain"\nat = 2\nnodes = 20\nseconds = 3\n'
@@ -194,7 +195,7 @@
     assert [step.at for step in schedule.faults] == sorted(step.at for step in schedule.faults)
 
 
-def test_routers_restart_so_many_at_a_time() -> None:
+def test_routers_restart_in_groups() -> None:
     text = 'kind = "router_restart"\nat = 2\nrouters = 3\ntogether = 2\ngap_s = 1.5'
     steps = [
         step
@@ -205,7 +206,7 @@
     assert len({step.target for step in steps}) == 3
 
 
-def test_a_zone_is_cut_off_from_the_others_and_not_from_itself() -> None:
+def test_partitioned_zone_is_cut_off_from_the_others_and_not_from_itself() -> None:
     text = '[[trouble]]\nkind = "partition"\nat = 2\nseconds = 3\nzone = "mladost"\nstore = true'
     steps = [
         s for s in draw_schedule(scenario_of(text), 1).faults if s.verb == "partition" and s.target == NETWORK
@@ -213,41 +214,43 @@
     parted = {(one, other) for s in steps for one in s.args["routers"] for other in s.args["servers"]}
     assert ("router01", "node000") in parted
     assert ("router00", "node001") in parted
-    assert ("router01", "store") in parted  # which stands in the first zone
+    assert ("router01", "store") in parted  # the origin is in the first zone
     assert not {("router01", "node001"), ("router00", "node000"), ("router00", "store")} & parted
 
 
-def test_a_day_cut_short_loses_the_troubles_past_its_end() -> None:
+def test_shortened_run_drops_faults_past_its_end() -> None:
     scenario = load_scenario("storm").cut(14.5)
     assert scenario.length_s == 14.5
     assert all(trouble.at < 14.5 for trouble in scenario.trouble)
     assert all(step.at < 14.5 for step in draw_schedule(scenario, 1).faults)
 
 
-def test_the_store_does_what_its_rate_says() -> None:
+def test_origin_serves_its_configured_rate() -> None:
     scenario = scenario_of("[store]\nper_s = 77.0\nread_ms = 40.0")
     spec = origin_spec(scenario)
     assert spec.slots / spec.read_s == pytest.approx(77.0)
 
 
-# Counting
+# The service score
 
 
-def ask(number: int, at: float, cls: int = 0, tenant: int = 0, over: bool = False) -> ScheduledRequest:
+def request(number: int, at: float, cls: int = 0, tenant: int = 0, over: bool = False) -> ScheduledRequest:
     return ScheduledRequest(
         number, at, cls, tenant, b"k", "usual", "a", 0.5, "", 0.8, 0.5, True, 1.0, False, over
     )
 
 
-def test_an_ask_counts_once_with_all_its_tries_from_its_first_arrival() -> None:
+def test_request_counts_once_with_all_its_attempts_from_its_first_arrival() -> None:
     tries = [
         Try("a", 1, 0, "r", 101.0, 0.9, "refused", 101.05),
         Try("b", 1, 1, "r", 101.1, 0.9, "served", 101.25, server="n", serial=1),
         Try("c", 2, 0, "r", 102.0, 0.9, "failed", 102.9),
         Try("d", 3, 0, "r", 103.0, 0.9, "served", 103.1, fault="not its value"),
     ]
-    found = request_outcomes([ask(1, 1.0), ask(2, 2.0), ask(3, 3.0), ask(4, 4.0)], tries, begun=100.0)
-    assert [(fate.result, fate.tries) for fate in found] == [
+    found = request_outcomes(
+        [request(1, 1.0), request(2, 2.0), request(3, 3.0), request(4, 4.0)], tries, begun=100.0
+    )
+    assert [(outcome.result, outcome.tries) for outcome in found] == [
         ("served", 2),
         ("failed", 1),
         ("failed", 1),
@@ -257,22 +260,27 @@
     assert [one.took for one in found[1:]] == [None] * 3
 
 
-def test_worth_is_full_in_the_aim_less_when_late_and_little_beyond_the_quota() -> None:
+def test_worth_is_full_in_time_reduced_when_late_and_small_beyond_the_quota() -> None:
     classes = load_scenario("quiet").classes
     got = [
         worth_of(RequestOutcome(one, took=took), classes)
-        for one, took in ((ask(1, 0), 0.3), (ask(1, 0), 0.31), (ask(1, 0, over=True), 0.1), (ask(1, 0), None))
+        for one, took in (
+            (request(1, 0), 0.3),
+            (request(1, 0), 0.31),
+            (request(1, 0, over=True), 0.1),
+            (request(1, 0), None),
+        )
     ]
     assert got == [(3.0, 3.0), (3.0, 0.75), (pytest.approx(0.15), pytest.approx(0.15)), (3.0, 0.0)]
-    assert worth_of(RequestOutcome(ask(1, 0), took=1.3), classes) == (3.0, 0.0)
+    assert worth_of(RequestOutcome(request(1, 0), took=1.3), classes) == (3.0, 0.0)
 
 
-def test_service_weighs_the_worst_as_the_brief_says() -> None:
+def test_score_weighs_the_worst_window_class_and_tenant_as_the_brief_defines() -> None:
     classes = load_scenario("quiet").classes
-    found = [RequestOutcome(ask(i, i * 0.1, tenant=i % 2), took=0.1) for i in range(400)]
-    for fate in found:
-        if fate.request.tenant == 1 and 10 <= fate.request.at < 20:
-            fate.took = None
+    found = [RequestOutcome(request(i, i * 0.1, tenant=i % 2), took=0.1) for i in range(400)]
+    for outcome in found:
+        if outcome.request.tenant == 1 and 10 <= outcome.request.at < 20:
+            outcome.took = None
     window, window_at = worst_window(found, classes, 40.0)
     assert (round(window, 6), window_at) == (0.5, 10.0)
     counted = score(found, History(), classes, ["public", "municipal"], 40.0, 0.0, {})
@@ -286,7 +294,7 @@
 # The channel
 
 
-def test_a_frame_out_of_bounds_is_refused_and_a_scenario_survives_the_way() -> None:
+def test_oversized_frame_is_rejected_and_a_scenario_is_decoded_from_pieces() -> None:
     took: list[object] = []
     channel = Channel(took.append, lambda: None)
     setup = Setup("nodes", 0, 1, "nodes0", load_scenario("storm"), 7, "127.0.0.1")
