--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -317,8 +317,8 @@
     for life in lives:
         if life.exited is None or life.wanted == "KILL":
             continue
-        told = life.told_to_end
-        if told is not None and _overlaps(stops.get(life.router, ()), told, life.exited):
+        signalled_at = life.told_to_end
+        if signalled_at is not None and _overlaps(stops.get(life.router, ()), signalled_at, life.exited):
             continue  # a stopped process cannot exit in time
         if life.wanted != "TERM":
             yield Violation("lost", life.exited, (), f"{life.router} ended by itself with code {life.code}")
--- a/holdgw/harness/html_report.py
+++ b/holdgw/harness/html_report.py
@@ -248,7 +248,7 @@
             ("p99 ms", body["p99_ms"]),
         )
     )
-    troubles = "".join(
+    faults = "".join(
         f"<li><b>{_when(fault)}</b> {escape(fault.text)}</li>" for fault in report.schedule.drawn_faults
     )
     broken = _table(
@@ -261,7 +261,7 @@
             f"<style>{STYLE}</style><h1>{escape(body['scenario'])}, seed {body['seed']}</h1>",
             f"<p>{escape(report.schedule.scenario.about)}</p>{void}",
             f'<div class="figures">{figures}</div><div class="figures">{rules}</div>',
-            f"<ol>{troubles}</ol>" if troubles else "<p>No faults.</p>",
+            f"<ol>{faults}</ol>" if faults else "<p>No faults.</p>",
             _figure("Requests per second, by outcome", _outcomes(report), report),
             _figure("Latency, ms", _latency(report), report, "By the second of the request."),
             _figure("Misses by cause and origin fetches, per second", _misses(report), report),
--- a/holdgw/harness/report.py
+++ b/holdgw/harness/report.py
@@ -284,7 +284,7 @@
         "sources": _grouped(found, schedule, lambda outcome: outcome.request.source),
         "told_apart": _faults_told_apart(found, attempts, schedule, flushed),
         "windows": _windows(found, attempts, schedule, router_of),
-        "troubles": [asdict(mark) for mark in schedule.drawn_faults],
+        "troubles": [asdict(fault) for fault in schedule.drawn_faults],
         "broken": [
             {"rule": one.rule, "at": round(one.at - begun, 3), "requests": one.requests, "text": one.text}
             for one in broken[:MAX_LISTED_VIOLATIONS]
--- a/holdgw/harness/scenario.py
+++ b/holdgw/harness/scenario.py
@@ -296,8 +296,8 @@
             raise ValueError("load.shape: the seconds must rise")
         if not any(factor > 0 for _, factor in self.load.shape):
             raise ValueError("load.shape: some factor must be above 0")
-        for i, trouble in enumerate(self.trouble):
-            self._check_fault(f"trouble[{i}] ({kind_of(trouble)})", trouble)
+        for i, fault in enumerate(self.trouble):
+            self._check_fault(f"trouble[{i}] ({kind_of(fault)})", fault)
         _check_range("storm.count", self.storm.count)
         for kind in self.storm.kinds:
             if kind not in (*KINDS, *STORM_ONLY) or kind == kind_of(Stall(at=0, seconds=1)):
@@ -340,11 +340,11 @@
                 return f"trouble[{i}] ({kind_of(one)}): only `holdgw simulate` can play it"
         return ""
 
-    def _check_fault(self, where: str, trouble: Fault) -> None:
-        if trouble.at >= self.length_s:
-            raise ValueError(f"{where}.at: {trouble.at:g} is beyond length_s {self.length_s:g}")
-        nodes = getattr(trouble, "nodes", 1)
-        if isinstance(nodes, int) and not isinstance(trouble, ColdStart) and nodes > self.fleet.nodes:
+    def _check_fault(self, where: str, fault: Fault) -> None:
+        if fault.at >= self.length_s:
+            raise ValueError(f"{where}.at: {fault.at:g} is beyond length_s {self.length_s:g}")
+        nodes = getattr(fault, "nodes", 1)
+        if isinstance(nodes, int) and not isinstance(fault, ColdStart) and nodes > self.fleet.nodes:
             raise ValueError(f"{where}.nodes: {nodes} of {self.fleet.nodes} nodes")
         if isinstance(nodes, tuple):
             names = node_names(self.fleet)
@@ -352,11 +352,11 @@
                 if name not in names:
                     raise ValueError(f"{where}.nodes: no node {name!r}; they are {names[0]} to {names[-1]}")
         for side in ("routers", "peers"):
-            self._check_routers(f"{where}.{side}", getattr(trouble, side, 0))
-        if (zone := getattr(trouble, "zone", "")) and zone not in self.fleet.zones:
+            self._check_routers(f"{where}.{side}", getattr(fault, side, 0))
+        if (zone := getattr(fault, "zone", "")) and zone not in self.fleet.zones:
             raise ValueError(f"{where}.zone: no zone {zone!r}; they are {', '.join(self.fleet.zones)}")
-        if isinstance(trouble, Burst) and trouble.tenant not in ("", *(one.name for one in self.tenants)):
-            raise ValueError(f"{where}.tenant: no tenant {trouble.tenant!r}")
+        if isinstance(fault, Burst) and fault.tenant not in ("", *(one.name for one in self.tenants)):
+            raise ValueError(f"{where}.tenant: no tenant {fault.tenant!r}")
 
     def _check_routers(self, where: str, wanted: int | tuple[str, ...]) -> None:
         if isinstance(wanted, int):
@@ -371,7 +371,7 @@
     def cut(self, seconds: float) -> Scenario:
         """Return the same scenario, ended earlier; faults that would begin after its end are left out."""
         length = min(seconds, self.length_s)
-        kept = tuple(trouble for trouble in self.trouble if trouble.at < length)
+        kept = tuple(fault for fault in self.trouble if fault.at < length)
         return msgspec.structs.replace(self, length_s=length, trouble=kept)
 
 
