--- a/bench/spread.py
+++ b/bench/spread.py
@@ -267,9 +267,9 @@
         "start_s": body["laboratory"]["start_s"]["all"],
         "memory_mb": body["laboratory"]["routers_memory_mb"],
         "late": [row["served"] - row["in_aim"] for row in body["windows"]],
-        **spread(started_work(result), result.day, faults_end),
+        **spread(started_work(result), result.schedule, faults_end),
     }
-    return found, result.day
+    return found, result.schedule
 
 
 def format_row(case: str, variant: str, found: dict[str, Any]) -> str:
--- a/bench/start.py
+++ b/bench/start.py
@@ -90,7 +90,7 @@
     busiest = max(steps, key=lambda name: max(steps[name]))
     instances = [instance for instance in history.lives if instance.started - begun >= KILL_AT_S]
     last_started = max((instance.started - begun for instance in instances), default=KILL_AT_S)
-    served = [(fate.ask.at, fate.took is not None) for fate in report.fates if fate.ask.at >= 0]
+    served = [(fate.request.at, fate.took is not None) for fate in report.outcomes if fate.request.at >= 0]
     calm_results = [good for at, good in served if CALM_SPAN_S[0] <= at < CALM_SPAN_S[1]]
     calm = sum(calm_results) / len(calm_results)
     recovery_s = recovery_time(served, calm, last_started)
--- a/holdgw/harness/channel.py
+++ b/holdgw/harness/channel.py
@@ -1,6 +1,7 @@
-"""How the stage and its worker processes talk: length-bounded frames of typed messages over a socket pair.
+"""Messages between the orchestrator and its worker processes: bounded frames over a socket pair.
 
-When one side goes, the other sees the end of the stream: a worker whose stage has gone ends by itself.
+When one process exits, the other sees the end of the stream. A worker whose orchestrator has exited therefore
+exits by itself.
 """
 
 from __future__ import annotations
@@ -15,12 +16,13 @@
 from holdgw.emulators.records import Record
 from holdgw.harness.scenario import Scenario
 
-MOST_BYTES = 64 << 20
+MAX_FRAME_BYTES = 64 << 20
 
 
 class Setup(msgspec.Struct, tag="setup"):
-    """What a worker is: `role` nodes, hub or clients; its part is those whose number fits `index` of
-    `count`.
+    """Assigns a worker its role: nodes, hub (origin and discovery), clients or peers (the relay).
+
+    Of the nodes or clients, the worker runs those whose number modulo `count` is `index`.
     """
 
     role: str
@@ -32,21 +34,21 @@
     ip: str
 
 
-class Places(msgspec.Struct, tag="places"):
-    """Addresses: of servers by zone, of routers under the zone "" ."""
+class Addresses(msgspec.Struct, tag="places"):
+    """Addresses of servers, by name and by the line over which they are reached, and of routers by name."""
 
     servers: dict[str, dict[str, tuple[str, int]]] = {}
     routers: dict[str, tuple[str, int]] = {}
 
 
 class Begin(msgspec.Struct, tag="begin"):
-    """Second 0 of the day on the machine's monotonic clock."""
+    """Gives second 0 of the run on the machine's monotonic clock."""
 
     at: float
 
 
-class Do(msgspec.Struct, tag="do"):
-    """Do something to a part of the fleet; `number` comes back in Did."""
+class Command(msgspec.Struct, tag="do"):
+    """Has a worker act on its part of the fleet; `number` comes back in the CommandResult."""
 
     verb: str
     target: str = ""
@@ -54,22 +56,22 @@
     number: int = 0
 
 
-class Did(msgspec.Struct, tag="did"):
-    """Done."""
+class CommandResult(msgspec.Struct, tag="did"):
+    """Says that the command of that number was carried out, and returns its value."""
 
     number: int
     value: Any = None
 
 
-class Front(msgspec.Struct, tag="front"):
-    """What the front layer sees of a router: whether new connections go there."""
+class FrontUpdate(msgspec.Struct, tag="front"):
+    """Says whether the front layer sends new connections of clients to a router."""
 
     router: str
     up: bool
 
 
 class Stored(msgspec.Struct, tag="stored"):
-    """The package store answered a read."""
+    """Says that the origin answered a read; endpoints that missed for the request store the value."""
 
     request: bytes
     key: bytes
@@ -77,19 +79,19 @@
 
 
 class Voided(msgspec.Struct, tag="voided"):
-    """A write was carried out."""
+    """Says that the origin carried out a write; every cached copy of the key is invalid."""
 
     key: bytes
 
 
-class Batch(msgspec.Struct, tag="batch"):
-    """What was seen since the last one."""
+class RecordBatch(msgspec.Struct, tag="batch"):
+    """Carries the records that a worker took since its last batch."""
 
     records: list[Record]
 
 
 class ClientCounts(msgspec.Struct, tag="tally"):
-    """What a clients' worker has counted so far, for the eye."""
+    """The outcomes that a worker of clients has counted so far, for the progress display."""
 
     asked: int = 0
     served: int = 0
@@ -99,69 +101,87 @@
 
 
 class Finish(msgspec.Struct, tag="finish"):
-    """The day is over: say what is left, and go."""
+    """Ends the run: the worker sends its last records, answers with Finish and exits."""
 
 
-class Fault(msgspec.Struct, tag="fault"):
-    """A worker can't go on."""
+class WorkerFailure(msgspec.Struct, tag="fault"):
+    """Reports an exception after which a worker cannot continue; `text` is its traceback."""
 
     text: str
 
 
-Message = Setup | Places | Begin | Do | Did | Front | Stored | Voided | Batch | ClientCounts | Finish | Fault
+Message = (
+    Setup
+    | Addresses
+    | Begin
+    | Command
+    | CommandResult
+    | FrontUpdate
+    | Stored
+    | Voided
+    | RecordBatch
+    | ClientCounts
+    | Finish
+    | WorkerFailure
+)
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 class Channel(asyncio.Protocol):
-    """One end. `take` gets each message, `lost` is called once when the other end has gone."""
+    """One end of the connection.
+
+    Args:
+        on_message: Called with each message.
+        on_disconnect: Called once, when the other end has closed.
+    """
 
-    def __init__(self, take: Callable[[Message], None], lost: Callable[[], None]) -> None:
-        self._take, self._lost = take, lost
+    def __init__(self, on_message: Callable[[Message], None], on_disconnect: Callable[[], None]) -> None:
+        self._on_message, self._on_disconnect = on_message, on_disconnect
         self._transport: asyncio.Transport | None = None
-        self._held = bytearray()
+        self._buffer = bytearray()
 
     @classmethod
-    async def over(
-        cls, sock: socket.socket, take: Callable[[Message], None], lost: Callable[[], None]
+    async def connect(
+        cls, sock: socket.socket, on_message: Callable[[Message], None], on_disconnect: Callable[[], None]
     ) -> Channel:
-        """A channel over one end of a socket pair."""
+        """Return a channel over one end of a socket pair."""
         loop = asyncio.get_running_loop()
-        _, channel = await loop.create_connection(lambda: cls(take, lost), sock=sock)
+        _, channel = await loop.create_connection(lambda: cls(on_message, on_disconnect), sock=sock)
         return channel
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Keep the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The other end has gone."""
-        self._lost()
+        """Report that the other end has closed."""
+        self._on_disconnect()
 
     def data_received(self, data: bytes) -> None:
-        """Take whole frames."""
-        held = self._held
-        held += data
+        """Decode every complete frame; raises ValueError for one over MAX_FRAME_BYTES."""
+        buffer = self._buffer
+        buffer += data
         at = 0
-        while len(held) - at >= 4:
-            size = int.from_bytes(held[at : at + 4], "big")
-            if size > MOST_BYTES:
-                raise ValueError(f"a frame of {size} bytes")
-            if len(held) - at - 4 < size:
+        while len(buffer) - at >= 4:
+            size = int.from_bytes(buffer[at : at + 4], "big")
+            if size > MAX_FRAME_BYTES:
+                raise ValueError(f"a frame of {size} bytes is over the limit")
+            if len(buffer) - at - 4 < size:
                 break
-            self._take(_decoder.decode(memoryview(held)[at + 4 : at + 4 + size]))
+            self._on_message(_decoder.decode(memoryview(buffer)[at + 4 : at + 4 + size]))
             at += 4 + size
         if at:
-            del held[:at]
+            del buffer[:at]
 
     def send(self, message: Message) -> None:
-        """Send; what can't be sent any more is dropped."""
+        """Send a message; a message on a closed channel is dropped."""
         if self._transport is None or self._transport.is_closing():
             return
         frame = _encoder.encode(message)
         self._transport.write(len(frame).to_bytes(4, "big") + frame)
 
     def close(self) -> None:
-        """Close once all is sent."""
+        """Close the connection once everything is written."""
         if self._transport is not None:
             self._transport.close()
--- a/holdgw/harness/fault_injection.py
+++ b/holdgw/harness/fault_injection.py
@@ -1,6 +1,7 @@
-"""The time line of a day: what is done to the fleet, to whom, and what discovery and the front hear of it.
+"""Carries out a schedule's faults on the fleet, and tells discovery and the front layer of their effects.
 
-Whoever plays a day (real processes on loopback, or simulated ones) has these parts under one interface each.
+The workers and routers stand behind one interface each, for real processes on loopback (`orchestrator`) and
+for the simulation.
 """
 
 from __future__ import annotations
@@ -15,68 +16,68 @@
 from holdgw.emulators.listeners import Clock
 from holdgw.emulators.records import OverrideAccepted
 from holdgw.emulators.seeded_draws import between, unit
-from holdgw.harness.channel import Begin, Front, Message, Places
+from holdgw.harness.channel import Addresses, Begin, FrontUpdate, Message
 from holdgw.harness.checker import History, ProcessLifetime
 from holdgw.harness.deployment import Peers, configuration
 from holdgw.harness.fault_schedule import lines_of_routers
-from holdgw.harness.routers import call_door
+from holdgw.harness.routers import call_admin_endpoint
 from holdgw.harness.schedule import ADMIN, NETWORK, ORIGIN, PEERS, ROUTERS, Schedule, ScheduledFault
 from holdgw.wire.address import Address
 
-ANSWER_S = 30.0  # for a worker to do what it is told
-START_S = 0.7  # from when all is ready to the prelude
-SETTLE_S = 0.6  # after the last answer that may still come
-ACCEPTS_S = 0.3  # new connections still go to a router that was told to end
-KILL_AFTER_S = 0.75  # beyond the longest deadline
-END_S = 5.0
-LOOK_S = 0.2
-SLICE_S = 0.1  # a slow process runs for a part of each
+WORKER_TIMEOUT_S = 30.0  # for a worker to carry out a command
+START_DELAY_S = 0.7  # from when everything is ready to the start of the prelude
+SETTLE_TIME_S = 0.6  # after the last answer that can still come
+FRONT_DELAY_S = 0.3  # the front layer still sends new connections to a router this long after its SIGTERM
+KILL_MARGIN_S = 0.75  # beyond the longest deadline of a client, until a draining router is killed
+EXIT_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.2
+SLOW_PERIOD_S = 0.1  # a slowed process runs for a part of each period
 
 
 class HarnessError(Exception):
-    """The day could not be played to its end; one plain line."""
+    """The run could not be played to its end; the text is one line that names the cause."""
 
 
 class Worker(Protocol):
-    """A part of the emulator."""
+    """A worker of the emulator, as the fault injector uses it."""
 
     def ask(self, verb: str, target: str = "", args: dict[str, Any] | None = None) -> Awaitable[Any]:
-        """Have it do something; returns what came of it."""
+        """Have the worker carry out a command; returns its value."""
 
     def send(self, message: Message) -> None:
-        """Send it a message."""
+        """Send the worker a message."""
 
 
-class RouterLifetime(Protocol):
-    """A router and its lives."""
+class RouterHandle(Protocol):
+    """A router, as the fault injector uses it."""
 
     name: str
     address: Address
     ops: Address
-    """Where its door is."""
+    """Address of its admin endpoint."""
     starts: int
     lives: list[ProcessLifetime]
 
-    def configure(self, told: dict[str, Any]) -> None:
-        """Write its configuration."""
+    def configure(self, settings: dict[str, Any]) -> None:
+        """Write its configuration file."""
 
     async def start(self, discovery: Address) -> None:
         """Start a process."""
 
     async def ready(self) -> bool:
-        """Wait until it takes requests."""
+        """Wait until it accepts requests; False if it does not."""
 
-    async def ended(self, within: float) -> bool:
-        """Wait for its end."""
+    async def ended(self, timeout: float) -> bool:
+        """Wait for its exit at most `timeout` seconds; False if it still runs."""
 
-    def tell(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal."""
 
-    def lose(self) -> None:
-        """Its machine is gone, with all that was on it, and silent until it is started again."""
+    def lose_machine(self) -> None:
+        """Lose its machine with everything on it; its addresses are silent until the next start."""
 
-    def last_words(self) -> str:
-        """The last line of its log."""
+    def last_log_line(self) -> str:
+        """The last line of its log; empty if there is none."""
 
     @property
     def running(self) -> bool:
@@ -84,8 +85,8 @@
 
 
 @dataclass(slots=True)
-class Standing:
-    """A router's process that stands still: since when, in which of its lives, and for how many reasons."""
+class Suspension:
+    """A stopped router process: since when, the number of its start, and by how many faults that overlap."""
 
     since: float
     start: int
@@ -93,7 +94,10 @@
 
 
 class FaultInjector:
-    """Carries out a day's steps. Whoever plays the day fills in who is there."""
+    """Plays a schedule: begins the run, carries out its faults and waits for its end.
+
+    A subclass creates the workers and routers: real processes, or simulated ones.
+    """
 
     node_workers: Sequence[Worker]
     client_workers: Sequence[Worker]
@@ -102,135 +106,139 @@
     routers: dict[str, Any]
     history: History
 
-    def __init__(self, day: Schedule, clock: Clock = time.monotonic) -> None:
-        self.day, self.clock = day, clock
+    def __init__(self, schedule: Schedule, clock: Clock = time.monotonic) -> None:
+        self.schedule, self.clock = schedule, clock
         self.begun = 0.0
-        self.home: dict[str, Worker] = {}  # of each node
-        self.places: dict[str, dict[str, Address]] = {}
+        self.worker_of: dict[str, Worker] = {}  # by node
+        self.addresses: dict[str, dict[str, Address]] = {}
         self.discovery: dict[str, Address] = {}
         self.peers: dict[str, Peers] = {}
-        """What each router is told of the others; empty where they are not allowed to speak."""
+        """Addresses of peers for each router; empty if the scenario allows no peers."""
         self._restarting: set[str] = set()
-        self._lost: dict[str, float] = {}  # routers whose machines are gone, and since when
-        self._standing: dict[str, Standing] = {}  # routers whose processes stand still
+        self._lost_since: dict[str, float] = {}  # by router, of lost machines
+        self._suspensions: dict[str, Suspension] = {}  # by router, of stopped processes
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do something beside all else; a fault in it ends the day."""
+        """Start a task in the background; an exception in it ends the run."""
         raise NotImplementedError
 
     @property
-    def longest(self) -> float:
-        """Seconds for which a client waits at most."""
-        return max(one.give_up_ms for one in self.day.scenario.classes) / 1000
+    def max_client_wait(self) -> float:
+        """The longest time that a client of any class waits, in seconds."""
+        return max(one.give_up_ms for one in self.schedule.scenario.classes) / 1000
 
-    async def later(self, at: float, act: Callable[..., Any], *words: Any) -> None:
-        """Act at a second of the day."""
+    async def run_at(self, at: float, action: Callable[..., Any], *args: Any) -> None:
+        """Call `action` at a second of the run, and await its result if it returns an awaitable."""
         await asyncio.sleep(max(self.begun + at - self.clock(), 0.0))
-        result = act(*words)
+        result = action(*args)
         if result is not None:
             await result
 
-    def open_front(self) -> None:
-        """Clients learn of the routers, all of which run."""
-        places = Places(routers={name: router.address for name, router in self.routers.items()})
+    def announce_routers(self) -> None:
+        """Tell clients the addresses of the routers, all of which run."""
+        addresses = Addresses(routers={name: router.address for name, router in self.routers.items()})
         for worker in self.client_workers:
-            worker.send(places)
+            worker.send(addresses)
         for name in self.routers:
             self._front(name, True)
 
     def begin(self) -> None:
-        """The day, with its prelude before it, begins now; its steps follow by themselves."""
-        self.begun = self.clock() + START_S + self.day.scenario.emulator.prelude_s
+        """Begin the prelude and then the run, and schedule every fault."""
+        self.begun = self.clock() + START_DELAY_S + self.schedule.scenario.emulator.prelude_s
         for worker in self.client_workers:
             worker.send(Begin(self.begun))
         self.spawn(self.watch_routers())
         for worker in self.node_workers:
-            self.spawn(self.later(0.0, worker.ask, "learn"))
-        for step in self.day.faults:
-            self.spawn(self.later(step.at, self.carry_out, step))
+            self.spawn(self.run_at(0.0, worker.ask, "learn"))
+        for fault in self.schedule.faults:
+            self.spawn(self.run_at(fault.at, self.apply_fault, fault))
+
+    async def wait_until_finished(self, progress: Callable[[float], None] = lambda _at: None) -> None:
+        """Wait until the run is over and every request has its outcome, or can't get one any more.
 
-    async def until_over(self, progress: Callable[[float], None] = lambda _at: None) -> None:
-        """Wait until the day is over and all its requests are, or can't be answered any more; `progress` is
-        called some times a second with the second of the day.
+        Args:
+            progress: Called every POLL_INTERVAL_S with the second of the run.
         """
-        length = self.day.scenario.length_s
-        while (now := self.clock() - self.begun) < length + self.longest + SETTLE_S:
+        length = self.schedule.scenario.length_s
+        while (now := self.clock() - self.begun) < length + self.max_client_wait + SETTLE_TIME_S:
             progress(now)
             if now > length and await self._all_done():
                 break
-            await asyncio.sleep(LOOK_S)
-        await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
+        await asyncio.sleep(SETTLE_TIME_S)
         progress(self.clock() - self.begun)
 
     async def _all_done(self) -> bool:
-        return all([await asyncio.wait_for(one.ask("done"), ANSWER_S) for one in self.client_workers])
+        return all([await asyncio.wait_for(one.ask("done"), WORKER_TIMEOUT_S) for one in self.client_workers])
 
-    async def until_ended(self) -> None:
-        """Have all routers end in good order, and those that don't, anyhow."""
-        self.end_troubles()
+    async def stop_routers(self) -> None:
+        """Shut down all routers gracefully, and kill those that do not exit in time."""
+        self.end_faults()
         running = [router for router in self.routers.values() if router.running]
         for router in running:
-            router.tell(signal.SIGTERM)
-        await asyncio.gather(*(router.ended(self.longest + KILL_AFTER_S + 2.0) for router in running))
+            router.send_signal(signal.SIGTERM)
+        await asyncio.gather(
+            *(router.ended(self.max_client_wait + KILL_MARGIN_S + 2.0) for router in running)
+        )
         for router in running:
             if router.running:
-                router.tell(signal.SIGKILL)
-        await asyncio.gather(*(router.ended(END_S) for router in running))
+                router.send_signal(signal.SIGKILL)
+        await asyncio.gather(*(router.ended(EXIT_TIMEOUT_S) for router in running))
 
-    def add_place(self, name: str, addresses: dict[str, Any]) -> None:
-        """Where a server listens, by zone."""
-        self.places[name] = {zone: (host, port) for zone, (host, port) in addresses.items()}
+    def add_addresses(self, name: str, addresses: dict[str, Any]) -> None:
+        """Take over a server's addresses, by line."""
+        self.addresses[name] = {zone: (host, port) for zone, (host, port) in addresses.items()}
 
-    async def start_router(self, router: RouterLifetime) -> None:
-        """Start one, and wait until it takes requests; it is told the list as discovery has it now."""
+    async def start_router(self, router: RouterHandle) -> None:
+        """Start a router with discovery's current endpoint list, and wait until it accepts requests."""
         await self._configure(router)
         await router.start(self.discovery[router.name])
         if not await router.ready():
-            raise HarnessError(f"{router.name} did not get ready: {router.last_words()}".rstrip(": "))
+            raise HarnessError(f"{router.name} did not get ready: {router.last_log_line()}".rstrip(": "))
 
-    async def _configure(self, router: RouterLifetime) -> None:
-        known = await asyncio.wait_for(self.hub.ask("known", router.name), ANSWER_S)
-        told = configuration(
-            self.day.scenario,
-            self.day.seed,
+    async def _configure(self, router: RouterHandle) -> None:
+        endpoint_list = await asyncio.wait_for(self.hub.ask("known", router.name), WORKER_TIMEOUT_S)
+        settings = configuration(
+            self.schedule.scenario,
+            self.schedule.seed,
             router.name,
             router.starts,
             router.address,
             self.discovery[router.name],
-            known,
+            endpoint_list,
             router.ops,
             self.peers.get(router.name),
         )
-        router.configure(told)
+        router.configure(settings)
 
     async def watch_routers(self) -> None:
-        """A router that ends by itself is seen by the front, too; it stays away."""
-        seen: set[str] = set()
+        """Let the front layer notice routers that exit by themselves; these are not restarted."""
+        reported: set[str] = set()
         while True:
             for name, router in self.routers.items():
-                if not router.running and not router.lives[-1].wanted and name not in seen:
-                    seen.add(name)
+                if not router.running and not router.lives[-1].wanted and name not in reported:
+                    reported.add(name)
                     self.spawn(self._front_notices(name))
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _front_notices(self, name: str) -> None:
-        low_high = self.day.scenario.clients.front_notice_s
+        delay_range = self.schedule.scenario.clients.front_notice_s
         starts = self.routers[name].starts
-        await asyncio.sleep(between(unit(self.day.seed, "front", name, starts), low_high))
+        await asyncio.sleep(between(unit(self.schedule.seed, "front", name, starts), delay_range))
         if not self.routers[name].running:
             self._front(name, False)
 
     def _front(self, name: str, up: bool) -> None:
         for worker in self.client_workers:
-            worker.send(Front(name, up))
+            worker.send(FrontUpdate(name, up))
 
-    async def list_state(self, state: str, server: str) -> None:
-        """The list changes."""
-        await asyncio.wait_for(self.hub.ask(state, server), ANSWER_S)
+    async def set_endpoint_state(self, state: str, server: str) -> None:
+        """Change an endpoint's state in the endpoint list."""
+        await asyncio.wait_for(self.hub.ask(state, server), WORKER_TIMEOUT_S)
 
-    async def carry_out(self, step: ScheduledFault) -> None:
-        """Do one thing to the fleet."""
-        verb, target, args = step.verb, step.target, step.args
+    async def apply_fault(self, fault: ScheduledFault) -> None:
+        """Carry out one scheduled fault; the fault's verb and target decide who does it."""
+        verb, target, args = fault.verb, fault.target, fault.args
         if verb == "restart":
             await self._restart(self.routers[target], args["signal"])
         elif verb == "reload":
@@ -239,14 +247,17 @@
             group = self.node_workers if target == "nodes" else self.client_workers
             await asyncio.gather(*(worker.ask("stall", "", args) for worker in group))
         elif target == ROUTERS:
-            await self._router_trouble(verb, self.routers[args["router"]], args)
+            await self._apply_router_fault(verb, self.routers[args["router"]], args)
         elif target == NETWORK:
-            await self._network_trouble(verb, args)
+            await self._apply_network_fault(verb, args)
         elif target == PEERS:
-            await self._peers_trouble(verb, args)
+            await self._apply_peer_fault(verb, args)
         elif target == ADMIN:
             await asyncio.gather(
-                *(self._call(router, verb == "out", args["node"]) for router in self.routers.values())
+                *(
+                    self._call_maintenance(router, verb == "out", args["node"])
+                    for router in self.routers.values()
+                )
             )
         elif target in (ORIGIN, "discovery"):
             await self.hub.ask(verb, target, args)
@@ -255,13 +266,13 @@
         else:
             await self._change_node(verb, target, args)
 
-    # Routers that stand still, and machines that are gone
+    # Stopped routers and lost machines
 
-    async def _router_trouble(self, verb: str, router: RouterLifetime, args: dict[str, Any]) -> None:
+    async def _apply_router_fault(self, verb: str, router: RouterHandle, args: dict[str, Any]) -> None:
         if verb == "stop":
-            self.hold(router)
+            self.suspend(router)
         elif verb == "continue":
-            self.let_go(router)
+            self.resume(router)
         elif verb == "slow":
             await self._slow(router, args["seconds"], args["run_ms"] / 1000)
         elif verb == "lose":
@@ -269,52 +280,54 @@
         elif verb == "return":
             await self._return(router)
         else:
-            raise ValueError(f"no such thing to do to a router: {verb}")
+            raise ValueError(f"unknown fault of a router: {verb}")
 
-    def hold(self, router: RouterLifetime) -> None:
-        """Have its process stand still; reasons that overlap end with the last one."""
+    def suspend(self, router: RouterHandle) -> None:
+        """Stop a router's process; of faults that overlap, the last one to end lets it continue."""
         if not router.running:
             return
-        standing = self._standing.get(router.name)
-        if standing is None or standing.start != router.starts:
-            standing = self._standing[router.name] = Standing(self.clock(), router.starts)
-            router.tell(signal.SIGSTOP)
-        standing.reasons += 1
-
-    def let_go(self, router: RouterLifetime) -> None:
-        """One reason less to stand still; it goes on with the last."""
-        standing = self._standing.get(router.name)
-        if standing is None:
+        suspension = self._suspensions.get(router.name)
+        if suspension is None or suspension.start != router.starts:
+            suspension = self._suspensions[router.name] = Suspension(self.clock(), router.starts)
+            router.send_signal(signal.SIGSTOP)
+        suspension.reasons += 1
+
+    def resume(self, router: RouterHandle) -> None:
+        """End one reason for a stop; the process continues when no reason is left."""
+        suspension = self._suspensions.get(router.name)
+        if suspension is None:
             return
-        standing.reasons -= 1
-        if standing.reasons > 0:
+        suspension.reasons -= 1
+        if suspension.reasons > 0:
             return
-        del self._standing[router.name]
-        if standing.start == router.starts:
-            router.tell(signal.SIGCONT)
-        ended = router.lives[standing.start - 1].exited  # it may have been killed as it stood
-        self.history.stops.append((router.name, standing.since, self.clock() if ended is None else ended))
-
-    async def _slow(self, router: RouterLifetime, seconds: float, run_s: float) -> None:
+        del self._suspensions[router.name]
+        if suspension.start == router.starts:
+            router.send_signal(signal.SIGCONT)
+        ended = router.lives[
+            suspension.start - 1
+        ].exited  # set if the process was killed while it was stopped
+        self.history.stops.append((router.name, suspension.since, self.clock() if ended is None else ended))
+
+    async def _slow(self, router: RouterHandle, seconds: float, run_s: float) -> None:
         until = self.clock() + seconds
         while self.clock() < until:
-            self.hold(router)
-            await asyncio.sleep(SLICE_S - run_s)
-            self.let_go(router)
+            self.suspend(router)
+            await asyncio.sleep(SLOW_PERIOD_S - run_s)
+            self.resume(router)
             await asyncio.sleep(run_s)
 
-    def _lose(self, router: RouterLifetime) -> None:
+    def _lose(self, router: RouterHandle) -> None:
         if not router.running or router.name in self._restarting:
             return
         self._restarting.add(router.name)
-        self._lost[router.name] = self.clock()
-        router.lose()
+        self._lost_since[router.name] = self.clock()
+        router.lose_machine()
         self.spawn(self._front_notices(router.name))
 
-    async def _return(self, router: RouterLifetime) -> None:
-        since = self._lost.pop(router.name, None)
+    async def _return(self, router: RouterHandle) -> None:
+        since = self._lost_since.pop(router.name, None)
         if since is None:
-            return  # it was being restarted when its machine was to be lost
+            return  # the router was being restarted when its machine was to be lost, so it was not
         try:
             await self.start_router(router)
         finally:
@@ -322,97 +335,101 @@
         self.history.gone.append((router.name, since, self.clock()))
         self._front(router.name, True)
 
-    def end_troubles(self) -> None:
-        """Whatever still stands still goes on; what is lost for good is told."""
-        for name, standing in list(self._standing.items()):
-            standing.reasons = 1
-            self.let_go(self.routers[name])
-        for name, since in self._lost.items():
+    def end_faults(self) -> None:
+        """Let every stopped process continue, and record machines that are still lost as lost for good."""
+        for name, suspension in list(self._suspensions.items()):
+            suspension.reasons = 1
+            self.resume(self.routers[name])
+        for name, since in self._lost_since.items():
             self.history.gone.append((name, since, float("inf")))
 
-    # Lines
+    # Network
 
-    async def _network_trouble(self, verb: str, args: dict[str, Any]) -> None:
-        if "node" in args and args["node"] not in self.home:
-            return  # a trouble chose a node whose own start lies later
+    async def _apply_network_fault(self, verb: str, args: dict[str, Any]) -> None:
+        if "node" in args and args["node"] not in self.worker_of:
+            return  # the fault chose a node whose own start comes later
         if verb == "partition":
-            line_of = lines_of_routers(self.day.scenario, self.day.seed)
+            line_of = lines_of_routers(self.schedule.scenario, self.schedule.seed)
             lines = sorted({line_of[name] for name in args["routers"]})
-            words = {name: args[name] for name in ("servers", "way", "seconds")} | {"lines": lines}
-            parts = [*self.node_workers, *([self.hub] if ORIGIN in args["servers"] else [])]
-            await asyncio.gather(*(part.ask("partition", "", words) for part in parts))
+            command_args = {name: args[name] for name in ("servers", "way", "seconds")} | {"lines": lines}
+            workers = [*self.node_workers, *([self.hub] if ORIGIN in args["servers"] else [])]
+            await asyncio.gather(*(worker.ask("partition", "", command_args) for worker in workers))
         elif verb == "deafen":
             await self.hub.ask("deafen", "", args)
         elif verb == "vanish":
-            await self.home[args["node"]].ask("vanish", args["node"], args)
+            await self.worker_of[args["node"]].ask("vanish", args["node"], args)
         elif verb == "noticed":
-            await self.list_state("removed", args["node"])
+            await self.set_endpoint_state("removed", args["node"])
         elif verb == "return":
-            await self.home[args["node"]].ask("start", args["node"])
-            await self.list_state("up", args["node"])
+            await self.worker_of[args["node"]].ask("start", args["node"])
+            await self.set_endpoint_state("up", args["node"])
         else:
-            raise ValueError(f"only the simulation can have the network {verb}")
+            raise ValueError(f"unknown network fault, or one that only the simulation has: {verb}")
 
-    async def _peers_trouble(self, verb: str, args: dict[str, Any]) -> None:
+    async def _apply_peer_fault(self, verb: str, args: dict[str, Any]) -> None:
         if self.peers:
             await self.relay.ask(verb, "", args)
 
-    async def _call(self, router: RouterLifetime, out: bool, node: str) -> None:
-        """Staff call at one router's door, and believe it only when it says yes."""
+    async def _call_maintenance(self, router: RouterHandle, out: bool, node: str) -> None:
+        """Set or end a node's maintenance at one router; recorded only if the router answers 200."""
         path = "/maintenance/enter" if out else "/maintenance/exit"
-        if router.running and await call_door(router.ops, path, node):
+        if router.running and await call_admin_endpoint(router.ops, path, node):
             self.history.add(OverrideAccepted(router.name, node, out, self.clock()))
 
-    async def home_of_new(self, name: str, instead: str) -> Worker:
-        """The worker that a new node runs in; `instead`: the node whose address it takes, if it does."""
-        return self.home[instead] if instead else self.node_workers[0]
+    async def worker_for_new_node(self, name: str, instead: str) -> Worker:
+        """Return the worker for a new node; `instead` names the node whose address it takes, if any."""
+        return self.worker_of[instead] if instead else self.node_workers[0]
 
     async def _change_node(self, verb: str, target: str, args: dict[str, Any]) -> None:
-        """Discovery sees only whether a process runs, so the list changes with starts and ends alone."""
+        """Carry out a fault on a node.
+
+        Discovery sees only whether a process runs, so the endpoint list changes only when a node starts,
+        drains or exits.
+        """
         if verb == "create":
-            worker = self.home[target] = await self.home_of_new(target, args["instead"])
-            self.add_place(target, await worker.ask(verb, target, args))
-            self.hub.send(Places(servers={target: self.places[target]}))
-            await self.list_state("up", target)
+            worker = self.worker_of[target] = await self.worker_for_new_node(target, args["instead"])
+            self.add_addresses(target, await worker.ask(verb, target, args))
+            self.hub.send(Addresses(servers={target: self.addresses[target]}))
+            await self.set_endpoint_state("up", target)
             return
-        home = self.home.get(target)
-        if home is None:
-            return  # a trouble chose a node whose own start lies later
-        await home.ask(verb, target, args)
+        host_worker = self.worker_of.get(target)
+        if host_worker is None:
+            return  # the fault chose a node whose own start comes later
+        await host_worker.ask(verb, target, args)
         state = {"kill": "removed", "start": "up", "drain": "draining"}.get(verb)
         if state is not None:
-            await self.list_state(state, target)
+            await self.set_endpoint_state(state, target)
 
-    async def _restart(self, router: RouterLifetime, how: str) -> None:
-        """A planned restart as PROTOCOL has it, or a death that the front sees in its time."""
+    async def _restart(self, router: RouterHandle, signal_name: str) -> None:
+        """Restart a router: as planned (PROTOCOL), or by SIGKILL, which the front layer notices later."""
         if router.name in self._restarting:
-            return  # two troubles chose the same one
+            return  # two faults chose the same router
         self._restarting.add(router.name)
         try:
-            await self._end_and_start(router, how)
+            await self._stop_and_start(router, signal_name)
         finally:
             self._restarting.discard(router.name)
 
-    async def _end_and_start(self, router: RouterLifetime, how: str) -> None:
-        if how == "KILL":
-            router.tell(signal.SIGKILL)
-            await router.ended(END_S)
+    async def _stop_and_start(self, router: RouterHandle, signal_name: str) -> None:
+        if signal_name == "KILL":
+            router.send_signal(signal.SIGKILL)
+            await router.ended(EXIT_TIMEOUT_S)
             self.spawn(self._front_notices(router.name))
         else:
-            router.tell(signal.SIGTERM)
-            await asyncio.sleep(ACCEPTS_S)
+            router.send_signal(signal.SIGTERM)
+            await asyncio.sleep(FRONT_DELAY_S)
             self._front(router.name, False)
-            if not await router.ended(self.longest + KILL_AFTER_S - ACCEPTS_S):
-                router.tell(signal.SIGKILL)
-                await router.ended(END_S)
+            if not await router.ended(self.max_client_wait + KILL_MARGIN_S - FRONT_DELAY_S):
+                router.send_signal(signal.SIGKILL)
+                await router.ended(EXIT_TIMEOUT_S)
         await self.start_router(router)
         self._front(router.name, True)
 
-    async def _reload(self, router: RouterLifetime) -> None:
-        """A new file names another address of discovery, and SIGHUP has it read."""
+    async def _reload(self, router: RouterHandle) -> None:
+        """Write a configuration with another address of discovery, and have the router read it by SIGHUP."""
         if not router.running:
             return
-        host, port = await asyncio.wait_for(self.hub.ask("move", router.name), ANSWER_S)
+        host, port = await asyncio.wait_for(self.hub.ask("move", router.name), WORKER_TIMEOUT_S)
         self.discovery[router.name] = (host, port)
         await self._configure(router)
-        router.tell(signal.SIGHUP)
+        router.send_signal(signal.SIGHUP)
--- a/holdgw/harness/fault_schedule.py
+++ b/holdgw/harness/fault_schedule.py
@@ -1,6 +1,6 @@
-"""Faults of a run, drawn ahead from the scenario and the seed; pure.
+"""Draws the faults of a run ahead, from the scenario and the seed, without input or output.
 
-Each fault draws from a generator of its own, so that another fault in the file moves none of its targets.
+Each fault draws from a generator of its own, so that another fault in the file changes none of its targets.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 DISCOVERY = "discovery"
 DATAGRAM_FAULTS = ("loss", "duplicates", "reordered", "late_ms", "bytes_per_s")
 """Settings of the lines between routers that a fault may change."""
-# An endpoint in maintenance is restarted meanwhile: from and to these fractions of the time.
+# A node in maintenance is killed and started again at these fractions of the maintenance.
 MAINTENANCE_KILL = 0.4
 MAINTENANCE_START = 0.6
 
@@ -41,7 +41,7 @@
     """Draw every fault of the scenario.
 
     Returns:
-        What is done to the fleet, in order of time, and one entry for each fault of the scenario.
+        The scheduled faults in order of time, and one entry for reports of each fault of the scenario.
     """
     drawing = _FaultDrawing(scenario, seed)
     order = sorted(enumerate(scenario.trouble), key=lambda pair: pair[1].at)
@@ -52,7 +52,11 @@
 
 @dataclass(slots=True)
 class _Current:
-    """The fault being drawn: its generator, the number of its draw, when it ends, who is up at its start."""
+    """The fault that is being drawn.
+
+    It has its generator, the number of its draw, the second at which it ends, and the nodes that are up at
+    its start.
+    """
 
     rng: random.Random
     number: int
@@ -60,23 +64,23 @@
     alive: tuple[str, ...]
 
     def chosen_nodes(self, wanted: int | tuple[str, ...]) -> list[str]:
-        """Nodes by name, or so many drawn among those that are up."""
+        """Return the nodes given by name, or a number of them drawn among those that are up."""
         if isinstance(wanted, int):
             return sorted(self.rng.sample(self.alive, min(wanted, len(self.alive))))
         return [name for name in wanted if name in self.alive]
 
     def chosen_routers(self, routers: Sequence[str], wanted: int | tuple[str, ...]) -> list[str]:
-        """Routers by name, or so many drawn."""
+        """Return the routers given by name, or a number of them drawn."""
         if isinstance(wanted, tuple):
             return [name for name in wanted if name in routers]
         return self.rng.sample(routers, min(wanted, len(routers)))
 
 
 class _FaultDrawing:
-    """Draws faults in order of their beginnings; keeps which nodes no fault so far has taken away for good.
+    """Draws faults in order of their beginnings, and tracks which nodes no fault has removed for good.
 
-    A method of `_draw` adds the steps of one kind of fault and returns its text for reports. It sets
-    `_now.until` where the fault does not end after its `seconds`.
+    Each method of `_draw` schedules one kind of fault and returns its text for reports. The method sets
+    `_current.until` where the fault does not end after its `seconds`.
     """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
@@ -85,93 +89,93 @@
         self._alive = node_names(scenario.fleet)
         self._new_numbers = itertools.count(scenario.fleet.nodes)
         self._routers = router_names(scenario.fleet)
-        self._now = _Current(random.Random(0), 0, 0.0, ())
+        self._current = _Current(random.Random(0), 0, 0.0, ())
         self.steps: list[ScheduledFault] = []
 
-    def draw(self, number: int, fault: t.Trouble) -> DrawnFault:
-        """Draw one fault, the scenario's `number`-th."""
+    def draw(self, number: int, fault: t.Fault) -> DrawnFault:
+        """Draw one fault, at position `number` of the scenario file."""
         place = draw_number(number, fault)
         until = fault.at + getattr(fault, "seconds", 0.0)
-        self._now = _Current(generator(self._seed, f"trouble{place}"), place, until, tuple(self._alive))
+        self._current = _Current(generator(self._seed, f"trouble{place}"), place, until, tuple(self._alive))
         text = self._draw(fault)
-        return DrawnFault(kind_of(fault), fault.at, self._now.until, text)
+        return DrawnFault(kind_of(fault), fault.at, self._current.until, text)
 
     def _add(self, at: float, verb: str, target: str = "", args: dict[str, Any] | None = None) -> None:
         self.steps.append(ScheduledFault(at, verb, target, {} if args is None else args))
 
-    def _take_away(self, nodes: Sequence[str]) -> None:
+    def _remove_nodes(self, nodes: Sequence[str]) -> None:
         self._alive = [name for name in self._alive if name not in nodes]
 
     def _new_node(self) -> str:
         return f"node{next(self._new_numbers):03d}"
 
     @singledispatchmethod
-    def _draw(self, fault: t.Trouble) -> str:
+    def _draw(self, fault: t.Fault) -> str:
         raise NotImplementedError(kind_of(fault))
 
     # Nodes
 
     @_draw.register
     def _(self, fault: t.Pause) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
             self._add(fault.at, "pause", name, {"seconds": fault.seconds})
         return f"{', '.join(nodes)} paused {fault.seconds:g} s"
 
     @_draw.register
     def _(self, fault: t.FalseReport) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
             self._add(fault.at, "report", name, {"says": fault.says})
-            self._add(self._now.until, "report", name, {"says": ""})
+            self._add(self._current.until, "report", name, {"says": ""})
         return f"{', '.join(nodes)} report: {fault.says}"
 
     @_draw.register
     def _(self, fault: t.Kill) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
             self._add(fault.at, "kill", name)
-        self._take_away(nodes)
+        self._remove_nodes(nodes)
         return f"{', '.join(nodes)} killed"
 
     @_draw.register
     def _(self, fault: t.Restart) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
-        self._now.until = fault.at + fault.down_s
+        nodes = self._current.chosen_nodes(fault.nodes)
+        self._current.until = fault.at + fault.down_s
         for name in nodes:
             self._add(fault.at, "kill", name)
-            self._add(self._now.until, "start", name)
+            self._add(self._current.until, "start", name)
         return f"{', '.join(nodes)} restarted, cold"
 
     @_draw.register
     def _(self, fault: t.Replace) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
-        self._now.until = fault.at + fault.down_s
-        self._take_away(nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
+        self._current.until = fault.at + fault.down_s
+        self._remove_nodes(nodes)
         for name in nodes:
             new = self._new_node()
             self._add(fault.at, "kill", name)
-            self._add(self._now.until, "create", new, {"instead": name if fault.same_address else ""})
+            self._add(self._current.until, "create", new, {"instead": name if fault.same_address else ""})
             self._alive.append(new)
         return f"{', '.join(nodes)} replaced"
 
     @_draw.register
     def _(self, fault: t.Drain) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
             self._add(fault.at, "drain", name)
-            self._add(self._now.until, "kill", name)
-        self._take_away(nodes)
+            self._add(self._current.until, "kill", name)
+        self._remove_nodes(nodes)
         return f"{', '.join(nodes)} drain, gone after {fault.seconds:g} s"
 
     @_draw.register
-    def _(self, fault: t.ByHand) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+    def _(self, fault: t.Maintenance) -> str:
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
             self._add(fault.at, "out", ADMIN, {"node": name})
             self._add(fault.at + fault.seconds * MAINTENANCE_KILL, "kill", name)
             self._add(fault.at + fault.seconds * MAINTENANCE_START, "start", name)
-            self._add(self._now.until, "back", ADMIN, {"node": name})
+            self._add(self._current.until, "back", ADMIN, {"node": name})
         return f"{', '.join(nodes)} out by hand for {fault.seconds:g} s, restarted meanwhile"
 
     @_draw.register
@@ -184,14 +188,14 @@
 
     @_draw.register
     def _(self, fault: t.Flush) -> str:
-        self._add(fault.at, "flush", "", {"share": fault.share, "serial": self._now.number})
+        self._add(fault.at, "flush", "", {"share": fault.share, "serial": self._current.number})
         return f"{fault.share:.0%} of the keys flushed"
 
     @_draw.register
     def _(self, fault: t.Vanish) -> str:
-        nodes = self._now.chosen_nodes(fault.nodes)
+        nodes = self._current.chosen_nodes(fault.nodes)
         for name in nodes:
-            self._vanish(name, fault.at, fault.at + fault.notice_s, self._now.until)
+            self._vanish(name, fault.at, fault.at + fault.notice_s, self._current.until)
         return f"{', '.join(nodes)} vanish for {fault.seconds:g} s"
 
     def _vanish(self, name: str, at: float, noticed: float, back: float) -> None:
@@ -212,7 +216,7 @@
 
     @_draw.register
     def _(self, fault: t.HotCaller) -> str:
-        through = generator(self._seed, f"hot{self._now.number}").sample(self._routers, fault.routers)
+        through = generator(self._seed, f"hot{self._current.number}").sample(self._routers, fault.routers)
         return f"hot caller: {fault.share:.0%} through {', '.join(through)}"
 
     @_draw.register
@@ -220,18 +224,18 @@
         whose = f" of {fault.tenant}" if fault.tenant else ""
         return f"burst: {fault.factor:g} times the load{whose}"
 
-    # Origin and spoilt answers
+    # Origin and faulty answers
 
     @_draw.register
     def _(self, fault: t.OriginSlow) -> str:
         self._add(fault.at, "slow", ORIGIN, {"factor": fault.factor})
-        self._add(self._now.until, "slow", ORIGIN, {"factor": 1.0})
+        self._add(self._current.until, "slow", ORIGIN, {"factor": 1.0})
         return f"package store {fault.factor:g} times as slow"
 
     @_draw.register
     def _(self, fault: t.OriginDown) -> str:
         self._add(fault.at, "down", ORIGIN)
-        self._add(self._now.until, "up", ORIGIN)
+        self._add(self._current.until, "up", ORIGIN)
         return "package store down"
 
     @_draw.register(t.Reset)
@@ -239,12 +243,12 @@
     @_draw.register(t.Silence)
     def _(self, fault: t.Reset | t.Garble | t.Silence) -> str:
         kind = kind_of(fault)
-        nodes = [""] if fault.nodes == "all" else self._now.chosen_nodes(fault.nodes)
+        nodes = [""] if fault.nodes == "all" else self._current.chosen_nodes(fault.nodes)
         if fault.store:
             nodes.append(ORIGIN)
         for name in nodes:
             self._add(fault.at, "spoil", name, {"fault": kind, "share": fault.share})
-            self._add(self._now.until, "spoil", name, {"fault": kind, "share": -fault.share})
+            self._add(self._current.until, "spoil", name, {"fault": kind, "share": -fault.share})
         return f"{kind}: {fault.share:.1%} of the answers"
 
     # Discovery
@@ -256,7 +260,7 @@
 
     @_draw.register
     def _(self, fault: t.DiscoveryStale) -> str:
-        views = self._now.rng.sample(self._routers, fault.routers) if fault.routers else self._routers
+        views = self._current.rng.sample(self._routers, fault.routers) if fault.routers else self._routers
         self._add(fault.at, "stale", DISCOVERY, {"seconds": fault.seconds, "routers": views})
         return f"discovery stale at {len(views)} routers"
 
@@ -269,16 +273,16 @@
 
     @_draw.register
     def _(self, fault: t.RouterRestart) -> str:
-        picked = self._now.chosen_routers(self._routers, fault.routers)
+        picked = self._current.chosen_routers(self._routers, fault.routers)
         for i, name in enumerate(picked):
             at = fault.at + i // fault.together * fault.gap_s
             self._add(at, "restart", name, {"signal": fault.signal})
-            self._now.until = at
+            self._current.until = at
         return f"{', '.join(picked)}: SIG{fault.signal} and a new start"
 
     @_draw.register
     def _(self, fault: t.RouterReload) -> str:
-        picked = self._now.rng.sample(self._routers, fault.routers)
+        picked = self._current.rng.sample(self._routers, fault.routers)
         for name in picked:
             self._add(fault.at, "reload", name)
         return f"{', '.join(picked)}: new configuration, SIGHUP"
@@ -286,17 +290,17 @@
     @_draw.register(t.Freeze)
     @_draw.register(t.RouterStop)
     def _(self, fault: t.Freeze | t.RouterStop) -> str:
-        picked = self._now.chosen_routers(self._routers, fault.routers)
+        picked = self._current.chosen_routers(self._routers, fault.routers)
         for name in picked:
             self._add(fault.at, "stop", ROUTERS, {"router": name})
         for name in picked:
-            self._add(self._now.until, "continue", ROUTERS, {"router": name})
+            self._add(self._current.until, "continue", ROUTERS, {"router": name})
         what = "frozen" if isinstance(fault, t.Freeze) else "stand still"
         return f"{', '.join(picked)} {what} for {fault.seconds:g} s"
 
     @_draw.register
     def _(self, fault: t.Slow) -> str:
-        picked = self._now.chosen_routers(self._routers, fault.routers)
+        picked = self._current.chosen_routers(self._routers, fault.routers)
         for name in picked:
             self._add(
                 fault.at,
@@ -308,16 +312,16 @@
 
     @_draw.register
     def _(self, fault: t.ClockJump) -> str:
-        picked = self._now.rng.sample(self._routers, fault.routers)
+        picked = self._current.rng.sample(self._routers, fault.routers)
         for name in picked:
             self._add(fault.at, "clock", NETWORK, {"router": name, "by_s": fault.by_s})
         return f"{', '.join(picked)}: clock set by {fault.by_s:+g} s"
 
     @_draw.register
     def _(self, fault: t.MachineLoss) -> str:
-        picked = self._now.chosen_routers(self._routers, fault.routers)
-        self._now.until = fault.at + fault.down_s
-        self._lose_machines(fault.at, self._now.until if fault.down_s else None, picked)
+        picked = self._current.chosen_routers(self._routers, fault.routers)
+        self._current.until = fault.at + fault.down_s
+        self._lose_machines(fault.at, self._current.until if fault.down_s else None, picked)
         back = f"back empty after {fault.down_s:g} s" if fault.down_s else "for good"
         return f"{', '.join(picked)}: machine lost, {back}"
 
@@ -326,8 +330,8 @@
         lost = [name for name in self._alive if zone_of_server(self._scenario, name) == fault.zone]
         picked = [name for name in self._routers if zone_of_router(self._scenario, name) == fault.zone]
         for name in lost:
-            self._vanish(name, fault.at, fault.at + fault.notice_s, self._now.until)
-        self._lose_machines(fault.at, self._now.until, picked)
+            self._vanish(name, fault.at, fault.at + fault.notice_s, self._current.until)
+        self._lose_machines(fault.at, self._current.until, picked)
         return f"zone {fault.zone} lost: {len(lost)} nodes and {len(picked)} routers"
 
     def _lose_machines(self, at: float, back: float | None, routers: Sequence[str]) -> None:
@@ -337,15 +341,17 @@
             for name in routers:
                 self._add(back, "return", ROUTERS, {"router": name})
 
-    # Lines
+    # Network
 
     @_draw.register
     def _(self, fault: t.Partition) -> str:
-        nodes = self._alive if fault.nodes == "all" else self._now.chosen_nodes(fault.nodes)
+        nodes = self._alive if fault.nodes == "all" else self._current.chosen_nodes(fault.nodes)
         servers = [*nodes, *([ORIGIN] if fault.store else [])]
-        picked = self._now.chosen_routers(self._routers, fault.routers) if fault.routers else self._routers
+        picked = (
+            self._current.chosen_routers(self._routers, fault.routers) if fault.routers else self._routers
+        )
         rest = [name for name in self._routers if name not in picked]
-        others = self._now.chosen_routers(rest, fault.peers)
+        others = self._current.chosen_routers(rest, fault.peers)
         if fault.zone:
             return self._partition_zone(fault)
         parts = [f"{len(others)} routers"] * bool(others) + servers
@@ -370,7 +376,14 @@
         without_discovery: list[str],
         peers: tuple[list[str], list[str]],
     ) -> None:
-        """Part routers from servers by `sides`, some from discovery, and two groups from each other."""
+        """Schedule a partition.
+
+        Args:
+            fault: The fault, for its time and direction.
+            sides: Pairs of routers and the servers they are cut off from.
+            without_discovery: Routers cut off from discovery, if the fault includes discovery.
+            peers: Two groups of routers cut off from each other; none if the second one is empty.
+        """
         common = {"way": fault.way, "seconds": fault.seconds}
         for routers, servers in sides:
             self._add(fault.at, "partition", NETWORK, {"routers": routers, "servers": servers, **common})
@@ -383,26 +396,26 @@
     def _(self, fault: t.LossyPeers) -> str:
         self._add(fault.at, "weather", PEERS, {name: getattr(fault, name) for name in DATAGRAM_FAULTS})
         usual = {name: getattr(self._scenario.peers, name) for name in DATAGRAM_FAULTS}
-        self._add(self._now.until, "weather", PEERS, usual)
+        self._add(self._current.until, "weather", PEERS, usual)
         return f"lines between routers: {fault.loss:.1%} lost"
 
     @_draw.register
     def _(self, fault: t.Cut) -> str:
         cut = {"share": fault.share, "phases": list(fault.phases), "lines": fault.lines}
-        self._add(fault.at, "cut", NETWORK, {**cut, "name": self._now.number})
-        self._add(self._now.until, "uncut", NETWORK, {"name": self._now.number})
+        self._add(fault.at, "cut", NETWORK, {**cut, "name": self._current.number})
+        self._add(self._current.until, "uncut", NETWORK, {"name": self._current.number})
         return f"{fault.share:.1%} of what is sent breaks off ({fault.lines})"
 
     @_draw.register
-    def _(self, fault: t.Weather) -> str:
+    def _(self, fault: t.LineConditions) -> str:
         weather = {
             "loss": fault.loss,
             "chop": fault.chop,
             "slow_ms": fault.slow_ms,
             "window_kb": fault.window_kb,
         }
-        self._add(fault.at, "weather", NETWORK, {**weather, "name": self._now.number})
-        self._add(self._now.until, "weather", NETWORK, {"name": self._now.number})
+        self._add(fault.at, "weather", NETWORK, {**weather, "name": self._current.number})
+        self._add(self._current.until, "weather", NETWORK, {"name": self._current.number})
         return f"bad lines: {fault.loss:.1%} lost, {fault.chop:.0%} in pieces"
 
     @_draw.register
@@ -412,10 +425,10 @@
 
 
 def lines_of_routers(scenario: Scenario, seed: int) -> dict[str, str]:
-    """The line over which each router comes to servers.
+    """Return the line over which each router reaches servers, by router.
 
-    That is its zone, or, for routers that a partition of the run cuts off, one of a zone's lines of their
-    own, shared by all that are cut off by the same partitions.
+    That is the router's zone. Routers that a partition of the run cuts off have a line of their own within
+    the zone, shared by all routers that the same partitions cut off.
     """
     steps, _ = draw_faults(scenario, seed)
     cuts = [step.args["routers"] for step in steps if step.verb == "partition" and step.target == NETWORK]
@@ -429,6 +442,6 @@
     return found
 
 
-def may_be_cut(scenario: Scenario) -> bool:
-    """Whether a fault of the run cuts lines to servers or to discovery."""
+def has_partitions(scenario: Scenario) -> bool:
+    """Whether a fault of the run cuts connections to servers or to discovery."""
     return any(isinstance(one, t.Partition | t.Vanish | t.ZoneLoss) for one in scenario.trouble)
--- a/holdgw/harness/html_report.py
+++ b/holdgw/harness/html_report.py
@@ -1,4 +1,4 @@
-"""The report as one self-contained page: plots over time, the troubles marked on them; pure."""
+"""Renders the report as one self-contained HTML page: plots over time with the faults marked on them."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def nice_step(most: float, steps: int = 4) -> float:
-    """A round distance between grid lines, so that about so many reach `most`."""
+    """Return a round distance between grid lines, so that at most `steps` of them reach `most`."""
     if most <= 0:
         return 1.0
     raw = most / steps
@@ -48,26 +48,34 @@
     return next(factor * power for factor in (1, 2, 5, 10) if factor * power >= raw)
 
 
-def plot(series: Series, length: float, marks: Sequence[DrawnFault], least: float = 0.0) -> str:
-    """An SVG of lines over the seconds of the day; bands are troubles."""
+def plot(series: Series, length: float, faults: Sequence[DrawnFault], least: float = 0.0) -> str:
+    """Return an SVG plot of lines over the seconds of the run, with faults as coloured bands.
+
+    Args:
+        series: Points (second, value) by the line's name.
+        length: The length of the run in seconds.
+        faults: The faults to mark.
+        least: The value that the vertical axis reaches at least.
+    """
     most = max((y for line in series.values() for _, y in line), default=0.0)
     step = nice_step(max(most, least))
     top = max(step * ceil(max(most, least) / step), step)
-    wide, high = WIDTH - LEFT - RIGHT, HEIGHT - TOP - BOTTOM
+    plot_width, plot_height = WIDTH - LEFT - RIGHT, HEIGHT - TOP - BOTTOM
 
     def x(at: float) -> float:
-        return round(LEFT + wide * min(max(at / length, 0.0), 1.0), 1)
+        return round(LEFT + plot_width * min(max(at / length, 0.0), 1.0), 1)
 
     def y(value: float) -> float:
-        return round(TOP + high * (1 - value / top), 1)
+        return round(TOP + plot_height * (1 - value / top), 1)
 
     parts = [f'<svg viewBox="0 0 {WIDTH} {HEIGHT}" role="img">']
-    for i, mark in enumerate(marks):
-        width = max(x(mark.until) - x(mark.at), 2.0)
+    for i, fault in enumerate(faults):
+        width = max(x(fault.until) - x(fault.at), 2.0)
         parts.append(
-            f'<rect x="{x(mark.at)}" y="{TOP}" width="{width:.1f}" height="{high}" '
-            f'fill="{BANDS[i % len(BANDS)]}" fill-opacity=".6"><title>{escape(mark.text)}</title></rect>'
-            f'<text x="{x(mark.at) + 3}" y="{TOP + 11 + i % 6 * 11}" font-size="9" fill="#555">{i + 1}</text>'
+            f'<rect x="{x(fault.at)}" y="{TOP}" width="{width:.1f}" height="{plot_height}" '
+            f'fill="{BANDS[i % len(BANDS)]}" fill-opacity=".6"><title>{escape(fault.text)}</title></rect>'
+            f'<text x="{x(fault.at) + 3}" y="{TOP + 11 + i % 6 * 11}" font-size="9" '
+            f'fill="#555">{i + 1}</text>'
         )
     for i in range(int(top / step + 0.5) + 1):
         value = i * step
@@ -89,7 +97,7 @@
     return "".join([*parts, "</svg>"])
 
 
-def _key(names: Sequence[str]) -> str:
+def _legend(names: Sequence[str]) -> str:
     spans = (
         f'<span><i style="background:{LINES[i % len(LINES)]}"></i>{escape(name)}</span>'
         for i, name in enumerate(names)
@@ -103,17 +111,17 @@
 
 
 def _figure(title: str, series: Series, report: Report, note: str = "") -> str:
-    length, marks = report.day.scenario.length_s, report.day.drawn_faults
+    length, faults = report.schedule.scenario.length_s, report.schedule.drawn_faults
     text = f"<p>{escape(note)}</p>" if note else ""
-    return f"<h2>{escape(title)}</h2>{text}{_key(list(series))}{plot(series, length, marks)}"
+    return f"<h2>{escape(title)}</h2>{text}{_legend(list(series))}{plot(series, length, faults)}"
 
 
 def _latency(report: Report) -> Series:
-    length = report.day.scenario.length_s
+    length = report.schedule.scenario.length_s
     took = defaultdict[int, list[float]](list)
-    for fate in report.fates:
-        if fate.took is not None:
-            took[int(fate.ask.at)].append(fate.took * 1000)
+    for outcome in report.outcomes:
+        if outcome.took is not None:
+            took[int(outcome.request.at)].append(outcome.took * 1000)
     lines: dict[str, list[tuple[float, float]]] = {"p50": [], "p90": [], "p99": []}
     for i in range(max(int(length), 1)):
         values = sorted(took[i])
@@ -123,24 +131,24 @@
 
 
 def _outcomes(report: Report) -> Series:
-    length, classes = report.day.scenario.length_s, report.day.scenario.classes
+    length, classes = report.schedule.scenario.length_s, report.schedule.scenario.classes
     times: dict[str, list[float]] = {"asked": [], "in aim": [], "late": [], "refused": [], "failed": []}
-    for fate in report.fates:
-        times["asked"].append(fate.ask.at)
-        if fate.took is None:
-            kind = "refused" if fate.outcome == "refused" else "failed"
+    for outcome in report.outcomes:
+        times["asked"].append(outcome.request.at)
+        if outcome.took is None:
+            kind = "refused" if outcome.result == "refused" else "failed"
         else:
-            kind = "in aim" if fate.took <= classes[fate.ask.request_class].aim_ms / 1000 else "late"
-        times[kind].append(fate.ask.at)
+            kind = (
+                "in aim" if outcome.took <= classes[outcome.request.request_class].aim_ms / 1000 else "late"
+            )
+        times[kind].append(outcome.request.at)
     return {name: _per_second(at, length) for name, at in times.items()}
 
 
 def _misses(report: Report) -> Series:
-    length = report.day.scenario.length_s
+    length = report.schedule.scenario.length_s
     times: dict[str, list[float]] = {
-        "package store fetches": [
-            one.at for one in report.attempts if one.server == ORIGIN and not one.idempotency
-        ]
+        "origin fetches": [one.at for one in report.attempts if one.server == ORIGIN and not one.idempotency]
     }
     for why in ("never", "flushed", "evicted", "voided", "expired"):
         found = [one.at for one in report.attempts if one.missing == why]
@@ -164,14 +172,14 @@
             work[int(one.at)][one.server] += 1
     nodes = len(report.body["nodes"]) or 1
     lines: dict[str, list[tuple[float, float]]] = {"mean": [], "busiest": []}
-    for i in range(max(int(report.day.scenario.length_s), 1)):
+    for i in range(max(int(report.schedule.scenario.length_s), 1)):
         lines["mean"].append((i + 0.5, sum(work[i].values()) / nodes))
         lines["busiest"].append((i + 0.5, max(work[i].values(), default=0)))
     return lines
 
 
 def _memory(usage: Mapping[str, Sequence[Usage]], begun: float) -> Series:
-    """The router with the most memory, the one with the least, and the most descriptors, by second."""
+    """Return the most memory and the most descriptors of a router, by second."""
     rows = defaultdict[int, list[Usage]](list)
     for several in usage.values():
         for one in several:
@@ -193,7 +201,7 @@
     return f"<table><tr>{top}</tr>{body}</table>"
 
 
-def _shares(report: Report, group: str) -> str:
+def _grouped(report: Report, group: str) -> str:
     rows = [
         (
             name,
@@ -209,12 +217,18 @@
     )
 
 
-def _when(mark: DrawnFault) -> str:
-    return f"{mark.at:g} to {mark.until:g} s" if mark.until > mark.at else f"{mark.at:g} s"
+def _when(fault: DrawnFault) -> str:
+    return f"{fault.at:g} to {fault.until:g} s" if fault.until > fault.at else f"{fault.at:g} s"
 
 
 def render(report: Report, usage: Mapping[str, Sequence[Usage]], begun: float) -> str:
-    """The whole page."""
+    """Return the whole page.
+
+    Args:
+        report: The report of the run.
+        usage: The samples of each router's memory and descriptors.
+        begun: The time of second 0 on the clock of `usage`.
+    """
     body = report.body
     rules = "".join(
         f'<span><b class="{"bad" if number else "good"}">{number}</b>{escape(rule)}</span>'
@@ -229,13 +243,13 @@
             ("in aim", body["in_aim"]),
             ("refused", body["refused"]),
             ("failed", body["failed"]),
-            ("store fetches", body["origin_fetches"]),
+            ("origin fetches", body["origin_fetches"]),
             ("p50 ms", body["p50_ms"]),
             ("p99 ms", body["p99_ms"]),
         )
     )
-    troubles = "".join(
-        f"<li><b>{_when(mark)}</b> {escape(mark.text)}</li>" for mark in report.day.drawn_faults
+    faults = "".join(
+        f"<li><b>{_when(fault)}</b> {escape(fault.text)}</li>" for fault in report.schedule.drawn_faults
     )
     broken = _table(
         ("rule", "second", "requests", "what"),
@@ -245,21 +259,19 @@
         [
             f'<!doctype html><html lang="en"><meta charset="utf-8"><title>{escape(body["scenario"])}</title>',
             f"<style>{STYLE}</style><h1>{escape(body['scenario'])}, seed {body['seed']}</h1>",
-            f"<p>{escape(report.day.scenario.about)}</p>{void}",
+            f"<p>{escape(report.schedule.scenario.about)}</p>{void}",
             f'<div class="figures">{figures}</div><div class="figures">{rules}</div>',
-            f"<ol>{troubles}</ol>" if troubles else "<p>No troubles.</p>",
-            _figure("Requests a second, by what became of them", _outcomes(report), report),
-            _figure(
-                "Time to the answer, ms", _latency(report), report, "By the second in which they were asked."
-            ),
-            _figure("Misses by cause, and fetches from the package store, a second", _misses(report), report),
-            _figure("Attempts a second at a node", _node_load(report), report),
+            f"<ol>{faults}</ol>" if faults else "<p>No faults.</p>",
+            _figure("Requests per second, by outcome", _outcomes(report), report),
+            _figure("Latency, ms", _latency(report), report, "By the second of the request."),
+            _figure("Misses by cause and origin fetches, per second", _misses(report), report),
+            _figure("Attempts per second at a node", _node_load(report), report),
             _figure("Skew of the routers", _skew(report), report, "By 5 s."),
-            _figure("What routers take", _memory(usage, begun), report),
-            f"<h2>By class</h2>{_shares(report, 'classes')}<h2>By tenant</h2>{_shares(report, 'tenants')}",
-            f"<h2>By source</h2>{_shares(report, 'sources')}",
+            _figure("Memory and descriptors of routers", _memory(usage, begun), report),
+            f"<h2>By class</h2>{_grouped(report, 'classes')}<h2>By tenant</h2>{_grouped(report, 'tenants')}",
+            f"<h2>By source</h2>{_grouped(report, 'sources')}",
             f"<h2>Broken rules</h2>{broken}" if body["broken"] else "",
-            f"<p>Emulator: 99th percentile of its lag {body['emulator']['p99_ms']:g} ms, ",
+            f"<p>Emulator lag: 99th percentile {body['emulator']['p99_ms']:g} ms, ",
             f"worst {body['emulator']['worst_ms']:g} ms.</p></html>",
         ]
     )
--- a/holdgw/harness/orchestrator.py
+++ b/holdgw/harness/orchestrator.py
@@ -1,8 +1,8 @@
-"""Plays a day: starts workers and real routers, carries the time line out, gathers what was seen, ends it
-all.
+"""Plays a run with real processes: starts workers and routers, injects faults and collects the records.
 
-Whatever happens, also Ctrl-C, a router that dies or a worker that fails, every process it started is ended
-before it returns; if it is killed outright, the kernel ends the routers and the workers see their stage gone.
+Every process that the orchestrator started has exited before it returns, also after Ctrl-C, the crash of a
+router or the failure of a worker. If the orchestrator itself is killed, the kernel kills the routers, and the
+workers see the end of their channel and exit.
 """
 
 from __future__ import annotations
@@ -25,65 +25,71 @@
 from holdgw.emulators.records import WarmUpCrash
 from holdgw.emulators.relay import ALL
 from holdgw.harness.channel import (
-    Batch,
+    Addresses,
     Channel,
     ClientCounts,
-    Did,
-    Do,
-    Fault,
+    Command,
+    CommandResult,
     Finish,
     Message,
-    Places,
+    RecordBatch,
     Setup,
     Stored,
     Voided,
+    WorkerFailure,
 )
 from holdgw.harness.checker import History
 from holdgw.harness.deployment import Peers, configuration
-from holdgw.harness.fault_injection import ANSWER_S, FaultInjector, HarnessError
+from holdgw.harness.fault_injection import WORKER_TIMEOUT_S, FaultInjector, HarnessError
 from holdgw.harness.routers import (
-    PING_EVERY_S,
+    PING_INTERVAL_S,
     READY_S,
     RouterProcess,
     Usage,
     child_of_orchestrator,
     cpu_seconds,
-    first_line,
     free_address,
-    share_cores,
+    read_first_line,
+    split_cores,
 )
 from holdgw.harness.scenario import Scenario, member_names, router_names
 from holdgw.harness.schedule import PEERS, Schedule
 
 CLOCK = time.monotonic
-AGGREGATE = f"exec {sys.executable} -m holdgw.router.aggregator_program"
-STATUS = b"GET /status HTTP/1.1\r\nHost: stage\r\n\r\n"
-NODES_RATE, CLIENTS_RATE = 500.0, 700.0  # requests a second that one worker is given
-MOST_NODE_WORKERS, MOST_CLIENT_WORKERS = 4, 4
-SAMPLE_S = 1.0
-WAITS_S = 0.1  # how often it is looked how long routers waited for a core
+AGGREGATOR_COMMAND = f"exec {sys.executable} -m holdgw.router.aggregator_program"
+STATUS_REQUEST = b"GET /status HTTP/1.1\r\nHost: stage\r\n\r\n"
+REQUESTS_PER_NODE_WORKER, REQUESTS_PER_CLIENT_WORKER = (
+    500.0,
+    700.0,
+)  # requests a second for each worker
+MAX_NODE_WORKERS, MAX_CLIENT_WORKERS = 4, 4
+USAGE_INTERVAL_S = 1.0
+CORE_WAIT_INTERVAL_S = 0.1  # between samples of how long routers waited for a core
 
 
 @dataclass(slots=True)
 class RunResult:
-    """A day that was played. `begun`: the clock's time of second 0."""
+    """The records of a run that was played to its end.
 
-    day: Schedule
+    `begun` is the time of second 0 on the harness's clock.
+    """
+
+    schedule: Schedule
     history: History
     begun: float
     length: float
     usage: dict[str, list[Usage]] = field(default_factory=dict)
     workers: dict[str, float] = field(default_factory=dict)
-    """CPU seconds of each worker and of the stage."""
+    """CPU seconds of each worker and of the orchestrator (under `stage`)."""
     processes: int = 0
-    """Routers, workers and the stage, at the beginning."""
+    """The number of routers, workers and orchestrator at the beginning."""
 
 
 class WorkerProcess:
-    """A worker process as the stage sees it."""
+    """A worker process, as the orchestrator uses it."""
 
-    def __init__(self, stage: Orchestrator, name: str) -> None:
-        self.stage, self.name = stage, name
+    def __init__(self, orchestrator: Orchestrator, name: str) -> None:
+        self.orchestrator, self.name = orchestrator, name
         self.channel: Channel | None = None
         self.process: asyncio.subprocess.Process | None = None
         self.finished = asyncio.Event()
@@ -93,31 +99,31 @@
         self._number = 0
 
     async def start(self, setup: Setup, environment: dict[str, str]) -> None:
-        """Start the process and give it its part."""
-        mine, its = socket.socketpair()
-        with its:
+        """Start the process and assign its role."""
+        own_end, worker_end = socket.socketpair()
+        with worker_end:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 "holdgw.harness.worker",
-                str(its.fileno()),
-                pass_fds=(its.fileno(),),
+                str(worker_end.fileno()),
+                pass_fds=(worker_end.fileno(),),
                 env=environment,
                 stdin=asyncio.subprocess.DEVNULL,
                 start_new_session=True,
-                preexec_fn=partial(child_of_orchestrator, self.stage.cores),
+                preexec_fn=partial(child_of_orchestrator, self.orchestrator.cores),
             )
-        self.channel = await Channel.over(mine, self._take, self._lost)
+        self.channel = await Channel.connect(own_end, self._on_message, self._on_disconnect)
         self.channel.send(setup)
 
     def ask(self, verb: str, target: str = "", args: dict[str, Any] | None = None) -> asyncio.Future[Any]:
-        """Have it do something; the future is what came of it."""
+        """Have the worker carry out a command; the future gets its value."""
         self._number += 1
-        self.send(Do(verb, target, args or {}, self._number))
+        self.send(Command(verb, target, args or {}, self._number))
         return self._expect(self._number)
 
     def ready(self) -> asyncio.Future[Any]:
-        """What it tells once it has taken up its part."""
+        """Return a future for what the worker reports once its role has started."""
         return self._expect(0)
 
     def _expect(self, number: int) -> asyncio.Future[Any]:
@@ -126,38 +132,40 @@
         return future
 
     def send(self, message: Message) -> None:
-        """Send it a message."""
+        """Send the worker a message."""
         if self.channel is not None:
             self.channel.send(message)
 
-    def _take(self, message: Message) -> None:
-        if isinstance(message, Batch):
-            self.stage.saw(message)
+    def _on_message(self, message: Message) -> None:
+        if isinstance(message, RecordBatch):
+            self.orchestrator.add_records(message)
         elif isinstance(message, Stored | Voided):
-            self.stage.tell_nodes(message)
+            self.orchestrator.forward_to_nodes(message)
         elif isinstance(message, ClientCounts):
             self.tally = message
-        elif isinstance(message, Did):
+        elif isinstance(message, CommandResult):
             future = self._answers.pop(message.number, None)
             if future is not None and not future.done():
                 future.set_result(message.value)
         elif isinstance(message, Finish):
             self.finished.set()
-        elif isinstance(message, Fault):
-            self.stage.fail(f"worker {self.name}: {message.text.strip().splitlines()[-1]}", message.text)
+        elif isinstance(message, WorkerFailure):
+            self.orchestrator.fail(
+                f"worker {self.name}: {message.text.strip().splitlines()[-1]}", message.text
+            )
 
-    def _lost(self) -> None:
+    def _on_disconnect(self) -> None:
         if not self.finished.is_set():
-            self.stage.fail(f"worker {self.name} is gone")
+            self.orchestrator.fail(f"worker {self.name} exited before the end of the run")
 
     def sample(self) -> None:
-        """Read its CPU time."""
+        """Read the worker's CPU time."""
         if self.process is not None:
             with contextlib.suppress(OSError, IndexError, ValueError):
                 self.cpu = cpu_seconds(self.process.pid)
 
     async def end(self) -> None:
-        """End it now."""
+        """Kill the process and wait for its exit."""
         if self.channel is not None:
             self.channel.close()
         if self.process is not None:
@@ -168,47 +176,47 @@
 
 
 class Orchestrator(FaultInjector):
-    """One day's play."""
+    """Plays one run with real processes."""
 
-    def __init__(self, day: Schedule, command: str, root: Path, keep_logs: Path | None = None) -> None:
-        super().__init__(day, CLOCK)
+    def __init__(self, schedule: Schedule, command: str, root: Path, keep_logs: Path | None = None) -> None:
+        super().__init__(schedule, CLOCK)
         self.history = History()
         self.felled = 0
-        self.cores, self._router_cores = share_cores(os.sched_getaffinity(0))
+        self.cores, self._router_cores = split_cores(os.sched_getaffinity(0))
         self._command, self._root, self._keep_logs = command, root, keep_logs
         self.node_workers: list[WorkerProcess] = []
         self.client_workers: list[WorkerProcess] = []
         self.routers: dict[str, RouterProcess] = {}
         self.aggregators: dict[str, RouterProcess] = {}
-        """Machines set aside; whoever kills or halts one does it by its process."""
+        """Dedicated aggregators by name; tests kill or stop one by its process."""
         self._workers: list[WorkerProcess] = []
         self._failure: asyncio.Future[None] | None = None
         self._fault_text = ""
         self._tasks: set[asyncio.Task[None]] = set()
 
-    # What workers tell
+    # Messages of workers
 
-    def saw(self, batch: Batch) -> None:
-        """Keep what was seen."""
+    def add_records(self, batch: RecordBatch) -> None:
+        """Keep a worker's records; the node of a `Fallen` record leaves the endpoint list."""
         for record in batch.records:
             self.history.add(record)
             if isinstance(record, WarmUpCrash):
                 self.felled += 1
-                self.spawn(self.list_state("removed", record.server))
+                self.spawn(self.set_endpoint_state("removed", record.server))
 
-    def tell_nodes(self, message: Stored | Voided) -> None:
-        """The package store's news goes to all nodes."""
+    def forward_to_nodes(self, message: Stored | Voided) -> None:
+        """Pass a message of the origin on to all workers of nodes."""
         for worker in self.node_workers:
             worker.send(message)
 
     def fail(self, text: str, details: str = "") -> None:
-        """The day can't be played on."""
+        """End the run with a HarnessError; `details` is written to `fault.txt` beside the kept logs."""
         if self._failure is not None and not self._failure.done():
             self._fault_text = details
             self._failure.set_exception(HarnessError(text))
 
     def tally(self) -> ClientCounts:
-        """What all clients have counted so far."""
+        """Return the sum of what all workers of clients have counted so far."""
         total = ClientCounts()
         for worker in self.client_workers:
             for name in ClientCounts.__struct_fields__:
@@ -216,22 +224,26 @@
         return total
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do something beside all else; a fault in it ends the day."""
+        """Start a task in the background; an exception in it ends the run."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._task_over)
+        task.add_done_callback(self._on_task_done)
 
-    def _task_over(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self.fail(f"{type(error).__name__}: {error}")
 
-    # The whole day
+    # The whole run
 
     async def play(
-        self, progress: Callable[[Orchestrator, float], None] = lambda _stage, _at: None
+        self, progress: Callable[[Orchestrator, float], None] = lambda _orchestrator, _at: None
     ) -> RunResult:
-        """Play the day; `progress` is called some times a second with the second of the day."""
+        """Play the run; `progress` is called several times a second with the second of the run.
+
+        Raises:
+            HarnessError: The run could not be played to its end.
+        """
         self._failure = asyncio.get_running_loop().create_future()
         with tempfile.TemporaryDirectory(prefix="holdgw-rehearsal-") as folder:
             main = asyncio.ensure_future(self._play(Path(folder), progress))
@@ -257,37 +269,37 @@
                 (self._keep_logs / "fault.txt").write_text(self._fault_text)
 
     async def _play(self, folder: Path, progress: Callable[[Orchestrator, float], None]) -> RunResult:
-        scenario = self.day.scenario
+        scenario = self.schedule.scenario
         await self._start_workers(scenario)
         await self._start_routers(scenario, folder)
         self.begin()
         self.spawn(self._sample())
-        self.spawn(self._look_at_waits())
-        await self.until_over(partial(progress, self))
+        self.spawn(self._sample_core_waits())
+        await self.wait_until_finished(partial(progress, self))
         return await self._gather()
 
     async def _gather(self) -> RunResult:
-        """End routers in good order, and have workers tell all that is left."""
+        """Shut down the routers gracefully, and collect the workers' last records."""
         for task in list(self._tasks):
             task.cancel()
         for router in self.routers.values():
             router.sample()
-        await self.until_ended()
+        await self.stop_routers()
         workers = self._workers
         for worker in workers:
             worker.sample()
             worker.send(Finish())
         for worker in workers:
-            await asyncio.wait_for(worker.finished.wait(), ANSWER_S)
+            await asyncio.wait_for(worker.finished.wait(), WORKER_TIMEOUT_S)
         for router in self.routers.values():
             self.history.lives += router.lives
             self.history.starved += router.starved
         times = os.times()
         return RunResult(
-            self.day,
+            self.schedule,
             self.history,
             self.begun,
-            self.day.scenario.length_s,
+            self.schedule.scenario.length_s,
             {router.name: router.usage for router in self.routers.values()},
             {**{worker.name: worker.cpu for worker in workers}, "stage": times.user + times.system},
             len(self.routers) + len(workers) + 1,
@@ -304,9 +316,9 @@
 
     async def _start_workers(self, scenario: Scenario) -> None:
         cores = max(len(self.cores), 1)
-        most = scenario.peak
-        nodes = min(ceil(most / NODES_RATE), MOST_NODE_WORKERS, cores, scenario.fleet.nodes)
-        clients = min(ceil(most / CLIENTS_RATE), MOST_CLIENT_WORKERS, cores)
+        peak_rate = scenario.peak
+        nodes = min(ceil(peak_rate / REQUESTS_PER_NODE_WORKER), MAX_NODE_WORKERS, cores, scenario.fleet.nodes)
+        clients = min(ceil(peak_rate / REQUESTS_PER_CLIENT_WORKER), MAX_CLIENT_WORKERS, cores)
         environment = dict(os.environ)
         setups = [("nodes", i, nodes) for i in range(nodes)]
         setups += [("hub", 0, 1), *(("clients", i, clients) for i in range(clients))]
@@ -322,89 +334,104 @@
                 self.relay = worker
             else:
                 self.client_workers.append(worker)
-            setup = Setup(role, index, count, worker.name, scenario, self.day.seed, "127.0.0.1")
+            setup = Setup(role, index, count, worker.name, scenario, self.schedule.seed, "127.0.0.1")
             ready = worker.ready()
             await worker.start(setup, environment)
-            self._tasks.add(asyncio.ensure_future(self._told(worker, ready, role)))
-        await asyncio.wait_for(asyncio.gather(*self._tasks), ANSWER_S + 30)
+            self._tasks.add(asyncio.ensure_future(self._register_worker(worker, ready, role)))
+        await asyncio.wait_for(asyncio.gather(*self._tasks), WORKER_TIMEOUT_S + 30)
         self._tasks.clear()
-        self.hub.send(Places(servers=self.places))
+        self.hub.send(Addresses(servers=self.addresses))
 
-    async def _told(self, worker: WorkerProcess, ready: asyncio.Future[Any], role: str) -> None:
-        told = await ready
+    async def _register_worker(self, worker: WorkerProcess, ready: asyncio.Future[Any], role: str) -> None:
+        reply = await ready
         if role == "nodes":
-            for name, addresses in told.items():
-                self.home[name] = worker
-                self.add_place(name, addresses)
+            for name, addresses in reply.items():
+                self.worker_of[name] = worker
+                self.add_addresses(name, addresses)
         elif role == "hub":
-            self.discovery = {name: (host, port) for name, (host, port) in told.items()}
+            self.discovery = {name: (host, port) for name, (host, port) in reply.items()}
 
     async def _start_routers(self, scenario: Scenario, folder: Path) -> None:
         high, low = 64 + os.getpid() % 128, os.getpid() // 128 % 250
         for i, name in enumerate(router_names(scenario.fleet)):
-            # An ip of its own: the kernel takes no port here for anybody's outgoing connection, so that a
-            # router finds its address free when it starts again.
+            # Each router has an IP address of its own, on which the kernel picks no port for other processes'
+            # outgoing connections, so that a restarted router finds its port free.
             address = free_address(f"127.{high}.{low + i // 200}.{10 + i % 200}")
             self.routers[name] = RouterProcess(
                 name, self._command, self._root, folder, address, CLOCK, self._router_cores
             )
         if scenario.peers.allowed:
-            self._place_aggregators(scenario, folder, f"127.{high}.{low + len(self.routers) // 200}")
+            self._create_aggregators(scenario, folder, f"127.{high}.{low + len(self.routers) // 200}")
             await self._join_peers()
         await asyncio.gather(*(self.start_aggregator(one) for one in self.aggregators.values()))
         await asyncio.gather(*(self.start_router(router) for router in self.routers.values()))
-        self.open_front()
+        self.announce_routers()
 
-    def _place_aggregators(self, scenario: Scenario, folder: Path, net: str) -> None:
+    def _create_aggregators(self, scenario: Scenario, folder: Path, net: str) -> None:
         for i, name in enumerate(member_names(scenario)[len(self.routers) :]):
             address = free_address(f"{net}.{230 + i}")
             self.aggregators[name] = RouterProcess(
-                name, AGGREGATE, self._root, folder, address, CLOCK, self._router_cores
+                name, AGGREGATOR_COMMAND, self._root, folder, address, CLOCK, self._router_cores
             )
 
     async def start_aggregator(self, machine: RouterProcess) -> None:
-        """Start a machine set aside, and wait until it aggregates."""
-        day, discovery = self.day, next(iter(self.discovery.values()))
-        place = machine.address, discovery, None, machine.ops, self.peers[machine.name]
-        machine.configure(configuration(day.scenario, day.seed, machine.name, machine.starts, *place))
+        """Start a dedicated aggregator, and wait until its status says that it aggregates."""
+        schedule, discovery = self.schedule, next(iter(self.discovery.values()))
+        member_args = machine.address, discovery, None, machine.ops, self.peers[machine.name]
+        machine.configure(
+            configuration(schedule.scenario, schedule.seed, machine.name, machine.starts, *member_args)
+        )
         await machine.start(discovery)
-        due = self.clock() + READY_S
-        while not (await first_line(machine.ops, STATUS)).startswith(b"HTTP/1.1 200"):
-            if not machine.running or self.clock() > due:
-                raise HarnessError(f"{machine.name} did not get ready: {machine.last_words()}".rstrip(": "))
-            await asyncio.sleep(PING_EVERY_S)
+        deadline = self.clock() + READY_S
+        while not (await read_first_line(machine.ops, STATUS_REQUEST)).startswith(b"HTTP/1.1 200"):
+            if not machine.running or self.clock() > deadline:
+                raise HarnessError(
+                    f"{machine.name} did not get ready: {machine.last_log_line()}".rstrip(": ")
+                )
+            await asyncio.sleep(PING_INTERVAL_S)
 
     async def _join_peers(self) -> None:
-        """Every router is told of the relay's addresses, and of no other router's own."""
+        """Start the relay; every router is told the relay's address for each peer, and no peer's own."""
         members = {**self.routers, **self.aggregators}
         listens = {name: member.peer for name, member in members.items()}
-        told = await asyncio.wait_for(self.relay.ask("listen", "", listens), ANSWER_S)
-        known = {name: (host, port) for name, (host, port) in told.items()}
+        reply = await asyncio.wait_for(self.relay.ask("listen", "", listens), WORKER_TIMEOUT_S)
+        known = {name: (host, port) for name, (host, port) in reply.items()}
         each = tuple(known[name] for name in members)
         aggregators = tuple(known[name] for name in self.aggregators)
         self.peers = {name: Peers(listen, each, known[ALL], aggregators) for name, listen in listens.items()}
 
-    async def _look_at_waits(self) -> None:
+    async def _sample_core_waits(self) -> None:
         while True:
             for router in self.routers.values():
-                router.look_at_waits()
-            await asyncio.sleep(WAITS_S)
+                router.sample_core_waits()
+            await asyncio.sleep(CORE_WAIT_INTERVAL_S)
 
     async def _sample(self) -> None:
         while True:
             for router in self.routers.values():
                 router.sample()
-            await asyncio.sleep(SAMPLE_S)
+            await asyncio.sleep(USAGE_INTERVAL_S)
 
 
 async def play(
-    day: Schedule,
+    schedule: Schedule,
     command: str,
     root: Path,
-    progress: Callable[[Orchestrator, float], None] = lambda _stage, _at: None,
+    progress: Callable[[Orchestrator, float], None] = lambda _orchestrator, _at: None,
     keep_logs: Path | None = None,
 ) -> RunResult:
-    """Play a day with routers started by `command` from `root`; SIGTERM ends it like Ctrl-C."""
+    """Play a run with real routers; SIGTERM ends it as Ctrl-C does.
+
+    Args:
+        schedule: The drawn run.
+        command: The shell command that starts one router, run in `root`.
+        root: The working directory of routers.
+        progress: Called several times a second with the orchestrator and the second of the run.
+        keep_logs: Folder for the routers' logs; None: they are deleted.
+
+    Raises:
+        HarnessError: The run could not be played to its end.
+    """
     task = asyncio.current_task()
     assert task is not None
     loop = asyncio.get_running_loop()
@@ -412,7 +439,7 @@
         loop.add_signal_handler(signal.SIGTERM, task.cancel)
         loop.add_signal_handler(signal.SIGINT, task.cancel)
     try:
-        return await Orchestrator(day, command, root, keep_logs).play(progress)
+        return await Orchestrator(schedule, command, root, keep_logs).play(progress)
     finally:
         with contextlib.suppress(ValueError, RuntimeError):
             loop.remove_signal_handler(signal.SIGTERM)
--- a/holdgw/harness/worker.py
+++ b/holdgw/harness/worker.py
@@ -1,7 +1,8 @@
-"""One process of the emulator: some mirror nodes, or the package store with discovery, or some clients.
+"""A worker process of the harness, which runs one role of the emulated fleet.
 
-Started by the stage with a socket as its only way to the world outside loopback: `python -m
-holdgw.harness.worker FD`. When the stage goes, it goes.
+The roles are some of the emulated endpoints, the origin with discovery, some of the clients, and the relay
+between routers. The orchestrator starts a worker as `python -m holdgw.harness.worker FD`, where FD is the
+worker's end of their socket pair. A worker exits when the orchestrator's end is closed.
 """
 
 from __future__ import annotations
@@ -29,88 +30,95 @@
 from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.emulators.seeded_draws import between, unit
 from holdgw.harness.channel import (
-    Batch,
+    Addresses,
     Begin,
     Channel,
-    Did,
-    Do,
-    Fault,
+    Command,
+    CommandResult,
     Finish,
-    Front,
+    FrontUpdate,
     Message,
-    Places,
+    RecordBatch,
     Setup,
     Stored,
     Voided,
+    WorkerFailure,
 )
 from holdgw.harness.clients import Clients
 from holdgw.harness.deployment import NODE_KIND, STORE_KIND
-from holdgw.harness.fault_schedule import DATAGRAM_FAULTS, lines_of_routers, may_be_cut
+from holdgw.harness.fault_schedule import DATAGRAM_FAULTS, has_partitions, lines_of_routers
 from holdgw.harness.scenario import Scenario, node_names, router_names
 from holdgw.harness.schedule import ORIGIN, PEERS, Schedule
 from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.harness.topology import lines, node_spec, origin_spec, workload, zone_of_router, zone_of_server
 from holdgw.wire.address import Address
 
-BEAT_S = 0.005  # how often a worker looks at how late it is
-FLUSH_S = 0.25
-COLLECT_EVERY = (20_000, 20, 50)
+LAG_SAMPLE_INTERVAL_S = 0.005
+FLUSH_INTERVAL_S = 0.25
+GC_THRESHOLDS = (20_000, 20, 50)
 CLOCK = time.monotonic
 
 
-def settle_memory() -> None:
-    """What is there before the day begins is not looked through again: a full collection takes 50 ms and
-    more.
+def freeze_startup_objects() -> None:
+    """Exclude the objects that exist before the run begins from garbage collection.
+
+    A full collection takes 50 ms and more, and would delay everything that the worker emulates.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECT_EVERY)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
-class Lateness:
-    """How late the loop's timers are, by one that is always on."""
+class EventLoopLagMonitor:
+    """Measures event-loop lag: how late a periodic timer of the loop fires."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, name: str) -> None:
         self._loop, self._name = loop, name
         self._buckets = [0] * (len(LAG_BOUNDS_MS) + 1)
         self._worst = 0.0
         self._due = 0.0
-        self._next()
+        self._schedule_sample()
 
-    def _next(self) -> None:
-        self._due = CLOCK() + BEAT_S
-        self._loop.call_later(BEAT_S, self._beat)
+    def _schedule_sample(self) -> None:
+        self._due = CLOCK() + LAG_SAMPLE_INTERVAL_S
+        self._loop.call_later(LAG_SAMPLE_INTERVAL_S, self._sample)
 
-    def _beat(self) -> None:
+    def _sample(self) -> None:
         late = max(CLOCK() - self._due, 0.0)
         self._worst = max(self._worst, late)
-        place = next((i for i, bound in enumerate(LAG_BOUNDS_MS) if late * 1000 <= bound), len(LAG_BOUNDS_MS))
-        self._buckets[place] += 1
-        self._next()
+        bucket = next(
+            (i for i, bound in enumerate(LAG_BOUNDS_MS) if late * 1000 <= bound), len(LAG_BOUNDS_MS)
+        )
+        self._buckets[bucket] += 1
+        self._schedule_sample()
 
-    def take(self) -> Lag:
-        """The readings since the last call."""
+    def read_and_reset(self) -> Lag:
+        """Return the readings since the last call, and begin anew."""
         lag = Lag(self._name, CLOCK(), self._worst, tuple(self._buckets))
         self._buckets, self._worst = [0] * len(self._buckets), 0.0
         return lag
 
 
-class Outlet(Protocol):
-    """The way to the stage."""
+class MessageSink(Protocol):
+    """Takes a role's messages to the orchestrator."""
 
     def send(self, message: Message) -> None:
-        """Send a message."""
+        """Send a message to the orchestrator."""
 
 
-class Part:
-    """What all roles have in common: it keeps the records and sends them on.
+class WorkerRole:
+    """The base class of all roles: keeps the records that its servers or clients take, and sends them on.
 
-    `clock` is in seconds and the same for all parts; `unix` is a wall clock in seconds.
+    Args:
+        channel: Where messages to the orchestrator go.
+        setup: The role's assignment.
+        clock: The monotonic clock that all workers share, in seconds.
+        unix: The wall clock, in seconds since the epoch.
     """
 
     def __init__(
         self,
-        channel: Outlet,
+        channel: MessageSink,
         setup: Setup,
         clock: Clock = CLOCK,
         unix: Clock = time.time,
@@ -121,61 +129,61 @@
 
     @cached_property
     def line_of(self) -> dict[str, str]:
-        """The line over which each router comes to servers."""
+        """The line over which each router reaches servers, by the router's name."""
         return lines_of_routers(self.setup.scenario, self.setup.seed)
 
     def host(self, name: str, zone: str) -> Host:
-        """Where a server of that name listens, and over which lines."""
+        """Return where the server of that name listens: its IP address, and the delay of each line."""
         scenario = self.setup.scenario
         delays = lines(scenario, self.setup.seed, name, zone)
         own = {line: delays[zone_of_router(scenario, router)] for router, line in self.line_of.items()}
-        return Host(self.setup.ip, delays | own, may_be_cut(scenario))
+        return Host(self.setup.ip, delays | own, has_partitions(scenario))
 
     def record(self, record: Record) -> None:
-        """Keep a record."""
+        """Keep a record until the next flush."""
         self.records.append(record)
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
-        """The package store answered a read."""
+        """Report that the origin answered a read."""
         self.channel.send(Stored(request, key, size))
 
     def voided(self, key: bytes) -> None:
-        """A write was carried out."""
+        """Report that the origin carried out a write."""
         self.channel.send(Voided(key))
 
     def flush(self) -> None:
-        """Send what was seen."""
+        """Send the records that were taken since the last flush."""
         if self.records:
             records, self.records = self.records, []
-            self.channel.send(Batch(records))
+            self.channel.send(RecordBatch(records))
 
     async def start(self) -> Any:
-        """Take up the role; returns what the stage should know."""
+        """Start the role's servers or clients; returns what the orchestrator needs to know of them."""
 
-    def places(self, places: Places) -> None:
-        """Learn addresses."""
+    def set_addresses(self, addresses: Addresses) -> None:
+        """Take over the addresses of servers or routers."""
 
     def begin(self, at: float) -> None:
-        """The day begins then."""
+        """Set second 0 of the run, as a time of `clock`."""
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
-        """Do something."""
+        """Carry out a command; raises ValueError for a verb that the role does not have."""
         if verb == "stall":
             time.sleep(args["seconds"])
             return None
-        raise ValueError(f"no such thing to do: {verb}")
+        raise ValueError(f"unknown command: {verb}")
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the role's servers or connections."""
 
 
-class NodesPart(Part):
-    """Some of the mirror nodes."""
+class NodesRole(WorkerRole):
+    """Runs some of the emulated endpoints."""
 
     nodes: dict[str, NodeServer]
 
     async def start(self) -> Any:
-        """Start the nodes whose number fits."""
+        """Start the nodes of this worker; returns each one's addresses by line."""
         self.nodes = {}
         names = node_names(self.setup.scenario.fleet)[self.setup.index :: self.setup.count]
         for name in names:
@@ -194,7 +202,7 @@
         return node
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
-        """Troubles of nodes."""
+        """Carry out a command on one node, or on all nodes of this worker."""
         if verb == "learn":
             for node in self.nodes.values():
                 node.model.prefilling = False
@@ -202,7 +210,7 @@
             for node in list(self.nodes.values()):
                 if node.alive:
                     node.flush(args["share"], self.setup.seed, args["serial"])
-                # To flush forty nodes in one turn of the loop would delay all of them by 50 ms.
+                # Flushing forty nodes in one iteration of the loop would delay all of them by 50 ms.
                 await asyncio.sleep(0)
         elif verb == "spoil":
             for node in self.nodes.values() if not target else [self.nodes[target]]:
@@ -215,7 +223,7 @@
         elif verb == "kill":
             self.nodes[target].kill()
         elif verb == "start":
-            if not self.nodes[target].alive:  # another trouble may have brought it back already
+            if not self.nodes[target].alive:  # another fault may have restarted the node already
                 await self.nodes[target].start(cold=True)
         elif verb == "drain":
             self.nodes[target].drain()
@@ -229,7 +237,7 @@
         elif verb == "create":
             node = self._make(target)
             if args["instead"]:
-                self.nodes[args["instead"]].kill()  # another trouble may have brought it back meanwhile
+                self.nodes[args["instead"]].kill()  # another fault may have restarted it meanwhile
                 node.take_over_addresses(self.nodes[args["instead"]])
             await node.start(cold=True)
             return node.addresses
@@ -238,7 +246,7 @@
         return None
 
     def received(self, message: Stored | Voided) -> None:
-        """News of the package store, for all nodes here."""
+        """Pass a message of the origin on to all nodes of this worker."""
         for node in self.nodes.values():
             if isinstance(message, Stored):
                 node.stored(message.request, message.key, message.size)
@@ -246,21 +254,24 @@
                 node.voided(message.key)
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the role's servers or connections."""
         for node in self.nodes.values():
             node.close()
 
 
-class HubPart(Part):
-    """The package store and discovery."""
+class HubRole(WorkerRole):
+    """Runs the origin and discovery."""
 
     store: OriginServer
     discovery: DiscoveryServer
 
     async def start(self) -> Any:
-        """Start both; the nodes' addresses come later."""
+        """Start both; returns discovery's address for each router.
+
+        The nodes' addresses follow in an Addresses message.
+        """
         scenario, seed = self.setup.scenario, self.setup.seed
-        self._places: dict[str, dict[str, Address]] = {}
+        self._addresses: dict[str, dict[str, Address]] = {}
         routers = router_names(scenario.fleet)
         windows = {one.name: one.window_ms / 1000 for one in scenario.classes}
         zone = zone_of_server(scenario, ORIGIN)
@@ -269,21 +280,21 @@
             ORIGIN, spec, workload(scenario, seed), windows, self.host(ORIGIN, zone), self, self.clock
         )
         await self.store.start()
-        self._places[ORIGIN] = self.store.addresses
+        self._addresses[ORIGIN] = self.store.addresses
         entries = [self._entry(name) for name in node_names(scenario.fleet)]
         entries.append(Entry(ORIGIN, State.UP, zone, STORE_KIND))
 
-        def notice(view: str, version: int) -> float:
+        def notice_delay(view: str, version: int) -> float:
             return between(unit(seed, "notice", view, version), scenario.discovery.notice_s)
 
-        model = DiscoveryModel(entries, routers, notice, self.clock())
+        model = DiscoveryModel(entries, routers, notice_delay, self.clock())
         call_s = scenario.discovery.call_ms / 1000 if scenario.discovery.mode == "ask" else 0.0
         self.discovery = self.make_discovery(model, routers, call_s)
         return await self.discovery.start()
 
     def make_discovery(self, model: DiscoveryModel, routers: list[str], call_s: float) -> DiscoveryServer:
-        """Discovery's sockets."""
-        gated = may_be_cut(self.setup.scenario)
+        """Return the server of discovery; the simulation overrides this method."""
+        gated = has_partitions(self.setup.scenario)
         return DiscoveryServer(model, routers, self._where, self, self.clock, self.setup.ip, call_s, gated)
 
     def _entry(self, name: str, started_ms: int = 0) -> Entry:
@@ -292,14 +303,14 @@
         return Entry(name, State.UP, zone_of_server(scenario, name), NODE_KIND, cell, started_ms=started_ms)
 
     def _where(self, router: str, server: str) -> Address:
-        return self._places[server][self.line_of[router]]
+        return self._addresses[server][self.line_of[router]]
 
-    def places(self, places: Places) -> None:
-        """Learn where nodes listen."""
-        self._places.update(places.servers)
+    def set_addresses(self, addresses: Addresses) -> None:
+        """Take over the addresses at which nodes listen."""
+        self._addresses.update(addresses.servers)
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
-        """Troubles of the package store and of discovery, and changes of the list."""
+        """Carry out a command on the origin or on discovery, or change the endpoint list."""
         if target == ORIGIN:
             return await self._do_store(verb, args)
         if target == "discovery":
@@ -333,7 +344,7 @@
             share = getattr(self.store.shares, args["fault"]) + args["share"]
             setattr(self.store.shares, args["fault"], max(share, 0.0))
         else:
-            raise ValueError(f"the package store can't {verb}")
+            raise ValueError(f"unknown command for the origin: {verb}")
 
     def _do_discovery(self, verb: str, args: dict[str, Any]) -> None:
         if verb == "late":
@@ -343,68 +354,68 @@
         elif verb == "down":
             self.discovery.down(args["seconds"])
         else:
-            raise ValueError(f"discovery can't {verb}")
+            raise ValueError(f"unknown command for discovery: {verb}")
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the role's servers or connections."""
         self.store.close()
         self.discovery.close()
 
 
-class ClientsPart(Part):
-    """Some of the clients."""
+class ClientsRole(WorkerRole):
+    """Runs some of the clients."""
 
     clients: Clients
 
     async def start(self) -> Any:
-        """Draw the day."""
-        self.take_up(draw_schedule(self.setup.scenario, self.setup.seed))
+        """Draw the schedule."""
+        self.set_schedule(draw_schedule(self.setup.scenario, self.setup.seed))
 
-    def take_up(self, day: Schedule) -> None:
-        """Have the clients of a day that is drawn."""
-        self.clients = Clients(day, self.setup.index, self.setup.count, self, self.clock)
+    def set_schedule(self, schedule: Schedule) -> None:
+        """Create the clients of a schedule that is drawn already."""
+        self.clients = Clients(schedule, self.setup.index, self.setup.count, self, self.clock)
 
-    def places(self, places: Places) -> None:
-        """Learn where routers listen."""
-        self.clients.routers(places.routers)
+    def set_addresses(self, addresses: Addresses) -> None:
+        """Take over the addresses at which routers listen."""
+        self.clients.routers(addresses.routers)
 
     def begin(self, at: float) -> None:
-        """Make the asks, each at its time."""
+        """Send the requests, each at its time; `at` is second 0 of the run."""
         self.clients.begin(at)
 
     def flush(self) -> None:
-        """Send what was seen, and the count."""
+        """Send the records and the counts of outcomes."""
         super().flush()
         self.channel.send(self.clients.tally)
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
-        """Whether all is over."""
+        """Say whether every request is over (`done`), or carry out a common command."""
         if verb == "done":
             return self.clients.done
         return await super().do(verb, target, args)
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the role's servers or connections."""
         self.clients.close()
 
 
-class RelayPart(Part):
-    """The lines between routers."""
+class RelayRole(WorkerRole):
+    """Runs the relay that emulates the lines between routers."""
 
     relay: Relay
 
     async def start(self) -> Any:
-        """Nothing is known of the routers yet."""
+        """Start nothing: the relay starts with the command `listen`, which names the routers' addresses."""
 
     async def do(self, verb: str, target: str, args: dict[str, Any]) -> Any:
-        """Troubles of the lines between routers."""
+        """Start the relay, carry out a fault of its lines, or return its counts."""
         if verb == "listen":
             listens = {name: (host, port) for name, (host, port) in args.items()}
             model = relay_model(self.setup.scenario, self.setup.seed)
             self.relay = Relay(model, listens, self.clock, self.setup.ip)
             return await self.relay.start()
         if verb in ("partition", "weather"):
-            relay_trouble(self.relay.model, verb, args, self.clock())
+            apply_relay_fault(self.relay.model, verb, args, self.clock())
         elif verb == "counts":
             return {name: asdict(counts) for name, counts in self.relay.model.counts.items()}
         else:
@@ -412,19 +423,19 @@
         return None
 
     def close(self) -> None:
-        """The day is over."""
+        """Close the role's servers or connections."""
         self.relay.close()
 
 
 def relay_model(scenario: Scenario, seed: int) -> RelayModel:
-    """The lines between routers: as long as those between their zones."""
+    """Return the model of the lines between routers, whose delays are those between their zones."""
     table, fleet = scenario.peers, scenario.fleet
     delays: dict[tuple[str, str], float] = {}
 
     def line(a: str, b: str) -> float:
         if (a, b) not in delays:
-            near = zone_of_router(scenario, a) == zone_of_router(scenario, b)
-            span = fleet.same_ms if near else fleet.cross_ms
+            same_zone = zone_of_router(scenario, a) == zone_of_router(scenario, b)
+            span = fleet.same_ms if same_zone else fleet.cross_ms
             delays[a, b] = between(unit(seed, "line", *sorted((a, b))), span) / 1000
         return delays[a, b]
 
@@ -432,8 +443,8 @@
     return RelayModel(seed, line, weather)
 
 
-def relay_trouble(model: RelayModel, verb: str, args: dict[str, Any], now: float) -> None:
-    """A partition between routers, or what befalls all lines from now on."""
+def apply_relay_fault(model: RelayModel, verb: str, args: dict[str, Any], now: float) -> None:
+    """Begin a partition between routers, or change the conditions of all lines from now on."""
     if verb == "partition":
         a, b = (args["b"], args["a"]) if args["way"] == "from" else (args["a"], args["b"])
         model.block(a, b, now + args["seconds"], args["way"] == "both")
@@ -441,47 +452,47 @@
         model.conditions = replace(model.conditions, **args)
 
 
-ROLES: dict[str, type[Part]] = {
-    "nodes": NodesPart,
-    "hub": HubPart,
-    "clients": ClientsPart,
-    PEERS: RelayPart,
+ROLES: dict[str, type[WorkerRole]] = {
+    "nodes": NodesRole,
+    "hub": HubRole,
+    "clients": ClientsRole,
+    PEERS: RelayRole,
 }
 
 
 class Worker:
-    """Takes the stage's messages, one after the other, and sees to the end."""
+    """Processes the orchestrator's messages one after the other, and closes the role at the end."""
 
     def __init__(self) -> None:
-        self.over = asyncio.Event()
-        self.part: Part | None = None
+        self.stopped = asyncio.Event()
+        self.role: WorkerRole | None = None
         self.channel: Channel | None = None
         self._messages: asyncio.Queue[Message] = asyncio.Queue()
-        self._lateness: Lateness | None = None
+        self._lag_monitor: EventLoopLagMonitor | None = None
         self._flush_timer: asyncio.TimerHandle | None = None
 
     async def run(self, sock: socket.socket) -> None:
-        """Until the stage says that the day is over, or is gone."""
+        """Run until the orchestrator ends the run or closes its end of the socket pair."""
         loop = asyncio.get_running_loop()
-        self.channel = await Channel.over(sock, self._came, self.over.set)
-        takes = loop.create_task(self._take_all())
-        takes.add_done_callback(lambda _: self.over.set())
-        await self.over.wait()
-        takes.cancel()
-        if self.part is not None:
-            self.part.close()
+        self.channel = await Channel.connect(sock, self._on_message, self.stopped.set)
+        processing = loop.create_task(self._process_messages())
+        processing.add_done_callback(lambda _: self.stopped.set())
+        await self.stopped.wait()
+        processing.cancel()
+        if self.role is not None:
+            self.role.close()
         if self._flush_timer is not None:
             self._flush_timer.cancel()
 
-    def _came(self, message: Message) -> None:
-        if isinstance(message, Stored | Voided) and isinstance(self.part, NodesPart):
-            self.part.received(message)
-        elif isinstance(message, Front) and isinstance(self.part, ClientsPart):
-            self.part.clients.front(message.router, message.up)
+    def _on_message(self, message: Message) -> None:
+        if isinstance(message, Stored | Voided) and isinstance(self.role, NodesRole):
+            self.role.received(message)
+        elif isinstance(message, FrontUpdate) and isinstance(self.role, ClientsRole):
+            self.role.clients.front(message.router, message.up)
         else:
             self._messages.put_nowait(message)
 
-    async def _take_all(self) -> None:
+    async def _process_messages(self) -> None:
         assert self.channel is not None
         try:
             while True:
@@ -489,52 +500,52 @@
                 if isinstance(message, Finish):
                     await self._finish()
                     return
-                await self._take(message)
+                await self._process(message)
         except Exception:
-            self.channel.send(Fault(traceback.format_exc()))
-            await asyncio.sleep(0.2)  # for it to be written
+            self.channel.send(WorkerFailure(traceback.format_exc()))
+            await asyncio.sleep(0.2)  # until the message is written
 
-    async def _take(self, message: Message) -> None:
+    async def _process(self, message: Message) -> None:
         assert self.channel is not None
         if isinstance(message, Setup):
             loop = asyncio.get_running_loop()
-            self.part = ROLES[message.role](self.channel, message)
-            value = await self.part.start()
-            settle_memory()
-            self._lateness = Lateness(loop, message.name)
+            self.role = ROLES[message.role](self.channel, message)
+            value = await self.role.start()
+            freeze_startup_objects()
+            self._lag_monitor = EventLoopLagMonitor(loop, message.name)
             self._flush()
-            self.channel.send(Did(0, value))
-        elif self.part is None:
+            self.channel.send(CommandResult(0, value))
+        elif self.role is None:
             raise ValueError(f"{type(message).__name__} before the setup")
-        elif isinstance(message, Places):
-            self.part.places(message)
+        elif isinstance(message, Addresses):
+            self.role.set_addresses(message)
         elif isinstance(message, Begin):
-            self.part.begin(message.at)
-        elif isinstance(message, Do):
+            self.role.begin(message.at)
+        elif isinstance(message, Command):
             self.channel.send(
-                Did(message.number, await self.part.do(message.verb, message.target, message.args))
+                CommandResult(message.number, await self.role.do(message.verb, message.target, message.args))
             )
 
     def _flush(self) -> None:
-        assert self.part is not None
-        assert self._lateness is not None
-        self.part.record(self._lateness.take())
-        self.part.flush()
-        self._flush_timer = self.part.loop.call_later(FLUSH_S, self._flush)
+        assert self.role is not None
+        assert self._lag_monitor is not None
+        self.role.record(self._lag_monitor.read_and_reset())
+        self.role.flush()
+        self._flush_timer = self.role.loop.call_later(FLUSH_INTERVAL_S, self._flush)
 
     async def _finish(self) -> None:
-        assert self.part is not None
+        assert self.role is not None
         assert self.channel is not None
-        self.part.close()
-        self.part.flush()
+        self.role.close()
+        self.role.flush()
         self.channel.send(Finish())
         self.channel.close()
-        await asyncio.sleep(10)  # the stage reads all and then goes away, which ends this
+        await asyncio.sleep(10)  # ended by the orchestrator, which reads everything and then closes its end
 
 
 def main() -> int:
-    """Serve the stage at the other end of the descriptor that the first argument names."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is the stage's
+    """Serve the orchestrator over the socket whose descriptor is the first argument."""
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is handled by the orchestrator
     sock = socket.socket(fileno=int(sys.argv[1]))
 
     async def serve() -> None:
--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -248,7 +248,7 @@
         self.descriptors = DescriptorTable()
         self.memory = bytearray()
         self.workers: list[Process] = []
-        self._random = random.Random(f"{router.fleet.day.seed}/{router.name}/{router.starts}/cores")
+        self._random = random.Random(f"{router.fleet.schedule.seed}/{router.name}/{router.starts}/cores")
 
     def create_table(self, workers: int) -> shared_table.SharedTable:
         """Create the shared table."""
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -24,19 +24,19 @@
 from holdgw.emulators.discovery_model import DiscoveryModel, Entry
 from holdgw.emulators.records import DiscoveryCut, Record, WarmUpCrash
 from holdgw.emulators.seeded_draws import between, unit
-from holdgw.harness.channel import Begin, Finish, Front, Message, Places, Setup, Stored, Voided
-from holdgw.harness.checker import Broken, History, ProcessLifetime
+from holdgw.harness.channel import Addresses, Begin, Finish, FrontUpdate, Message, Setup, Stored, Voided
+from holdgw.harness.checker import History, ProcessLifetime, Violation
 from holdgw.harness.clients import ClientConnection
 from holdgw.harness.deployment import Peers
 from holdgw.harness.fault_injection import FaultInjector, HarnessError, Worker
 from holdgw.harness.orchestrator import RunResult
-from holdgw.harness.report import judge_run
+from holdgw.harness.report import rule_violations
 from holdgw.harness.routers import Usage, until_ready
 from holdgw.harness.scenario import Scenario, node_names, router_names
 from holdgw.harness.schedule import ORIGIN, Schedule, ScheduledFault
 from holdgw.harness.schedule_drawing import draw_schedule
 from holdgw.harness.topology import zone_of_router, zone_of_server
-from holdgw.harness.worker import ClientsPart, HubPart, NodesPart, Part, relay_model, relay_trouble
+from holdgw.harness.worker import ClientsRole, HubRole, NodesRole, WorkerRole, apply_relay_fault, relay_model
 from holdgw.router.config import ConfigError, load_config
 from holdgw.router.platform import Platform
 from holdgw.router.program import Program
@@ -70,7 +70,7 @@
     callbacks: int = 0
     seconds: float = 0.0
     """Simulated time of the run, from the start of the first process."""
-    broken: list[Broken] = field(default_factory=list)
+    broken: list[Violation] = field(default_factory=list)
     fault: str = ""
     asked: int = 0
     served: int = 0
@@ -121,9 +121,9 @@
 class SimulatedPart:
     """A part of the emulator in a process of its own, as the fault injection sees it."""
 
-    def __init__(self, fleet: SimulatedFleet, process: Process, make: Callable[[], Part]) -> None:
+    def __init__(self, fleet: SimulatedFleet, process: Process, make: Callable[[], WorkerRole]) -> None:
         self.fleet, self.process, self._make_part = fleet, process, make
-        self.part: Part | None = None
+        self.part: WorkerRole | None = None
 
     def start(self) -> asyncio.Future[Any]:
         """Start the part; the future resolves to what its `start` returns."""
@@ -164,11 +164,11 @@
     def _receive(self, message: Message) -> None:
         part = self.part
         assert part is not None
-        if isinstance(message, Places):
-            part.places(message)
+        if isinstance(message, Addresses):
+            part.set_addresses(message)
         elif isinstance(message, Begin):
             part.begin(message.at)
-        elif isinstance(message, Front) and isinstance(part, ClientsPart):
+        elif isinstance(message, FrontUpdate) and isinstance(part, ClientsRole):
             part.clients.front(message.router, message.up)
         elif isinstance(message, Finish):
             part.close()
@@ -186,7 +186,7 @@
             self._fleet.tell_nodes(message)
 
 
-class _RecordingPart(Part):
+class _RecordingPart(WorkerRole):
     """A part of the emulator whose records reach the history at once and whose links are simulated."""
 
     fleet: SimulatedFleet
@@ -207,14 +207,14 @@
         return {name: zone_of_router(scenario, name) for name in router_names(scenario.fleet)}
 
 
-class _Nodes(_RecordingPart, NodesPart):
+class _Nodes(_RecordingPart, NodesRole):
     pass
 
 
-class _Clients(_RecordingPart, ClientsPart):
+class _Clients(_RecordingPart, ClientsRole):
     async def start(self) -> None:
         """Take the schedule that is drawn already."""
-        self.take_up(self.fleet.day)
+        self.set_schedule(self.fleet.schedule)
 
 
 class _Discovery(DiscoveryServer):
@@ -236,7 +236,7 @@
             super().record_sent(connection, whole, entries)
 
 
-class _Hub(_RecordingPart, HubPart):
+class _Hub(_RecordingPart, HubRole):
     def make_discovery(self, model: DiscoveryModel, routers: list[str], call_s: float) -> DiscoveryServer:
         """Create discovery on a host of its own."""
         ip = self.fleet.ips[DISCOVERY]
@@ -260,7 +260,7 @@
         self._files: dict[str, bytes] = {}
         self._main = main
         self._ended: asyncio.Event | None = None
-        self._random = random.Random(f"{fleet.day.seed}/{name}")
+        self._random = random.Random(f"{fleet.schedule.seed}/{name}")
 
     def configure(self, told: dict[str, Any]) -> None:
         """Write the router's configuration file."""
@@ -280,9 +280,9 @@
         if self.host.silent:
             self.fleet.network.boot(self.host)
         self.starts += 1
-        fleet, scenario = self.fleet, self.fleet.day.scenario
+        fleet, scenario = self.fleet, self.fleet.schedule.scenario
         drift = round(
-            between(unit(fleet.day.seed, "drift", self.name, self.starts), (-1.0, 1.0))
+            between(unit(fleet.schedule.seed, "drift", self.name, self.starts), (-1.0, 1.0))
             * scenario.simulation.drift_ppm
         )
         process = Process(
@@ -323,7 +323,7 @@
         """Whether the router's process is alive."""
         return self.process is not None and self.process.alive
 
-    def tell(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal, and record that an exit by SIGTERM or SIGKILL is expected."""
         if not self.running:
             return
@@ -337,7 +337,7 @@
             self.lives[-1] = replace(life, told_to_end=self.fleet.clock(), wanted="TERM")
         self.process.send_signal(number)
 
-    def lose(self) -> None:
+    def lose_machine(self) -> None:
         """Make the router's machine silent for good, and lose its disk."""
         self.fleet.network.power_off(self.host)
         self.host.disk = Disk()
@@ -356,7 +356,7 @@
                 pass
         return not self.running
 
-    def last_words(self) -> str:
+    def last_log_line(self) -> str:
         """Return the last fault of the router's process."""
         return self.process.faults[-1] if self.process is not None and self.process.faults else ""
 
@@ -428,7 +428,7 @@
         every = (self._host("tier", "", "10.0.0.5").ips[0], PEER_PORT)
         each = tuple((router.address[0], PEER_PORT) for router in self.routers.values())
         self.peers = {name: Peers(one, each, every) for name, one in zip(self.routers, each, strict=True)}
-        self.network.peers = relay_model(scenario, self.day.seed)
+        self.network.peers = relay_model(scenario, self.schedule.seed)
         self.network.groups[every] = list(each)
 
     def _host(self, name: str, zone: str, ip: str) -> Host:
@@ -438,16 +438,16 @@
 
     def _link_delay(self, a: Host, b: Host) -> tuple[int, int]:
         """Return the scenario's minimum delay and jitter between two hosts, equal in both directions."""
-        fleet = self.day.scenario.fleet
+        fleet = self.schedule.scenario.fleet
         if "" in (a.zone, b.zone) or (
-            DISCOVERY in (a.name, b.name) and self.day.scenario.discovery.mode == "push"
+            DISCOVERY in (a.name, b.name) and self.schedule.scenario.discovery.mode == "push"
         ):
             least = 0.1  # clients are outside the fleet, and a discovery agent runs on the router's machine
         else:
             span = fleet.same_ms if a.zone == b.zone else fleet.cross_ms
-            least = between(unit(self.day.seed, "line", *sorted((a.name, b.name))), span)
+            least = between(unit(self.schedule.seed, "line", *sorted((a.name, b.name))), span)
         least_ns = int(least * NS_PER_MS)
-        return least_ns, int(least_ns * self.day.scenario.simulation.jitter)
+        return least_ns, int(least_ns * self.schedule.scenario.simulation.jitter)
 
     # Records and events of the parts
 
@@ -459,7 +459,7 @@
 
     async def _remove_crashed_server(self, server: str) -> None:
         await asyncio.sleep(CRASH_NOTICE_S)
-        await self.list_state("removed", server)
+        await self.set_endpoint_state("removed", server)
 
     def tell_nodes(self, message: Stored | Voided) -> None:
         """Pass a change of the origin on to all cache servers."""
@@ -524,22 +524,22 @@
         return outcome
 
     def _judge(self, seconds: float) -> Outcome:
-        scenario, history = self.day.scenario, self.history
+        scenario, history = self.schedule.scenario, self.history
         for name, router in self.routers.items():
             history.lives += router.lives
             self.invariants.report_process_faults(name)
-        broken = [] if self.failure else judge_run(self.day, history)
+        broken = [] if self.failure else rule_violations(self.schedule, history)
         broken = sorted([*broken, *self.invariants.broken], key=lambda one: one.at)
-        played = RunResult(self.day, history, self.begun, scenario.length_s)
+        played = RunResult(self.schedule, history, self.begun, scenario.length_s)
         return Outcome(
-            self.day.seed,
+            self.schedule.seed,
             self.world.trace.digest(),
             self.world.trace.events,
             self.world.callbacks,
             seconds,
             broken,
             self.failure,
-            len(self.day.requests),
+            len(self.schedule.requests),
             sum(one.answer == "served" for one in history.tries),
             self.begun,
             played,
@@ -549,9 +549,9 @@
         self, name: str, host: Host, kind: type[_RecordingPart], index: int = 0, count: int = 1
     ) -> SimulatedPart:
         process = Process(self.world, self.network, host, name)
-        setup = Setup("", index, count, name, self.day.scenario, self.day.seed, host.ips[0])
+        setup = Setup("", index, count, name, self.schedule.scenario, self.schedule.seed, host.ips[0])
 
-        def make() -> Part:
+        def make() -> WorkerRole:
             part = kind(_PartChannel(self), setup, self._seconds, lambda: process.unix_ns() / NS_PER_S)
             part.fleet = self
             if isinstance(part, _Nodes):
@@ -561,7 +561,7 @@
         return SimulatedPart(self, process, make)
 
     async def _play(self) -> int:
-        scenario = self.day.scenario
+        scenario = self.schedule.scenario
         try:
             await self._start_parts(scenario)
             for router in self.routers.values():
@@ -569,12 +569,12 @@
         except HarnessError as error:
             self.fail(str(error))
             return 1
-        self.open_front()
+        self.announce_routers()
         self.begin()
         self.invariants.record_baselines()
-        await self.until_over()
+        await self.wait_until_finished()
         await self._quiesce()
-        await self.until_ended()
+        await self.stop_routers()
         for worker in (*self.client_workers, *self.node_workers, self.hub):
             worker.send(Finish())
         await asyncio.sleep(0.01)
@@ -584,10 +584,10 @@
         """End all faults, close the clients, wait, and check what the routers still hold."""
         self.network.cuts.clear()
         self.network.conditions = LinkConditions()
-        self.end_troubles()
+        self.end_faults()
         for worker in self.client_workers:
             worker.send(Finish())
-        await asyncio.sleep(self.longest + self.day.scenario.simulation.quiet_s)
+        await asyncio.sleep(self.max_client_wait + self.schedule.scenario.simulation.quiet_s)
         self.invariants.check_quiet()
 
     async def _start_parts(self, scenario: Scenario) -> None:
@@ -596,29 +596,29 @@
             host = self._host(name, zone_of_server(scenario, name), f"10.2.{i // 250}.{1 + i % 250}")
             worker = self._part(name, host, _Nodes, i, len(names))
             self.node_workers.append(worker)
-            self.home[name] = worker
+            self.worker_of[name] = worker
         started = [await worker.start() for worker in self.node_workers]
         for addresses in started:
             for name, places in addresses.items():
-                self.add_place(name, places)
+                self.add_addresses(name, places)
         hub = self._part("hub", self.hosts[ORIGIN], _Hub)
         hub.process.listen_hosts.append(self.hosts[DISCOVERY])
         self.hub = hub
         for name, (ip, port) in (await hub.start()).items():
             self.discovery[name] = (ip, port)
-        hub.send(Places(servers=self.places))
+        hub.send(Addresses(servers=self.addresses))
         clients = self._part(CLIENTS, self.hosts[CLIENTS], _Clients)
         self.client_workers = [clients]
         await clients.start()
 
-    async def home_of_new(self, name: str, instead: str) -> Worker:
+    async def worker_for_new_node(self, name: str, instead: str) -> Worker:
         """Start a process for a new cache server, or return the one of the server whose address it takes."""
         if instead:
             host = self.hosts[instead]
             self.ips[name], self.hosts[name] = self.ips[instead], host
             self._nodes_by_host.setdefault(host, [host.name]).append(name)
-            return self.home[instead]
-        scenario = self.day.scenario
+            return self.worker_of[instead]
+        scenario = self.schedule.scenario
         number = int(name[4:])
         host = self._host(name, zone_of_server(scenario, name), f"10.2.{number // 250}.{1 + number % 250}")
         worker = self._part(name, host, _Nodes, number, number + 1)
@@ -628,16 +628,16 @@
 
     # Faults of the network and of processes
 
-    async def carry_out(self, step: ScheduledFault) -> None:
+    async def apply_fault(self, step: ScheduledFault) -> None:
         """Carry out one step of the schedule on the fleet or the network."""
         if step.verb != "stall":  # simulated time has no event-loop lag
-            await super().carry_out(step)
+            await super().apply_fault(step)
 
-    async def _peers_trouble(self, verb: str, args: dict[str, Any]) -> None:
+    async def _apply_peer_fault(self, verb: str, args: dict[str, Any]) -> None:
         if self.network.peers is not None:
-            relay_trouble(self.network.peers, verb, args, self.clock())
+            apply_relay_fault(self.network.peers, verb, args, self.clock())
 
-    async def _network_trouble(self, verb: str, args: dict[str, Any]) -> None:
+    async def _apply_network_fault(self, verb: str, args: dict[str, Any]) -> None:
         network = self.network
         if "node" in args and args["node"] not in self.hosts:
             return  # the fault chose a cache server that starts later
@@ -655,16 +655,16 @@
                 self.history.add(DiscoveryCut(name, now, now + args["seconds"]))
         elif verb == "vanish":
             network.power_off(self.hosts[args["node"]])
-            await self.home[args["node"]].ask("kill", args["node"])
+            await self.worker_of[args["node"]].ask("kill", args["node"])
         elif verb == "noticed":
-            await self.list_state("removed", args["node"])
+            await self.set_endpoint_state("removed", args["node"])
         elif verb == "return":
             host = self.hosts[args["node"]]
             network.boot(host)
             if self._nodes_by_host.get(host, [args["node"]])[-1] != args["node"]:
                 return  # another cache server has taken the address
-            await self.home[args["node"]].ask("start", args["node"])
-            await self.list_state("up", args["node"])
+            await self.worker_of[args["node"]].ask("start", args["node"])
+            await self.set_endpoint_state("up", args["node"])
         elif verb == "cut":
             self._cuts[args["name"]] = Cut(
                 args["share"], tuple(args["phases"]), self._link_matcher(args["lines"])
--- a/holdgw/simulation/invariants.py
+++ b/holdgw/simulation/invariants.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from holdgw.harness.checker import Broken
+from holdgw.harness.checker import Violation
 from holdgw.router.client_listener import MAX_REJECTING_CONNECTIONS
 from holdgw.router.descriptor_limits import CLIENT_DESCRIPTOR_FRACTION, OWN_DESCRIPTORS
 from holdgw.router.open_request import MAX_RECENT_IDS
@@ -60,7 +60,7 @@
 
     def __init__(self, world: World, fleet: SimulatedFleet) -> None:
         self._world, self._fleet = world, fleet
-        self.broken: list[Broken] = []
+        self.broken: list[Violation] = []
         self._lives: dict[str, list[Process]] = {}
         self._baselines: dict[str, ResourceCounts] = {}
         self._reported: set[tuple[str, str]] = set()
@@ -69,7 +69,7 @@
         """Record a violated invariant; the same text is recorded once."""
         if (what, text) not in self._reported:
             self._reported.add((what, text))
-            self.broken.append(Broken(what, self._world.seconds, (), text))
+            self.broken.append(Violation(what, self._world.seconds, (), text))
 
     def process_started(self, name: str, process: Process) -> None:
         """Register a router's new process."""
--- a/holdgw/simulation/random_faults.py
+++ b/holdgw/simulation/random_faults.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from holdgw.harness.fault_types import KINDS, PHASES, Trouble, kind_of
+from holdgw.harness.fault_types import KINDS, PHASES, Fault, kind_of
 from holdgw.harness.scenario import Scenario, Storm, node_names
 
 FIRST_START, LAST_START = 0.05, 0.8  # a storm's faults start between these shares of the schedule
@@ -156,7 +156,7 @@
         kind = rng.choice(kinds)
         at = round(scenario.length_s * rng.uniform(FIRST_START, LAST_START), 3)
         table = {"kind": kind, "at": at, "draw": 1000 + i, **DRAWS[kind](rng, scenario)}
-        drawn.append(msgspec.convert(table, Trouble, strict=False))
+        drawn.append(msgspec.convert(table, Fault, strict=False))
     every = sorted([*fixed, *drawn], key=lambda fault: fault.at)
     return msgspec.structs.replace(scenario, seed=seed, storm=Storm(), trouble=tuple(every))
 
--- a/tests/processes/test_aggregation.py
+++ b/tests/processes/test_aggregation.py
@@ -102,7 +102,7 @@
                 and all(one['lb_picture{of="servers"}'] == 9 for one in seen.values())
             )
         )
-        run.first.tell(signal.SIGKILL)
+        run.first.send_signal(signal.SIGKILL)
         await run.wait_until(8.0)
         for name, one in (await run.wait_for_metrics(views_cover_all_routers)).items():
             assert view_metric(one, "fallbacks") == 0, name
@@ -115,9 +115,9 @@
 def test_an_aggregator_frozen_for_five_seconds_sends_no_stale_view_after_resuming(tmp_path: Path) -> None:
     async def steps(run: ScenarioRun) -> None:
         await run.wait_for_metrics(views_cover_all_routers)
-        run.first.tell(signal.SIGSTOP)
+        run.first.send_signal(signal.SIGSTOP)
         await asyncio.sleep(5.0)
-        run.first.tell(signal.SIGCONT)
+        run.first.send_signal(signal.SIGCONT)
         for name, one in (await run.wait_for_metrics(views_cover_all_routers)).items():
             assert view_metric(one, "fallbacks") == 0, name
             assert view_metric(one, "age_ms") < 5000, name
@@ -132,8 +132,8 @@
 def test_routers_fall_back_without_aggregators_and_return_with_the_first(tmp_path: Path) -> None:
     async def steps(run: ScenarioRun) -> None:
         await run.wait_for_metrics(views_cover_all_routers)
-        run.first.tell(signal.SIGKILL)
-        run.second.tell(signal.SIGKILL)
+        run.first.send_signal(signal.SIGKILL)
+        run.second.send_signal(signal.SIGKILL)
         seen = await run.wait_for_metrics(
             lambda seen: all(view_metric(one, "fallback") for one in seen.values())
         )
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -160,9 +160,9 @@
     async def _join_peers(self) -> None:
         await super()._join_peers()
         if self._faked_name is not None:
-            number = member_names(self.day.scenario).index(self._faked_name)
+            number = member_names(self.schedule.scenario).index(self._faked_name)
             role = Role.DEDICATED if self._faked_name == FAKED_AGGREGATOR else Role.ROUTER
-            zone = number % len(self.day.scenario.fleet.zones)
+            zone = number % len(self.schedule.scenario.fleet.zones)
             self.member = FakedMember(number, self.peers.pop(self._faked_name), zone, role)
             self.spawn(self.member.run())
 
@@ -170,8 +170,8 @@
         if machine.name != self._faked_name:
             await super().start_aggregator(machine)
 
-    async def until_over(self, progress: Callable[[float], None] = lambda _at: None) -> None:
-        await super().until_over(progress)
+    async def wait_until_finished(self, progress: Callable[[float], None] = lambda _at: None) -> None:
+        await super().wait_until_finished(progress)
         await self.steps_finished.wait()
 
     async def wait_until(self, second: float) -> None:
@@ -415,7 +415,7 @@
         member.slots = {TRUE_SLOT: 15}
         await orchestrator.wait_for_full_views()
         await orchestrator.wait_until(2.5)
-        false = FalseReporter(member, node_names(orchestrator.day.scenario.fleet))
+        false = FalseReporter(member, node_names(orchestrator.schedule.scenario.fleet))
         assert len(false.recorded) >= 3
         member.alter = lambda _to, data: [] if sequenced_report.is_sequenced_report(data) else [data]
         member.views.clear()
@@ -570,7 +570,7 @@
         member = orchestrator.member
         await orchestrator.wait_for_full_views()
         await orchestrator.wait_until(2.5)
-        false = FalseAggregator(member, node_names(orchestrator.day.scenario.fleet))
+        false = FalseAggregator(member, node_names(orchestrator.schedule.scenario.fleet))
         assert len(false.recorded) >= ROUTERS
         member.alter = false.alter
         seen.extend(await orchestrator.attack(false.false_datagrams))
@@ -614,7 +614,7 @@
 
     async def steps(orchestrator: AdversaryOrchestrator) -> None:
         await orchestrator.wait_for_full_views()
-        await orchestrator.carry_out(ScheduledFault(0.0, "restart", RESTARTED, {"signal": "KILL"}))
+        await orchestrator.apply_fault(ScheduledFault(0.0, "restart", RESTARTED, {"signal": "KILL"}))
         again = time.monotonic()
         # Reports of its first process count for 3 s, and a view is used for as long.
         while time.monotonic() < again + 2 * REPORT_MAX_AGE / NS_PER_S:
--- a/tests/router/test_lines.py
+++ b/tests/router/test_lines.py
@@ -321,7 +321,7 @@
         await asyncio.sleep(1.0)
         cut = {"a": ["router00"], "b": ["router01"], "way": "to", "seconds": 1.0}
         partition_start = simulated_fleet.clock()
-        await simulated_fleet.carry_out(ScheduledFault(0.0, "partition", PEERS, cut))
+        await simulated_fleet.apply_fault(ScheduledFault(0.0, "partition", PEERS, cut))
         await asyncio.sleep(2.0)
         reached = {name for name, at in received if partition_start < at < partition_start + 1.0}
         assert reached == {"router02"}
