--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""What the measurements of bench.slopes_* share: readings gathered to series, and their files."""
+"""Shared parts of the bench.slopes_* measurements: series of readings, JSON files, processor time, memory."""
 
 from __future__ import annotations
 
@@ -18,52 +18,52 @@
 from bench.capacity_model import Measurement, Point, Scale, Series, read, written
 
 ROOT = Path(__file__).resolve().parent.parent
-FOLDER = ROOT / "bench/data/slopes"
-ROUTERS = (50, 100, 200, 400, 760)
+DATA_FOLDER = ROOT / "bench/data/slopes"
+ROUTER_COUNTS = (50, 100, 200, 400, 760)
 REPEATS = 3
-PACE_STEPS = 1_000_000
+REFERENCE_LOOP_STEPS = 1_000_000
 T = TypeVar("T")
 
 
 @dataclass
 class Readings:
-    """Points of several series as they come, of what is checked out as they begin."""
+    """Collects the points of several series; `commit` is the program's commit when the measurement starts."""
 
-    commit: str = field(default_factory=lambda: commit())
+    commit: str = field(default_factory=lambda: program_commit())
     _series: dict[str, Series] = field(default_factory=dict)
     _points: dict[str, list[Point]] = field(default_factory=dict)
 
-    def series(self, name: str, of: str, unit: str, scale: Scale = Scale.LINEAR) -> None:
-        """Declare a series."""
-        self._series[name] = Series(name, of, unit, (), scale)
+    def declare_series(self, name: str, size_unit: str, unit: str, scale: Scale = Scale.LINEAR) -> None:
+        """Declare a series; `size_unit` is the unit of its sizes, `unit` that of its values."""
+        self._series[name] = Series(name, size_unit, unit, (), scale)
         self._points[name] = []
 
     def add(self, name: str, size: float, value: float) -> None:
-        """Take a reading, rounded to six digits."""
+        """Add a reading to a declared series, rounded to six significant digits, and print it."""
         self._points[name].append(Point(size, float(f"{value:.6g}")))
         print(f"{name} {size:g}: {value:.6g} {self._series[name].unit}", flush=True)
 
-    def all(self) -> tuple[Series, ...]:
-        """The series with their points."""
+    def all_series(self) -> tuple[Series, ...]:
+        """Return all declared series with their points."""
         return tuple(
-            Series(one.name, one.of, one.unit, tuple(self._points[name]), one.scale)
-            for name, one in self._series.items()
+            Series(declared.name, declared.of, declared.unit, tuple(self._points[name]), declared.scale)
+            for name, declared in self._series.items()
         )
 
 
-def commit() -> str:
-    """The commit that last changed the program, marked where its files differ from what is checked out."""
-    found = _git("log", "-1", "--format=%h", "--abbrev=8", "--", "holdgw")
-    return found + ("+changes" if _git("status", "--porcelain", "--", "holdgw") else "")
+def program_commit() -> str:
+    """Return the last commit that changed `holdgw`, with `+changes` if its files have uncommitted changes."""
+    revision = _git("log", "-1", "--format=%h", "--abbrev=8", "--", "holdgw")
+    return revision + ("+changes" if _git("status", "--porcelain", "--", "holdgw") else "")
 
 
-def _git(*words: str) -> str:
-    ran = subprocess.run(("git", *words), cwd=ROOT, capture_output=True, text=True, check=True)
-    return ran.stdout.strip()
+def _git(*arguments: str) -> str:
+    completed = subprocess.run(("git", *arguments), cwd=ROOT, capture_output=True, text=True, check=True)
+    return completed.stdout.strip()
 
 
-def measurement(name: str, readings: Readings) -> Measurement:
-    """What was read, with the circumstances."""
+def build_measurement(name: str, readings: Readings) -> Measurement:
+    """Return the series of a finished measurement with its command, commit, date and machine."""
     from holdgw.policy import routing_policy
 
     return Measurement(
@@ -73,49 +73,49 @@
         date=datetime.now(UTC).strftime("%Y-%m-%dT%H:%MZ"),
         cores=os.cpu_count() or 1,
         compiled=not str(routing_policy.__file__).endswith(".py"),
-        pace=pace(),
-        series=readings.all(),
+        pace=reference_loop_ms(),
+        series=readings.all_series(),
     )
 
 
-def pace() -> float:
-    """Processor milliseconds of a fixed loop, the least of some."""
+def reference_loop_ms() -> float:
+    """Return the processor time of a fixed loop in milliseconds, the minimum of `REPEATS` runs."""
 
     def loop() -> int:
-        return sum(number & 3 for number in range(PACE_STEPS))
+        return sum(number & 3 for number in range(REFERENCE_LOOP_STEPS))
 
-    return round(min(cpu_of(loop)[0] for _ in range(REPEATS)) * 1e3, 1)
+    return round(min(measure_cpu_seconds(loop)[0] for _ in range(REPEATS)) * 1e3, 1)
 
 
-def store(found: Measurement, folder: Path = FOLDER) -> None:
-    """Keep a measurement in the repository."""
+def store(measurement: Measurement, folder: Path = DATA_FOLDER) -> None:
+    """Write a measurement to its JSON file, named after it, and create the folder if necessary."""
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / f"{found.name}.json").write_bytes(_compact(found))
+    (folder / f"{measurement.name}.json").write_bytes(_encode(measurement))
 
 
-def _compact(found: Measurement) -> bytes:
-    """A line for each series, so that a difference can be read."""
-    told = written(found)
-    series = told.pop("series")
-    head = orjson.dumps(told, option=orjson.OPT_INDENT_2)[:-2]
-    lines = b",\n".join(b"    " + orjson.dumps(one) for one in series)
+def _encode(measurement: Measurement) -> bytes:
+    """Encode as JSON with one line for each series, so that diffs stay readable."""
+    document = written(measurement)
+    series = document.pop("series")
+    head = orjson.dumps(document, option=orjson.OPT_INDENT_2)[:-2]
+    lines = b",\n".join(b"    " + orjson.dumps(entry) for entry in series)
     return head + b',\n  "series": [\n' + lines + b"\n  ]\n}\n"
 
 
-def load(folder: Path = FOLDER) -> dict[str, Measurement]:
-    """All measurements that are kept, by name."""
+def load(folder: Path = DATA_FOLDER) -> dict[str, Measurement]:
+    """Return all stored measurements by name."""
     return {path.stem: read(orjson.loads(path.read_bytes())) for path in sorted(folder.glob("*.json"))}
 
 
-def cpu_of(act: Callable[[], T]) -> tuple[float, T]:
-    """Processor seconds of this process that a call takes, and what it returns."""
+def measure_cpu_seconds(call: Callable[[], T]) -> tuple[float, T]:
+    """Return the processor seconds of this process that a call takes, and the call's result."""
     before = time.process_time()
-    result = act()
+    result = call()
     return time.process_time() - before, result
 
 
-def bytes_of(make: Callable[[], T]) -> tuple[int, T]:
-    """Bytes that Python holds for what a call makes, and that itself."""
+def measure_heap_bytes(make: Callable[[], T]) -> tuple[int, T]:
+    """Return the bytes that Python still holds after a call that builds an object, and the object."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     made = make()
@@ -125,14 +125,14 @@
 
 
 class Stopwatch:
-    """Sums the processor time of stretches of one thread."""
+    """Adds up the processor seconds that one thread spends inside `running` blocks."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
 
     @contextmanager
     def running(self) -> Iterator[None]:
-        """Count what happens inside."""
+        """Add the processor time of the enclosed block."""
         before = time.thread_time_ns()
         try:
             yield
--- a/bench/slopes_aggregation.py
+++ b/bench/slopes_aggregation.py
@@ -13,7 +13,7 @@
 
 from bench import peer_cost
 from bench.capacity_model import Measurement
-from bench.slopes import REPEATS, ROUTERS, Readings, measurement
+from bench.slopes import REPEATS, ROUTER_COUNTS, Readings, build_measurement
 from bench.slopes_tier import ZONES, zone
 from holdgw.peers import sequenced_report
 from holdgw.peers.aggregator import Aggregator
@@ -112,14 +112,14 @@
 def measure() -> Measurement:
     """All of it; some minutes on one core."""
     readings = Readings()
-    readings.series("aggregator processor", "routers", "% of a core")
-    readings.series("aggregator sends", "routers", "KB a second")
-    readings.series("aggregator hears", "routers", "KB a second")
-    readings.series("aggregator coverage", "routers", "of all routers")
-    readings.series("aggregator memory", "routers", "MB")
+    readings.declare_series("aggregator processor", "routers", "% of a core")
+    readings.declare_series("aggregator sends", "routers", "KB a second")
+    readings.declare_series("aggregator hears", "routers", "KB a second")
+    readings.declare_series("aggregator coverage", "routers", "of all routers")
+    readings.declare_series("aggregator memory", "routers", "MB")
     load = peer_cost.make_load(peer_cost.SERVERS)
-    for routers in ROUTERS:
+    for routers in ROUTER_COUNTS:
         for seed in range(1, REPEATS + 1):
             play(readings, load, routers, seed)
         readings.add("aggregator memory", routers, held(load, routers))
-    return measurement("aggregation", readings)
+    return build_measurement("aggregation", readings)
--- a/bench/slopes_connections.py
+++ b/bench/slopes_connections.py
@@ -15,7 +15,7 @@
 
 from bench.capacity_model import Measurement, Scale
 from bench.router_core import CONTEXT, Children, bind_to
-from bench.slopes import REPEATS, Readings, measurement
+from bench.slopes import REPEATS, Readings, build_measurement
 from bench.slopes_run import connections_to, rig, serve_sized
 from holdgw.harness.routers import resident_bytes
 from holdgw.router.cache_connection import CacheConnection
@@ -94,12 +94,12 @@
 def measure() -> Measurement:
     """All of it; six minutes, some two cores' work."""
     readings = Readings()
-    readings.series("at rest by servers", "servers", "connections a server", Scale.INVERSE)
-    readings.series("at rest by answer time", "ms", "connections a server")
-    readings.series("after a start", "routers", "connections at the mean server")
-    readings.series("after a start, busiest", "routers", "connections at the busiest server")
-    readings.series("memory of connections", "connections", "KB")
-    readings.series("descriptors of connections", "connections", "descriptors")
+    readings.declare_series("at rest by servers", "servers", "connections a server", Scale.INVERSE)
+    readings.declare_series("at rest by answer time", "ms", "connections a server")
+    readings.declare_series("after a start", "routers", "connections at the mean server")
+    readings.declare_series("after a start, busiest", "routers", "connections at the busiest server")
+    readings.declare_series("memory of connections", "connections", "KB")
+    readings.declare_series("descriptors of connections", "connections", "descriptors")
     for count in HELD:
         for _ in range(REPEATS):
             taken, descriptors = held(count)
@@ -115,4 +115,4 @@
             mean, most = after_start(together)
             readings.add("after a start", together, mean)
             readings.add("after a start, busiest", together, most)
-    return measurement("connections", readings)
+    return build_measurement("connections", readings)
--- a/bench/slopes_failures.py
+++ b/bench/slopes_failures.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from bench.capacity_model import Measurement, Scale
-from bench.slopes import REPEATS, ROUTERS, Readings, measurement
+from bench.slopes import REPEATS, ROUTER_COUNTS, Readings, build_measurement
 from bench.slopes_tier import ZONES, Seconds, knows_all, make, name, region, zone
 
 DOWN_S = 1.0
@@ -100,10 +100,10 @@
 def declare(readings: Readings) -> None:
     """All series."""
     for case in CASES:
-        readings.series(f"{case.name}: all know", "routers", "s", Scale.LOG2)
-        readings.series(f"{case.name}: messages", "routers", "a router")
-        readings.series(f"{case.name}: worst second", "routers", "bytes")
-        readings.series(f"{case.name}: worst second, mean", "routers", "bytes")
+        readings.declare_series(f"{case.name}: all know", "routers", "s", Scale.LOG2)
+        readings.declare_series(f"{case.name}: messages", "routers", "a router")
+        readings.declare_series(f"{case.name}: worst second", "routers", "bytes")
+        readings.declare_series(f"{case.name}: worst second, mean", "routers", "bytes")
 
 
 def measure() -> Measurement:
@@ -111,21 +111,21 @@
     readings = Readings()
     declare(readings)
     for seed in range(1, REPEATS + 1):
-        for size in ROUTERS:
+        for size in ROUTER_COUNTS:
             for case in CASES:
                 play(readings, case, size, seed)
-    return measurement("failures", readings)
+    return build_measurement("failures", readings)
 
 
 def measure_cut() -> Measurement:
     """The regions that lose each other; half an hour on one core."""
     readings = Readings()
-    readings.series("regions apart: worst second", "routers", "bytes")
-    readings.series("regions back: one again", "routers", "s", Scale.LOG2)
-    readings.series("regions back: worst second", "routers", "bytes")
-    readings.series("regions back: worst second, mean", "routers", "bytes")
+    readings.declare_series("regions apart: worst second", "routers", "bytes")
+    readings.declare_series("regions back: one again", "routers", "s", Scale.LOG2)
+    readings.declare_series("regions back: worst second", "routers", "bytes")
+    readings.declare_series("regions back: worst second, mean", "routers", "bytes")
     for size in CUT_SIZES:
         for seed in range(1, REPEATS + 1):
             cut(readings, size, seed)
     cut(readings, CUT_ONCE, 1)
-    return measurement("regions", readings)
+    return build_measurement("regions", readings)
--- a/bench/slopes_keys.py
+++ b/bench/slopes_keys.py
@@ -14,7 +14,7 @@
 from zlib import crc32
 
 from bench.capacity_model import Measurement, Scale
-from bench.slopes import REPEATS, Readings, bytes_of, cpu_of, measurement
+from bench.slopes import REPEATS, Readings, build_measurement, measure_cpu_seconds, measure_heap_bytes
 from holdgw.peers.heavy_hitters import HeavyHitters
 from holdgw.policy import (
     NS_PER_S,
@@ -70,7 +70,7 @@
         for batch in made:
             sketch.add_counts(batch)
 
-    seconds, _ = cpu_of(merge_all)
+    seconds, _ = measure_cpu_seconds(merge_all)
     return seconds / sum(batch.total() for batch in made) * 1e6
 
 
@@ -125,21 +125,21 @@
         served.ask(keys)
         return served
 
-    held, served = bytes_of(made)
+    held, served = measure_heap_bytes(made)
     readings.add("router memory", slots, held / 1e6)
     again = [random.Random(seed).choice(keys) for _ in range(REQUESTS)]
-    seconds, _ = cpu_of(lambda: served.ask(again))
+    seconds, _ = measure_cpu_seconds(lambda: served.ask(again))
     readings.add("router time", slots, seconds / REQUESTS * 1e6)
 
 
 def measure() -> Measurement:
     """All of it; two minutes."""
     readings = Readings()
-    readings.series("router memory", "slots in use", "MB")
-    readings.series("router time", "slots in use", "us a request")
-    readings.series("error by stream", "requests", "of all requests")
-    readings.series("error by counters", "counters", "of all requests", Scale.INVERSE)
-    readings.series("sketch time", "counters", "us a request")
+    readings.declare_series("router memory", "slots in use", "MB")
+    readings.declare_series("router time", "slots in use", "us a request")
+    readings.declare_series("error by stream", "requests", "of all requests")
+    readings.declare_series("error by counters", "counters", "of all requests", Scale.INVERSE)
+    readings.declare_series("sketch time", "counters", "us a request")
     keys = {slots: keys_of(slots) for slots in SLOTS_IN_USE}
     for seed in range(1, REPEATS + 1):
         for slots in SLOTS_IN_USE:
@@ -149,4 +149,4 @@
         for counters in COUNTERS:
             readings.add("error by counters", counters, error(counters, STREAM, seed))
             readings.add("sketch time", counters, sketch_time(counters, batches(STREAM, seed)))
-    return measurement("keys", readings)
+    return build_measurement("keys", readings)
--- a/bench/slopes_limits.py
+++ b/bench/slopes_limits.py
@@ -13,7 +13,7 @@
 from heapq import heapify, heapreplace
 
 from bench.capacity_model import Measurement
-from bench.slopes import REPEATS, Readings, measurement
+from bench.slopes import REPEATS, Readings, build_measurement
 from holdgw.policy import NS_PER_S, Tenant
 from holdgw.policy.origin_concurrency import FAILURE_SMOOTHING, OVERLOAD_FAILURE_FRACTION
 from holdgw.policy.origin_limiter import OriginLimiter
@@ -91,9 +91,9 @@
     """All of it; three minutes."""
     readings = Readings()
     for name in ("mean over quota", "worst second over quota", "mean over capacity", "worst over capacity"):
-        readings.series(name, "routers", "times")
-    readings.series("mean at skewed demand", "routers", "times")
-    readings.series("least of the sum", "routers", "of the quota")
+        readings.declare_series(name, "routers", "times")
+    readings.declare_series("mean at skewed demand", "routers", "times")
+    readings.declare_series("least of the sum", "routers", "of the quota")
     for seed in range(1, REPEATS + 1):
         for routers in ROUTERS:
             mean, worst = sums(admitted(routers, seed, ALL_WELL, even(routers)))
@@ -106,4 +106,4 @@
             readings.add("mean at skewed demand", routers, mean / QUOTA)
             floor = Guard(routers, seed).limiter.min_rate_limit * routers
             readings.add("least of the sum", routers, floor / QUOTA)
-    return measurement("limits", readings)
+    return build_measurement("limits", readings)
--- a/bench/slopes_lists.py
+++ b/bench/slopes_lists.py
@@ -17,7 +17,7 @@
 import orjson
 
 from bench.capacity_model import Measurement, Scale
-from bench.slopes import REPEATS, ROUTERS, Readings, cpu_of, measurement
+from bench.slopes import REPEATS, ROUTER_COUNTS, Readings, build_measurement, measure_cpu_seconds
 from holdgw.emulators.discovery import DiscoveryServer
 from holdgw.emulators.discovery_model import DiscoveryModel, Entry, State
 from holdgw.emulators.records import Called, Record
@@ -59,14 +59,16 @@
     """Bytes of a whole list, and the processor time of reading it and of taking it in."""
     body, clock = orjson.dumps(listing(count)), Clock()
     readings.add("list bytes", count, len(body) / 1e3)
-    seconds, found = cpu_of(lambda: [read_endpoint_list(orjson.loads(body), clock) for _ in range(TIMES)])
+    seconds, found = measure_cpu_seconds(
+        lambda: [read_endpoint_list(orjson.loads(body), clock) for _ in range(TIMES)]
+    )
     readings.add("list read", count, seconds / TIMES * 1e3)
     settings = Settings(
         classes=(RequestClass("read", latency_objective_ns=300_000_000, deadline_ns=1_000_000_000),)
     )
     routers = [RoutingPolicy(settings, seed) for seed in range(TIMES)]
     event = found[0].change
-    seconds, _ = cpu_of(lambda: [router.handle(event, 1) for router in routers])
+    seconds, _ = measure_cpu_seconds(lambda: [router.handle(event, 1) for router in routers])
     readings.add("list taken in", count, seconds / TIMES * 1e3)
 
 
@@ -80,7 +82,7 @@
     path.write_bytes(orjson.dumps(told))
     readings.add("configuration bytes", routers, path.stat().st_size / 1e3)
     environ = {"LB_CONFIG": str(path)}
-    seconds, _ = cpu_of(lambda: [load_config(environ, again=True) for _ in range(TIMES)])
+    seconds, _ = measure_cpu_seconds(lambda: [load_config(environ, again=True) for _ in range(TIMES)])
     readings.add("configuration read", routers, seconds / TIMES * 1e3)
 
 
@@ -155,35 +157,35 @@
 def measure() -> Measurement:
     """Lists and configurations; half a minute."""
     readings = Readings()
-    readings.series("list bytes", "servers", "KB")
-    readings.series("list read", "servers", "ms")
-    readings.series("list taken in", "servers", "ms")
-    readings.series("configuration bytes", "peers", "KB")
-    readings.series("configuration read", "peers", "ms")
+    readings.declare_series("list bytes", "servers", "KB")
+    readings.declare_series("list read", "servers", "ms")
+    readings.declare_series("list taken in", "servers", "ms")
+    readings.declare_series("configuration bytes", "peers", "KB")
+    readings.declare_series("configuration read", "peers", "ms")
     with tempfile.TemporaryDirectory() as folder:
         for _ in range(REPEATS):
             for count in SERVERS:
                 lists(readings, count)
-            for routers in ROUTERS:
+            for routers in ROUTER_COUNTS:
                 configurations(readings, routers, Path(folder))
-    return measurement("lists", readings)
+    return build_measurement("lists", readings)
 
 
 def measure_service() -> Measurement:
     """Watches at the list service; five minutes."""
     readings = Readings()
-    readings.series("calls at rest", "routers", "a second")
-    readings.series("all told of a change", "routers", "s", Scale.LINEAR)
-    readings.series("calls that a change brings", "routers", "calls")
+    readings.declare_series("calls at rest", "routers", "a second")
+    readings.declare_series("all told of a change", "routers", "s", Scale.LINEAR)
+    readings.declare_series("calls that a change brings", "routers", "calls")
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
 
     async def each() -> None:
         for _ in range(REPEATS):
-            for size in ROUTERS:
+            for size in ROUTER_COUNTS:
                 rate, took, brought = await watched(size)
                 readings.add("calls at rest", size, rate)
                 readings.add("all told of a change", size, took)
                 readings.add("calls that a change brings", size, brought)
 
     asyncio.run(each())
-    return measurement("service", readings)
+    return build_measurement("service", readings)
--- a/bench/slopes_membership.py
+++ b/bench/slopes_membership.py
@@ -9,7 +9,7 @@
 
 from bench.capacity_model import Measurement, Scale
 from bench.membership import falsely, learn_of_deaths
-from bench.slopes import REPEATS, ROUTERS, Readings, bytes_of, measurement
+from bench.slopes import REPEATS, ROUTER_COUNTS, Readings, build_measurement, measure_heap_bytes
 from bench.slopes_tier import knows_all, make, timed
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
 from holdgw.peers.membership import Membership
@@ -127,7 +127,7 @@
 
 def memory(readings: Readings, size: int) -> None:
     """What Python holds for one router's membership."""
-    held, _ = bytes_of(lambda: Membership(0, size, 0, 1, 0))
+    held, _ = measure_heap_bytes(lambda: Membership(0, size, 0, 1, 0))
     readings.add("memory", size, held / 1e6)
 
 
@@ -156,15 +156,15 @@
     """All of it; some ten minutes on one core."""
     readings = Readings()
     for name, unit in SERIES:
-        readings.series(name, "routers", unit)
+        readings.declare_series(name, "routers", unit)
     for name in BY_LOG:
-        readings.series(name, "routers", "s", Scale.LOG2)
-    for size in ROUTERS:
+        readings.declare_series(name, "routers", "s", Scale.LOG2)
+    for size in ROUTER_COUNTS:
         memory(readings, size)
         for seed in range(1, REPEATS + 1):
             at_rest(readings, size, seed)
             death(readings, size, seed)
             changes(readings, size, seed)
             wrong(readings, size, seed)
-    assert knows_all(make(ROUTERS[0], 1), range(ROUTERS[0]))
-    return measurement("membership", readings)
+    assert knows_all(make(ROUTER_COUNTS[0], 1), range(ROUTER_COUNTS[0]))
+    return build_measurement("membership", readings)
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from bench.capacity_model import Measurement
-from bench.slopes import REPEATS, Readings, measurement
+from bench.slopes import REPEATS, Readings, build_measurement
 from bench.slopes_run import rig
 
 HELD = (1_000, 8_000, 16_000, 32_000, 64_000)
@@ -44,13 +44,13 @@
 def measure() -> Measurement:
     """All of it; six minutes, some two cores' work."""
     readings = Readings()
-    readings.series("held value", "MB of a value", "us a request")
-    readings.series("long value", "MB of a value", "us a request")
-    readings.series("memory by long values open", "values", "MB")
+    readings.declare_series("held value", "MB of a value", "us a request")
+    readings.declare_series("long value", "MB of a value", "us a request")
+    readings.declare_series("memory by long values open", "values", "MB")
     for name, sizes in (("held value", HELD), ("long value", LONG)):
         for size in sizes:
             cost(readings, name, size)
     for connections in OPEN:
         for _ in range(REPEATS):
             memory(readings, connections)
-    return measurement("requests", readings)
+    return build_measurement("requests", readings)
--- a/bench/slopes_slots.py
+++ b/bench/slopes_slots.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from bench.capacity_model import Measurement, Scale
-from bench.slopes import REPEATS, Readings, bytes_of, cpu_of, measurement
+from bench.slopes import REPEATS, Readings, build_measurement, measure_cpu_seconds, measure_heap_bytes
 from holdgw.policy import Endpoint, RequestClass, Settings
 from holdgw.policy.slot_table import SLOTS, SlotTable
 
@@ -42,7 +42,7 @@
 def by_servers(readings: Readings, count: int, seed: int) -> None:
     """Readings at 8,192 slots."""
     ranked = table(count, seed)
-    seconds, before = cpu_of(lambda: owners(ranked, SLOTS))
+    seconds, before = measure_cpu_seconds(lambda: owners(ranked, SLOTS))
     readings.add("excess by servers", count, excess(before, count))
     readings.add("rank a slot", count, seconds / SLOTS * 1e6)
     ranked.update([], [before[0]])
@@ -54,31 +54,31 @@
 def by_slots(readings: Readings, slots: int, seed: int) -> None:
     """Readings over 96 servers."""
     ranked = table(FLEET, seed)
-    seconds, before = cpu_of(lambda: owners(ranked, slots))
+    seconds, before = measure_cpu_seconds(lambda: owners(ranked, slots))
     readings.add("excess by slots", slots, excess(before, FLEET))
     readings.add("rank all", slots, seconds * 1e3)
     ranked.update([], [before[0]])
-    seconds, _ = cpu_of(lambda: owners(ranked, slots))
+    seconds, _ = measure_cpu_seconds(lambda: owners(ranked, slots))
     readings.add("one server leaves", slots, seconds * 1e3)
 
 
 def memory_by_slots(readings: Readings, slots: int) -> None:
     """What the whole table holds over 96 servers."""
     ranked = table(FLEET, 1)
-    held, _ = bytes_of(lambda: Counter(ranked.rank(slot, 0)[0].entry.id for slot in range(slots)))
+    held, _ = measure_heap_bytes(lambda: Counter(ranked.rank(slot, 0)[0].entry.id for slot in range(slots)))
     readings.add("table memory", slots, held / 1e6)
 
 
 def measure() -> Measurement:
     """All of it; a minute."""
     readings = Readings()
-    readings.series("excess by servers", "servers", "of the mean")
-    readings.series("rank a slot", "servers", "us")
-    readings.series("moves by servers", "servers", "of all slots", Scale.INVERSE)
-    readings.series("excess by slots", "slots", "of the mean", Scale.INVERSE_ROOT)
-    readings.series("rank all", "slots", "ms")
-    readings.series("one server leaves", "slots", "ms")
-    readings.series("table memory", "slots", "MB")
+    readings.declare_series("excess by servers", "servers", "of the mean")
+    readings.declare_series("rank a slot", "servers", "us")
+    readings.declare_series("moves by servers", "servers", "of all slots", Scale.INVERSE)
+    readings.declare_series("excess by slots", "slots", "of the mean", Scale.INVERSE_ROOT)
+    readings.declare_series("rank all", "slots", "ms")
+    readings.declare_series("one server leaves", "slots", "ms")
+    readings.declare_series("table memory", "slots", "MB")
     for seed in range(1, REPEATS + 3):
         for count in SERVERS:
             by_servers(readings, count, seed)
@@ -87,4 +87,4 @@
             by_slots(readings, slots, seed)
     for slots in SLOT_COUNTS:
         memory_by_slots(readings, slots)
-    return measurement("slots", readings)
+    return build_measurement("slots", readings)
--- a/bench/slopes_view.py
+++ b/bench/slopes_view.py
@@ -8,7 +8,7 @@
 
 from bench import peer_cost
 from bench.capacity_model import Measurement, Scale
-from bench.slopes import REPEATS, ROUTERS, Readings, measurement
+from bench.slopes import REPEATS, ROUTER_COUNTS, Readings, build_measurement
 from holdgw.peers.gossip import FANOUT
 
 SECONDS = 20.0
@@ -44,20 +44,20 @@
 def measure() -> Measurement:
     """All of it; some minutes on one core."""
     readings = Readings()
-    readings.series("view processor", "routers", "% of a core")
-    readings.series("control processor", "routers", "% of a core")
-    readings.series("report received", "routers", "us a report")
-    readings.series("control bytes", "routers", "bytes a second")
-    readings.series("age", "routers", "s")
-    readings.series("routers in view", "routers", "routers", Scale.LOG2)
-    readings.series("coverage", "routers", "of all routers", Scale.LOG2)
-    readings.series("memory", "routers", "MB")
+    readings.declare_series("view processor", "routers", "% of a core")
+    readings.declare_series("control processor", "routers", "% of a core")
+    readings.declare_series("report received", "routers", "us a report")
+    readings.declare_series("control bytes", "routers", "bytes a second")
+    readings.declare_series("age", "routers", "s")
+    readings.declare_series("routers in view", "routers", "routers", Scale.LOG2)
+    readings.declare_series("coverage", "routers", "of all routers", Scale.LOG2)
+    readings.declare_series("memory", "routers", "MB")
     load = peer_cost.make_load(peer_cost.SERVERS)
-    for routers in ROUTERS:
+    for routers in ROUTER_COUNTS:
         for seed in range(1, REPEATS + 1):
             play(readings, load, routers, seed)
         held = peer_cost.held_bytes(
             lambda: peer_cost.ControlPart(load, routers, peer_cost.RATE, 1)  # noqa: B023
         )
         readings.add("memory", routers, held / 1e6)
-    return measurement("view", readings)
+    return build_measurement("view", readings)
