--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -32,7 +32,7 @@
     "limits": "bench.slopes_limits:measure",
     "membership": "bench.slopes_membership:measure",
     "failures": "bench.slopes_failures:measure",
-    "regions": "bench.slopes_failures:measure_cut",
+    "regions": "bench.slopes_failures:measure_partition",
 }
 """Where each measurement is; a module is loaded when it is asked for."""
 
--- a/bench/slopes_failures.py
+++ b/bench/slopes_failures.py
@@ -12,7 +12,15 @@
 
 from bench.capacity_model import Measurement, Scale
 from bench.slopes import REPEATS, ROUTER_COUNTS, Readings, build_measurement
-from bench.slopes_tier import ZONES, Seconds, knows_all, make, name, region, zone
+from bench.slopes_tier import (
+    ZONES,
+    TrafficPerSecond,
+    make_tier,
+    membership_converged,
+    region,
+    router_name,
+    zone,
+)
 
 DOWN_S = 1.0
 LEARN_MOST_S = 90.0
@@ -36,7 +44,7 @@
     return [number for number in range(size) if zone(number) == 1 % ZONES]
 
 
-def of_region(size: int) -> list[int]:
+def second_region_routers(size: int) -> list[int]:
     """The routers of the second region."""
     return [number for number in range(size) if region(number) == 1]
 
@@ -47,16 +55,16 @@
     Case("a rack dies", lambda size: range(max(size * RACK // 760, 1))),
     Case("a zone dies", of_zone),
     Case("a zone restarts", of_zone, back=True),
-    Case("a region dies", of_region),
+    Case("a region dies", second_region_routers),
 )
 
 
 def play(readings: Readings, case: Case, size: int, seed: int) -> None:
     """One failure: what it brings beyond calm, until every router holds what is true."""
-    tier = make(size, seed)
-    seconds = Seconds(tier)
+    tier = make_tier(size, seed)
+    seconds = TrafficPerSecond(tier)
     for _ in range(CALM_SECONDS):
-        seconds.pass_one()
+        seconds.run_second()
     calm = seconds.messages / CALM_SECONDS
     seconds.reset()
     who = list(case.who(size))
@@ -67,34 +75,36 @@
     present = [n for n in range(size) if case.back or n not in set(who)]
     began = tier.now
     while (tier.now - began) / 1e9 < LEARN_MOST_S:
-        seconds.pass_one()
-        if (tier.now - began) / 1e9 > DOWN_S and knows_all(tier, present):
+        seconds.run_second()
+        if (tier.now - began) / 1e9 > DOWN_S and membership_converged(tier, present):
             break
     took = (tier.now - began) / 1e9
     more = seconds.messages - calm * took
     readings.add(f"{case.name}: all know", size, took)
     readings.add(f"{case.name}: messages", size, max(more, 0.0) / size)
-    readings.add(f"{case.name}: worst second", size, seconds.worst)
-    readings.add(f"{case.name}: worst second, mean", size, seconds.worst_mean)
+    readings.add(f"{case.name}: worst second", size, seconds.max_bytes)
+    readings.add(f"{case.name}: worst second, mean", size, seconds.max_mean_bytes)
 
 
 def cut(readings: Readings, size: int, seed: int) -> None:
     """A region loses the others for 5 minutes and comes back."""
-    tier = make(size, seed)
-    away = set(of_region(size))
+    tier = make_tier(size, seed)
+    away = set(second_region_routers(size))
     until = tier.now / 1e9 + CUT_S
-    tier.relay.block(map(name, away), [name(n) for n in range(size) if n not in away], until, both=True)
-    seconds = Seconds(tier)
+    tier.relay.block(
+        map(router_name, away), [router_name(n) for n in range(size) if n not in away], until, both=True
+    )
+    seconds = TrafficPerSecond(tier)
     while tier.now / 1e9 < until:
-        seconds.pass_one()
-    readings.add("regions apart: worst second", size, seconds.worst)
+        seconds.run_second()
+    readings.add("regions apart: worst second", size, seconds.max_bytes)
     seconds.reset()
     began = tier.now
-    while (tier.now - began) / 1e9 < LEARN_MOST_S and not knows_all(tier, range(size)):
-        seconds.pass_one()
+    while (tier.now - began) / 1e9 < LEARN_MOST_S and not membership_converged(tier, range(size)):
+        seconds.run_second()
     readings.add("regions back: one again", size, (tier.now - began) / 1e9)
-    readings.add("regions back: worst second", size, seconds.worst)
-    readings.add("regions back: worst second, mean", size, seconds.worst_mean)
+    readings.add("regions back: worst second", size, seconds.max_bytes)
+    readings.add("regions back: worst second, mean", size, seconds.max_mean_bytes)
 
 
 def declare(readings: Readings) -> None:
@@ -117,7 +127,7 @@
     return build_measurement("failures", readings)
 
 
-def measure_cut() -> Measurement:
+def measure_partition() -> Measurement:
     """The regions that lose each other; half an hour on one core."""
     readings = Readings()
     readings.declare_series("regions apart: worst second", "routers", "bytes")
--- a/bench/slopes_keys.py
+++ b/bench/slopes_keys.py
@@ -36,7 +36,7 @@
 STREAMS = (1_000, 2_000, 4_000, 8_000, 16_000)
 COUNTERS = (64, 128, 256, 512, 1024)
 SLOTS_IN_USE = (512, 1_024, 2_048, 4_096, 8_192)
-KEYS_A_SLOT = 2
+KEYS_PER_SLOT = 2
 STREAM = 8_000
 BATCH = 280  # requests of 0.3 s, 934 a second
 REQUESTS = 20_000
@@ -84,12 +84,12 @@
 
 
 def keys_of(slots: int) -> list[str]:
-    """Keys of objects that lie in so many slots, KEYS_A_SLOT in each."""
+    """Keys of objects that lie in so many slots, KEYS_PER_SLOT in each."""
     found: dict[int, list[str]] = {which: [] for which in range(slots)}
     number = 0
-    while any(len(keys) < KEYS_A_SLOT for keys in found.values()):
+    while any(len(keys) < KEYS_PER_SLOT for keys in found.values()):
         which = slot(number)
-        if which in found and len(found[which]) < KEYS_A_SLOT:
+        if which in found and len(found[which]) < KEYS_PER_SLOT:
             found[which].append(f"object-{number}")
         number += 1
     return [key for keys in found.values() for key in keys]
--- a/bench/slopes_limits.py
+++ b/bench/slopes_limits.py
@@ -22,8 +22,8 @@
 QUOTA = 760.0  # calls a second for all routers together
 DEMAND = 2.0  # times the quota
 TRIP_NS = 100_000_000
-WARM_S, SPAN_S = 30.0, 60.0
-END_NS = int((WARM_S + SPAN_S) * NS_PER_S)
+WARM_UP_S, MEASURED_S = 30.0, 60.0
+END_NS = int((WARM_UP_S + MEASURED_S) * NS_PER_S)
 ALL_WELL = float("inf")
 
 
@@ -65,26 +65,26 @@
     return times
 
 
-def even(routers: int) -> list[float]:
+def even_demand(routers: int) -> list[float]:
     """Calls a second that come to each router: as many to each, twice the quota in all."""
     return [DEMAND * QUOTA / routers] * routers
 
 
-def skewed(routers: int, seed: int) -> list[float]:
+def skewed_demand(routers: int, seed: int) -> list[float]:
     """The same by an exponential law, the quota in all."""
     draw = random.Random(f"{seed}/{routers}/skew")
     drawn = [draw.expovariate(1.0) + 1e-3 for _ in range(routers)]
     return [one * QUOTA / sum(drawn) for one in drawn]
 
 
-def sums(times: list[int]) -> tuple[float, float]:
+def admitted_rates(times: list[int]) -> tuple[float, float]:
     """Calls a second in the mean, and in the busiest second, after the warm-up."""
-    begin = int(WARM_S * NS_PER_S)
+    begin = int(WARM_UP_S * NS_PER_S)
     first = bisect_left(times, begin)
-    by_second = [0] * int(SPAN_S)
+    by_second = [0] * int(MEASURED_S)
     for at in times[first:]:
         by_second[min((at - begin) // NS_PER_S, len(by_second) - 1)] += 1
-    return (len(times) - first) / SPAN_S, float(max(by_second))
+    return (len(times) - first) / MEASURED_S, float(max(by_second))
 
 
 def measure() -> Measurement:
@@ -96,13 +96,13 @@
     readings.declare_series("least of the sum", "routers", "of the quota")
     for seed in range(1, REPEATS + 1):
         for routers in ROUTERS:
-            mean, worst = sums(admitted(routers, seed, ALL_WELL, even(routers)))
+            mean, worst = admitted_rates(admitted(routers, seed, ALL_WELL, even_demand(routers)))
             readings.add("mean over quota", routers, mean / QUOTA)
             readings.add("worst second over quota", routers, worst / QUOTA)
-            mean, worst = sums(admitted(routers, seed, QUOTA / 2, even(routers)))
+            mean, worst = admitted_rates(admitted(routers, seed, QUOTA / 2, even_demand(routers)))
             readings.add("mean over capacity", routers, mean / (QUOTA / 2))
             readings.add("worst over capacity", routers, worst / (QUOTA / 2))
-            mean, _ = sums(admitted(routers, seed, ALL_WELL, skewed(routers, seed)))
+            mean, _ = admitted_rates(admitted(routers, seed, ALL_WELL, skewed_demand(routers, seed)))
             readings.add("mean at skewed demand", routers, mean / QUOTA)
             floor = Guard(routers, seed).limiter.min_rate_limit * routers
             readings.add("least of the sum", routers, floor / QUOTA)
--- a/bench/slopes_membership.py
+++ b/bench/slopes_membership.py
@@ -10,7 +10,7 @@
 from bench.capacity_model import Measurement, Scale
 from bench.membership import falsely, learn_of_deaths
 from bench.slopes import REPEATS, ROUTER_COUNTS, Readings, build_measurement, measure_heap_bytes
-from bench.slopes_tier import knows_all, make, timed
+from bench.slopes_tier import make_tier, membership_converged, timed
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
 from holdgw.peers.membership import Membership
 from holdgw.simulation.membership_tier import MembershipTier
@@ -26,7 +26,7 @@
 
 def at_rest(readings: Readings, size: int, seed: int) -> None:
     """Bytes, messages and processor time of a router while nothing happens."""
-    tier = make(size, seed)
+    tier = make_tier(size, seed)
     spent = timed(tier)
     bytes_before, sent_before = sum(tier.bytes.values()), sum(tier.sent.values())
     tier.run(REST_S)
@@ -38,7 +38,7 @@
 
 def death(readings: Readings, size: int, seed: int) -> None:
     """Seconds until all learn of a death, the median of some."""
-    tier = make(size, seed)
+    tier = make_tier(size, seed)
     first, last = learn_of_deaths(tier, DEATHS, LEARN_MOST_S, unlearnt=LEARN_MOST_S)
     readings.add("death learnt by the first", size, statistics.median(first))
     readings.add("death learnt by all", size, statistics.median(last))
@@ -52,7 +52,7 @@
     readings.add("held for gone falsely", size, found["gone"] / size)
 
 
-class Told:
+class ChangePropagation:
     """Changes on their way over a tier, and how long each took to be everywhere.
 
     A change is a router's own next incarnation: small, versioned, and spread by what is there today.
@@ -61,7 +61,7 @@
     def __init__(self, tier: MembershipTier) -> None:
         self._tier = tier
         self._open: dict[int, tuple[int, int, set[int]]] = {}  # by router: incarnation, since, who lacks it
-        self.took: list[float] = []
+        self.durations_s: list[float] = []
 
     def change(self, number: int) -> None:
         """This router's state changes."""
@@ -77,7 +77,7 @@
         lacking = set(range(self._tier.size)) - {number}
         self._open[number] = member.incarnation, self._tier.now, lacking
 
-    def look(self) -> None:
+    def update(self) -> None:
         """Note which changes are everywhere by now."""
         for number, (incarnation, since, lacking) in list(self._open.items()):
             for who in list(lacking):
@@ -85,26 +85,26 @@
                 if member is not None and member.members[number].incarnation >= incarnation:
                     lacking.discard(who)
             if not lacking:
-                self.took.append((self._tier.now - since) / 1e9)
+                self.durations_s.append((self._tier.now - since) / 1e9)
                 del self._open[number]
 
     @property
-    def lacking(self) -> int:
+    def pending(self) -> int:
         """Changes that are not everywhere yet."""
         return len(self._open)
 
 
 def changes(readings: Readings, size: int, seed: int) -> None:
     """One change alone, and 13 a second: until all routers have it, and bytes of a router."""
-    tier = make(size, seed)
-    told = Told(tier)
+    tier = make_tier(size, seed)
+    told = ChangePropagation(tier)
     told.change(0)
-    while told.lacking and tier.now < 120e9:
+    while told.pending and tier.now < 120e9:
         tier.run(STEP_S)
-        told.look()
-    readings.add("one change everywhere", size, told.took[0] if told.took else LEARN_MOST_S)
-    tier = make(size, seed)
-    told = Told(tier)
+        told.update()
+    readings.add("one change everywhere", size, told.durations_s[0] if told.durations_s else LEARN_MOST_S)
+    tier = make_tier(size, seed)
+    told = ChangePropagation(tier)
     spent = timed(tier)
     before = sum(tier.bytes.values())
     for step in range(round(CHANGES_S / STEP_S)):
@@ -112,17 +112,17 @@
         for _ in range(due):
             told.change(tier.random.randrange(size))
         tier.run(STEP_S)
-        told.look()
+        told.update()
     readings.add("bytes at 13 changes a second", size, (sum(tier.bytes.values()) - before) / CHANGES_S / size)
     readings.add("processor at 13 changes a second", size, spent[0] / CHANGES_S / size * 100)
     ends = tier.now + int(LEARN_MOST_S / 3 * 1e9)
-    while told.lacking and tier.now < ends:
+    while told.pending and tier.now < ends:
         tier.run(STEP_S)
-        told.look()
-    took = sorted(told.took) + [LEARN_MOST_S] * told.lacking
+        told.update()
+    took = sorted(told.durations_s) + [LEARN_MOST_S] * told.pending
     readings.add("13 changes a second: median", size, took[len(took) // 2])
     readings.add("13 changes a second: slowest of 100", size, took[int(len(took) * 0.99)])
-    readings.add("13 changes a second: not everywhere", size, told.lacking / max(len(took), 1))
+    readings.add("13 changes a second: not everywhere", size, told.pending / max(len(took), 1))
 
 
 def memory(readings: Readings, size: int) -> None:
@@ -166,5 +166,5 @@
             death(readings, size, seed)
             changes(readings, size, seed)
             wrong(readings, size, seed)
-    assert knows_all(make(ROUTER_COUNTS[0], 1), range(ROUTER_COUNTS[0]))
+    assert membership_converged(make_tier(ROUTER_COUNTS[0], 1), range(ROUTER_COUNTS[0]))
     return build_measurement("membership", readings)
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -26,8 +26,8 @@
         for _ in range(TRIES):
             with rig(SERVERS, size) as rigged:
                 served = rigged.serve(rigged.router(), CONNECTIONS, rate, SECONDS)
-            print(f"  {served.answers / served.seconds:.0f} a second, {served.wrong} wrong", flush=True)
-            if served.wrong <= served.answers * WRONG_MOST:
+            print(f"  {served.answers / served.seconds:.0f} a second, {served.failures} wrong", flush=True)
+            if served.failures <= served.answers * WRONG_MOST:
                 break
         else:
             raise SystemExit(f"{size} bytes: too many wrong answers")
--- a/bench/slopes_run.py
+++ b/bench/slopes_run.py
@@ -37,7 +37,7 @@
     """What the clients' processes were given in a stretch, and the router's processor seconds in it."""
 
     answers: int
-    wrong: int
+    failures: int
     seconds: float
     router_cpu: float
     router_memory: int
@@ -93,7 +93,7 @@
 
 
 @dataclass
-class Load:
+class ClientLoad:
     """One client process's part: where, on how many connections, what size, and how often (0: at once)."""
 
     name: str
@@ -101,10 +101,10 @@
     connections: int
     size: int
     rate: float
-    good: int = 0
-    wrong: int = 0
+    answers: int = 0
+    failures: int = 0
     number: int = 0
-    free: list[SizedCaller] = field(default_factory=list)
+    free: list[FixedSizeClient] = field(default_factory=list)
 
     def request(self) -> bytes:
         """The next request: a new id, keys in turn."""
@@ -115,10 +115,10 @@
         return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
-class SizedCaller(asyncio.Protocol):
+class FixedSizeClient(asyncio.Protocol):
     """One client connection: a request at a time, answers counted by their bytes."""
 
-    def __init__(self, load: Load) -> None:
+    def __init__(self, load: ClientLoad) -> None:
         self._load, self._left = load, 0
         self._whole = len(b"$%d\r\n" % load.size) + load.size + 2
         self.transport: asyncio.Transport | None = None
@@ -127,7 +127,7 @@
         """Take the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         """Send the next request."""
         if self.transport is not None and not self.transport.is_closing():
             self._left = self._whole
@@ -136,24 +136,24 @@
     def data_received(self, data: bytes) -> None:
         """Count an answer when its last byte is here; an error is one line."""
         if self._left == self._whole and data[:1] != b"$":
-            self._load.wrong += 1
+            self._load.failures += 1
             self._left = 0
         else:
             self._left -= len(data)
         if self._left <= 0:
-            self._load.good += 1
+            self._load.answers += 1
             if self._load.rate:
                 self._load.free.append(self)
             else:
-                self.ask()
+                self.send_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """The router closed."""
         if self._left > 0:
-            self._load.wrong += 1
+            self._load.failures += 1
 
 
-async def pace(load: Load) -> None:
+async def pace(load: ClientLoad) -> None:
     """Ask evenly; a free connection takes each, and where none is free the request is left out."""
     begun, made = time.perf_counter(), 0
     while True:
@@ -161,11 +161,11 @@
         while made < due:
             made += 1
             if load.free:
-                load.free.pop().ask()
+                load.free.pop().send_request()
         await asyncio.sleep(0.001)
 
 
-def ask_for(pipe: Connection, load: Load, seconds: float, cores: set[int]) -> None:
+def ask_for(pipe: Connection, load: ClientLoad, seconds: float, cores: set[int]) -> None:
     """A process of clients; says when it is warm, and then what it was given."""
     bind_to(cores)
 
@@ -173,18 +173,18 @@
         loop = asyncio.get_running_loop()
         for i in range(load.connections):
             _, caller = await loop.create_connection(
-                lambda: SizedCaller(load), *load.targets[i % len(load.targets)]
+                lambda: FixedSizeClient(load), *load.targets[i % len(load.targets)]
             )
             load.free.append(caller)
         pacer = loop.create_task(pace(load)) if load.rate else None
         if pacer is None:
             for caller in load.free:
-                caller.ask()
+                caller.send_request()
         await asyncio.sleep(WARM_UP_S)
         pipe.send("warm")
-        before, begun = load.good, time.perf_counter()
+        before, begun = load.answers, time.perf_counter()
         await asyncio.sleep(seconds)
-        pipe.send((load.good - before, load.wrong, time.perf_counter() - begun))
+        pipe.send((load.answers - before, load.failures, time.perf_counter() - begun))
         if pacer is not None:
             pacer.cancel()
 
@@ -223,7 +223,7 @@
         for i in range(CLIENT_PROCESSES):
             mine, its = CONTEXT.Pipe()
             part = connections // CLIENT_PROCESSES
-            load = Load(f"{name[:1]}{i}", targets, part, self.size, rate / CLIENT_PROCESSES)
+            load = ClientLoad(f"{name[:1]}{i}", targets, part, self.size, rate / CLIENT_PROCESSES)
             CONTEXT.Process(target=ask_for, args=(its, load, seconds, self._cores), daemon=True).start()
             pipes.append(mine)
         return pipes
--- a/bench/slopes_slots.py
+++ b/bench/slopes_slots.py
@@ -22,7 +22,7 @@
     return [Endpoint(f"10.{seed}.{i // 250}.{i % 250}:6379") for i in range(count)]
 
 
-def table(count: int, seed: int) -> SlotTable:
+def make_table(count: int, seed: int) -> SlotTable:
     """A slot table over so many servers, with nothing ranked yet."""
     found = SlotTable(SETTINGS)
     found.update(servers(count, seed), [])
@@ -41,7 +41,7 @@
 
 def by_servers(readings: Readings, count: int, seed: int) -> None:
     """Readings at 8,192 slots."""
-    ranked = table(count, seed)
+    ranked = make_table(count, seed)
     seconds, before = measure_cpu_seconds(lambda: owners(ranked, SLOTS))
     readings.add("excess by servers", count, excess(before, count))
     readings.add("rank a slot", count, seconds / SLOTS * 1e6)
@@ -53,7 +53,7 @@
 
 def by_slots(readings: Readings, slots: int, seed: int) -> None:
     """Readings over 96 servers."""
-    ranked = table(FLEET, seed)
+    ranked = make_table(FLEET, seed)
     seconds, before = measure_cpu_seconds(lambda: owners(ranked, slots))
     readings.add("excess by slots", slots, excess(before, FLEET))
     readings.add("rank all", slots, seconds * 1e3)
@@ -64,7 +64,7 @@
 
 def memory_by_slots(readings: Readings, slots: int) -> None:
     """What the whole table holds over 96 servers."""
-    ranked = table(FLEET, 1)
+    ranked = make_table(FLEET, 1)
     held, _ = measure_heap_bytes(lambda: Counter(ranked.rank(slot, 0)[0].entry.id for slot in range(slots)))
     readings.add("table memory", slots, held / 1e6)
 
--- a/bench/slopes_tier.py
+++ b/bench/slopes_tier.py
@@ -11,7 +11,7 @@
 from holdgw.simulation.membership_tier import MembershipTier
 
 SITES, ZONES, REGIONS = 43, 25, 8
-SAME_SITE_S, SAME_ZONE_S, SAME_REGION_S, ACROSS_S = 0.0001, 0.0005, 0.002, 0.04
+SAME_SITE_S, SAME_ZONE_S, SAME_REGION_S, ACROSS_REGIONS_S = 0.0001, 0.0005, 0.002, 0.04
 LOSS = 0.01
 CALM_S = 10.0
 
@@ -26,24 +26,24 @@
     return zone(number) % REGIONS
 
 
-def delay(a: str, b: str) -> float:
+def one_way_delay(a: str, b: str) -> float:
     """The least one-way delay between two routers, seconds; assumed, not measured."""
     one, other = int(a[6:]), int(b[6:])
     if one % SITES == other % SITES:
         return SAME_SITE_S
     if zone(one) == zone(other):
         return SAME_ZONE_S
-    return SAME_REGION_S if region(one) == region(other) else ACROSS_S
+    return SAME_REGION_S if region(one) == region(other) else ACROSS_REGIONS_S
 
 
-def name(number: int) -> str:
+def router_name(number: int) -> str:
     """What the relay calls a router."""
     return f"router{number:02d}"
 
 
-def make(size: int, seed: int, loss: float = LOSS) -> MembershipTier:
+def make_tier(size: int, seed: int, loss: float = LOSS) -> MembershipTier:
     """So many routers that know one another, after a calm stretch."""
-    tier = MembershipTier(size, seed, RelayModel(seed, delay, PeerWeather(loss=loss)))
+    tier = MembershipTier(size, seed, RelayModel(seed, one_way_delay, PeerWeather(loss=loss)))
     tier.run(CALM_S)
     return tier
 
@@ -68,18 +68,18 @@
     return spent
 
 
-def living(tier: MembershipTier) -> list[Membership]:
+def running_members(tier: MembershipTier) -> list[Membership]:
     """The members whose processes run."""
     return [member for member in tier.members if member is not None]
 
 
-def knows_all(tier: MembershipTier, present: Collection[int]) -> bool:
+def membership_converged(tier: MembershipTier, present: Collection[int]) -> bool:
     """Whether each living router holds just these for present."""
     wanted = set(present)
-    return all(set(member.present()) == wanted for member in living(tier))
+    return all(set(member.present()) == wanted for member in running_members(tier))
 
 
-class Seconds:
+class TrafficPerSecond:
     """What each second brought: bytes said and heard by routers, and messages."""
 
     def __init__(self, tier: MembershipTier) -> None:
@@ -96,14 +96,14 @@
 
     def reset(self) -> None:
         """Count anew."""
-        self.worst = 0.0
+        self.max_bytes = 0.0
         """Bytes said and heard by one router in one second, the most."""
-        self.worst_mean = 0.0
+        self.max_mean_bytes = 0.0
         """The same of the mean router, in its worst second."""
         self.messages = 0
         """Said by all, so far."""
 
-    def pass_one(self) -> None:
+    def run_second(self) -> None:
         """Let a second pass."""
         tier, before = self._tier, dict(self._tier.bytes)
         sent = sum(tier.sent.values())
@@ -114,6 +114,6 @@
             for number, member in enumerate(tier.members)
             if member is not None
         ]
-        self.worst = max(self.worst, float(max(both)))
-        self.worst_mean = max(self.worst_mean, sum(both) / len(both))
+        self.max_bytes = max(self.max_bytes, float(max(both)))
+        self.max_mean_bytes = max(self.max_mean_bytes, sum(both) / len(both))
         self.messages += sum(tier.sent.values()) - sent
--- a/tests/peers/test_update_budget.py
+++ b/tests/peers/test_update_budget.py
@@ -8,8 +8,14 @@
 
 import pytest
 
-from bench.slopes_failures import of_region
-from bench.slopes_tier import Seconds, delay, knows_all, living, name
+from bench.slopes_failures import second_region_routers
+from bench.slopes_tier import (
+    TrafficPerSecond,
+    membership_converged,
+    one_way_delay,
+    router_name,
+    running_members,
+)
 from holdgw.emulators.relay_model import PeerWeather, RelayModel
 from holdgw.peers import datagram
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
@@ -41,7 +47,7 @@
 
 
 def tier(size: int, seed: int = 1, rate: float | None = UPDATE_BYTES_PER_S) -> MembershipTier:
-    relay = RelayModel(seed, delay, PeerWeather(loss=0.01))
+    relay = RelayModel(seed, one_way_delay, PeerWeather(loss=0.01))
     made = MembershipTier(size, seed, relay, update_bytes_per_s=rate)
     made.run(3.0)
     return made
@@ -50,14 +56,14 @@
 def some_die(rate: float | None, size: int = 120) -> tuple[float, float]:
     """8 % die within 5 s: bytes of the worst router in its worst second, seconds until all know."""
     one = tier(size, rate=rate)
-    seconds, began = Seconds(one), one.now
+    seconds, began = TrafficPerSecond(one), one.now
     dead = one.random.sample(range(size), size * 8 // 100)
     for number in dead:
         one.at(began + int(one.random.random() * 5 * S), lambda number=number: one.kill(number))  # type: ignore[misc]
     alive = set(range(size)) - set(dead)
-    while one.now < began + 5 * S or not (knows_all(one, alive) or one.now > began + 60 * S):
-        seconds.pass_one()
-    return seconds.worst, (one.now - began) / S
+    while one.now < began + 5 * S or not (membership_converged(one, alive) or one.now > began + 60 * S):
+        seconds.run_second()
+    return seconds.max_bytes, (one.now - began) / S
 
 
 def test_as_8_percent_die_within_5_s_no_router_says_and_hears_more_than_it_may() -> None:
@@ -71,16 +77,16 @@
 def test_a_regions_return_stays_within_the_bytes_and_all_are_one_again() -> None:
     size = 80
     one = tier(size)
-    away = set(of_region(size))
+    away = set(second_region_routers(size))
     until = one.now + int(CUT_S * S)
-    others = [name(n) for n in range(size) if n not in away]
-    one.relay.block(map(name, away), others, until / S, both=True)
+    others = [router_name(n) for n in range(size) if n not in away]
+    one.relay.block(map(router_name, away), others, until / S, both=True)
     one.run(CUT_S)
-    assert not knows_all(one, range(size))
-    seconds = Seconds(one)
-    while not knows_all(one, range(size)) and one.now < until + 60 * S:
-        seconds.pass_one()
-    assert seconds.worst < ALLOWED
+    assert not membership_converged(one, range(size))
+    seconds = TrafficPerSecond(one)
+    while not membership_converged(one, range(size)) and one.now < until + 60 * S:
+        seconds.run_second()
+    assert seconds.max_bytes < ALLOWED
     assert one.now < until + 15 * S
 
 
@@ -107,7 +113,7 @@
         one.kill(number)
     one.run(25.0)
     assert dropped > 0
-    assert knows_all(one, set(range(size)) - dead)
+    assert membership_converged(one, set(range(size)) - dead)
 
 
 @pytest.mark.parametrize(("rate", "deaths"), [(MIN_BYTES_PER_S, 8), (UPDATE_BYTES_PER_S, 0)])
@@ -126,7 +132,7 @@
         one.say(50, to, datagram.encode(Message(MessageKind.UPDATES, 50, 1, 0, 0, 0, 0, lies)))
     one.run(25.0)
     assert gone == set(range(deaths))
-    assert sum(member.false_suspicions for member in living(one)) >= 10
+    assert sum(member.false_suspicions for member in running_members(one)) >= 10
 
 
 def member_without_budget() -> tuple[Membership, int]:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -229,7 +229,7 @@
 
 
 def test_only_the_slots_of_the_server_that_leaves_move() -> None:
-    ranked = slopes_slots.table(12, 1)
+    ranked = slopes_slots.make_table(12, 1)
     before = slopes_slots.owners(ranked, 500)
     ranked.update([], [before[0]])
     after = slopes_slots.owners(ranked, 500)
@@ -245,18 +245,18 @@
 def test_keys_are_of_just_so_many_slots() -> None:
     keys = slopes_keys.keys_of(256)
     slots = Counter(slopes_keys.slot(int(key.removeprefix("object-"))) for key in keys)
-    assert slots == dict.fromkeys(range(256), slopes_keys.KEYS_A_SLOT)
+    assert slots == dict.fromkeys(range(256), slopes_keys.KEYS_PER_SLOT)
 
 
 def test_calls_are_summed_up_after_the_warm_up_alone() -> None:
-    begin = int(slopes_limits.WARM_S * NS_PER_S)
+    begin = int(slopes_limits.WARM_UP_S * NS_PER_S)
     times = [5, begin, begin + 1, begin + 2 * NS_PER_S]
-    assert slopes_limits.sums(times) == (3 / slopes_limits.SPAN_S, 2.0)
+    assert slopes_limits.admitted_rates(times) == (3 / slopes_limits.MEASURED_S, 2.0)
 
 
 def test_an_even_demand_is_twice_the_quota_and_a_skewed_one_as_much_as_it() -> None:
-    assert sum(slopes_limits.even(50)) == pytest.approx(2 * slopes_limits.QUOTA)
-    assert sum(slopes_limits.skewed(50, 1)) == pytest.approx(slopes_limits.QUOTA)
+    assert sum(slopes_limits.even_demand(50)) == pytest.approx(2 * slopes_limits.QUOTA)
+    assert sum(slopes_limits.skewed_demand(50, 1)) == pytest.approx(slopes_limits.QUOTA)
 
 
 def test_routers_lie_in_43_sites_25_zones_and_8_regions() -> None:
@@ -264,45 +264,45 @@
     sizes = Counter(slopes_tier.region(n) for n in range(760))
     assert set(sizes) == set(range(8))
     assert 60 <= min(sizes.values()) <= max(sizes.values()) <= 130
-    assert slopes_tier.delay("router00", "router43") == slopes_tier.SAME_SITE_S
-    assert slopes_tier.delay("router00", "router01") == slopes_tier.ACROSS_S
+    assert slopes_tier.one_way_delay("router00", "router43") == slopes_tier.SAME_SITE_S
+    assert slopes_tier.one_way_delay("router00", "router01") == slopes_tier.ACROSS_REGIONS_S
 
 
 def test_what_a_second_brought_counts_bytes_said_and_heard() -> None:
-    tier = slopes_tier.make(8, 1, loss=0.0)
-    seconds = slopes_tier.Seconds(tier)
+    tier = slopes_tier.make_tier(8, 1, loss=0.0)
+    seconds = slopes_tier.TrafficPerSecond(tier)
     before = sum(tier.bytes.values())
     for _ in range(5):
-        seconds.pass_one()
+        seconds.run_second()
     said = (sum(tier.bytes.values()) - before) / 8 / 5
-    assert said < seconds.worst_mean <= seconds.worst
+    assert said < seconds.max_mean_bytes <= seconds.max_bytes
     assert seconds.messages > 0
 
 
 def test_a_change_is_everywhere_when_the_last_router_has_it() -> None:
-    tier = slopes_tier.make(8, 1, loss=0.0)
-    told = slopes_membership.Told(tier)
+    tier = slopes_tier.make_tier(8, 1, loss=0.0)
+    told = slopes_membership.ChangePropagation(tier)
     told.change(3)
-    told.look()
-    assert (told.lacking, told.took) == (1, [])
+    told.update()
+    assert (told.pending, told.durations_s) == (1, [])
     tier.run(5.0)
-    told.look()
-    assert told.lacking == 0
-    assert 0 < told.took[0] <= 5.0
+    told.update()
+    assert told.pending == 0
+    assert 0 < told.durations_s[0] <= 5.0
 
 
 def test_an_answer_that_comes_in_parts_is_counted_once_and_an_error_as_wrong() -> None:
-    load_ = slopes_run.Load("c", [], 1, 3, rate=1.0)
-    caller = slopes_run.SizedCaller(load_)
+    load_ = slopes_run.ClientLoad("c", [], 1, 3, rate=1.0)
+    caller = slopes_run.FixedSizeClient(load_)
     caller.transport = Mock(is_closing=lambda: False)
-    caller.ask()
+    caller.send_request()
     caller.data_received(b"$3\r\nab")
-    assert load_.good == 0
+    assert load_.answers == 0
     caller.data_received(b"c\r\n")
-    assert (load_.good, load_.wrong) == (1, 0)
-    caller.ask()
+    assert (load_.answers, load_.failures) == (1, 0)
+    caller.send_request()
     caller.data_received(b"-BUSY\r\n")
-    assert (load_.good, load_.wrong) == (2, 1)
+    assert (load_.answers, load_.failures) == (2, 1)
 
 
 def test_what_runs_imports_neither_the_generator_nor_its_libraries() -> None:
