--- a/bench/slopes_connections.py
+++ b/bench/slopes_connections.py
@@ -1,7 +1,8 @@
-"""Connections of a router to its servers: at rest, by how long answers take, after starts; what each holds.
+"""Measures a router's connections to its endpoints: their number, and the memory and descriptors of each.
 
-Real routers before stand-in servers over loopback (bench.slopes_run), 934 requests a second each; connections
-are counted as the kernel has them.
+The number is measured in steady state, by response time and after starts. Routers run with emulated endpoints
+over loopback (bench.slopes_run) and serve 934 requests a second each; connections are counted in the kernel's
+table.
 """
 
 from __future__ import annotations
@@ -16,83 +17,86 @@
 from bench.capacity_model import Measurement, Scale
 from bench.router_core import CONTEXT, Children, bind_to
 from bench.slopes import REPEATS, Readings, build_measurement
-from bench.slopes_run import connections_to, rig, serve_sized
+from bench.slopes_run import connections_to, running_rig, serve_endpoints
 from holdgw.harness.routers import resident_bytes
 from holdgw.router.cache_connection import CacheConnection
 from holdgw.router.connection_pool import ConnectionPool
 from holdgw.router.endpoint_pool import EndpointPool
 from holdgw.wire.address import Address
 
-RATE = 934.0
-FLEET = 96
-SERVERS = (12, 24, 48, 96)
-ANSWER_MS = (5.0, 20.0, 50.0, 100.0)
-TOGETHER = (1, 2, 3, 4)
-HELD = (250, 500, 1000, 2000, 4000)
-REST_S, START_S, SETTLE_S = 6.0, 1.0, 0.5
+REQUESTS_PER_S = 934.0
+ENDPOINTS = 96
+ENDPOINT_COUNTS = (12, 24, 48, 96)
+RESPONSE_MS = (5.0, 20.0, 50.0, 100.0)
+STARTED_ROUTERS = (1, 2, 3, 4)
+CONNECTION_COUNTS = (250, 500, 1000, 2000, 4000)
+STEADY_S, START_S, SETTLE_S = 6.0, 1.0, 0.5
 CLIENTS = 256
-SIZE = 1_000
-USUAL_ANSWER_S = 0.02
+VALUE_BYTES = 1_000
+USUAL_RESPONSE_S = 0.02
 
 
-def at_rest(servers: int, after: float) -> float:
-    """Connections at the mean server once a router has served for a while."""
-    with rig(servers, SIZE, after) as rigged:
-        rigged.serve(rigged.router(), CLIENTS, RATE, REST_S)
-        return sum(connections_to(rigged.places).values()) / servers
+def steady_state(endpoints: int, response_s: float) -> float:
+    """Return the mean number of connections of an endpoint after a router has served for `STEADY_S`."""
+    with running_rig(endpoints, VALUE_BYTES, response_s) as rig:
+        rig.measure_load(rig.add_router(), CLIENTS, REQUESTS_PER_S, STEADY_S)
+        return sum(connections_to(rig.addresses).values()) / endpoints
 
 
-def after_start(together: int) -> tuple[float, int]:
-    """Connections at the mean and at the busiest server 1 s after so many routers began to be asked."""
-    with rig(FLEET, SIZE, USUAL_ANSWER_S) as rigged:
-        targets = [rigged.router()[1] for _ in range(together)]
-        pipes = rigged.clients("s", targets, CLIENTS * together, RATE * together, START_S)
+def after_start(routers: int) -> tuple[float, int]:
+    """Return the mean and the largest number of connections of an endpoint, 1 s after the first requests.
+
+    All routers are new and get their first requests at the same time.
+    """
+    with running_rig(ENDPOINTS, VALUE_BYTES, USUAL_RESPONSE_S) as rig:
+        targets = [rig.add_router()[1] for _ in range(routers)]
+        pipes = rig.start_clients("s", targets, CLIENTS * routers, REQUESTS_PER_S * routers, START_S)
         for pipe in pipes:
             assert pipe.recv() == "warm"
-        counts = connections_to(rigged.places)
-        return sum(counts.values()) / FLEET, max(counts.values())
+        counts = connections_to(rig.addresses)
+        return sum(counts.values()) / ENDPOINTS, max(counts.values())
 
 
-def hold(pipe: Connection, address: Address, count: int) -> None:
-    """A process that opens so many of a router's connections to a server, and says what they took."""
+def open_connections(pipe: Connection, address: Address, count: int) -> None:
+    """Open `count` connections to an endpoint as a router does; the pipe gets their bytes and descriptors."""
     bind_to(set(os.sched_getaffinity(0)))
 
-    async def opened() -> None:
+    async def open_all() -> None:
         loop = asyncio.get_running_loop()
         pool = ConnectionPool(loop, count, 1.0, 60.0)
-        server = EndpointPool(pool, "held", address, CacheConnection)
-        before, listed = resident_bytes(os.getpid()), len(os.listdir("/proc/self/fd"))
-        connections = [CacheConnection(server) for _ in range(count)]
+        endpoint = EndpointPool(pool, "held", address, CacheConnection)
+        memory_before, descriptors_before = resident_bytes(os.getpid()), len(os.listdir("/proc/self/fd"))
+        connections = [CacheConnection(endpoint) for _ in range(count)]
         for i in range(0, count, 100):
             part = connections[i : i + 100]
             await asyncio.gather(*(loop.create_connection(lambda c=c: c, *address) for c in part))  # type: ignore[misc]
         await asyncio.sleep(SETTLE_S)
-        taken = resident_bytes(os.getpid()) - before
-        pipe.send((taken, len(os.listdir("/proc/self/fd")) - listed))
+        memory = resident_bytes(os.getpid()) - memory_before
+        pipe.send((memory, len(os.listdir("/proc/self/fd")) - descriptors_before))
         for connection in connections:
             connection.close()
         pool.close()
 
-    uvloop.run(opened())
+    uvloop.run(open_all())
 
 
-def held(count: int) -> tuple[int, int]:
-    """Bytes of the process and descriptors that so many connections take."""
+def connection_cost(count: int) -> tuple[int, int]:
+    """Return the resident bytes and the descriptors that `count` connections take in a separate process."""
     children = Children()
     try:
-        ((host, port),) = children.start(serve_sized, 1, set(os.sched_getaffinity(0)), SIZE, 0.0)
-        mine, its = CONTEXT.Pipe()
-        child = CONTEXT.Process(target=hold, args=(its, (host, port), count))
+        ((host, port),) = children.start(serve_endpoints, 1, set(os.sched_getaffinity(0)), VALUE_BYTES, 0.0)
+        parent_end, child_end = CONTEXT.Pipe()
+        child = CONTEXT.Process(target=open_connections, args=(child_end, (host, port), count))
         child.start()
-        bytes_taken, descriptors = mine.recv()
+        memory, descriptors = parent_end.recv()
         child.join()
-        return bytes_taken, descriptors
+        return memory, descriptors
     finally:
         children.kill()
 
 
 def measure() -> Measurement:
-    """All of it; six minutes, some two cores' work."""
+    """Run the whole measurement: six minutes, about two cores."""
     readings = Readings()
     readings.declare_series("at rest by servers", "servers", "connections a server", Scale.INVERSE)
     readings.declare_series("at rest by answer time", "ms", "connections a server")
@@ -100,19 +104,19 @@
     readings.declare_series("after a start, busiest", "routers", "connections at the busiest server")
     readings.declare_series("memory of connections", "connections", "KB")
     readings.declare_series("descriptors of connections", "connections", "descriptors")
-    for count in HELD:
+    for count in CONNECTION_COUNTS:
         for _ in range(REPEATS):
-            taken, descriptors = held(count)
-            readings.add("memory of connections", count, taken / 1e3)
+            memory, descriptors = connection_cost(count)
+            readings.add("memory of connections", count, memory / 1e3)
             readings.add("descriptors of connections", count, descriptors)
             time.sleep(SETTLE_S)
     for _ in range(REPEATS):
-        for servers in SERVERS:
-            readings.add("at rest by servers", servers, at_rest(servers, USUAL_ANSWER_S))
-        for answer in ANSWER_MS:
-            readings.add("at rest by answer time", answer, at_rest(FLEET, answer / 1e3))
-        for together in TOGETHER:
-            mean, most = after_start(together)
-            readings.add("after a start", together, mean)
-            readings.add("after a start, busiest", together, most)
+        for endpoints in ENDPOINT_COUNTS:
+            readings.add("at rest by servers", endpoints, steady_state(endpoints, USUAL_RESPONSE_S))
+        for response_ms in RESPONSE_MS:
+            readings.add("at rest by answer time", response_ms, steady_state(ENDPOINTS, response_ms / 1e3))
+        for routers in STARTED_ROUTERS:
+            mean, largest = after_start(routers)
+            readings.add("after a start", routers, mean)
+            readings.add("after a start, busiest", routers, largest)
     return build_measurement("connections", readings)
--- a/bench/slopes_requests.py
+++ b/bench/slopes_requests.py
@@ -1,56 +1,60 @@
-"""What a request costs a router's core, by the length of its value, and what long values hold of memory.
+"""Measures a router's processor time per request by value length, and its memory while values are streamed.
 
-The deploy file's `run` on one core over loopback (bench.slopes_run). Values up to 64 KiB are held whole,
-longer ones pass as streams: two lines.
+The deploy file's `run` serves on one core over loopback (bench.slopes_run). The router buffers values of up
+to 64 KiB whole and streams longer ones, so that each kind has a series and a fitted line of its own.
 """
 
 from __future__ import annotations
 
 from bench.capacity_model import Measurement
 from bench.slopes import REPEATS, Readings, build_measurement
-from bench.slopes_run import rig
+from bench.slopes_run import running_rig
 
-HELD = (1_000, 8_000, 16_000, 32_000, 64_000)
-LONG = (128_000, 458_000, 1_000_000, 2_000_000, 4_000_000)
-OPEN = (8, 16, 32, 64, 128)
+BUFFERED_BYTES = (1_000, 8_000, 16_000, 32_000, 64_000)
+STREAMED_BYTES = (128_000, 458_000, 1_000_000, 2_000_000, 4_000_000)
+OPEN_VALUES = (8, 16, 32, 64, 128)
 MEAN_BYTES = 458_000
-RATE = 934.0
-SERVERS, CONNECTIONS, SECONDS = 8, 64, 4.0
-TRIES, WRONG_MOST = 5, 0.03
+REQUESTS_PER_S = 934.0
+SERVERS, CONNECTIONS, MEASURED_S = 8, 64, 4.0
+MAX_RUNS, MAX_FAILURE_FRACTION = 5, 0.03
 
 
-def cost(readings: Readings, name: str, size: int) -> None:
-    """Microseconds of the router's core a request, each a fresh router's; at 934 a second or 3.4 Gbit/s."""
-    rate = min(RATE, RATE * MEAN_BYTES / size)
+def measure_cpu(readings: Readings, name: str, size: int) -> None:
+    """Add the processor time of a request in microseconds, each reading with a new router.
+
+    Requests come at 934 a second, or at the rate that makes 3.4 Gbit/s if that is lower. A run with too many
+    failures is repeated; SystemExit is raised after `MAX_RUNS` of them.
+    """
+    rate = min(REQUESTS_PER_S, REQUESTS_PER_S * MEAN_BYTES / size)
     for _ in range(REPEATS):
-        for _ in range(TRIES):
-            with rig(SERVERS, size) as rigged:
-                served = rigged.serve(rigged.router(), CONNECTIONS, rate, SECONDS)
-            print(f"  {served.answers / served.seconds:.0f} a second, {served.failures} wrong", flush=True)
-            if served.failures <= served.answers * WRONG_MOST:
+        for _ in range(MAX_RUNS):
+            with running_rig(SERVERS, size) as rig:
+                result = rig.measure_load(rig.add_router(), CONNECTIONS, rate, MEASURED_S)
+            print(f"  {result.answers / result.seconds:.0f} a second, {result.failures} failed", flush=True)
+            if result.failures <= result.answers * MAX_FAILURE_FRACTION:
                 break
         else:
-            raise SystemExit(f"{size} bytes: too many wrong answers")
-        readings.add(name, size / 1e6, served.router_cpu / served.answers * 1e6)
+            raise SystemExit(f"{size} bytes: too many failures in every run")
+        readings.add(name, size / 1e6, result.router_cpu_s / result.answers * 1e6)
 
 
-def memory(readings: Readings, connections: int) -> None:
-    """Memory of a router while so many clients are in a long value at a time."""
-    with rig(SERVERS, MEAN_BYTES) as rigged:
-        served = rigged.serve(rigged.router(), connections, 0.0, SECONDS)
-    readings.add("memory by long values open", connections, served.router_memory / 1e6)
+def measure_memory(readings: Readings, connections: int) -> None:
+    """Add the memory of a router, in MB, while each of `connections` clients always receives a long value."""
+    with running_rig(SERVERS, MEAN_BYTES) as rig:
+        result = rig.measure_load(rig.add_router(), connections, 0.0, MEASURED_S)
+    readings.add("memory by long values open", connections, result.router_memory / 1e6)
 
 
 def measure() -> Measurement:
-    """All of it; six minutes, some two cores' work."""
+    """Run the whole measurement: six minutes, about two cores."""
     readings = Readings()
     readings.declare_series("held value", "MB of a value", "us a request")
     readings.declare_series("long value", "MB of a value", "us a request")
     readings.declare_series("memory by long values open", "values", "MB")
-    for name, sizes in (("held value", HELD), ("long value", LONG)):
+    for name, sizes in (("held value", BUFFERED_BYTES), ("long value", STREAMED_BYTES)):
         for size in sizes:
-            cost(readings, name, size)
-    for connections in OPEN:
+            measure_cpu(readings, name, size)
+    for connections in OPEN_VALUES:
         for _ in range(REPEATS):
-            memory(readings, connections)
+            measure_memory(readings, connections)
     return build_measurement("requests", readings)
--- a/bench/slopes_run.py
+++ b/bench/slopes_run.py
@@ -1,8 +1,9 @@
-"""Drives the deploy file's `run` between stand-in cache servers and clients, processes of their own.
+"""Drives the deploy file's `run` between emulated endpoints and clients, each group in processes of its own.
 
-Servers answer every read with a hit of one size after a set time; clients ask on so many connections, again
-as soon as they are answered or at a set rate, and count bytes. No process is bound to a core: on a
-shared machine one that is would wait for whatever else runs there.
+Endpoints answer every read with a hit of one size after a fixed delay. Clients send on a number of
+connections, either the next request as soon as the last one is answered or at a fixed rate, and count the
+bytes of answers. No process is bound to a single core: on a shared machine, a bound process would wait for
+whatever else runs on its core.
 """
 
 from __future__ import annotations
@@ -28,65 +29,68 @@
 
 SERVER_PROCESSES, CLIENT_PROCESSES = 2, 2
 WARM_UP_S = 1.0
-INFO = b"c=fetch,t=public,d=1000"
-SOCKETS, MEMORY_MB = 8192, 1024
+REQUEST_INFO = b"c=fetch,t=public,d=1000"
+MAX_SOCKETS, MAX_MEMORY_MB = 8192, 1024
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
-    """What the clients' processes were given in a stretch, and the router's processor seconds in it."""
+class LoadResult:
+    """Answers to the client processes in a measured period, and the router's use of processor and memory."""
 
     answers: int
+    """All answers in the period, errors among them."""
     failures: int
+    """Errors, and connections closed before a complete answer; the warm-up counts, too."""
     seconds: float
-    router_cpu: float
+    """Length of the period, the mean of the client processes."""
+    router_cpu_s: float
     router_memory: int
-    """Bytes at its end."""
+    """Resident bytes at the end of the period."""
 
 
-Running = tuple[subprocess.Popen[bytes], Address]
-"""A router's process, and where it listens."""
+RunningRouter = tuple[subprocess.Popen[bytes], Address]
+"""A router's process and the address on which it listens."""
 
 
-class SizedNode(asyncio.Protocol):
-    """Answers every read with a hit of one size, `after` seconds from when it came."""
+class EmulatedEndpoint(asyncio.Protocol):
+    """One connection to an emulated endpoint, which answers each read with a fixed hit after `delay_s`."""
 
-    def __init__(self, answer: bytes, after: float) -> None:
-        self._answer, self._after = answer, after
+    def __init__(self, answer: bytes, delay_s: float) -> None:
+        self._answer, self._delay_s = answer, delay_s
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Take the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """One answer for each command; probes get theirs."""
+        """Answer a read with the hit, a PING with PONG, and any other command with a load report."""
         if b"KV.GET" in data:
-            if self._after:
-                asyncio.get_running_loop().call_later(self._after, self._give)
+            if self._delay_s:
+                asyncio.get_running_loop().call_later(self._delay_s, self._send_answer)
             else:
-                self._give()
+                self._send_answer()
         elif b"PING" in data:
             self.transport.write(b"+PONG\r\n")
         else:
             self.transport.write(b"$%d\r\n%b\r\n" % (len(REPORT), REPORT))
 
-    def _give(self) -> None:
+    def _send_answer(self) -> None:
         if not self.transport.is_closing():
             self.transport.write(self._answer)
 
 
-def serve_sized(pipe: Connection, count: int, cores: set[int], size: int, after: float) -> None:
-    """A process of stand-in cache servers."""
+def serve_endpoints(pipe: Connection, count: int, cores: set[int], size: int, delay_s: float) -> None:
+    """Run `count` emulated endpoints in this process; their addresses are sent through the pipe."""
     bind_to(cores)
     answer = b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$%d\r\n%b\r\n" % (size, b"v" * size, len(REPORT), REPORT)
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
-        nodes = [
-            await loop.create_server(lambda: SizedNode(answer, after), "127.0.0.1", 0, backlog=1024)
+        servers = [
+            await loop.create_server(lambda: EmulatedEndpoint(answer, delay_s), "127.0.0.1", 0, backlog=1024)
             for _ in range(count)
         ]
-        pipe.send([node.sockets[0].getsockname()[:2] for node in nodes])
+        pipe.send([server.sockets[0].getsockname()[:2] for server in servers])
         await asyncio.Event().wait()
 
     uvloop.run(serve())
@@ -94,7 +98,11 @@
 
 @dataclass
 class ClientLoad:
-    """One client process's part: where, on how many connections, what size, and how often (0: at once)."""
+    """The load of one client process, and its counts.
+
+    `size` is the length of a value in bytes. `rate` is in requests a second; at 0, each connection sends its
+    next request as soon as it has an answer.
+    """
 
     name: str
     targets: list[Address]
@@ -102,25 +110,27 @@
     size: int
     rate: float
     answers: int = 0
+    """Answers, errors among them."""
     failures: int = 0
-    number: int = 0
-    free: list[FixedSizeClient] = field(default_factory=list)
+    """Errors, and connections closed before a complete answer."""
+    requests: int = 0
+    idle: list[FixedSizeClient] = field(default_factory=list)
 
     def request(self) -> bytes:
-        """The next request: a new id, keys in turn."""
-        self.number += 1
-        name = b"%b%011d" % (self.name.encode(), self.number)
-        key = b"pkg-%06d" % (self.number * 7919 % KEYS)
-        parts = (b"KV.GET", key, name, INFO)
+        """Build the next request, with a new id and the next key."""
+        self.requests += 1
+        request_id = b"%b%011d" % (self.name.encode(), self.requests)
+        key = b"pkg-%06d" % (self.requests * 7919 % KEYS)
+        parts = (b"KV.GET", key, request_id, REQUEST_INFO)
         return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
 class FixedSizeClient(asyncio.Protocol):
-    """One client connection: a request at a time, answers counted by their bytes."""
+    """One client connection with one request at a time; the length of an answer tells when it is complete."""
 
     def __init__(self, load: ClientLoad) -> None:
-        self._load, self._left = load, 0
-        self._whole = len(b"$%d\r\n" % load.size) + load.size + 2
+        self._load, self._remaining_bytes = load, 0
+        self._answer_bytes = len(b"$%d\r\n" % load.size) + load.size + 2
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -130,124 +140,138 @@
     def send_request(self) -> None:
         """Send the next request."""
         if self.transport is not None and not self.transport.is_closing():
-            self._left = self._whole
+            self._remaining_bytes = self._answer_bytes
             self.transport.write(self._load.request())
 
     def data_received(self, data: bytes) -> None:
-        """Count an answer when its last byte is here; an error is one line."""
-        if self._left == self._whole and data[:1] != b"$":
+        """Count an answer when its last byte has arrived. An error is one line, read in one piece."""
+        if self._remaining_bytes == self._answer_bytes and data[:1] != b"$":
             self._load.failures += 1
-            self._left = 0
+            self._remaining_bytes = 0
         else:
-            self._left -= len(data)
-        if self._left <= 0:
+            self._remaining_bytes -= len(data)
+        if self._remaining_bytes <= 0:
             self._load.answers += 1
             if self._load.rate:
-                self._load.free.append(self)
+                self._load.idle.append(self)
             else:
                 self.send_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The router closed."""
-        if self._left > 0:
+        """Count a failure if the connection is closed before a complete answer."""
+        if self._remaining_bytes > 0:
             self._load.failures += 1
 
 
-async def pace(load: ClientLoad) -> None:
-    """Ask evenly; a free connection takes each, and where none is free the request is left out."""
-    begun, made = time.perf_counter(), 0
+async def send_at_rate(load: ClientLoad) -> None:
+    """Send requests evenly on idle connections; a request that is due while none is idle is skipped."""
+    started, scheduled = time.perf_counter(), 0
     while True:
-        due = int((time.perf_counter() - begun) * load.rate)
-        while made < due:
-            made += 1
-            if load.free:
-                load.free.pop().send_request()
+        due = int((time.perf_counter() - started) * load.rate)
+        while scheduled < due:
+            scheduled += 1
+            if load.idle:
+                load.idle.pop().send_request()
         await asyncio.sleep(0.001)
 
 
-def ask_for(pipe: Connection, load: ClientLoad, seconds: float, cores: set[int]) -> None:
-    """A process of clients; says when it is warm, and then what it was given."""
+def run_clients(pipe: Connection, load: ClientLoad, seconds: float, cores: set[int]) -> None:
+    """Run the clients of one process.
+
+    The pipe gets `warm` after the warm-up, and `seconds` later a tuple: answers in that period, failures
+    since the start, and the period's length in seconds.
+    """
     bind_to(cores)
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
         for i in range(load.connections):
-            _, caller = await loop.create_connection(
+            _, client = await loop.create_connection(
                 lambda: FixedSizeClient(load), *load.targets[i % len(load.targets)]
             )
-            load.free.append(caller)
-        pacer = loop.create_task(pace(load)) if load.rate else None
-        if pacer is None:
-            for caller in load.free:
-                caller.send_request()
+            load.idle.append(client)
+        sender = loop.create_task(send_at_rate(load)) if load.rate else None
+        if sender is None:
+            for client in load.idle:
+                client.send_request()
         await asyncio.sleep(WARM_UP_S)
         pipe.send("warm")
-        before, begun = load.answers, time.perf_counter()
+        before, started = load.answers, time.perf_counter()
         await asyncio.sleep(seconds)
-        pipe.send((load.answers - before, load.failures, time.perf_counter() - begun))
-        if pacer is not None:
-            pacer.cancel()
+        pipe.send((load.answers - before, load.failures, time.perf_counter() - started))
+        if sender is not None:
+            sender.cancel()
 
     uvloop.run(work())
 
 
 class Rig:
-    """Stand-in servers, discovery and one router; ended by whoever made it."""
+    """Emulated endpoints, discovery and routers in processes of their own, which run until `close`.
 
-    def __init__(self, servers: int, size: int, after: float = 0.0) -> None:
+    `size` is the length of a value in bytes, `delay_s` the time after which an endpoint answers a read.
+    """
+
+    def __init__(self, servers: int, size: int, delay_s: float = 0.0) -> None:
         self.size, self._cores = size, os.sched_getaffinity(0)
         self._children = Children()
-        self.places: list[Address] = []
+        self.addresses: list[Address] = []
         for i in range(SERVER_PROCESSES):
             part = servers // SERVER_PROCESSES + (i < servers % SERVER_PROCESSES)
-            told = self._children.start(serve_sized, part, self._cores, size, after)
-            self.places += [(host, port) for host, port in told]
-        self._discovery, self._known = self._children.start(serve_discovery, self.places, self._cores)
+            started = self._children.start(serve_endpoints, part, self._cores, size, delay_s)
+            self.addresses += [(host, port) for host, port in started]
+        self._discovery, self._known = self._children.start(serve_discovery, self.addresses, self._cores)
         self._folder = tempfile.TemporaryDirectory()
         self._routers: list[subprocess.Popen[bytes]] = []
 
-    def router(self) -> Running:
+    def add_router(self) -> RunningRouter:
         """Start a router."""
         folder = Path(self._folder.name) / f"router{len(self._routers)}"
         folder.mkdir()
-        limits = {"memory_mb": MEMORY_MB, "sockets": SOCKETS}
+        limits = {"memory_mb": MAX_MEMORY_MB, "sockets": MAX_SOCKETS}
         process, address = start_router(folder, self._discovery, self._known, self._cores, limits=limits)
         self._routers.append(process)
         return process, address
 
-    def clients(
+    def start_clients(
         self, name: str, targets: list[Address], connections: int, rate: float, seconds: float
     ) -> list[Connection]:
-        """Start the client processes; each pipe says `warm`, and then what it was given."""
+        """Start the client processes and return their pipes, which give what `run_clients` sends.
+
+        `connections` and `rate` (requests a second) are totals over all processes.
+        """
         pipes = []
         for i in range(CLIENT_PROCESSES):
-            mine, its = CONTEXT.Pipe()
+            parent_end, child_end = CONTEXT.Pipe()
             part = connections // CLIENT_PROCESSES
             load = ClientLoad(f"{name[:1]}{i}", targets, part, self.size, rate / CLIENT_PROCESSES)
-            CONTEXT.Process(target=ask_for, args=(its, load, seconds, self._cores), daemon=True).start()
-            pipes.append(mine)
+            CONTEXT.Process(
+                target=run_clients, args=(child_end, load, seconds, self._cores), daemon=True
+            ).start()
+            pipes.append(parent_end)
         return pipes
 
-    def serve(self, router: Running, connections: int, rate: float, seconds: float) -> Served:
-        """Let clients ask one router for so long."""
+    def measure_load(
+        self, router: RunningRouter, connections: int, rate: float, seconds: float
+    ) -> LoadResult:
+        """Let clients send requests to one router and measure for `seconds` after the warm-up."""
         process, address = router
-        pipes = self.clients("c", [address], connections, rate, seconds)
+        pipes = self.start_clients("c", [address], connections, rate, seconds)
         for pipe in pipes:
             assert pipe.recv() == "warm"
         before = cpu_seconds(process.pid)
         time.sleep(seconds)
         cpu, memory = cpu_seconds(process.pid) - before, resident_bytes(process.pid)
-        told: list[Any] = [pipe.recv() for pipe in pipes]
-        return Served(
-            sum(one[0] for one in told),
-            sum(one[1] for one in told),
-            sum(one[2] for one in told) / len(told),
+        results: list[Any] = [pipe.recv() for pipe in pipes]
+        return LoadResult(
+            sum(result[0] for result in results),
+            sum(result[1] for result in results),
+            sum(result[2] for result in results) / len(results),
             cpu,
             memory,
         )
 
     def close(self) -> None:
-        """End all that was started."""
+        """Kill all processes and remove the routers' files."""
         for process in self._routers:
             process.kill()
             process.wait()
@@ -256,19 +280,19 @@
 
 
 @contextmanager
-def rig(servers: int, size: int, after: float = 0.0) -> Iterator[Rig]:
-    """A rig for a while."""
+def running_rig(servers: int, size: int, delay_s: float = 0.0) -> Iterator[Rig]:
+    """Run a `Rig` for the enclosed block, with the limit of open descriptors raised to its maximum."""
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
-    made = Rig(servers, size, after)
+    rig = Rig(servers, size, delay_s)
     try:
-        yield made
+        yield rig
     finally:
-        made.close()
+        rig.close()
 
 
-def connections_to(places: list[Address]) -> dict[int, int]:
-    """Established connections to each of these ports on loopback, by port, as the kernel has them."""
-    counts = {port: 0 for _, port in places}
+def connections_to(addresses: list[Address]) -> dict[int, int]:
+    """Return the number of established connections to each loopback address, by port (from /proc/net/tcp)."""
+    counts = {port: 0 for _, port in addresses}
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
         fields = line.split()
         port = int(fields[2].rpartition(":")[2], 16)
