--- a/bench/slopes_keys.py
+++ b/bench/slopes_keys.py
@@ -1,9 +1,10 @@
-"""What a router holds of keys, whatever their number, and what a sketch of hot keys misses.
+"""Measures the memory and time of the routing policy by slots in use, and the error of the hot-slot sketch.
 
-Objects are drawn by a Zipf law of exponent 0.9 over 2.7 billion (inverse of its integral), as
-simulation/fleet.py draws them; slots come of the decisions' own checksum. One object beside them is asked for
-by a known share in the second half, when the sketch is full, and the sketch says its slot's share. What
-decisions hold goes by slots in use: 8,192 at the most, whatever the number of objects.
+Objects are drawn by Zipf's law with exponent 0.9 over 2.7 billion objects (by the inverse of its integral),
+as simulation/fleet.py draws them; slots are computed with the checksum of the routing policy. In the second
+half of a stream, when the sketch is full, one further object gets a known share of the requests, and the
+sketch's count of its slot is compared with the true one. The memory of the routing policy depends on the
+slots in use, at most 8,192, and not on the number of objects.
 """
 
 from __future__ import annotations
@@ -32,59 +33,60 @@
 
 OBJECTS = 2_700_000_000
 EXPONENT = 0.9
-HOT = 0.02  # of all requests, the slot that is to be found
-STREAMS = (1_000, 2_000, 4_000, 8_000, 16_000)
-COUNTERS = (64, 128, 256, 512, 1024)
+HOT_FRACTION = 0.02  # of requests in the second half of a stream, for the hot slot
+STREAM_LENGTHS = (1_000, 2_000, 4_000, 8_000, 16_000)
+COUNTER_COUNTS = (64, 128, 256, 512, 1024)
 SLOTS_IN_USE = (512, 1_024, 2_048, 4_096, 8_192)
 KEYS_PER_SLOT = 2
-STREAM = 8_000
-BATCH = 280  # requests of 0.3 s, 934 a second
-REQUESTS = 20_000
+STREAM_LENGTH = 8_000
+BATCH_REQUESTS = 280  # in 0.3 s at 934 a second
+TIMED_REQUESTS = 20_000
 
 
-def drawn(draw: random.Random, objects: int) -> int:
-    """An object's number by Zipf's law, by the inverse of its integral from 1 to `objects`."""
-    most = objects ** (1.0 - EXPONENT)
-    return int((1.0 + draw.random() * (most - 1.0)) ** (1.0 / (1.0 - EXPONENT)))
+def draw_object(rng: random.Random, objects: int) -> int:
+    """Draw an object's number by Zipf's law, with the inverse of its integral from 1 to `objects`."""
+    upper = objects ** (1.0 - EXPONENT)
+    return int((1.0 + rng.random() * (upper - 1.0)) ** (1.0 / (1.0 - EXPONENT)))
 
 
 def slot(number: int) -> int:
-    """The slot of an object."""
+    """Return the slot of an object."""
     return crc32(b"object-%d" % number) % SLOTS
 
 
-def batches(stream: int, seed: int) -> list[Counter[int]]:
-    """Requests by slot as they are merged, those of 0.3 s at a time; one slot is hot in the second half."""
-    draw, hot = random.Random(seed), slot(-1)
+def draw_batches(stream: int, seed: int) -> list[Counter[int]]:
+    """Draw `stream` requests and count each 0.3 s of them by slot; one slot is hot in the second half."""
+    rng, hot_slot = random.Random(seed), slot(-1)
     slots = [
-        hot if i >= stream // 2 and draw.random() < HOT else slot(drawn(draw, OBJECTS)) for i in range(stream)
+        hot_slot if i >= stream // 2 and rng.random() < HOT_FRACTION else slot(draw_object(rng, OBJECTS))
+        for i in range(stream)
     ]
-    return [Counter(slots[i : i + BATCH]) for i in range(0, stream, BATCH)]
+    return [Counter(slots[i : i + BATCH_REQUESTS]) for i in range(0, stream, BATCH_REQUESTS)]
 
 
-def sketch_time(counters: int, made: list[Counter[int]]) -> float:
-    """Microseconds a request that merging these batches takes."""
+def merge_time_us(counters: int, batches: list[Counter[int]]) -> float:
+    """Return the processor time per request, in microseconds, of merging these batches into a sketch."""
     sketch = HeavyHitters(counters)
 
     def merge_all() -> None:
-        for batch in made:
+        for batch in batches:
             sketch.add_counts(batch)
 
     seconds, _ = measure_cpu_seconds(merge_all)
-    return seconds / sum(batch.total() for batch in made) * 1e6
+    return seconds / sum(batch.total() for batch in batches) * 1e6
 
 
 def error(counters: int, stream: int, seed: int) -> float:
-    """How far the sketch's sure count of the hot slot is under the truth, as a part of all requests."""
-    sketch, hot, true = HeavyHitters(counters), slot(-1), 0
-    for batch in batches(stream, seed):
-        true += batch[hot]
+    """Return by what fraction of all requests the sketch's guaranteed count of the hot slot is too low."""
+    sketch, hot_slot, true_count = HeavyHitters(counters), slot(-1), 0
+    for batch in draw_batches(stream, seed):
+        true_count += batch[hot_slot]
         sketch.add_counts(batch)
-    return (true - sketch.certain(counters).get(hot, 0.0)) / stream
+    return (true_count - sketch.certain(counters).get(hot_slot, 0.0)) / stream
 
 
 def keys_of(slots: int) -> list[str]:
-    """Keys of objects that lie in so many slots, KEYS_PER_SLOT in each."""
+    """Return keys of objects in the first `slots` slots, KEYS_PER_SLOT for each."""
     found: dict[int, list[str]] = {which: [] for which in range(slots)}
     number = 0
     while any(len(keys) < KEYS_PER_SLOT for keys in found.values()):
@@ -95,45 +97,45 @@
     return [key for keys in found.values() for key in keys]
 
 
-class Served:
-    """One router's decisions before 96 servers, asked for keys in turn; each answer is a hit after 1 ms."""
+class PolicyDriver:
+    """Passes 934 requests a second to one routing policy with 96 servers; each ends with a hit after 1 ms."""
 
     def __init__(self, seed: int) -> None:
         classes = (RequestClass("read", latency_objective_ns=300_000_000, deadline_ns=NS_PER_S),)
-        self._router = RoutingPolicy(Settings(classes=classes), seed)
+        self._policy = RoutingPolicy(Settings(classes=classes), seed)
         servers = tuple(Endpoint(f"10.0.0.{i}:6379") for i in range(96))
-        self._router.handle(EndpointsChanged(UpdateKind.FULL, servers), 1)
-        self._number = 0
+        self._policy.handle(EndpointsChanged(UpdateKind.FULL, servers), 1)
+        self._requests = 0
 
-    def ask(self, keys: Iterable[str]) -> None:
-        """Serve a request for each."""
+    def serve(self, keys: Iterable[str]) -> None:
+        """Pass one request for each key to the policy."""
         for key in keys:
-            self._number += 1
-            now, name = self._number * NS_PER_S // 934, f"r{self._number}"
-            event = RequestArrived(name, "read", now + NS_PER_S, key=key)
-            (sent, *_) = self._router.handle(event, now)
+            self._requests += 1
+            now, request_id = self._requests * NS_PER_S // 934, f"r{self._requests}"
+            event = RequestArrived(request_id, "read", now + NS_PER_S, key=key)
+            (sent, *_) = self._policy.handle(event, now)
             server = getattr(sent, "server", "")
-            ended = AttemptEnded(name, 0, server, Outcome.OK, True, 1_000_000)
-            self._router.handle(ended, now + 1_000_000)
+            ended = AttemptEnded(request_id, 0, server, Outcome.OK, True, 1_000_000)
+            self._policy.handle(ended, now + 1_000_000)
 
 
-def decisions(readings: Readings, slots: int, keys: list[str], seed: int) -> None:
-    """What decisions hold with so many slots in use, and what a request takes when all of them are known."""
+def measure_policy(readings: Readings, slots: int, keys: list[str], seed: int) -> None:
+    """Add the memory of a policy with `slots` slots in use, and its time per request in these slots."""
 
-    def made() -> Served:
-        served = Served(seed)
-        served.ask(keys)
-        return served
+    def serve_all() -> PolicyDriver:
+        driver = PolicyDriver(seed)
+        driver.serve(keys)
+        return driver
 
-    held, served = measure_heap_bytes(made)
-    readings.add("router memory", slots, held / 1e6)
-    again = [random.Random(seed).choice(keys) for _ in range(REQUESTS)]
-    seconds, _ = measure_cpu_seconds(lambda: served.ask(again))
-    readings.add("router time", slots, seconds / REQUESTS * 1e6)
+    held_bytes, driver = measure_heap_bytes(serve_all)
+    readings.add("router memory", slots, held_bytes / 1e6)
+    timed_keys = [random.Random(seed).choice(keys) for _ in range(TIMED_REQUESTS)]
+    seconds, _ = measure_cpu_seconds(lambda: driver.serve(timed_keys))
+    readings.add("router time", slots, seconds / TIMED_REQUESTS * 1e6)
 
 
 def measure() -> Measurement:
-    """All of it; two minutes."""
+    """Run the whole measurement: two minutes."""
     readings = Readings()
     readings.declare_series("router memory", "slots in use", "MB")
     readings.declare_series("router time", "slots in use", "us a request")
@@ -143,10 +145,10 @@
     keys = {slots: keys_of(slots) for slots in SLOTS_IN_USE}
     for seed in range(1, REPEATS + 1):
         for slots in SLOTS_IN_USE:
-            decisions(readings, slots, keys[slots], seed)
-        for stream in STREAMS:
+            measure_policy(readings, slots, keys[slots], seed)
+        for stream in STREAM_LENGTHS:
             readings.add("error by stream", stream, error(256, stream, seed))
-        for counters in COUNTERS:
-            readings.add("error by counters", counters, error(counters, STREAM, seed))
-            readings.add("sketch time", counters, sketch_time(counters, batches(STREAM, seed)))
+        for counters in COUNTER_COUNTS:
+            readings.add("error by counters", counters, error(counters, STREAM_LENGTH, seed))
+            readings.add("sketch time", counters, merge_time_us(counters, draw_batches(STREAM_LENGTH, seed)))
     return build_measurement("keys", readings)
--- a/bench/slopes_limits.py
+++ b/bench/slopes_limits.py
@@ -1,9 +1,9 @@
-"""Limits at the origin tuned by routers apart: how far their sum is from what the origin bears.
+"""Measures the sum of the origin limits that routers tune independently, against the quota and the capacity.
 
-Each router has the decisions' own `OriginLimiter` with its part of one quota; calls come to each by a Poisson
-stream of its part of twice the quota. Where the origin bears half of the quota only, it answers badly while
-more than that was admitted in the last second over all, and bad answers cut the limit of the router that got
-them, as `origin_concurrency.py` does: two in a row or one in five, once in a round trip.
+Each router has the routing policy's `OriginLimiter` with its share of one quota, and gets calls in a Poisson
+stream at its share of twice the quota. Where the origin has a capacity of half the quota, its answers are
+failures while all routers together admitted more than that in the last second. Failures cut the limit of the
+router that got them, as in `origin_concurrency.py`: two in a row or one in five, once in a round trip.
 """
 
 from __future__ import annotations
@@ -18,67 +18,71 @@
 from holdgw.policy.origin_concurrency import FAILURE_SMOOTHING, OVERLOAD_FAILURE_FRACTION
 from holdgw.policy.origin_limiter import OriginLimiter
 
-ROUTERS = (10, 50, 100, 200, 400, 760)
+ROUTER_COUNTS = (10, 50, 100, 200, 400, 760)
 QUOTA = 760.0  # calls a second for all routers together
-DEMAND = 2.0  # times the quota
-TRIP_NS = 100_000_000
+DEMAND_FACTOR = 2.0  # of the quota
+ROUND_TRIP_NS = 100_000_000
 WARM_UP_S, MEASURED_S = 30.0, 60.0
 END_NS = int((WARM_UP_S + MEASURED_S) * NS_PER_S)
-ALL_WELL = float("inf")
+UNLIMITED_CAPACITY = float("inf")
 
 
-class Guard:
-    """One router's limiter, and what it makes of the origin's answers."""
+class RouterLimiter:
+    """One router's origin limiter, with the rule that raises and cuts its limit by the origin's answers."""
 
     def __init__(self, routers: int, seed: int) -> None:
         self.limiter = OriginLimiter(Tenant("all", 1.0, QUOTA), routers, random.Random(seed))
-        self.bad, self.last_cut = 0.0, 0
+        self.failure_fraction, self.last_cut_ns = 0.0, 0
 
-    def answered(self, well: bool, now: int) -> None:
+    def record_answer(self, succeeded: bool, now: int) -> None:
         """Raise the limit, or cut it, by the rule of `OriginConcurrency.record_attempt`."""
-        self.bad += ((not well) - self.bad) / FAILURE_SMOOTHING
-        if well:
+        self.failure_fraction += ((not succeeded) - self.failure_fraction) / FAILURE_SMOOTHING
+        if succeeded:
             self.limiter.raise_limit(now)
-        elif self.bad >= OVERLOAD_FAILURE_FRACTION and now - self.last_cut >= TRIP_NS:
+        elif self.failure_fraction >= OVERLOAD_FAILURE_FRACTION and now - self.last_cut_ns >= ROUND_TRIP_NS:
             self.limiter.cut_limit(now)
-            self.last_cut = now
+            self.last_cut_ns = now
 
 
-def admitted(routers: int, seed: int, capacity: float, demands: list[float]) -> list[int]:
-    """Times of all calls admitted; past its capacity (calls a second) the origin answers badly."""
-    draw = random.Random(f"{seed}/{routers}/limits")
-    guards = [Guard(routers, seed * 1000 + i) for i in range(routers)]
-    due = [(int(draw.expovariate(demands[i]) * NS_PER_S), i) for i in range(routers)]
-    heapify(due)
+def simulate_admissions(routers: int, seed: int, capacity: float, demands: list[float]) -> list[int]:
+    """Return the times of all admitted calls, in ns.
+
+    `capacity` and `demands` are in calls a second: beyond the capacity, the origin's answers are failures;
+    `demands` has the rate of the calls that each router gets.
+    """
+    rng = random.Random(f"{seed}/{routers}/limits")
+    limiters = [RouterLimiter(routers, seed * 1000 + i) for i in range(routers)]
+    arrivals = [(int(rng.expovariate(demands[i]) * NS_PER_S), i) for i in range(routers)]
+    heapify(arrivals)
     times: list[int] = []
-    waiting: list[tuple[int, int, bool]] = []
-    while due[0][0] < END_NS:
-        now, i = due[0]
-        while waiting and waiting[0][0] <= now:
-            at, which, well = waiting.pop(0)
-            guards[which].answered(well, at)
-        if guards[i].limiter.admit(now):
+    pending_answers: list[tuple[int, int, bool]] = []
+    while arrivals[0][0] < END_NS:
+        now, i = arrivals[0]
+        while pending_answers and pending_answers[0][0] <= now:
+            at, router, succeeded = pending_answers.pop(0)
+            limiters[router].record_answer(succeeded, at)
+        if limiters[i].limiter.admit(now):
             recent = len(times) - bisect_left(times, now - NS_PER_S)
             times.append(now)
-            insort(waiting, (now + TRIP_NS, i, recent < capacity))
-        heapreplace(due, (now + int(draw.expovariate(demands[i]) * NS_PER_S), i))
+            insort(pending_answers, (now + ROUND_TRIP_NS, i, recent < capacity))
+        heapreplace(arrivals, (now + int(rng.expovariate(demands[i]) * NS_PER_S), i))
     return times
 
 
 def even_demand(routers: int) -> list[float]:
-    """Calls a second that come to each router: as many to each, twice the quota in all."""
-    return [DEMAND * QUOTA / routers] * routers
+    """Return each router's demand in calls a second: the same for all, twice the quota in total."""
+    return [DEMAND_FACTOR * QUOTA / routers] * routers
 
 
 def skewed_demand(routers: int, seed: int) -> list[float]:
-    """The same by an exponential law, the quota in all."""
-    draw = random.Random(f"{seed}/{routers}/skew")
-    drawn = [draw.expovariate(1.0) + 1e-3 for _ in range(routers)]
-    return [one * QUOTA / sum(drawn) for one in drawn]
+    """Return each router's demand in calls a second: drawn from an exponential law, the quota in total."""
+    rng = random.Random(f"{seed}/{routers}/skew")
+    weights = [rng.expovariate(1.0) + 1e-3 for _ in range(routers)]
+    return [weight * QUOTA / sum(weights) for weight in weights]
 
 
 def admitted_rates(times: list[int]) -> tuple[float, float]:
-    """Calls a second in the mean, and in the busiest second, after the warm-up."""
+    """Return the mean rate and that of the busiest second after the warm-up, in admitted calls a second."""
     begin = int(WARM_UP_S * NS_PER_S)
     first = bisect_left(times, begin)
     by_second = [0] * int(MEASURED_S)
@@ -88,22 +92,26 @@
 
 
 def measure() -> Measurement:
-    """All of it; three minutes."""
+    """Run the whole measurement: three minutes."""
     readings = Readings()
     for name in ("mean over quota", "worst second over quota", "mean over capacity", "worst over capacity"):
         readings.declare_series(name, "routers", "times")
     readings.declare_series("mean at skewed demand", "routers", "times")
     readings.declare_series("least of the sum", "routers", "of the quota")
     for seed in range(1, REPEATS + 1):
-        for routers in ROUTERS:
-            mean, worst = admitted_rates(admitted(routers, seed, ALL_WELL, even_demand(routers)))
+        for routers in ROUTER_COUNTS:
+            mean, worst = admitted_rates(
+                simulate_admissions(routers, seed, UNLIMITED_CAPACITY, even_demand(routers))
+            )
             readings.add("mean over quota", routers, mean / QUOTA)
             readings.add("worst second over quota", routers, worst / QUOTA)
-            mean, worst = admitted_rates(admitted(routers, seed, QUOTA / 2, even_demand(routers)))
+            mean, worst = admitted_rates(simulate_admissions(routers, seed, QUOTA / 2, even_demand(routers)))
             readings.add("mean over capacity", routers, mean / (QUOTA / 2))
             readings.add("worst over capacity", routers, worst / (QUOTA / 2))
-            mean, _ = admitted_rates(admitted(routers, seed, ALL_WELL, skewed_demand(routers, seed)))
+            mean, _ = admitted_rates(
+                simulate_admissions(routers, seed, UNLIMITED_CAPACITY, skewed_demand(routers, seed))
+            )
             readings.add("mean at skewed demand", routers, mean / QUOTA)
-            floor = Guard(routers, seed).limiter.min_rate_limit * routers
-            readings.add("least of the sum", routers, floor / QUOTA)
+            min_sum = RouterLimiter(routers, seed).limiter.min_rate_limit * routers
+            readings.add("least of the sum", routers, min_sum / QUOTA)
     return build_measurement("limits", readings)
