--- a/bench/slopes_lists.py
+++ b/bench/slopes_lists.py
@@ -1,7 +1,7 @@
-"""Lists of servers, configurations and discovery's watches: bytes, processor time, calls a second.
+"""Measures endpoint lists, configurations and discovery watches: bytes, processor time and calls a second.
 
-The router's own client of discovery and its own reading of lists and configurations; the service is the
-rehearsal's stand-in, so what a call costs the real one is not told by this.
+The router's own discovery client and its parsers of lists and configurations are measured. The discovery
+service is the harness's emulation, so the cost of a call at a real service is not measured.
 """
 
 from __future__ import annotations
@@ -28,17 +28,17 @@
 from holdgw.router.discovery import Discovery
 from holdgw.router.endpoint_list import Clock, read_endpoint_list
 
-SERVERS = (12, 24, 48, 96, 192)
-TIMES = 200
-WATCH_S = 12.0  # whole rounds of watches of 3 s
-ANSWERED = 60  # calls answered in time, after which a watch is as short as it gets
+SERVER_COUNTS = (12, 24, 48, 96, 192)
+ITERATIONS = 200
+WATCH_S = 12.0  # a multiple of the shortest watch timeout, 3 s
+PROMPT_ANSWERS = 60  # after which a watch has its shortest timeout
 SETTLE_S = 3.0
-AGAIN_S = 1.0  # after a call that failed: the decisions ask again after 0.25 to 2 s
-ALL_TOLD_S = 20.0
+RETRY_S = 1.0  # after a failed call; the routing policy retries after 0.25 to 2 s
+MAX_NOTIFICATION_S = 20.0
 
 
-def listing(count: int) -> dict[str, Any]:
-    """A whole list of so many servers in discovery's form."""
+def full_update(count: int) -> dict[str, Any]:
+    """Return a full endpoint update of `count` servers in the discovery service's JSON form."""
     entries = [
         {
             "instanceId": f"s-{i:08x}",
@@ -55,107 +55,111 @@
     return {"generation": count, "reset": True, "instances": entries}
 
 
-def lists(readings: Readings, count: int) -> None:
-    """Bytes of a whole list, and the processor time of reading it and of taking it in."""
-    body, clock = orjson.dumps(listing(count)), Clock()
+def measure_lists(readings: Readings, count: int) -> None:
+    """Add the bytes of a full update and the processor time of parsing it and of applying it."""
+    body, clock = orjson.dumps(full_update(count)), Clock()
     readings.add("list bytes", count, len(body) / 1e3)
-    seconds, found = measure_cpu_seconds(
-        lambda: [read_endpoint_list(orjson.loads(body), clock) for _ in range(TIMES)]
+    seconds, parsed = measure_cpu_seconds(
+        lambda: [read_endpoint_list(orjson.loads(body), clock) for _ in range(ITERATIONS)]
     )
-    readings.add("list read", count, seconds / TIMES * 1e3)
+    readings.add("list read", count, seconds / ITERATIONS * 1e3)
     settings = Settings(
         classes=(RequestClass("read", latency_objective_ns=300_000_000, deadline_ns=1_000_000_000),)
     )
-    routers = [RoutingPolicy(settings, seed) for seed in range(TIMES)]
-    event = found[0].change
-    seconds, _ = measure_cpu_seconds(lambda: [router.handle(event, 1) for router in routers])
-    readings.add("list taken in", count, seconds / TIMES * 1e3)
-
-
-def configurations(readings: Readings, routers: int, folder: Path) -> None:
-    """Bytes of one router's configuration with its peers, and the processor time of reading it."""
-    each = tuple((f"10.1.{i // 250}.{i % 250}", 7000) for i in range(routers))
-    peers = Peers(each[0], each, ("10.1.255.255", 7000))
-    told = configuration(load_scenario("quiet"), 1, "router00", 1, each[0], each[0], listing(96), None, peers)
-    told["settings"]["ceilings"]["peers"] = True
+    policies = [RoutingPolicy(settings, seed) for seed in range(ITERATIONS)]
+    event = parsed[0].change
+    seconds, _ = measure_cpu_seconds(lambda: [policy.handle(event, 1) for policy in policies])
+    readings.add("list taken in", count, seconds / ITERATIONS * 1e3)
+
+
+def measure_configuration(readings: Readings, routers: int, folder: Path) -> None:
+    """Add the bytes of one router's configuration with its peers, and the processor time of loading it."""
+    addresses = tuple((f"10.1.{i // 250}.{i % 250}", 7000) for i in range(routers))
+    peers = Peers(addresses[0], addresses, ("10.1.255.255", 7000))
+    document = configuration(
+        load_scenario("quiet"), 1, "router00", 1, addresses[0], addresses[0], full_update(96), None, peers
+    )
+    document["settings"]["ceilings"]["peers"] = True
     path = folder / f"config-{routers}.json"
-    path.write_bytes(orjson.dumps(told))
+    path.write_bytes(orjson.dumps(document))
     readings.add("configuration bytes", routers, path.stat().st_size / 1e3)
     environ = {"LB_CONFIG": str(path)}
-    seconds, _ = measure_cpu_seconds(lambda: [load_config(environ, again=True) for _ in range(TIMES)])
-    readings.add("configuration read", routers, seconds / TIMES * 1e3)
+    seconds, _ = measure_cpu_seconds(lambda: [load_config(environ, again=True) for _ in range(ITERATIONS)])
+    readings.add("configuration read", routers, seconds / ITERATIONS * 1e3)
 
 
-class Calls:
-    """A witness that counts calls."""
+class CallCounter:
+    """A recorder that counts discovery calls."""
 
     def __init__(self) -> None:
         self.count = 0
 
     def saw(self, record: Record) -> None:
-        """Count a call."""
+        """Count the record if it is a discovery call."""
         self.count += isinstance(record, Called)
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
-        """Drop it."""
+        """Ignore a stored value."""
 
     def voided(self, key: bytes) -> None:
-        """Drop it."""
+        """Ignore a voided key."""
 
 
-async def watched(routers: int) -> tuple[float, float, int]:
-    """Calls a second at rest, seconds until all were told of a change, and the calls that it brought.
+async def measure_watches(routers: int) -> tuple[float, float, int]:
+    """Measure the watches of `routers` discovery clients at one service.
 
-    Watches are as short as at a service that has had room for six minutes.
+    Returns the calls a second without changes, the seconds in which a change reaches all clients, and the
+    calls that it causes. Watches have the timeout that they reach at a service with spare capacity in six
+    minutes.
     """
     names = [f"router{i:03d}" for i in range(routers)]
     entries = [Entry(f"node{i:03d}", State.UP, "zone0", "std-1c") for i in range(96)]
     model = DiscoveryModel(entries, names, lambda *_: 0.0, time.monotonic())
-    calls = Calls()
+    calls = CallCounter()
     server = DiscoveryServer(model, names, lambda _r, s: ("127.0.0.1", 1 + int(s[4:])), calls, time.monotonic)
     addresses = await server.start()
-    told: set[str] = set()
+    notified: set[str] = set()
 
-    def take(name: str) -> Callable[[object], None]:
-        return lambda _listing: told.add(name)
+    def on_update(name: str) -> Callable[[object], None]:
+        return lambda _update: notified.add(name)
 
     clients: list[Discovery] = []
     loop = asyncio.get_running_loop()
 
-    def again(which: int) -> Callable[[], None]:
-        def ask() -> None:
-            loop.call_later(AGAIN_S, clients[which].subscribe)
+    def on_failure(number: int) -> Callable[[], None]:
+        def retry() -> None:
+            loop.call_later(RETRY_S, clients[number].subscribe)
 
-        return ask
+        return retry
 
     for i, name in enumerate(names):
-        client = Discovery(addresses[name], True, Clock(), take(name), again(i))
+        client = Discovery(addresses[name], True, Clock(), on_update(name), on_failure(i))
         client.resume_from(model.views[name].version)
-        for _ in range(ANSWERED):
+        for _ in range(PROMPT_ANSWERS):
             client._watch.timeout.timed_out(0.0)
         client.subscribe()
         clients.append(client)
         await asyncio.sleep(SETTLE_S / routers)
-    before = calls.count
+    calls_before = calls.count
     await asyncio.sleep(WATCH_S)
-    rate = (calls.count - before) / WATCH_S
-    told.clear()
-    before, begun = calls.count, time.monotonic()
+    rate = (calls.count - calls_before) / WATCH_S
+    notified.clear()
+    calls_before, started = calls.count, time.monotonic()
     server.set_state(entries[0].id, State.DRAINING)
-    while len(told) < routers and time.monotonic() - begun < ALL_TOLD_S:
+    while len(notified) < routers and time.monotonic() - started < MAX_NOTIFICATION_S:
         await asyncio.sleep(0.005)
-    took = time.monotonic() - begun
+    notification_s = time.monotonic() - started
     await asyncio.sleep(0.2)
-    brought = calls.count - before
+    caused_calls = calls.count - calls_before
     for client in clients:
         client.close()
     server.close()
     await asyncio.sleep(0.1)
-    return rate, took, brought
+    return rate, notification_s, caused_calls
 
 
 def measure() -> Measurement:
-    """Lists and configurations; half a minute."""
+    """Measure lists and configurations: half a minute."""
     readings = Readings()
     readings.declare_series("list bytes", "servers", "KB")
     readings.declare_series("list read", "servers", "ms")
@@ -164,28 +168,28 @@
     readings.declare_series("configuration read", "peers", "ms")
     with tempfile.TemporaryDirectory() as folder:
         for _ in range(REPEATS):
-            for count in SERVERS:
-                lists(readings, count)
+            for count in SERVER_COUNTS:
+                measure_lists(readings, count)
             for routers in ROUTER_COUNTS:
-                configurations(readings, routers, Path(folder))
+                measure_configuration(readings, routers, Path(folder))
     return build_measurement("lists", readings)
 
 
 def measure_service() -> Measurement:
-    """Watches at the list service; five minutes."""
+    """Measure watches at the discovery service: five minutes."""
     readings = Readings()
     readings.declare_series("calls at rest", "routers", "a second")
     readings.declare_series("all told of a change", "routers", "s", Scale.LINEAR)
     readings.declare_series("calls that a change brings", "routers", "calls")
     resource.setrlimit(resource.RLIMIT_NOFILE, (resource.getrlimit(resource.RLIMIT_NOFILE)[1],) * 2)
 
-    async def each() -> None:
+    async def measure_all() -> None:
         for _ in range(REPEATS):
             for size in ROUTER_COUNTS:
-                rate, took, brought = await watched(size)
+                rate, notification_s, caused_calls = await measure_watches(size)
                 readings.add("calls at rest", size, rate)
-                readings.add("all told of a change", size, took)
-                readings.add("calls that a change brings", size, brought)
+                readings.add("all told of a change", size, notification_s)
+                readings.add("calls that a change brings", size, caused_calls)
 
-    asyncio.run(each())
+    asyncio.run(measure_all())
     return build_measurement("service", readings)
