--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -118,10 +118,10 @@
     """Return the bytes that Python still holds after a call that builds an object, and the object."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    made = make()
-    held = tracemalloc.get_traced_memory()[0] - before
+    result = make()
+    held_bytes = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return held, made
+    return held_bytes, result
 
 
 class Stopwatch:
--- a/bench/slopes_keys.py
+++ b/bench/slopes_keys.py
@@ -87,14 +87,14 @@
 
 def keys_of(slots: int) -> list[str]:
     """Return keys of objects in the first `slots` slots, KEYS_PER_SLOT for each."""
-    found: dict[int, list[str]] = {which: [] for which in range(slots)}
+    keys_by_slot: dict[int, list[str]] = {slot_number: [] for slot_number in range(slots)}
     number = 0
-    while any(len(keys) < KEYS_PER_SLOT for keys in found.values()):
-        which = slot(number)
-        if which in found and len(found[which]) < KEYS_PER_SLOT:
-            found[which].append(f"object-{number}")
+    while any(len(keys) < KEYS_PER_SLOT for keys in keys_by_slot.values()):
+        slot_number = slot(number)
+        if slot_number in keys_by_slot and len(keys_by_slot[slot_number]) < KEYS_PER_SLOT:
+            keys_by_slot[slot_number].append(f"object-{number}")
         number += 1
-    return [key for keys in found.values() for key in keys]
+    return [key for keys in keys_by_slot.values() for key in keys]
 
 
 class PolicyDriver:
--- a/bench/slopes_run.py
+++ b/bench/slopes_run.py
@@ -144,7 +144,7 @@
             self.transport.write(self._load.request())
 
     def data_received(self, data: bytes) -> None:
-        """Count an answer when its last byte has arrived. An error is one line, read in one piece."""
+        """Count an answer when its last byte has arrived; an error is a single line."""
         if self._remaining_bytes == self._answer_bytes and data[:1] != b"$":
             self._load.failures += 1
             self._remaining_bytes = 0
--- a/bench/slopes_tier.py
+++ b/bench/slopes_tier.py
@@ -42,7 +42,7 @@
 
 
 def make_tier(size: int, seed: int, loss: float = LOSS_FRACTION) -> MembershipTier:
-    """Return `size` routers after `SETTLE_S` without failures, in which they learn of one another."""
+    """Return a tier of `size` routers that know one another, after `SETTLE_S` without failures."""
     tier = MembershipTier(size, seed, RelayModel(seed, one_way_delay, PeerWeather(loss=loss)))
     tier.run(SETTLE_S)
     return tier
