--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -32,7 +32,7 @@
     "limits": "bench.slopes_limits:measure",
     "membership": "bench.slopes_membership:measure",
     "failures": "bench.slopes_failures:measure",
-    "regions": "bench.slopes_failures:measure_cut",
+    "regions": "bench.slopes_failures:measure_partition",
 }
 """Module and function of each measurement; the module is imported only when the measurement is run."""
 
--- a/tests/peers/test_update_budget.py
+++ b/tests/peers/test_update_budget.py
@@ -8,8 +8,14 @@
 
 import pytest
 
-from bench.slopes_failures import of_region
-from bench.slopes_tier import Seconds, delay, knows_all, living, name
+from bench.slopes_failures import second_region_routers
+from bench.slopes_tier import (
+    TrafficPerSecond,
+    membership_converged,
+    one_way_delay,
+    router_name,
+    running_members,
+)
 from holdgw.emulators.relay_model import PeerNetworkConditions, RelayModel
 from holdgw.peers import datagram
 from holdgw.peers.datagram import MemberState, MemberUpdate, Message, MessageKind
@@ -41,7 +47,7 @@
 
 
 def new_tier(size: int, seed: int = 1, rate: float | None = UPDATE_BYTES_PER_S) -> MembershipTier:
-    relay = RelayModel(seed, delay, PeerNetworkConditions(loss=0.01))
+    relay = RelayModel(seed, one_way_delay, PeerNetworkConditions(loss=0.01))
     tier = MembershipTier(size, seed, relay, update_bytes_per_s=rate)
     tier.run(3.0)
     return tier
@@ -53,14 +59,14 @@
     Returns the bytes of the busiest router in its busiest second, and the seconds until all routers know.
     """
     tier = new_tier(size, rate=rate)
-    seconds, began = Seconds(tier), tier.now
+    seconds, began = TrafficPerSecond(tier), tier.now
     dead = tier.random.sample(range(size), size * 8 // 100)
     for number in dead:
         tier.at(began + int(tier.random.random() * 5 * S), lambda number=number: tier.kill(number))  # type: ignore[misc]
     alive = set(range(size)) - set(dead)
-    while tier.now < began + 5 * S or not (knows_all(tier, alive) or tier.now > began + 60 * S):
-        seconds.pass_one()
-    return seconds.worst, (tier.now - began) / S
+    while tier.now < began + 5 * S or not (membership_converged(tier, alive) or tier.now > began + 60 * S):
+        seconds.run_second()
+    return seconds.max_bytes, (tier.now - began) / S
 
 
 def test_no_router_exceeds_its_byte_bound_when_8_percent_die_within_5_s() -> None:
@@ -74,16 +80,16 @@
 def test_a_regions_return_stays_within_the_byte_bound_and_all_members_are_present_again() -> None:
     size = 80
     tier = new_tier(size)
-    region = set(of_region(size))
+    region = set(second_region_routers(size))
     until = tier.now + int(PARTITION_S * S)
-    others = [name(n) for n in range(size) if n not in region]
-    tier.relay.block(map(name, region), others, until / S, both=True)
+    others = [router_name(n) for n in range(size) if n not in region]
+    tier.relay.block(map(router_name, region), others, until / S, both=True)
     tier.run(PARTITION_S)
-    assert not knows_all(tier, range(size))
-    seconds = Seconds(tier)
-    while not knows_all(tier, range(size)) and tier.now < until + 60 * S:
-        seconds.pass_one()
-    assert seconds.worst < MAX_BYTES_PER_S
+    assert not membership_converged(tier, range(size))
+    seconds = TrafficPerSecond(tier)
+    while not membership_converged(tier, range(size)) and tier.now < until + 60 * S:
+        seconds.run_second()
+    assert seconds.max_bytes < MAX_BYTES_PER_S
     assert tier.now < until + 15 * S
 
 
@@ -113,7 +119,7 @@
         tier.kill(number)
     tier.run(25.0)
     assert dropped > 0
-    assert knows_all(tier, set(range(size)) - dead)
+    assert membership_converged(tier, set(range(size)) - dead)
 
 
 @pytest.mark.parametrize(("rate", "deaths"), [(MIN_BYTES_PER_S, 8), (UPDATE_BYTES_PER_S, 0)])
@@ -132,7 +138,7 @@
         tier.send(50, to, datagram.encode(Message(MessageKind.UPDATES, 50, 1, 0, 0, 0, 0, false_updates)))
     tier.run(25.0)
     assert gone == set(range(deaths))
-    assert sum(member.false_suspicions for member in living(tier)) >= 10
+    assert sum(member.false_suspicions for member in running_members(tier)) >= 10
 
 
 def member_without_budget() -> tuple[Membership, int]:
