--- a/holdgw/cli/fleet_log.py
+++ b/holdgw/cli/fleet_log.py
@@ -14,7 +14,7 @@
 from holdgw.operation.interval_counters import LOG_LINE_PREFIX
 
 CONSOLE_COLUMNS = 220
-TABLE_COLUMNS = 14  # counters in one table
+TABLE_COLUMNS = 14  # counters that one table has columns for; further ones get tables of their own
 BUSIEST_ENDPOINTS = 8
 
 
@@ -31,8 +31,8 @@
     console = Console(width=CONSOLE_COLUMNS, highlight=False)
     rows = [log.intervals[start_s] for start_s in sorted(log.intervals)]
     names = [name for name, total in log.totals().items() if everything or total >= len(rows)]
-    for first in range(0, len(names), TABLE_COLUMNS):
-        console.print(_table(names[first : first + TABLE_COLUMNS], rows))
+    for start in range(0, len(names), TABLE_COLUMNS):
+        console.print(_table(names[start : start + TABLE_COLUMNS], rows))
     console.print(_table(log.state_names(), rows, states=True))
     if servers:
         for row in rows:
--- a/holdgw/cli/rehearse.py
+++ b/holdgw/cli/rehearse.py
@@ -51,11 +51,11 @@
         require_parent_folder(path)
     command = run_command(deploy)
     build(deploy)
-    root = deploy.absolute().parent.parent
+    program_folder = deploy.absolute().parent.parent
     schedule = draw_schedule(scenario, scenario.seed if seed is None else seed)
     console = Console(stderr=True)
     try:
-        result = _play(schedule, command, root, console, logs)
+        result = _play(schedule, command, program_folder, console, logs)
     except (asyncio.CancelledError, KeyboardInterrupt):
         console.print("interrupted; every process that was started is ended")
         raise typer.Exit(EXIT_INTERRUPTED) from None
@@ -83,7 +83,9 @@
     return scenario
 
 
-def _play(schedule: Schedule, command: str, root: Path, console: Console, logs: Path | None) -> RunResult:
+def _play(
+    schedule: Schedule, command: str, program_folder: Path, console: Console, logs: Path | None
+) -> RunResult:
     columns = (
         TextColumn("{task.description}"),
         BarColumn(),
@@ -103,4 +105,4 @@
             )
             progress.update(bar, completed=max(at, 0.0), status=status)
 
-        return uvloop.run(play(schedule, command, root, show, logs))
+        return uvloop.run(play(schedule, command, program_folder, show, logs))
--- a/holdgw/cli/simulate.py
+++ b/holdgw/cli/simulate.py
@@ -82,11 +82,13 @@
         console.print("interrupted")
         raise typer.Exit(EXIT_INTERRUPTED) from None
     if json is not None:
-        json.write_bytes(orjson.dumps([_outcome_row(one) for one in outcomes], option=orjson.OPT_INDENT_2))
+        json.write_bytes(
+            orjson.dumps([_outcome_row(outcome) for outcome in outcomes], option=orjson.OPT_INDENT_2)
+        )
     failed = _failed_outcomes(outcomes)
     if failed and shrink_to is not None:
         _shrink(scenario, failed[0], shrink_to, console)
-    if any(one.fault for one in failed):
+    if any(outcome.fault for outcome in failed):
         raise typer.Exit(EXIT_FAILED)
     raise typer.Exit(EXIT_RULE_BROKEN if failed else 0)
 
@@ -113,7 +115,7 @@
 
 def _failed_outcomes(outcomes: list[Outcome]) -> list[Outcome]:
     """The outcomes of failed runs, in order of their seeds."""
-    return sorted((one for one in outcomes if one.failed), key=lambda one: one.seed)
+    return sorted((outcome for outcome in outcomes if outcome.failed), key=lambda outcome: outcome.seed)
 
 
 def _parse_seed_range(text: str) -> range:
@@ -121,14 +123,14 @@
     try:
         if not dots:
             raise ValueError
-        found = range(int(first), int(last) + 1)
+        seeds = range(int(first), int(last) + 1)
     except ValueError:
         raise UsageError(f"--seeds: expected two numbers as A..B, got {text!r}") from None
-    if not found:
+    if not seeds:
         raise UsageError(f"--seeds: {text} is empty")
-    if len(found) > MAX_SEEDS:
-        raise UsageError(f"--seeds: {len(found)} seeds, at most {MAX_SEEDS} at a time")
-    return found
+    if len(seeds) > MAX_SEEDS:
+        raise UsageError(f"--seeds: {len(seeds)} seeds, at most {MAX_SEEDS} at a time")
+    return seeds
 
 
 def _outcome_row(outcome: Outcome) -> dict[str, object]:
@@ -142,12 +144,12 @@
         "fault": outcome.fault,
         "broken": [
             {
-                "rule": one.rule,
-                "at": round(one.at - outcome.begun, 6),
-                "requests": one.requests,
-                "text": one.text,
+                "rule": violation.rule,
+                "at": round(violation.at - outcome.begun, 6),
+                "requests": violation.requests,
+                "text": violation.text,
             }
-            for one in outcome.broken
+            for violation in outcome.broken
         ],
     }
 
@@ -179,8 +181,8 @@
         f"{scenario.name}, seeds {seeds[0]}..{seeds[-1]}: {len(outcomes)} played in {took_s:.1f} s "
         f"({len(outcomes) / took_s * 3600:.0f} an hour), {len(failed)} failed"
     )
-    for rule, number in Counter(one.first for one in failed).most_common():
-        shown = [str(one.seed) for one in failed if one.first == rule]
+    for rule, number in Counter(outcome.first for outcome in failed).most_common():
+        shown = [str(outcome.seed) for outcome in failed if outcome.first == rule]
         rest = " ..." if len(shown) > MAX_SEEDS_SHOWN else ""
         print(f"  {rule}: {number}, seeds {' '.join(islice(shown, MAX_SEEDS_SHOWN))}{rest}")
     if failed:
@@ -224,11 +226,14 @@
     print(f"seed {outcome.seed} fails: {describe_faults(drawn)}")
     if outcome.fault:
         print(f"  {outcome.fault}")
-    for one in outcome.broken[:MAX_BROKEN_SHOWN]:
-        print(f"  broken: {one.rule} at {one.at - outcome.begun:.6f} s {' '.join(one.requests)}: {one.text}")
+    for violation in outcome.broken[:MAX_BROKEN_SHOWN]:
+        print(
+            f"  broken: {violation.rule} at {violation.at - outcome.begun:.6f} s "
+            f"{' '.join(violation.requests)}: {violation.text}"
+        )
     if len(outcome.broken) > MAX_BROKEN_SHOWN:
         print(f"  and {len(outcome.broken) - MAX_BROKEN_SHOWN} more")
-    request = next((one.requests[0] for one in outcome.broken if one.requests), "")
+    request = next((violation.requests[0] for violation in outcome.broken if violation.requests), "")
     if request:
         print(f"the last events of {request}:")
         for line in last_events(scenario, outcome.seed, request):
@@ -246,11 +251,11 @@
         def show(smaller: Scenario, runs: int) -> None:
             status.update(f"shrinking: {len(smaller.trouble)} troubles, {smaller.length_s:g} s, {runs} runs")
 
-        smallest, found = shrink(original, outcome, play_again, show)
+        smallest, smallest_outcome = shrink(original, outcome, play_again, show)
     path.write_text(as_toml(smallest))
     print(
         f"shrunk: {len(original.trouble)} -> {len(smallest.trouble)} troubles, {original.length_s:g} -> "
         f"{smallest.length_s:g} s, {original.load.rate:g} -> {smallest.load.rate:g} a second; "
-        f"still {found.first}"
+        f"still {smallest_outcome.first}"
     )
     print(f"  {sys.argv[0].rpartition('/')[2] or 'holdgw'} simulate {path}")
--- a/holdgw/cores/endpoint_feed.py
+++ b/holdgw/cores/endpoint_feed.py
@@ -1,4 +1,4 @@
-"""The endpoint list of a router on several cores, which the supervisor follows for all workers."""
+"""The endpoint list of a router on several cores, which the supervisor gets for all workers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class EndpointFeed:
-    """Follows discovery, applies administrative overrides to its list, and publishes each update.
+    """Watches discovery, applies administrative overrides to its list, and publishes each update.
 
     If the settings require subscriptions, a routing policy of its own decides when to subscribe; it receives
     only endpoint updates and its timers.
@@ -63,14 +63,14 @@
         self._apply(cached)
 
     def start(self) -> None:
-        """Start following discovery."""
+        """Start to watch discovery, or let the routing policy decide when to subscribe."""
         if not self._config.settings.subscription_required:
             self._discovery.start()
         elif self._config.known_endpoints is None:
             self._dispatch(EndpointsChanged(UpdateKind.CACHED))
 
     def change_address(self, config: Config) -> None:
-        """Follow discovery at the address that a reloaded configuration names."""
+        """Watch discovery at the address that a reloaded configuration names."""
         self._discovery.change_address(config.discovery_address)
 
     def enter_maintenance(self, endpoint_id: str) -> None:
@@ -82,7 +82,7 @@
         self._publish(self.overrides.exit_maintenance(endpoint_id, self._now()))
 
     def close(self) -> None:
-        """Stop following discovery."""
+        """Stop watching discovery."""
         self._discovery.close()
 
     def _apply(self, update: EndpointUpdate) -> None:
--- a/holdgw/cores/host_system.py
+++ b/holdgw/cores/host_system.py
@@ -28,7 +28,7 @@
 LINK_VARIABLE = "HOLDGW_LINK"
 TABLE_VARIABLE = "HOLDGW_BOARD"
 LISTEN_BACKLOG = 1024
-MAX_ACCEPTS_PER_TURN = 64  # of the event loop
+MAX_ACCEPTS_PER_TURN = 64  # connections accepted in one iteration of the event loop
 ACCEPT_RETRY_S = 0.1  # pause after a failed accept
 MAX_HASH_SEED = 4_000_000_000
 
@@ -126,7 +126,7 @@
         """Return another descriptor of the same connection."""
 
     def close(self) -> None:
-        """Close the descriptors that were kept for starting workers."""
+        """Close the descriptors kept for starting workers, such as the one of the shared memory."""
 
 
 class WorkerHostSystem(DescriptorOwner, Protocol):
@@ -183,7 +183,8 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                # With no descriptor left, the event loop would call this again at once and use a whole core.
+                # With no descriptor left, the event loop would call this method again at once and use a
+                # whole core.
                 log.warning("accept failed error=%s retry_s=%g", error, ACCEPT_RETRY_S)
                 self.set_accepting(False)
                 self._retry = self._loop.call_later(ACCEPT_RETRY_S, self.set_accepting, True)
--- a/holdgw/cores/messages.py
+++ b/holdgw/cores/messages.py
@@ -65,7 +65,7 @@
     results: dict[str, list[int]]
     """Final answers since the worker's start, by request class, in Disposition's order."""
     forwards: int
-    """Attempts since the worker's start."""
+    """Attempts written completely to endpoints since the worker's start."""
     outstanding: int
     """The number of unanswered requests."""
     ejected: list[str]
@@ -80,11 +80,15 @@
 
 
 def split_update(update: EndpointUpdate) -> Iterator[EndpointUpdatePart]:
-    """Split an endpoint update into messages."""
+    """Split an endpoint update into messages of at most MAX_PART_ITEMS endpoints."""
     batches = list(batched(update.change.endpoints, MAX_PART_ITEMS)) or [[]]
     for i, batch in enumerate(batches):
         change = EndpointsChanged(update.change.kind, tuple(batch))
-        addresses = {one.id: update.addresses[one.id] for one in batch if one.id in update.addresses}
+        addresses = {
+            endpoint.id: update.addresses[endpoint.id]
+            for endpoint in batch
+            if endpoint.id in update.addresses
+        }
         yield EndpointUpdatePart(replace(update, change=change, addresses=addresses), i + 1 < len(batches))
 
 
--- a/holdgw/cores/shared_table.py
+++ b/holdgw/cores/shared_table.py
@@ -10,14 +10,14 @@
 import mmap
 import os
 
-CELLS_PER_WORKER = 1 << 16  # 6 s of ids at 10,000 requests a second
-HEADER_CELLS = 512  # one page; the first cell is the revision
+CELLS_PER_WORKER = 1 << 16  # a cell holds a request id: room for those of 6 s at 10,000 requests a second
+HEADER_CELLS = 512  # one page; the first cell is the revision of the endpoint list
 CELL_BYTES = 8
 HASH_MASK = 0xFFFF_FFFF_FFFF_FFFF
 
 
 class SharedTable:
-    """The shared memory as mapped by one process."""
+    """One process's view of the shared memory: recent request ids, and the revision of the endpoint list."""
 
     def __init__(self, memory: mmap.mmap | bytearray, workers: int, worker: int = 0) -> None:
         """`memory`: the `size_bytes(workers)` shared bytes; `worker`: the index of this worker."""
--- a/holdgw/cores/supervisor.py
+++ b/holdgw/cores/supervisor.py
@@ -35,7 +35,7 @@
 from holdgw.router.timer_wheel import TimerWheel
 
 LAG_CHECK_INTERVAL_S = 0.02
-TICK_S = 0.1  # interval of limit shares, overdue starts and replacements
+TICK_S = 0.1  # interval at which limit shares, overdue starts and replacements are handled
 DRAIN_CHECK_INTERVAL_S = 0.01
 MAX_WAITING_CLIENTS = 4096  # accepted while no worker can serve; more stay in the kernel's queue
 TASK_TIMEOUT_S = 1.0  # at shutdown, for each task that waits for a worker's end
@@ -87,7 +87,7 @@
         self._host_system = host_system or LinuxHostSystem()
         self._shared_table = self._host_system.create_table(workers)
         self._acceptor: Acceptor | None = None
-        self._waiting: deque[ClientTransfer] = deque()
+        self._waiting_clients: deque[ClientTransfer] = deque()
         classes = (cls.name for cls in config.settings.classes)
         # The counts of workers that have ended.
         self._ended_metrics = Metrics(classes, disabled_features(config.settings))
@@ -120,16 +120,16 @@
         await self._close()
 
     async def _drain(self) -> None:
-        """Accept for ACCEPT_AFTER_SIGTERM_S more, as clients still connect, then wait for the workers."""
+        """Accept clients for another ACCEPT_AFTER_SIGTERM_S, as they still connect; then await the workers."""
         self.pool.ending = True
-        begun = self.loop.time()
+        started_s = self.loop.time()
         for worker in list(self.workers.values()):
             self._signal(worker, signal.SIGTERM)
         await asyncio.sleep(ACCEPT_AFTER_SIGTERM_S)
         if self._acceptor is not None:
             self._acceptor.close()
             self._acceptor = None
-        while self.workers and self.loop.time() < begun + self.config.max_deadline_s + SHUTDOWN_SLACK_S:
+        while self.workers and self.loop.time() < started_s + self.config.max_deadline_s + SHUTDOWN_SLACK_S:
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
         for worker in list(self.workers.values()):
             log.error("worker did not drain in time, killing it worker=%d", worker.record.index)
@@ -141,7 +141,7 @@
         self._timer_wheel.close()
         self._admin_endpoint.close()
         self._feed.close()
-        self._close_clients(self._waiting)
+        self._close_clients(self._waiting_clients)
         self._shared_table.close()
         self._host_system.close()
         await asyncio.sleep(0)  # lets the transports close
@@ -183,7 +183,7 @@
     def _create_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(work)
         self._tasks[task] = None
-        task.add_done_callback(lambda done: self._tasks.pop(done, None))
+        task.add_done_callback(lambda finished: self._tasks.pop(finished, None))
 
     async def _await_end(self, worker: WorkerHandle) -> None:
         code = await worker.process.wait()
@@ -193,14 +193,14 @@
         delay_s = self.pool.process_ended(worker.record, self.loop.time())
         if worker.report is not None:
             self._ended_metrics.add(worker.report.results, worker.report.forwards)
-        # The worker has read nothing of connections that it did not confirm, so other workers get these.
+        # The worker has read nothing from connections that it did not confirm: other workers can serve them.
         for client in worker.unconfirmed:
             self._assign(client)
         worker.unconfirmed.clear()
-        self._handle_end(worker, code)
+        self._worker_ended(worker, code)
         self._restart_after(worker.record.index, delay_s)
 
-    def _handle_end(self, worker: WorkerHandle, code: int) -> None:
+    def _worker_ended(self, worker: WorkerHandle, code: int) -> None:
         index = worker.record.index
         expected = worker.replacement is not None or self.pool.ending
         log.log(
@@ -270,9 +270,9 @@
             old_worker = self.workers[replaced]
             old_worker.replacement = worker
             old_worker.link.send(messages.HandOver())
-        waiting = self._waiting
-        self._waiting = deque()
-        for client in waiting:
+        waiting_clients = self._waiting_clients
+        self._waiting_clients = deque()
+        for client in waiting_clients:
             self._assign(client)
         if self._acceptor is not None:
             self._acceptor.set_accepting(True)
@@ -283,7 +283,7 @@
         now = self.platform.monotonic_ns()
         accepted_ns = now - self._lag_monitor.possible_lag_ns(now)
         self._assign(ClientTransfer(messages.NewClient(accepted_ns), descriptor))
-        if len(self._waiting) >= MAX_WAITING_CLIENTS and self._acceptor is not None:
+        if len(self._waiting_clients) >= MAX_WAITING_CLIENTS and self._acceptor is not None:
             self._acceptor.set_accepting(False)
 
     def _assign(self, client: ClientTransfer) -> None:
@@ -296,7 +296,7 @@
         elif self.pool.ending and not self.workers:
             self._host_system.close_descriptor(client.descriptor)
         else:
-            self._waiting.append(client)
+            self._waiting_clients.append(client)
 
     def _clients_accepted(self, worker: WorkerHandle, accepted: int) -> None:
         self.pool.clients_accepted(worker.record, accepted, self.loop.time())
@@ -307,7 +307,7 @@
         """Close every connection that this process holds, as the kernel does when the process ends."""
         for worker in self.workers.values():
             self._close_clients(worker.unconfirmed)
-        self._close_clients(self._waiting)
+        self._close_clients(self._waiting_clients)
 
     def _close_clients(self, clients: deque[ClientTransfer]) -> None:
         while clients:
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -83,7 +83,7 @@
         )
         self._host_system = host_system
         self._shared_table = host_system.attach_table(parameters)
-        self.clients.duplicate = host_system.duplicate_client
+        self.clients.duplicate_descriptor = host_system.duplicate_client
         self._update_assembler = UpdateAssembler()
         self._accepted_clients = 0
         self._shares_number = 0
@@ -102,7 +102,7 @@
     # Calls of the dispatcher
 
     def claim(self, request_id: bytes) -> bool:
-        """Record a request id as this worker's; returns whether no worker has had it lately."""
+        """Reserve a request id for this worker; returns False if any worker has used it recently."""
         return self._shared_table.insert_if_absent(request_id)
 
     def catch_up(self) -> None:
--- a/holdgw/cores/worker_pool.py
+++ b/holdgw/cores/worker_pool.py
@@ -11,7 +11,7 @@
 STABLE_AFTER_S = 10.0  # a worker that ends sooner counts as a failed start
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
-UNRESPONSIVE_AFTER_S = 0.1  # a worker that accepts no assigned client for longer gets no more
+UNRESPONSIVE_AFTER_S = 0.1  # a worker that accepts none of its assigned clients for longer is chosen last
 START_TIMEOUT_S = 10.0  # a starting worker that cannot serve by then is killed
 EVEN_SHARE_FRACTION = 0.25  # of a tenant's limit is divided evenly, the rest by demand
 MIN_SHARE_CHANGE = 0.02  # smaller changes of a limit share are not sent
@@ -96,7 +96,7 @@
         return self.shares.get(tenant, 0.0)
 
     def set_share(self, tenant: str, share: float) -> None:
-        """Record a share that is sent to the process."""
+        """Record a limit share that is sent to the process."""
         self.shares[tenant] = share
         self.peak_shares[tenant] = max(self.peak_share(tenant), share)
 
@@ -121,7 +121,8 @@
         self._failed_starts = [0] * workers  # in a row, by index
         self.ending = False
         """Whether the router is shutting down, so that no worker is started any more."""
-        self._replaced: set[int] | None = None  # indices replaced so far; None: no replacement
+        # The indices of the workers replaced so far; None: no replacement is in progress.
+        self._replaced: set[int] | None = None
         self._replacement_began = 0.0
 
     # Starts and ends
@@ -150,8 +151,10 @@
         return [process for process in self.processes if process.state is WorkerState.SERVING]
 
     def _serving_at(self, index: int, exclude: WorkerProcess | None = None) -> WorkerProcess | None:
-        found = (process for process in self._serving() if process.index == index and process is not exclude)
-        return next(found, None)
+        matches = (
+            process for process in self._serving() if process.index == index and process is not exclude
+        )
+        return next(matches, None)
 
     def process_ended(self, process: WorkerProcess, now: float) -> float | None:
         """Remove a process that has ended; returns the seconds until its restart, None for no restart."""
@@ -204,10 +207,10 @@
 
     def finish_replacement(self) -> bool:
         """Whether every worker is replaced; returns True once for each replacement."""
-        done = self._replaced is not None and len(self._replaced) == self.workers
-        if done:
+        finished = self._replaced is not None and len(self._replaced) == self.workers
+        if finished:
             self._replaced = None
-        return done
+        return finished
 
     @property
     def serving_count(self) -> int:
--- a/holdgw/native.py
+++ b/holdgw/native.py
@@ -78,7 +78,7 @@
 `policy/handover_state.py`): mypyc reduces an annotation such as dict[str, EndpointHandover] to dict, and
 msgspec then returns plain dicts.
 """
-COMPILE_TIMEOUT_S = 900.0  # a compilation takes 40 s; a deployment's build may take 20 minutes
+COMPILE_TIMEOUT_S = 900.0  # a compilation takes 40 s; by DEPLOY a deployment's build may take 20 minutes
 MAX_ERROR_CHARACTERS = 600  # of the compiler's output in an error message
 
 
--- a/holdgw/operation/endpoint_overrides.py
+++ b/holdgw/operation/endpoint_overrides.py
@@ -31,7 +31,7 @@
     address: Address
 
 
-class _PastOverride(NamedTuple):
+class _ClearedOverride(NamedTuple):
     """An override that was cleared."""
 
     began_ns: int
@@ -46,8 +46,8 @@
         self._origin_kind = origin_kind
         self._listed: dict[str, _ListedEndpoint] = {}
         self._generation = 0
-        self._overridden: dict[str, int] = {}  # endpoint id -> since when
-        self._past: dict[str, _PastOverride] = {}
+        self._overridden: dict[str, int] = {}  # endpoint id -> when its override was set
+        self._cleared: dict[str, _ClearedOverride] = {}
 
     def apply(self, update: EndpointUpdate) -> EndpointUpdate:
         """Apply an endpoint update from discovery; returns it with the overrides applied."""
@@ -58,12 +58,14 @@
         for endpoint in update.change.endpoints:
             if endpoint.state is EndpointState.GONE:
                 self._listed.pop(endpoint.id, None)
-                self._past.pop(endpoint.id, None)
+                self._cleared.pop(endpoint.id, None)
             else:
                 self._listed[endpoint.id] = _ListedEndpoint(endpoint, update.addresses[endpoint.id])
         if not is_delta:
-            self._past = {name: past for name, past in self._past.items() if name in self._listed}
-        if not self._overridden and not self._past:
+            self._cleared = {
+                name: override for name, override in self._cleared.items() if name in self._listed
+            }
+        if not self._overridden and not self._cleared:
             return update
         endpoints = tuple(map(self._effective, update.change.endpoints))
         return replace(update, change=EndpointsChanged(update.change.kind, endpoints))
@@ -91,7 +93,7 @@
         if endpoint_id in self._overridden or len(self._overridden) >= MAX_OVERRIDES:
             return None
         self._overridden[endpoint_id] = since_ns
-        self._past.pop(endpoint_id, None)
+        self._cleared.pop(endpoint_id, None)
         return self._update_of(endpoint_id)
 
     def exit_maintenance(self, endpoint_id: str, now_ns: int) -> EndpointUpdate | None:
@@ -106,7 +108,7 @@
         # The endpoint may have been restarted during its override, and discovery lists the new start time
         # seconds late. Taken for warm, the endpoint would get its full load at once and be overloaded, so its
         # start time is set to now. An endpoint that was not restarted regains its load over the warm-up time.
-        self._past[endpoint_id] = _PastOverride(since_ns, now_ns)
+        self._cleared[endpoint_id] = _ClearedOverride(since_ns, now_ns)
         return self._update_of(endpoint_id)
 
     def _check_overridable(self, endpoint_id: str) -> None:
@@ -124,17 +126,21 @@
         return EndpointUpdate(self._generation, change, {endpoint_id: listed.address})
 
     def _effective(self, endpoint: Endpoint) -> Endpoint:
-        """The endpoint with its override applied, or with the start time that a past override implies."""
+        """The endpoint as the router is to see it.
+
+        An overridden endpoint that discovery lists as ready is draining. One whose override was cleared has
+        the time of the clearing as its start time, until discovery lists a start since the override was set.
+        """
         if endpoint.id in self._overridden and endpoint.state is EndpointState.READY:
             return replace(endpoint, state=EndpointState.DRAINING)
-        past = self._past.get(endpoint.id)
-        if past is not None and endpoint.started_ns < past.began_ns:
-            return replace(endpoint, started_ns=past.ended_ns)
+        cleared = self._cleared.get(endpoint.id)
+        if cleared is not None and endpoint.started_ns < cleared.began_ns:
+            return replace(endpoint, started_ns=cleared.ended_ns)
         return endpoint
 
     @property
     def overridden(self) -> dict[str, int]:
-        """The overridden endpoint ids, listed or not, and since when, monotonic ns."""
+        """When each override was set, monotonic ns, by endpoint id; the endpoint may not be listed now."""
         return dict(self._overridden)
 
     @property
--- a/holdgw/operation/endpoint_update.py
+++ b/holdgw/operation/endpoint_update.py
@@ -9,7 +9,7 @@
 
 
 class EndpointUpdate(Struct, frozen=True):
-    """An endpoint update: the policy's event, and the addresses of its endpoints that are not gone."""
+    """An endpoint update: the policy's event, and the addresses of its endpoints whose state is not GONE."""
 
     generation: int
     """Discovery's generation number of the list, from which a watch continues."""
--- a/holdgw/operation/interval_counters.py
+++ b/holdgw/operation/interval_counters.py
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self._counts: dict[str, float] = {}
         self._endpoints: dict[str, list[int]] = {}
-        self._fetched_keys: list[int] = []
+        self._fetched_key_hashes: list[int] = []
         self._running_totals: dict[str, float] = {}
 
     def add(self, name: str, amount: float = 1) -> None:
@@ -82,8 +82,8 @@
         self.add(f"{where}.{outcome}{'.fresh' if first_on_connection else ''}{'.late' if late else ''}")
         if fetched_key is None:
             self._count_endpoint(endpoint_id, late, answered=outcome in ("ok", "miss"))
-        elif len(self._fetched_keys) < MAX_KEYS:
-            self._fetched_keys.append(crc32(fetched_key.encode()))
+        elif len(self._fetched_key_hashes) < MAX_KEYS:
+            self._fetched_key_hashes.append(crc32(fetched_key.encode()))
 
     def _count_endpoint(self, endpoint_id: str, late: bool, answered: bool) -> None:
         row = self._endpoints.setdefault(endpoint_id, [0, 0, 0])
@@ -101,9 +101,9 @@
             "counts": {name: round(amount, 6) for name, amount in self._counts.items() if amount},
             "states": states,
             "servers": self._endpoints,
-            "fetched": self._fetched_keys,
+            "fetched": self._fetched_key_hashes,
         }
         self._counts = {}
         self._endpoints = {}
-        self._fetched_keys = []
+        self._fetched_key_hashes = []
         return LOG_LINE_PREFIX + orjson.dumps(line).decode()
--- a/holdgw/operation/takeover.py
+++ b/holdgw/operation/takeover.py
@@ -24,7 +24,7 @@
 VERSION = 1
 SOCKET_NAME = "holdgw.link"
 HELLO_TIMEOUT_S = 1.0  # without an answer by then, the old process counts as unresponsive
-MAX_LINKS = 4  # to other processes of this router
+MAX_LINKS = 4  # links to other processes of this router, open at a time
 
 log = logging.getLogger("holdgw")
 
--- a/holdgw/router/attempt.py
+++ b/holdgw/router/attempt.py
@@ -29,7 +29,7 @@
         to_origin: bool,
         purpose: AttemptPurpose,
     ) -> None:
-        """Create an attempt that is not written yet; `purpose` is counted in the interval counters."""
+        """Create an attempt that is not written yet; `purpose`: why it is made, for the interval counters."""
         self._owner = owner
         self._request = request
         self._endpoint_id = endpoint_id
--- a/holdgw/router/cache_connection.py
+++ b/holdgw/router/cache_connection.py
@@ -58,7 +58,7 @@
         self._reader = hiredis.Reader()
         self._buffer = bytearray()  # an answer up to the end of its value
         self._value: bytes | None = None  # encoded, as a bulk string
-        self._streamed_bytes_left = 0  # of a streamed value, with its CRLF
+        self._streamed_bytes_left = 0  # bytes of a streamed value still to arrive, with its CRLF
         self._streamed_header = b""  # the array header of the streamed value's answer
         self._value_extracted = False  # further input is the rest of the answer, for hiredis
         self._rest_bytes = 0
@@ -136,7 +136,7 @@
         return self._extract_buffered_value(header.end(), header.end() + length)
 
     def _check_partial_header(self) -> None:
-        """Fail the exchange if no further bytes can make the buffer a valid header."""
+        """Fail the exchange if the bytes in the buffer can't be the beginning of a valid header."""
         buffer = self._buffer
         # A miss may arrive in two reads that are split within its null bulk string.
         may_be_miss = NULL_BULK.startswith(buffer[ELEMENT_COUNT_BYTES : ELEMENT_COUNT_BYTES + len(NULL_BULK)])
--- a/holdgw/router/client_connection.py
+++ b/holdgw/router/client_connection.py
@@ -74,7 +74,7 @@
         self.last_active_at = listener.loop.time()  # seconds; when input arrived or output was accepted
         self.command_started_at = self.last_active_at  # seconds; when the current command began to arrive
         self.has_sent_command = False
-        self.rejecting = False  # above the limit of connections: the first request is rejected
+        self.rejects_requests = False  # above the limit of connections: the first request is rejected
         self._handover = handover
         self._connected_at = 0.0
         self._reader = CommandReader()
@@ -181,12 +181,12 @@
 
     @property
     def _awaits_first_command(self) -> bool:
-        # Without this time, a connection accepted during the graceful shutdown would be closed before its
+        # Without this check, a connection accepted during the graceful shutdown would be closed before its
         # first command is read, and would get no answer.
         return not self.has_sent_command and self.listener.loop.time() - self._connected_at <= FIRST_COMMAND_S
 
     def is_silent(self, now_s: float) -> bool:
-        """Whether the time for a first command has passed without one, and no answer is due."""
+        """Whether the client has sent no command within FIRST_COMMAND_S, and no answer waits to be sent."""
         return (
             not self.has_sent_command
             and not self.replies
@@ -196,8 +196,9 @@
     # Commands and answers
 
     def _process_commands(self) -> None:
-        # An immediate answer calls this method again through flush; the outer call continues its loop then.
-        # Commands past MAX_PIPELINE have waited in the buffer, perhaps with the end of the input unread.
+        # An immediate answer calls this method again through flush; the outer call then continues its loop.
+        # While reading was paused, commands past MAX_PIPELINE waited in the buffer, and the client may have
+        # disconnected without the router having read that: the kernel is asked first.
         if self._parsing or (not self._reading and self.check_disconnected()):
             return
         self._parsing = True
@@ -239,7 +240,7 @@
         except ValueError as error:
             reply.send_error_and_close(str(error))
             return
-        if self.rejecting:
+        if self.rejects_requests:
             self._closing_after_replies = True
             handler.reject(command, reply)
             return
@@ -264,7 +265,7 @@
                 self._start_lingering_close()
             return
         if self._reader.has_partial_command or not self._reading:
-            self._process_commands()  # commands that were past MAX_PIPELINE
+            self._process_commands()  # commands past MAX_PIPELINE, which waited in the buffer
         if self._closing_when_idle and self.is_idle:
             self._start_lingering_close()
 
@@ -351,7 +352,7 @@
             return False
         # Input that this process reads between the duplication and the close would be lost. None is read, as
         # both happen in one turn of the event loop; the duplicate keeps the socket open.
-        descriptor = self.listener.duplicate(transport)
+        descriptor = self.listener.duplicate_descriptor(transport)
         since = self.command_started_at if self._reader.has_partial_command else self.last_active_at
         waited_s = max(self.listener.loop.time() - since, 0.0)
         unread_since = self.listener.handler.unread_since()
@@ -386,7 +387,10 @@
     # Timeouts
 
     def enforce_timeouts(self, now_s: float, idle_timeout_s: float) -> None:
-        """Close if the client neither accepts nor sends: the connection holds memory and a descriptor."""
+        """Close the connection if its client accepts no answers, completes no command or idles for too long.
+
+        Meanwhile the connection holds memory and a descriptor.
+        """
         if self.transport is None:
             return
         unsent = self.unsent_bytes
@@ -398,8 +402,8 @@
             return
         elif not self.has_sent_command or self._reader.has_partial_command:
             # A client that sends a partial command, a byte from time to time, or nothing would hold a
-            # descriptor forever. A client that connects before it has a request must send it in this time, or
-            # reconnect.
+            # descriptor forever. A client that connects before it has a request must send the request within
+            # COMMAND_TIMEOUT_S, or reconnect.
             if now_s - self.command_started_at > COMMAND_TIMEOUT_S:
                 self._add_reply().send_error_and_close("Protocol error: no whole command in time")
         elif now_s - self.last_active_at > idle_timeout_s:
--- a/holdgw/router/client_listener.py
+++ b/holdgw/router/client_listener.py
@@ -63,7 +63,7 @@
         self.loop = loop
         self.handler = handler
         self.peer_closed = peer_closed
-        self.duplicate: Callable[[Any], int] = duplicate_descriptor
+        self.duplicate_descriptor: Callable[[Any], int] = duplicate_descriptor
         """Duplicates a transport's descriptor for another process; the sender closes the duplicate."""
         self.lingering: dict[ClientConnection, None] = {}
         """Connections in a lingering close, the oldest first."""
@@ -132,7 +132,7 @@
                 connection.abort()
                 return
             else:
-                connection.rejecting = True
+                connection.rejects_requests = True
         self._connections[connection] = None
 
     def connection_closed(self, connection: ClientConnection) -> None:
@@ -157,7 +157,7 @@
             default=None,
         )
 
-    # Handover between processes
+    # Handover of connections between processes
 
     async def adopt(
         self, handover: ClientHandover | None, descriptor: int, possible_wait_ns: int = 0
--- a/holdgw/router/connection_pool.py
+++ b/holdgw/router/connection_pool.py
@@ -17,10 +17,13 @@
 MAX_CONNECTIONS_PER_ENDPOINT = 16
 """More than an endpoint works on at a time, so that the excess queues in the router."""
 IDLE_TIMEOUT_FRACTION = 0.6
-"""Of the endpoint's idle timeout, because a request written as the endpoint closes is lost."""
+"""Fraction of the endpoint's idle timeout after which the router closes an idle connection.
+
+A request that is written as the endpoint closes the connection is lost.
+"""
 SWEEP_INTERVAL_S = 0.5
 LATE_ANSWER_TIMEOUT_S = 2.0
-"""For the answer of an abandoned exchange, before its connection is closed."""
+"""Time for the answer of an abandoned exchange to arrive before its connection is closed."""
 CONNECTIONS_PER_LATE_ANSWER = 4
 """Of max_per_endpoint, 1 / CONNECTIONS_PER_LATE_ANSWER connections may wait for late answers."""
 DEFAULT_MAX_RESERVED_BYTES = 8 << 20
@@ -156,10 +159,10 @@
         if (reason := exchange.cancellation_reason()) is not None:
             exchange.end(reason)
             return
-        oldest = self._loop.time() - self._idle_timeout_s
+        min_idle_since = self._loop.time() - self._idle_timeout_s
         while endpoint.idle:
             connection = endpoint.idle.pop()
-            if connection.usable and connection.idle_since >= oldest:
+            if connection.usable and connection.idle_since >= min_idle_since:
                 connection.start(exchange)
                 return
             connection.close()
--- a/holdgw/router/dialing.py
+++ b/holdgw/router/dialing.py
@@ -34,9 +34,9 @@
     protocol_factory: Any = factory
     connecting = loop.create_task(loop.create_connection(protocol_factory, *address))
     try:
-        due = loop.time() + timeout_s
+        due_s = loop.time() + timeout_s
         await asyncio.wait((connecting,), timeout=timeout_s)
-        if not connecting.done() and loop.time() - due > LATE_TIMER_S:
+        if not connecting.done() and loop.time() - due_s > LATE_TIMER_S:
             # After a stall the event loop runs the timer before it handles the established connection.
             await asyncio.wait((connecting,), timeout=LATE_TIMER_S)
         if not connecting.done():
--- a/holdgw/router/discovery.py
+++ b/holdgw/router/discovery.py
@@ -1,7 +1,7 @@
-"""Follows discovery: gets the complete endpoint list once, then watches for changes without a gap.
+"""Gets the complete endpoint list from discovery once, then watches discovery for changes without a gap.
 
-The router is held to know of a change 6 s after discovery had it and could be reached, whatever failed
-meanwhile. So a watch that gets no answer must be detected in time:
+By PROTOCOL a change counts as notified to the router 6 s after discovery had it and could be reached,
+whatever failed meanwhile. A watch that gets no answer must therefore be detected in time:
 
 - Where lists are pushed by an agent on this machine, a call of a watch times out after `PUSHED_WAIT_MS` and
   `CALL_SLACK_S`. After a failed call the complete list is requested until it comes, by concurrent calls with
@@ -27,14 +27,19 @@
 from holdgw.wire.address import Address
 
 LIST_PATH = "/registry/instances"
-PUSHED_WAIT_MS = 2_000  # calls to an agent are cheap; a lost answer delays a change by at most this
-POLL_WAIT_MS = 3_000  # while the service has capacity; each call costs it work
-MAX_POLL_WAIT_MS = 20_000  # while the service is overloaded
-CALL_SLACK_S = 0.5  # timeout beyond a watch's wait, for an agent on this machine
-POLL_SLACK_S = 1.0  # the same for a service that answers all routers' calls one after the other
-LIST_TIMEOUT_S = 2.0  # for a complete list
-RETRY_S = 0.1  # a watch counts as uninterrupted if the next call comes within 0.2 s
-QUICK_TIMEOUT_S = 0.1  # an agent on this machine answers within this time or not at all
+# The wait of a call of a watch: how long discovery may hold the call until there is a change.
+PUSHED_WAIT_MS = 2_000  # calls to an agent are cheap; a lost answer delays a change by at most this wait
+POLL_WAIT_MS = 3_000  # while the polled service has capacity; each call costs the service work
+MAX_POLL_WAIT_MS = 20_000  # while the polled service is overloaded
+# The call times out this long after its wait.
+CALL_SLACK_S = 0.5  # at an agent on this machine
+POLL_SLACK_S = 1.0  # at a polled service, which answers all routers' calls one after the other
+LIST_TIMEOUT_S = 2.0  # of a call for the complete list
+# Time between the starts of two calls for the complete list. A watch counts as uninterrupted if its next call
+# comes within 0.2 s (PROTOCOL, "Discovery").
+RETRY_S = 0.1
+# Short timeout of a call for the complete list: an agent on this machine answers by then or not at all.
+QUICK_TIMEOUT_S = 0.1
 
 log = logging.getLogger("holdgw")
 
@@ -84,7 +89,7 @@
         poll_failed: Callable[[], None],
         now_s: Callable[[], float] | None = None,
     ) -> None:
-        """Prepare to watch the service at an address; `start` or `subscribe` begins.
+        """Prepare to watch the service at an address; `start` or `subscribe` begins the watch.
 
         Args:
             address: The service's address.
@@ -119,7 +124,7 @@
             watch.task = asyncio.get_running_loop().create_task(self._poll(watch))
 
     def change_address(self, address: Address) -> None:
-        """Follow discovery at another address, beginning with its complete list.
+        """Watch discovery at another address, beginning with its complete list.
 
         Each service numbers its versions on its own. The new address may be wrong or its service not up yet,
         so the old address is watched until the new one has sent a list.
@@ -138,7 +143,7 @@
             self.subscribe()
 
     def close(self) -> None:
-        """Stop following discovery."""
+        """Stop watching discovery, at the previous address too."""
         self._watch.close()
         self._close_previous_watch()
 
@@ -164,7 +169,7 @@
     async def _get_full_list(self, watch: _Watch) -> None:
         """Get the complete list, with as many calls as that takes.
 
-        The router is held to know an agent's list from the moment at which the agent comes back. One call
+        By PROTOCOL an agent's list counts as notified from the moment at which the agent comes back. One call
         whose answer is lost would delay the list by that call's timeout; short timeouts alone would never get
         a list from a slow agent. Hence two calls at a time, one with a long and one with a short timeout.
         """
@@ -181,9 +186,9 @@
         ]
         try:
             await asyncio.wait(calls, return_when=asyncio.FIRST_COMPLETED)
-            first = next(i for i, call in enumerate(calls) if call.done())
-            update = calls[first].result()
-            watch.client = clients.pop(first)
+            first_done = next(i for i, call in enumerate(calls) if call.done())
+            update = calls[first_done].result()
+            watch.client = clients.pop(first_done)
         finally:
             for call in calls:
                 call.cancel()
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -98,8 +98,8 @@
         now_ns: Callable[[], int] = time.monotonic_ns,
     ) -> None:
         """`max_open`: the most requests open at a time; `now_ns`: a monotonic clock in nanoseconds."""
-        disabled = disabled_features(settings)
-        metrics = Metrics((request_class.name for request_class in settings.classes), disabled)
+        disabled_reasons = disabled_features(settings)
+        metrics = Metrics((request_class.name for request_class in settings.classes), disabled_reasons)
         super().__init__(settings, now_ns, TimerWheel(loop, now_ns), metrics, OpenRequestTable(max_open))
         self.loop = loop
         self.ready = False
@@ -119,8 +119,8 @@
         self._lag_monitor = LagMonitor(int(SWEEP_INTERVAL_S * NS_PER_S), now_ns())
         self._overdue_check: asyncio.Handle | None = None
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-        if disabled:
-            features = "; ".join(f"{feature} ({reason})" for feature, reason in disabled.items())
+        if disabled_reasons:
+            features = "; ".join(f"{feature} ({reason})" for feature, reason in disabled_reasons.items())
             log.warning("settings: off are %s", features)
 
     def close(self) -> None:
@@ -190,7 +190,7 @@
         """Restore another process's handover state."""
         self._policy.restore(state, self.now_ns())
 
-    # Requests
+    # Requests from client connections (RequestHandler)
 
     def request_arrived(self, command: Command, reply: Reply) -> None:
         """Open a request or answer it at once; each request gets exactly one final answer."""
@@ -294,7 +294,7 @@
     # Called by exchanges (ExchangeOwner)
 
     def parse_load_report(self, report: bytes | None) -> tuple[float, ...] | None:
-        """The numbers of a load report in the order of the settings; None if there is no readable report."""
+        """A load report's numbers in the order of `load_report_fields`; None if it is missing or invalid."""
         return resp.parse_load(report, self.settings.load_report_fields) if report else None
 
     def latency_objective_ns(self, class_name: str) -> int:
@@ -302,7 +302,7 @@
         return self._classes[class_name].latency_objective_ns
 
     def idle_connections_closed(self, endpoint_id: str) -> bool:
-        """Whether the endpoint has closed idle connections, and none has come up since."""
+        """Whether the endpoint has closed an idle connection, and none has been opened since."""
         return self._pool.idle_connections_closed(endpoint_id)
 
     # The endpoint list
--- a/holdgw/router/exchange_owner.py
+++ b/holdgw/router/exchange_owner.py
@@ -44,7 +44,7 @@
 
     @abstractmethod
     def parse_load_report(self, report: bytes | None) -> tuple[float, ...] | None:
-        """The numbers of a load report in the order of the settings; None if it is missing or invalid."""
+        """A load report's numbers in the order of `load_report_fields`; None if it is missing or invalid."""
 
     @abstractmethod
     def latency_objective_ns(self, class_name: str) -> int:
--- a/holdgw/router/program.py
+++ b/holdgw/router/program.py
@@ -124,7 +124,7 @@
         if self.peers is not None and self.handover_link() is None:
             self.peers.leave()
         await GracefulShutdown(self.loop, self.clients, self, self.config.max_deadline_s).run()
-        self._close()
+        self._close_components()
         await asyncio.sleep(0)  # lets the transports close
 
     async def _start(self, listening: asyncio.Future[Address] | None) -> None:
@@ -135,9 +135,9 @@
         if config.passed_descriptor is not None and directory:
             await self.takeover.begin(Path(directory))
         if config.known_endpoints is not None:
-            known = read_endpoint_list(config.known_endpoints, self.clock, UpdateKind.CACHED)
-            self.discovery.resume_from(known.generation)
-            self._dispatch_update(self.overrides.apply(known))
+            cached = read_endpoint_list(config.known_endpoints, self.clock, UpdateKind.CACHED)
+            self.discovery.resume_from(cached.generation)
+            self._dispatch_update(self.overrides.apply(cached))
         self.loop.add_signal_handler(signal.SIGHUP, self._reload)
         if config.admin_address is not None:
             await self.admin_endpoint.listen(config.admin_address)
@@ -148,7 +148,7 @@
             self._ready_timer = self.loop.call_later(KNOWN_ENDPOINTS_WAIT_S, self._become_ready)
 
     async def _start_serving(self, listening: asyncio.Future[Address] | None) -> None:
-        """Start to accept clients and to follow discovery."""
+        """Start to accept clients and to watch discovery."""
         listener = passed_listener(self.config.passed_descriptor)
         address = await self.clients.listen(self.config.listen_address, listener)
         if listening is not None:
@@ -156,7 +156,7 @@
         if not self.config.settings.subscription_required:
             self.discovery.start()
 
-    def _close(self) -> None:
+    def _close_components(self) -> None:
         for timer in (self._ready_timer, self._counters_timer):
             if timer is not None:
                 timer.cancel()
@@ -171,13 +171,13 @@
 
     def _reload(self) -> None:
         """Read the configuration again and apply discovery's address; all else needs a restart."""
-        new = reload_config(self.platform, self.dispatcher.metrics)
-        if new is None:
+        new_config = reload_config(self.platform, self.dispatcher.metrics)
+        if new_config is None:
             return
-        self.discovery.change_address(new.discovery_address)
+        self.discovery.change_address(new_config.discovery_address)
         config = self.config
         comparable = replace(
-            new,
+            new_config,
             discovery_address=config.discovery_address,
             known_endpoints=config.known_endpoints,
             seed=config.seed,
--- a/holdgw/router/watch_timeout.py
+++ b/holdgw/router/watch_timeout.py
@@ -1,5 +1,8 @@
 """The timeout of a watch where discovery is one service that all routers poll; no I/O, no clock.
 
+The timeout here is the wait that a call sends to the service: if there is no change by then, the service
+answers without one. The router itself gives up on a call `discovery.POLL_SLACK_S` later.
+
 Each call costs the service work. A short timeout soon detects a watch that gets no answer, but means a call
 from every router in that time; an overloaded service answers late, and then rejects calls. No router knows
 how many others there are, but each sees how late its own answers are. So the timeout is `DELAY_FACTOR` times
@@ -29,11 +32,11 @@
 
     @property
     def wait_s(self) -> float:
-        """The timeout of the next call, in seconds."""
+        """The timeout to send in the next call, in seconds."""
         return max(DELAY_FACTOR * self._delay_s, self._shortest_s)
 
     def timed_out(self, delay_s: float) -> None:
-        """Record a call that returned without a change, `delay_s` seconds after its timeout."""
+        """Record a call that was answered without a change, `delay_s` seconds after its timeout."""
         self._delay_s = min(max(delay_s, DELAY_DECAY * self._delay_s), self._max_delay_s)
 
     def failed(self) -> None:
--- a/tests/emulated_nodes.py
+++ b/tests/emulated_nodes.py
@@ -45,9 +45,9 @@
     """
     pid, number = os.getpid(), next(_addresses_used)
     ip = f"127.{128 + (pid >> 8) % 120}.{pid % 256}.{1 + number % 250}"
-    with socket.socket(type=kind) as found:
-        found.bind((ip, 0))
-        address: tuple[str, int] = found.getsockname()
+    with socket.socket(type=kind) as sock:
+        sock.bind((ip, 0))
+        address: tuple[str, int] = sock.getsockname()
     return address
 
 
