--- a/holdgw/cores/supervisor.py
+++ b/holdgw/cores/supervisor.py
@@ -120,7 +120,7 @@
         await self._close()
 
     async def _drain(self) -> None:
-        """Accept clients for another ACCEPT_AFTER_SIGTERM_S, as they still connect; then await the workers."""
+        """Accept clients for ACCEPT_AFTER_SIGTERM_S more, as they still connect; then await the workers."""
         self.pool.ending = True
         started_s = self.loop.time()
         for worker in list(self.workers.values()):
--- a/tests/cores/test_cores.py
+++ b/tests/cores/test_cores.py
@@ -218,9 +218,9 @@
                 assert await asyncio.wait_for(reader.readline(), LIMIT_S) == b"-ERR duplicate id\r\n"
             router.answering.set()
             await expect_value(connections[0])
-            late = await router.connect()
-            late[1].write(read("same", "k", 4000))
-            assert await asyncio.wait_for(late[0].readline(), LIMIT_S) == b"-ERR duplicate id\r\n"
+            late_client = await router.connect()
+            late_client[1].write(read("same", "k", 4000))
+            assert await asyncio.wait_for(late_client[0].readline(), LIMIT_S) == b"-ERR duplicate id\r\n"
             assert sum(len(cache.seen) for cache in router.caches) == 1
 
     run(test)
@@ -269,11 +269,11 @@
             )
             assert still_served == [not killed for killed in of_killed]
             assert set(still_served) == {True, False}
-            fresh = await router.connect_clients(4, "c")
+            new_clients = await router.connect_clients(4, "c")
             while len(router.worker_pids()) < 2:
                 await asyncio.sleep(0.02)
             assert old[1] in router.worker_pids()
-            for i, connection in enumerate(fresh):
+            for i, connection in enumerate(new_clients):
                 await request_value(connection, f"d{i}")
 
     async def is_still_served(connection: Connection, i: int) -> bool:
@@ -333,7 +333,7 @@
             await router.wait_until_serving()
             connections, old = await router.connect_clients(4, "a"), router.worker_pids()
             valid_config = router.config.read_bytes()
-            router.config.write_bytes(b"{}")  # the configuration that a starting worker reads
+            router.config.write_bytes(b"{}")  # invalid: a starting worker reads this configuration and ends
             router.process.send_signal(signal.SIGUSR2)
             async with asyncio.timeout(LIMIT_S):
                 while set(router.worker_pids()) <= set(old):
@@ -390,12 +390,12 @@
                 while sum(len(cache.seen) for cache in router.caches) < 5:
                     await asyncio.sleep(0.01)
             router.process.send_signal(signal.SIGTERM)
-            late = await router.connect()
+            late_client = await router.connect()
             await asyncio.sleep(0.1)
             router.answering.set()
             await expect_value(connections[0])
-            await request_value(late, "late")
-            for connection in [*connections, late]:
+            await request_value(late_client, "late")
+            for connection in [*connections, late_client]:
                 assert await asyncio.wait_for(connection[0].read(), LIMIT_S) == b""
             assert await router.wait_for_end() == 0
             await wait_until_ended(pids)
@@ -446,12 +446,13 @@
             stopped = router.worker_pids()[1]
             os.kill(stopped, signal.SIGSTOP)
             try:
-                first = [await router.connect() for _ in range(3)]  # one of them is assigned to it
+                # One of these clients is assigned to the stopped worker.
+                early_clients = [await router.connect() for _ in range(3)]
                 await asyncio.sleep(0.3)
-                await router.connect_clients(20, "a")  # none of these is assigned to it
+                await router.connect_clients(20, "a")  # none is assigned to the stopped worker
             finally:
                 os.kill(stopped, signal.SIGCONT)
-            for i, connection in enumerate(first):
+            for i, connection in enumerate(early_clients):
                 await request_value(connection, f"b{i}")
 
     run(test)
--- a/tests/cores/test_worker_pool.py
+++ b/tests/cores/test_worker_pool.py
@@ -124,8 +124,8 @@
     assert pool.next_to_replace() is None
     assert pool.process_ended(new, 50.5) is None
     assert old in pool.target_shares()
-    again = pool.process_started(0, 60.0)
-    assert pool.process_serving(again) is old
+    second_attempt = pool.process_started(0, 60.0)
+    assert pool.process_serving(second_attempt) is old
     assert old.state is WorkerState.DRAINING
     assert pool.next_to_replace() is None
     assert pool.process_ended(old, 61.0) is None
@@ -133,9 +133,9 @@
     assert not pool.finish_replacement()
     assert pool.overdue_starts(1000.0) == []
     assert pool.overdue_starts(1000.0) == [m for m in pool.processes if m.state is WorkerState.STARTING]
-    late = pool.process_started(1, 70.0)
+    overdue = pool.process_started(1, 70.0)
     assert pool.overdue_starts(79.0) == []
-    assert pool.overdue_starts(81.0) == [late]
+    assert pool.overdue_starts(81.0) == [overdue]
 
 
 def test_no_worker_is_started_once_the_router_is_ending() -> None:
@@ -172,11 +172,11 @@
     steps: list[tuple[str, int, float]], workers: int
 ) -> None:
     pool, processes = serving_pool(workers)
-    running = [SimulatedWorker(process) for process in processes]
+    simulated_workers = [SimulatedWorker(process) for process in processes]
 
     def rebalance() -> None:
         for process, shares in pool.rebalance_shares().items():
-            worker = next(worker for worker in running if worker.process is process)
+            worker = next(worker for worker in simulated_workers if worker.process is process)
             worker.unread.append(
                 (
                     process.shares_number,
@@ -185,7 +185,7 @@
             )
 
     for kind, number, amount in steps:
-        worker = running[number % len(running)]
+        worker = simulated_workers[number % len(simulated_workers)]
         if kind == "demand":
             pool.apply_report(worker.process, 0, worker.number, {"a": amount})
         elif kind == "receive" and worker.unread:
@@ -193,23 +193,23 @@
             pool.apply_report(worker.process, 0, worker.number, worker.process.demands)
         elif kind == "rebalance":
             rebalance()
-        elif kind == "end" and len(running) > 1:
-            running.remove(worker)
+        elif kind == "end" and len(simulated_workers) > 1:
+            simulated_workers.remove(worker)
             pool.process_ended(worker.process, 1.0)
         elif kind == "start":
             index = number % workers
             replaced = pool.process_serving(started := pool.process_started(index, 2.0))
             assert replaced is None or replaced.state is WorkerState.DRAINING
-            running.append(SimulatedWorker(started))
-        assert sum(worker.share for worker in running) <= 1.0 + 1e-6
+            simulated_workers.append(SimulatedWorker(started))
+        assert sum(worker.share for worker in simulated_workers) <= 1.0 + 1e-6
     for _ in range(30):  # once all workers have read their messages, the shares match the demand
         rebalance()
-        for worker in running:
+        for worker in simulated_workers:
             while worker.unread:
                 worker.number, worker.share = worker.unread.pop(0)
             pool.apply_report(worker.process, 0, worker.number, worker.process.demands)
     targets = pool.target_shares()
-    for worker in running:
+    for worker in simulated_workers:
         if worker.process in targets:
             assert worker.share >= targets[worker.process]["a"] - 0.05 * workers
         else:
--- a/tests/operation/test_admin_endpoint.py
+++ b/tests/operation/test_admin_endpoint.py
@@ -34,7 +34,7 @@
     """Operations that record the calls of an admin endpoint."""
 
     def __init__(self) -> None:
-        self.ready, self.overridden = True, list[str]()
+        self.ready, self.overridden_ids = True, list[str]()
 
     def can_serve(self) -> bool:
         return self.ready
@@ -47,10 +47,10 @@
             raise RuntimeError(endpoint_id)
         if endpoint_id != "a":
             raise UnknownEndpointError(endpoint_id)
-        self.overridden.append(endpoint_id)
+        self.overridden_ids.append(endpoint_id)
 
     def exit_maintenance(self, endpoint_id: str) -> None:
-        self.overridden.remove(endpoint_id)
+        self.overridden_ids.remove(endpoint_id)
 
 
 @pytest.mark.parametrize(
@@ -162,14 +162,14 @@
         without_socket = config(tmp_path, agent.port)
         environ = {"LB_CONFIG": str(tmp_path / "config.json"), "LB_PASSED_SOCKET": str(passed)}
         assert without_socket.passed_descriptor is None
-        serving = asyncio.create_task(Program(load_config(environ)).run())
+        router_task = asyncio.create_task(Program(load_config(environ)).run())
         await asyncio.wait_for(agent.watched.wait(), LIMIT_S)
         reader, writer = await asyncio.open_connection(*listener.getsockname())
         writer.write(command(b"PING"))
         assert await asyncio.wait_for(reader.readline(), LIMIT_S) == b"+PONG\r\n"
         writer.close()
         os.kill(os.getpid(), signal.SIGTERM)
-        await asyncio.wait_for(serving, LIMIT_S)
+        await asyncio.wait_for(router_task, LIMIT_S)
         later_client = socket.create_connection(listener.getsockname(), LIMIT_S)  # the socket still listens
         later_client.close()
         listener.close()
--- a/tests/operation/test_takeover.py
+++ b/tests/operation/test_takeover.py
@@ -153,8 +153,8 @@
                 await expect_value(reader)
             new = await router.start_process()
             router.answering.clear()
-            half = read("amid", "k1")
-            partial[1].write(half[:30])
+            split_command = read("amid", "k1")
+            partial[1].write(split_command[:30])
             waiting[1].write(read("waiting", "k2", 4000))
             pipelined[1].write(read("piped0", "k3", 4000) + read("piped1", "k4", 4000))
             before = sum(len(cache.seen) for cache in router.caches)
@@ -162,11 +162,11 @@
                 await asyncio.sleep(0.01)
             old.process.send_signal(signal.SIGTERM)
             idle[1].write(read("idle", "k0", 4000))  # to the process that has the connection by now
-            partial[1].write(half[30:])
-            late = await router.connect()
-            late[1].write(read("late", "k5", 4000))
+            partial[1].write(split_command[30:])
+            late_client = await router.connect()
+            late_client[1].write(read("late", "k5", 4000))
             router.answering.set()
-            for reader, _ in (idle, partial, waiting, late, pipelined, pipelined):
+            for reader, _ in (idle, partial, waiting, late_client, pipelined, pipelined):
                 await expect_value(reader)
             assert await old.wait_for_end() == 0
             for number, (reader, writer) in enumerate((idle, partial, waiting, pipelined)):
@@ -219,16 +219,16 @@
             await new.wait_for_end()
             writer.write(read("b"))
             await expect_value(reader)
-            fresh = await router.connect()
-            fresh[1].write(read("c"))
-            await expect_value(fresh[0])
+            new_client = await router.connect()
+            new_client[1].write(read("c"))
+            await expect_value(new_client[0])
             third = await router.start_process()  # in spite of the path left behind by the dead process
             old.process.send_signal(signal.SIGTERM)
             assert await old.wait_for_end() == 0
             assert third.process.returncode is None
-            later = await router.connect()
-            later[1].write(read("d"))
-            await expect_value(later[0])
+            last_client = await router.connect()
+            last_client[1].write(read("d"))
+            await expect_value(last_client[0])
 
     run(test)
 
@@ -399,7 +399,7 @@
     run(test)
 
 
-# Handover state
+# The handover state
 
 
 def test_a_new_process_restores_the_handover_state_of_the_old_one() -> None:
@@ -416,11 +416,11 @@
         dead.health.record(AttemptResult(Outcome.CONNECT_FAILED, False, 4 * S))
     assert old.ejected() == [dead.entry.id]
     new = started(settings(), fleet(3), now=4 * S)
-    fresh = new._origin_limiters["a"].rate_limit
+    initial_limit = new._origin_limiters["a"].rate_limit
     for part in split_handover(old.handover_state(4 * S)):
         new.restore(msgspec.msgpack.decode(msgspec.msgpack.encode(part), type=HandoverState), 4 * S)
     assert new.ejected() == old.ejected()
-    assert new._origin_limiters["a"].rate_limit == old._origin_limiters["a"].rate_limit < fresh / 2
+    assert new._origin_limiters["a"].rate_limit == old._origin_limiters["a"].rate_limit < initial_limit / 2
     assert (
         new._origin_limiters["a"].accepted_calls(4 * S) == old._origin_limiters["a"].accepted_calls(4 * S) > 0
     )
--- a/tests/router/test_aggregator_program.py
+++ b/tests/router/test_aggregator_program.py
@@ -37,9 +37,9 @@
 
 
 def test_aggregators_are_found_among_the_peers_by_address_and_none_without_the_key(tmp_path: Path) -> None:
-    peers = config(tmp_path, peer_aggregators=[PEERS[2], PEERS[0], PEERS[2]]).peers
-    assert peers is not None
-    assert peers.aggregators == (0, 2)
+    peer_config = config(tmp_path, peer_aggregators=[PEERS[2], PEERS[0], PEERS[2]]).peers
+    assert peer_config is not None
+    assert peer_config.aggregators == (0, 2)
     assert aggregator_config(config(tmp_path, peer_aggregators=PEERS[1:])).number == 2
     without_key = config(tmp_path).peers
     assert without_key is not None
--- a/tests/router/test_attempt_timeout.py
+++ b/tests/router/test_attempt_timeout.py
@@ -265,10 +265,10 @@
 
 def test_a_request_that_waited_for_a_worker_sends_no_more_than_the_remaining_time() -> None:
     async def steps(setup: RouterSetup) -> None:
-        here, there = socket.socketpair()
-        reader, writer = await asyncio.open_connection(sock=here)
+        client_socket, router_socket = socket.socketpair()
+        reader, writer = await asyncio.open_connection(sock=client_socket)
         writer.write(read("r"))
-        await setup.node.clients.adopt(None, there.detach(), possible_wait_ns=200 * MS)
+        await setup.node.clients.adopt(None, router_socket.detach(), possible_wait_ns=200 * MS)
         assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         writer.close()
         assert timeouts(setup.cache_infos) == [700]
--- a/tests/router/test_endings.py
+++ b/tests/router/test_endings.py
@@ -236,8 +236,8 @@
         # With an answer, the next command would be handled.
         setup.answer = HIT if "answered" in reason else None
         _, writer = await setup.node.dial()
-        more = command(b"NOSUCH") if reason == "behind a fault" else b""
-        writer.write(read("r1") + more)
+        next_command = command(b"NOSUCH") if reason == "behind a fault" else b""
+        writer.write(read("r1") + next_command)
         if "too many" in reason:
             writer.write(read("r2", "k2") + read("r3", "k3") + read("r4", "k4"))
         await asyncio.wait_for(setup.request_received.wait(), LIMIT_S)
@@ -440,7 +440,7 @@
         # The answer and the end of the connection; a reset would raise an exception here.
         assert await asyncio.wait_for(reader.read(), LIMIT_S) == SERVED
         with suppress(OSError):
-            writer.write(read("r3"))  # after the shutdown
+            writer.write(read("r3"))  # after the router has shut down its side
             writer.write_eof()
         await setup.wait_for_client_count()
         assert request_ids(setup.cache) == ["r1"]
@@ -838,13 +838,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     connection_made = client_connection.ClientConnection.connection_made
-    max_descriptors = accepted = 0
+    max_descriptors = accepted_count = 0
 
     def count_connection(
         connection: client_connection.ClientConnection, transport: asyncio.BaseTransport
     ) -> None:
-        nonlocal max_descriptors, accepted
-        accepted += 1
+        nonlocal max_descriptors, accepted_count
+        accepted_count += 1
         max_descriptors = max(max_descriptors, len(os.listdir("/proc/self/fd")))
         connection_made(connection, transport)
 
@@ -854,7 +854,7 @@
         before = len(os.listdir("/proc/self/fd"))
         # All connect in one event loop iteration.
         clients = [socket.create_connection(setup.node.address) for _ in range(300)]
-        await until(lambda: accepted == len(clients))
+        await until(lambda: accepted_count == len(clients))
         assert (
             0 < max_descriptors - before - len(clients) <= 8 + client_listener.MAX_REJECTING_CONNECTIONS + 1
         )
@@ -992,7 +992,8 @@
         await asyncio.sleep(0)
         for server in origin._writers:
             server.transport.abort()
-        write_now(writer, put(b"w2"))  # the router reads both in one iteration, in either order
+        # The router reads the close and the request in one iteration, in either order.
+        write_now(writer, put(b"w2"))
         answer = await asyncio.wait_for(reader.readline(), LIMIT_S)
         assert origin.seen <= 2
         assert answer == b"$5\r\n" if origin.seen == 2 else answer.startswith(b"-")
--- a/tests/router/test_lines.py
+++ b/tests/router/test_lines.py
@@ -208,11 +208,11 @@
 seconds = 1
 routers = ["router00"]
 """
-    found = lines_of_routers(read_scenario(text, "x"), 1)
-    counted = Counter(found.values())
+    lines = lines_of_routers(read_scenario(text, "x"), 1)
+    counted = Counter(lines.values())
     assert counted["lozenets"] == 1  # only router06
-    assert len({found["router00"], found["router03"], found["router06"]}) == 3
-    assert found["router01"] != found["router04"] == found["router07"] == "mladost"
+    assert len({lines["router00"], lines["router03"], lines["router06"]}) == 3
+    assert lines["router01"] != lines["router04"] == lines["router07"] == "mladost"
 
 
 # The relay between routers
--- a/tests/router/test_long_values.py
+++ b/tests/router/test_long_values.py
@@ -91,7 +91,7 @@
     async def until_idle(self) -> None:
         """Wait until no request and no long value is left in any table."""
         while True:
-            tables = {**self.router.dispatcher.tables(), **self.router.pool.tables()}
+            table_sizes = {**self.router.dispatcher.tables(), **self.router.pool.tables()}
             names = (
                 "requests",
                 "policy_requests",
@@ -100,7 +100,7 @@
                 "bytes_held",
                 "waiting",
             )
-            if not any(tables[name] for name in names):
+            if not any(table_sizes[name] for name in names):
                 return
             await asyncio.sleep(0.01)
 
@@ -262,25 +262,25 @@
 
 
 def test_a_slow_client_pauses_the_stream_of_a_draining_endpoint() -> None:
-    # A connection to a draining server was not paused, and its value was buffered in the router.
+    # A connection to a draining server used not to be paused, and its value was buffered in the router.
     async def test() -> None:
-        go = asyncio.Event()
+        rest_released = asyncio.Event()
 
-        async def all_of_it(writer: Writer) -> bool:
+        async def in_two_parts(writer: Writer) -> bool:
             writer.write(array_header(MAX_VALUE_BYTES) + VALUE[:100])
-            await go.wait()
+            await rest_released.wait()
             for _ in range(4):
                 writer.write(VALUE)
                 await writer.drain()
             return True
 
-        async with StreamingSetup(ScriptedServer(all_of_it)) as scene:
+        async with StreamingSetup(ScriptedServer(in_two_parts)) as scene:
             reader, writer = await scene.ask("a")
             await read_exactly(reader, 50)
             scene.router.pool.remove_endpoint("s1")
             (connection,) = scene.router.clients.connections
             connection.pause_writing()
-            go.set()
+            rest_released.set()
             (upstream,) = scene.router.pool._endpoints["s1"].connections
             while upstream.exchange is not None and not upstream.reading_paused:
                 await asyncio.sleep(0.01)
@@ -292,30 +292,30 @@
 
 
 def test_the_rest_of_an_answer_after_a_streamed_value_is_read_despite_a_slow_client() -> None:
-    # A client that accepted its last bytes late left the connection to the server paused forever.
+    # A client that accepted its last bytes late used to leave the connection to the server paused forever.
     async def test() -> None:
-        last, tail = asyncio.Event(), asyncio.Event()
+        value_end_released, tail_released = asyncio.Event(), asyncio.Event()
 
-        async def in_three(writer: Writer) -> bool:
+        async def in_three_parts(writer: Writer) -> bool:
             writer.write(array_header(len(VALUE)) + VALUE[:-10])
-            await last.wait()
+            await value_end_released.wait()
             writer.write(VALUE[-10:] + TAIL[:2])
-            await tail.wait()
+            await tail_released.wait()
             writer.write(TAIL[2:])
             return True
 
-        async with StreamingSetup(ScriptedServer(in_three)) as scene:
+        async with StreamingSetup(ScriptedServer(in_three_parts)) as scene:
             reader, writer = await scene.ask("a")
-            begin = len(bulk(VALUE)) - 12
-            await read_exactly(reader, begin)
+            start_bytes = len(bulk(VALUE)) - 12
+            await read_exactly(reader, start_bytes)
             (connection,) = scene.router.clients.connections
             connection.pause_writing()
-            last.set()
+            value_end_released.set()
             while b'succeeded"} 1' not in scene.router.dispatcher.metrics.text(0, 0, 0):
                 await asyncio.sleep(0.01)
             connection.resume_writing()
             assert await read_exactly(reader, 12) == VALUE[-10:] + b"\r\n"
-            tail.set()
+            tail_released.set()
             await asyncio.wait_for(scene.until_idle(), LIMIT_S)
             writer.close()
 
--- a/tests/router/test_sockets.py
+++ b/tests/router/test_sockets.py
@@ -129,8 +129,8 @@
         await router.start(*(entry(f"s{i}", cache.port) for i, cache in enumerate(caches)))
         for i in range(9):
             assert await router.ask(read(f"r{i}", f"k{i}"), len(SERVED)) == SERVED
-        asked = [{words[2] for words in cache.seen} for cache in caches]
-        assert sum(len(ids) for ids in asked) == 9  # each request at one server only
+        ids_by_server = [{words[2] for words in cache.seen} for cache in caches]
+        assert sum(len(ids) for ids in ids_by_server) == 9  # each request at one server only
         assert sum(len(cache.seen) for cache in caches) == 27
         router.stop()
         for cache in caches:
@@ -176,14 +176,14 @@
         await router.start(entry("s1", cache.port))
         for i in range(3):
             assert await router.ask(read(f"first{i}"), len(SERVED)) == SERVED
-        lost = [asyncio.create_task(router.ask(read(f"lost{i}", wait=400), 7)) for i in range(8)]
-        for _ in lost:
+        unanswered = [asyncio.create_task(router.ask(read(f"lost{i}", wait=400), 7)) for i in range(8)]
+        for _ in unanswered:
             await asyncio.wait_for(received.acquire(), LIMIT_S)
-        asked = 0
-        while not all(task.done() for task in lost):
-            assert await router.ask(read(f"while{asked}"), 7) == SERVED[:7]
-            asked += 1
-        assert [await task for task in lost] == [b"-BUSY\r\n"] * 8
+        answered_count = 0
+        while not all(task.done() for task in unanswered):
+            assert await router.ask(read(f"while{answered_count}"), 7) == SERVED[:7]
+            answered_count += 1
+        assert [await task for task in unanswered] == [b"-BUSY\r\n"] * 8
         for i in range(60):
             assert await router.ask(read(f"r{i}"), 7) == SERVED[:7]
         router.stop()
@@ -207,24 +207,24 @@
     monkeypatch.setattr(connection_pool, "MAX_CONNECTIONS_PER_ENDPOINT", 1)
 
     async def test() -> None:
-        asked, go = asyncio.Event(), asyncio.Event()
+        request_received, answers_released = asyncio.Event(), asyncio.Event()
         answers = [HIT, HIT, HIT[:9]]
 
         async def answer(_: list[bytes]) -> bytes | None:
-            asked.set()
-            await go.wait()
+            request_received.set()
+            await answers_released.wait()
             return answers.pop(0) if answers else None
 
         cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
         await router.start(entry("s1", cache.port))
         first = asyncio.create_task(router.ask(read("r1"), len(SERVED)))
-        await asyncio.wait_for(asked.wait(), LIMIT_S)
+        await asyncio.wait_for(request_received.wait(), LIMIT_S)
         second = asyncio.create_task(router.ask(read("r2", "other"), len(SERVED)))
         while len(router.dispatcher.open_requests.by_id) < 2:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.05)
-        go.set()
+        answers_released.set()
         assert await first == await second == SERVED
         assert [(event.first_on_connection, event.response_started) for event in events] == [
             (True, True),
@@ -343,20 +343,20 @@
 
 def test_the_id_of_an_open_or_recently_released_request_is_an_error() -> None:
     async def test() -> None:
-        asked, go = asyncio.Event(), asyncio.Event()
+        request_received, answers_released = asyncio.Event(), asyncio.Event()
 
         async def answer(_: list[bytes]) -> bytes:
-            asked.set()
-            await go.wait()
+            request_received.set()
+            await answers_released.wait()
             return HIT
 
         cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
         await router.start(entry("s1", cache.port))
         first = asyncio.create_task(router.ask(read("same"), len(SERVED)))
-        await asyncio.wait_for(asked.wait(), LIMIT_S)
+        await asyncio.wait_for(request_received.wait(), LIMIT_S)
         assert (await router.ask(read("same"), 1000)).startswith(b"-ERR ")
-        go.set()
+        answers_released.set()
         assert await first == SERVED
         assert (await router.ask(read("same"), 1000)).startswith(b"-ERR ")
         assert len(cache.seen) == 1
@@ -450,11 +450,11 @@
     monkeypatch.setattr(graceful_shutdown, "ACCEPT_AFTER_SIGTERM_S", 0.05)
 
     async def test() -> None:
-        asked, go = asyncio.Event(), asyncio.Event()
+        request_received, answers_released = asyncio.Event(), asyncio.Event()
 
         async def answer(_: list[bytes]) -> bytes:
-            asked.set()
-            await go.wait()
+            request_received.set()
+            await answers_released.wait()
             return HIT
 
         cache = Cache(answer)
@@ -477,10 +477,10 @@
         assert await asyncio.wait_for(idle.readexactly(7), LIMIT_S) == b"+PONG\r\n"
         busy, sender = await asyncio.open_connection(*address)
         sender.write(read("r1", wait=20_000))
-        await asyncio.wait_for(asked.wait(), LIMIT_S)
+        await asyncio.wait_for(request_received.wait(), LIMIT_S)
         os.kill(os.getpid(), signal.SIGTERM)
         assert await asyncio.wait_for(idle.read(), LIMIT_S) == b""  # closed while the other waits
-        go.set()
+        answers_released.set()
         assert await asyncio.wait_for(busy.read(), LIMIT_S) == SERVED  # the answer, then the close
         await asyncio.wait_for(router, LIMIT_S)
         for writer in (idler, sender):
@@ -494,7 +494,7 @@
 def test_a_pipeline_above_the_limit_is_answered_completely_and_in_order(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # At the limit reading stopped, and nothing resumed it.
+    # The router used to stop reading at the limit of unanswered commands, and never resumed.
     monkeypatch.setattr(client_connection, "MAX_PIPELINE", 4)
 
     async def test() -> None:
@@ -508,8 +508,8 @@
             ids = [f"{count:02}{i:02}" for i in range(count)]
             reader, writer = await router.dial()
             writer.write(b"".join(read(name, f"k{name}") for name in ids))
-            want = b"".join(b"$4\r\n%b\r\n" % name.encode() for name in ids)
-            assert await asyncio.wait_for(reader.readexactly(len(want)), LIMIT_S) == want
+            expected = b"".join(b"$4\r\n%b\r\n" % name.encode() for name in ids)
+            assert await asyncio.wait_for(reader.readexactly(len(expected)), LIMIT_S) == expected
             writer.write(command(b"PING"))
             assert await asyncio.wait_for(reader.readexactly(7), LIMIT_S) == b"+PONG\r\n"
             writer.close()
@@ -532,16 +532,18 @@
         cache, router = Cache(answer), LoopbackRouter(limit=20)
         await cache.start()
         await router.start(entry("s1", cache.port))
-        stayed = []
+        idle_connections = []
         for i in range(16):
             reader, writer = await router.dial()
             writer.write(read(f"r{i}"))
             assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
-            stayed.append((reader, writer))
-        assert await asyncio.wait_for(stayed[0][0].read(), LIMIT_S) == b""  # idle longest: closed first
+            idle_connections.append((reader, writer))
+        assert (
+            await asyncio.wait_for(idle_connections[0][0].read(), LIMIT_S) == b""
+        )  # the one idle longest is closed first
         while router.clients.connection_count > 8:
             await asyncio.sleep(0.01)
-        for _, writer in stayed:
+        for _, writer in idle_connections:
             writer.close()
         router.stop()
         cache.stop()
@@ -560,10 +562,10 @@
         await cache.start()
         router = LoopbackRouter()
         await router.start(entry("s1", cache.port))
-        here, there = socket.socketpair()
-        reader, writer = await asyncio.open_connection(sock=here)
+        client_socket, router_socket = socket.socketpair()
+        reader, writer = await asyncio.open_connection(sock=client_socket)
         writer.write(read("late", wait=100) + read("later", wait=900))
-        await router.clients.adopt(None, there.detach(), possible_wait_ns=200 * 1_000_000)
+        await router.clients.adopt(None, router_socket.detach(), possible_wait_ns=200 * 1_000_000)
         assert (await asyncio.wait_for(reader.readline(), LIMIT_S)).startswith((b"-BUSY", b"-ERR failed"))
         assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         assert [words[2] for words in cache.seen] == [b"later"]
@@ -624,23 +626,23 @@
 def test_a_late_answer_is_dropped_and_its_connection_reused() -> None:
     # Scenario join+mass: each abandoned request cost a dial, and the dials kept the servers late.
     async def test() -> None:
-        late = DelayedAnswers()
-        cache, router = await late.start()
+        setup = DelayedAnswers()
+        cache, router = await setup.start()
         assert not (await router.ask(read("r1", "first", 60), 7)).startswith(b"$")
         assert router.pool.tables()["owed"] == 1
         assert router.pool.tables()["connections"] == 1
-        late.released[0].set()
+        setup.released[0].set()
         await until_idle(router)
         assert router.pool.counters.late_answers == 1
-        asked = asyncio.create_task(
+        second_read = asyncio.create_task(
             with_trusted_endpoint(router).ask(read("r2", "other", 60_000), len(SERVED))
         )
-        await late.commands_received(2)
-        late.released[1].set()
-        assert await asked == b"$5\r\nother\r\n"
+        await setup.commands_received(2)
+        setup.released[1].set()
+        assert await second_read == b"$5\r\nother\r\n"
         assert cache.connections == 1
         assert router.pool.tables()["owed"] == 0
-        late.stop()
+        setup.stop()
 
     run(test)
 
@@ -652,8 +654,8 @@
     monkeypatch.setattr(connection_pool, "LATE_ANSWER_TIMEOUT_S", 0.0)
 
     async def test() -> None:
-        late = DelayedAnswers(hedging)
-        _, router = await late.start()
+        setup = DelayedAnswers(hedging)
+        _, router = await setup.start()
         for i in range(6):  # at most a quarter of a server's connections await late answers
             await with_trusted_endpoint(router).ask(read(f"r{i}", "first", 60), 7)
         assert router.pool.tables()["owed"] == (4 if hedging else 0)
@@ -661,13 +663,13 @@
             while router.pool.tables()["connections"]:  # the sweep
                 await asyncio.sleep(0.01)
         assert router.pool.tables()["owed"] == router.pool.tables()["descriptors_counted"] == 0
-        asked = asyncio.create_task(
+        second_read = asyncio.create_task(
             with_trusted_endpoint(router).ask(read("last", "other", 60_000), len(SERVED))
         )
-        await late.commands_received(7)
-        late.released[-1].set()
-        assert await asked == b"$5\r\nother\r\n"
-        late.stop()
+        await setup.commands_received(7)
+        setup.released[-1].set()
+        assert await second_read == b"$5\r\nother\r\n"
+        setup.stop()
 
     run(test)
 
@@ -676,8 +678,8 @@
     monkeypatch.setattr(connection_pool, "LATE_ANSWER_TIMEOUT_S", 1e9)  # the sweep must not close it
 
     async def test() -> None:
-        late = DelayedAnswers()
-        _, router = await late.start()
+        setup = DelayedAnswers()
+        _, router = await setup.start()
         await router.ask(read("r1", "first", 60), 7)
         assert router.pool.tables()["owed"] == 1
         router.pool.remove_endpoint("s1")
@@ -685,7 +687,7 @@
             while router.pool.tables()["connections"]:
                 await asyncio.sleep(0.005)
         assert router.pool.tables()["owed"] == router.pool.tables()["servers"] == 0
-        late.stop()
+        setup.stop()
 
     run(test)
 
--- a/tests/router/test_timer_wheel.py
+++ b/tests/router/test_timer_wheel.py
@@ -19,7 +19,7 @@
         self.now = 7 * TICK_NS + 3
         self.due: int | None = None
         self.callback: Callable[[], None] | None = None
-        self.faults: list[dict[str, Any]] = []
+        self.exception_contexts: list[dict[str, Any]] = []
         self.timers = 0
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> Clock:
@@ -32,7 +32,7 @@
         self.due = self.callback = None
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        self.faults.append(context)
+        self.exception_contexts.append(context)
 
     def run_until(self, end: int) -> None:
         while self.due is not None and self.due <= end:
@@ -105,7 +105,7 @@
     cancelled = timers.call_at(clock.now, lambda: called.append("cancelled"))
     clock.run_until(clock.now + 5 * TICK_NS)
     assert called == ["kept"]
-    assert [str(fault["exception"]) for fault in clock.faults] == ["planted"]
+    assert [str(context["exception"]) for context in clock.exception_contexts] == ["planted"]
 
 
 def test_an_earlier_timer_is_called_first_and_a_closed_wheel_sets_none() -> None:
