--- a/holdgw/cli/run_report.py
+++ b/holdgw/cli/run_report.py
@@ -82,8 +82,8 @@
 
 
 def _print_verdict(console: Console, body: dict[str, Any]) -> None:
-    for odd in body["odd"][:MAX_UNEXPECTED_SHOWN]:
-        console.print(f"odd: {odd['at']:.3f} s {odd['server']}: {odd['text']}")
+    for unexpected in body["odd"][:MAX_UNEXPECTED_SHOWN]:
+        console.print(f"odd: {unexpected['at']:.3f} s {unexpected['server']}: {unexpected['text']}")
     for broken in body["broken"][:MAX_BROKEN_SHOWN]:
         ids = " ".join(broken["requests"])
         console.print(f"[red]broken: {broken['rule']}[/] at {broken['at']:.3f} s {ids}: {broken['text']}")
--- a/holdgw/cli/simulate.py
+++ b/holdgw/cli/simulate.py
@@ -104,8 +104,8 @@
 
 def _chosen_seeds(scenario: Scenario, seed: int | None, seeds: str | None, trace: Path | None) -> range:
     if seeds is None:
-        single = scenario.seed if seed is None else seed
-        return range(single, single + 1)
+        only_seed = scenario.seed if seed is None else seed
+        return range(only_seed, only_seed + 1)
     if seed is not None:
         raise UsageError("--seed and --seeds: give one of them")
     if trace is not None:
--- a/holdgw/cores/endpoint_feed.py
+++ b/holdgw/cores/endpoint_feed.py
@@ -49,7 +49,7 @@
             config.settings.subscription_required,
             self._clock,
             self._apply,
-            self._handle_failure,
+            self._poll_failed,
         )
         self.overrides = EndpointOverrides(config.settings.origin_kind)
         self.has_list = False
@@ -94,7 +94,7 @@
         if update is not None:
             self._on_update(update)
 
-    def _handle_failure(self) -> None:
+    def _poll_failed(self) -> None:
         self._dispatch(EndpointsChanged(UpdateKind.FAILED))
 
     def _dispatch(self, event: EndpointsChanged | TimerFired) -> None:
--- a/holdgw/cores/messages.py
+++ b/holdgw/cores/messages.py
@@ -105,6 +105,6 @@
         return None if part.more else update
 
 
-def _join(update: EndpointUpdate, more: EndpointUpdate) -> EndpointUpdate:
-    change = EndpointsChanged(update.change.kind, update.change.endpoints + more.change.endpoints)
-    return replace(update, change=change, addresses=update.addresses | more.addresses)
+def _join(update: EndpointUpdate, next_part: EndpointUpdate) -> EndpointUpdate:
+    change = EndpointsChanged(update.change.kind, update.change.endpoints + next_part.change.endpoints)
+    return replace(update, change=change, addresses=update.addresses | next_part.addresses)
--- a/holdgw/cores/worker.py
+++ b/holdgw/cores/worker.py
@@ -94,7 +94,7 @@
         # Until the worker is sent its limit shares, it must not use shares that other workers still have.
         tenants = (*(tenant.name for tenant in config.settings.tenants), "")
         self.dispatcher.dispatch(LimitSharesChanged(dict.fromkeys(tenants, MIN_SHARE)))
-        self.dispatcher.shared = self
+        self.dispatcher.shared_state = self
         self.link: ProcessLink[ToWorker] = host_system.open_link(
             LinkHandlers(decode_to_worker, self._receive, self._link_closed)
         )
--- a/holdgw/cores/worker_pool.py
+++ b/holdgw/cores/worker_pool.py
@@ -34,14 +34,14 @@
     if not 1 <= workers <= MAX_WORKERS:
         raise InsufficientResourcesError(f"--cores: expected 1 to {MAX_WORKERS}, got {workers}")
     if memory_bytes // processes < MIN_PROCESS_MEMORY_BYTES:
-        need_mb = processes * MIN_PROCESS_MEMORY_BYTES >> 20
+        needed_mb = processes * MIN_PROCESS_MEMORY_BYTES >> 20
         raise InsufficientResourcesError(
-            f"{workers} workers need {need_mb} MB of memory; limits.memory_mb is {memory_bytes >> 20}"
+            f"{workers} workers need {needed_mb} MB of memory; limits.memory_mb is {memory_bytes >> 20}"
         )
     if sockets // processes < MIN_PROCESS_SOCKETS:
-        need = processes * MIN_PROCESS_SOCKETS
+        needed_descriptors = processes * MIN_PROCESS_SOCKETS
         raise InsufficientResourcesError(
-            f"{workers} workers need {need} descriptors; limits.sockets is {sockets}"
+            f"{workers} workers need {needed_descriptors} descriptors; limits.sockets is {sockets}"
         )
 
 
@@ -158,12 +158,12 @@
 
     def process_ended(self, process: WorkerProcess, now: float) -> float | None:
         """Remove a process that has ended; returns the seconds until its restart, None for no restart."""
-        before = process.state
+        last_state = process.state
         process.state = WorkerState.ENDED
         self.processes.remove(process)
-        if before is WorkerState.DRAINING or self.ending:
+        if last_state is WorkerState.DRAINING or self.ending:
             return None
-        failed = before is WorkerState.STARTING or now - process.started_s < STABLE_AFTER_S
+        failed = last_state is WorkerState.STARTING or now - process.started_s < STABLE_AFTER_S
         failures = self._failed_starts[process.index] + 1 if failed else 0
         self._failed_starts[process.index] = failures
         if self._serving_at(process.index) is not None:
@@ -299,10 +299,10 @@
                 changes.setdefault(process, {})[tenant] = process.share(tenant)
 
     def _raise_shares(self, tenant: str, targets: Shares, changes: Shares) -> None:
-        free = 1.0 - sum(process.peak_share(tenant) for process in self.processes)
+        unassigned = 1.0 - sum(process.peak_share(tenant) for process in self.processes)
         for process in sorted(targets, key=lambda process: process.share(tenant)):
-            raised_by = min(targets[process][tenant] - process.share(tenant), free)
+            raised_by = min(targets[process][tenant] - process.share(tenant), unassigned)
             if raised_by > MIN_SHARE_CHANGE:
                 process.set_share(tenant, process.share(tenant) + raised_by)
                 changes.setdefault(process, {})[tenant] = process.share(tenant)
-                free -= raised_by
+                unassigned -= raised_by
--- a/holdgw/operation/fleet_log.py
+++ b/holdgw/operation/fleet_log.py
@@ -13,8 +13,8 @@
 from holdgw.operation.interval_counters import IntervalRecord, parse_log_line
 
 
-def _add(sums: dict[str, float], more: Mapping[str, float]) -> None:
-    for name, amount in more.items():
+def _add(sums: dict[str, float], amounts: Mapping[str, float]) -> None:
+    for name, amount in amounts.items():
         sums[name] += amount
 
 
--- a/holdgw/operation/interval_counters.py
+++ b/holdgw/operation/interval_counters.py
@@ -78,8 +78,8 @@
         """
         if purpose:
             self.add(f"why {purpose}.{outcome}")
-        where = "origin" if fetched_key is not None else "cache"
-        self.add(f"{where}.{outcome}{'.fresh' if first_on_connection else ''}{'.late' if late else ''}")
+        target = "origin" if fetched_key is not None else "cache"
+        self.add(f"{target}.{outcome}{'.fresh' if first_on_connection else ''}{'.late' if late else ''}")
         if fetched_key is None:
             self._count_endpoint(endpoint_id, late, answered=outcome in ("ok", "miss"))
         elif len(self._fetched_key_hashes) < MAX_KEYS:
--- a/holdgw/operation/process_link.py
+++ b/holdgw/operation/process_link.py
@@ -65,7 +65,10 @@
 
 
 def split_handover(state: HandoverState) -> Iterator[HandoverState]:
-    """Split handover state into parts that each fit into one message."""
+    """Split handover state into parts that each fit into one message.
+
+    Of a tenant's calls only the last MAX_PART_ITEMS are kept.
+    """
     yield replace(state, endpoints={}, tenants={}, slot_popularity={}, tenant_usage={})
     for names in batched(state.endpoints, MAX_PART_ITEMS):
         yield HandoverState(endpoints={name: state.endpoints[name] for name in names})
--- a/holdgw/router/client_connection.py
+++ b/holdgw/router/client_connection.py
@@ -271,18 +271,18 @@
 
     def _update_reading(self) -> None:
         if self._lingering is not None:
-            wanted = self._lingering.accepts_input
+            should_read = self._lingering.accepts_input
         else:  # check_disconnected finds a client that disconnects while reading is paused
-            wanted = not (
+            should_read = not (
                 self.write_blocked
                 or self._closing_after_replies
                 or self._handing_over
                 or len(self.replies) >= MAX_PIPELINE
             )
-        if wanted == self._reading or self.transport is None or self.transport.is_closing():
+        if should_read == self._reading or self.transport is None or self.transport.is_closing():
             return
-        self._reading = wanted
-        if wanted:
+        self._reading = should_read
+        if should_read:
             self.transport.resume_reading()
         else:
             self.transport.pause_reading()
@@ -347,16 +347,16 @@
             self._update_reading()
         if self.replies or self.write_blocked or transport.is_closing() or transport.get_write_buffer_size():
             return False
-        buffered = self._reader.buffered
-        if len(buffered) > MAX_PENDING_COMMAND_BYTES:
+        pending_bytes = self._reader.buffered
+        if len(pending_bytes) > MAX_PENDING_COMMAND_BYTES:
             return False
         # Input that this process reads between the duplication and the close would be lost. None is read, as
-        # both happen in one turn of the event loop; the duplicate keeps the socket open.
+        # both happen in one iteration of the event loop; the duplicate keeps the socket open.
         descriptor = self.listener.duplicate_descriptor(transport)
-        since = self.command_started_at if self._reader.has_partial_command else self.last_active_at
-        waited_s = max(self.listener.loop.time() - since, 0.0)
+        waiting_since_s = self.command_started_at if self._reader.has_partial_command else self.last_active_at
+        waited_s = max(self.listener.loop.time() - waiting_since_s, 0.0)
         unread_since = self.listener.handler.unread_since()
-        handover = ClientHandover(buffered, self.has_sent_command, waited_s, unread_since)
+        handover = ClientHandover(pending_bytes, self.has_sent_command, waited_s, unread_since)
         self.abort()
         send(handover, descriptor)
         return True
--- a/holdgw/router/client_listener.py
+++ b/holdgw/router/client_listener.py
@@ -120,15 +120,15 @@
             self._connections[connection] = None
             return
         # Without a limit, clients that only connect would leave no descriptors for endpoints or others.
-        full = len(self._connections) >= self._limit + MAX_REJECTING_CONNECTIONS
-        if full and self.lingering:
+        is_full = len(self._connections) >= self._limit + MAX_REJECTING_CONNECTIONS
+        if is_full and self.lingering:
             next(iter(self.lingering)).abort()
-            full = False
+            is_full = False
         if len(self._connections) - len(self.lingering) >= self._limit:
             candidate = self._eviction_candidate()
             if candidate is not None:
-                candidate.evict(at_once=full)
-            elif full:
+                candidate.evict(at_once=is_full)
+            elif is_full:
                 connection.abort()
                 return
             else:
@@ -241,7 +241,9 @@
         unsent = sum(connection.unsent_bytes for connection in self._connections)
         if unsent <= self._max_unsent_bytes:
             return
-        for connection in sorted(self._connections, key=lambda c: c.unsent_bytes, reverse=True):
+        for connection in sorted(
+            self._connections, key=lambda connection: connection.unsent_bytes, reverse=True
+        ):
             if unsent <= self._max_unsent_bytes:
                 break
             unsent -= connection.unsent_bytes
--- a/holdgw/router/descriptor_limits.py
+++ b/holdgw/router/descriptor_limits.py
@@ -26,6 +26,6 @@
     them would leave no descriptors for discovery or for connections to endpoints.
     """
     reserved = OWN_DESCRIPTORS + MAX_REJECTING_CONNECTIONS
-    divided = max(max_descriptors // processes - reserved, MIN_DIVIDED_DESCRIPTORS)
-    clients = int(divided * CLIENT_DESCRIPTOR_FRACTION)
-    return DescriptorLimits(clients, divided - clients)
+    available = max(max_descriptors // processes - reserved, MIN_DIVIDED_DESCRIPTORS)
+    clients = int(available * CLIENT_DESCRIPTOR_FRACTION)
+    return DescriptorLimits(clients, available - clients)
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -106,7 +106,7 @@
         """Whether there is an endpoint list; until then a client's PING is answered with an error."""
         self.subscribe: Callable[[], None] = lambda: None
         """Starts a watch where discovery is polled; set by the owner of the watch."""
-        self.shared: SharedState | None = None
+        self.shared_state: SharedState | None = None
         """None if this process is the whole router."""
         self._policy = RoutingPolicy(settings, seed)
         self.uses_load_reports = self._policy.uses_load_reports
@@ -202,7 +202,7 @@
         if error_text:
             reply.send_error_and_close(error_text)
         elif self.open_requests.knows(request_id) or (
-            self.shared is not None and not self.shared.claim(command.id)
+            self.shared_state is not None and not self.shared_state.claim(command.id)
         ):
             # Two requests with one id would share attempts, and one would get the other's answer.
             reply.send_error_and_close("duplicate id")
@@ -352,8 +352,8 @@
         """Pass the routing policy an event; one caused by an action is queued until all actions are done."""
         # A worker that was stalled may find clients' commands and an endpoint update at once, and read the
         # commands first: without this it would send attempts to an endpoint announced long ago as draining.
-        if self.shared is not None and not self._handling:
-            self.shared.catch_up()
+        if self.shared_state is not None and not self._handling:
+            self.shared_state.catch_up()
         self._events.append(event)
         self._handle_events()
 
@@ -415,8 +415,8 @@
         now_ns = self.now_ns()
         to_origin = action.endpoint_id in self._origins
         attempt = Attempt(self, request, action.endpoint_id, to_origin, action.purpose)
-        too_many = request.attempts > self.settings.max_attempts
-        if request.answered or request.remaining_ms(now_ns) < 1 or too_many:
+        has_too_many_attempts = request.attempts > self.settings.max_attempts
+        if request.answered or request.remaining_ms(now_ns) < 1 or has_too_many_attempts:
             attempt.end(Outcome.NOT_SENT)
             return
         due_ns = request.deadline_ns
--- a/holdgw/router/endpoint_connection.py
+++ b/holdgw/router/endpoint_connection.py
@@ -37,10 +37,9 @@
         self.write_pending = False  # the kernel has not accepted the last byte of the request yet
         self.retired = False  # no further exchange may start
         self.reading_paused = False
-        self.was_overloaded = (
-            False  # the last answer was a rejection, which the endpoint may follow by a close
-        )
-        self._used = False
+        # Whether the last answer was a rejection, which the endpoint may follow by a close.
+        self.was_overloaded = False
+        self._had_exchange = False
 
     # Protocol callbacks of asyncio
 
@@ -118,8 +117,8 @@
         assert self.transport is not None
         self.exchange = exchange
         exchange.connection = self
-        exchange.first_on_connection = not self._used
-        self._used = True
+        exchange.first_on_connection = not self._had_exchange
+        self._had_exchange = True
         self.transport.write(exchange.request_bytes(self.endpoint.address))
         if not self.write_pending:
             exchange.on_written()
--- a/holdgw/router/program.py
+++ b/holdgw/router/program.py
@@ -237,11 +237,12 @@
 
     def take_observations(self) -> Observations:
         """The routing policy's observations since the last call."""
-        waits, slot_requests = self.dispatcher.take_observations()
-        sampled_waits = {
-            endpoint_id: SampledResponseTime(wait, at) for endpoint_id, (wait, at) in waits.items()
+        response_times, slot_requests = self.dispatcher.take_observations()
+        sampled = {
+            endpoint_id: SampledResponseTime(response_time_ns, reported_ns)
+            for endpoint_id, (response_time_ns, reported_ns) in response_times.items()
         }
-        return Observations(sampled_waits, slot_requests)
+        return Observations(sampled, slot_requests)
 
     def demands(self) -> dict[str, float]:
         """Each tenant's demand for the origin in calls per second."""
--- a/tests/router/test_endings.py
+++ b/tests/router/test_endings.py
@@ -153,11 +153,11 @@
     async def steps(setup: RouterSetup) -> None:
         first = asyncio.create_task(setup.node.ask(read("r0"), len(SERVED)))
         await asyncio.wait_for(setup.request_received.wait(), LIMIT_S)
-        leaving = [await setup.node.dial() for _ in range(count)]
-        for i, (_, writer) in enumerate(leaving):
+        disconnecting = [await setup.node.dial() for _ in range(count)]
+        for i, (_, writer) in enumerate(disconnecting):
             writer.write(read(f"g{i}", f"k{i}"))
         await until(lambda: len(setup.node.dispatcher.open_requests.by_id) == 1 + count)
-        for _, writer in leaving:
+        for _, writer in disconnecting:
             if reset:
                 sock = writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
@@ -766,14 +766,14 @@
     assert pushed + 2 * (discovery.RETRY_S + discovery.QUICK_TIMEOUT_S) < notification_bound_s
     first_pause_s = 1.0
     assert discovery.POLL_SLACK_S + first_pause_s <= 2.0  # beyond a call's wait, as documented
-    longest = 0
+    longest_delay_ns = 0
     router = RoutingPolicy(settings(subscription_required=True, poll_within_ns=3600 * S), 7)
     for i in range(40):
         for action in router.handle(EndpointsChanged(UpdateKind.FAILED), i * S):
             assert isinstance(action, SetTimer)
-            longest = max(longest, action.delay_ns)
+            longest_delay_ns = max(longest_delay_ns, action.delay_ns)
             router.handle(TimerFired("subscribe"), i * S)
-    assert notification_bound_s > longest / S + discovery.POLL_SLACK_S
+    assert notification_bound_s > longest_delay_ns / S + discovery.POLL_SLACK_S
     first = RoutingPolicy(settings(subscription_required=True, poll_within_ns=3600 * S), 7)
     (action,) = first.handle(EndpointsChanged(UpdateKind.FAILED), 0)
     assert isinstance(action, SetTimer)
@@ -782,10 +782,10 @@
 
 def test_an_unanswered_watch_at_a_polled_service_is_detected_within_six_seconds() -> None:
     assert discovery.POLL_WAIT_MS / 1000 + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
-    wait = discovery._Watch(("127.0.0.1", 9), 0, needs_full_list=True).timeout
+    watch_timeout = discovery._Watch(("127.0.0.1", 9), 0, needs_full_list=True).timeout
     for _ in range(60):
-        wait.timed_out(0.1)  # the delay at a service with capacity
-    assert wait.wait_s + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
+        watch_timeout.timed_out(0.1)  # the delay at a service with capacity
+    assert watch_timeout.wait_s + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
 
 
 def test_the_old_services_list_is_replaced_once_the_new_service_sends_one(tmp_path: Path) -> None:
--- a/tests/router/test_lines.py
+++ b/tests/router/test_lines.py
@@ -107,12 +107,12 @@
 def test_a_connection_opened_just_before_a_partition_survives_with_the_send_time_of_its_bytes() -> None:
     async def steps(proxy: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         await asyncio.sleep(0)
-        with socket.create_connection(address) as early:  # this connection waits in the listener's queue
+        with socket.create_connection(address) as client:  # this connection waits in the listener's queue
             proxy.block("both", 0.5)
-            early.sendall(b"a")
-            early.setblocking(False)
+            client.sendall(b"a")
+            client.setblocking(False)
             loop = asyncio.get_running_loop()
-            assert await asyncio.wait_for(loop.sock_recv(early, 1), LIMIT_S) == b"A"
+            assert await asyncio.wait_for(loop.sock_recv(client, 1), LIMIT_S) == b"A"
         assert seen[:2] == ["made", "a held"]
 
     run_with_proxy(steps)
@@ -127,11 +127,11 @@
 
     async def steps(proxy: FaultProxy, listener: ProxiedListener, address: Address, seen: list[str]) -> None:
         proxy.block("both", 0.5)
-        with socket.create_connection(address) as during:
-            during.sendall(b"a")
-            during.setblocking(False)
+        with socket.create_connection(address) as client:
+            client.sendall(b"a")
+            client.setblocking(False)
             with pytest.raises(ConnectionResetError):
-                await asyncio.wait_for(asyncio.get_running_loop().sock_recv(during, 1), LIMIT_S)
+                await asyncio.wait_for(asyncio.get_running_loop().sock_recv(client, 1), LIMIT_S)
         assert not proxy.blocked
         assert seen == []
 
@@ -261,16 +261,16 @@
         for sock in socks.values():
             sock.bind(("127.0.0.1", 0))
             sock.setblocking(False)
-        listens = {name: sock.getsockname() for name, sock in socks.items()}
-        relay = Relay(model(), listens, loop.time, "127.0.0.1")
-        known = await relay.start()
-        socks["a"].sendto(b"one", known["b"])
-        assert await loop.sock_recvfrom(socks["b"], 512) == (b"one", known["a"])
-        socks["b"].sendto(b"all", known[ALL])
+        addresses = {name: sock.getsockname() for name, sock in socks.items()}
+        relay = Relay(model(), addresses, loop.time, "127.0.0.1")
+        relay_addresses = await relay.start()
+        socks["a"].sendto(b"one", relay_addresses["b"])
+        assert await loop.sock_recvfrom(socks["b"], 512) == (b"one", relay_addresses["a"])
+        socks["b"].sendto(b"all", relay_addresses[ALL])
         for name in "ac":
-            assert await loop.sock_recvfrom(socks[name], 512) == (b"all", known["b"])
+            assert await loop.sock_recvfrom(socks[name], 512) == (b"all", relay_addresses["b"])
         stranger = socket.socket(type=socket.SOCK_DGRAM)
-        stranger.sendto(b"noise", known["a"])
+        stranger.sendto(b"noise", relay_addresses["a"])
         while not relay.unknown:
             await asyncio.sleep(0.01)
         relay.close()
--- a/tests/router/test_long_values.py
+++ b/tests/router/test_long_values.py
@@ -143,21 +143,21 @@
 
 def test_a_long_value_is_streamed_while_it_arrives_and_beyond_the_deadline() -> None:
     async def test() -> None:
-        go = asyncio.Event()
+        rest_released = asyncio.Event()
 
-        async def slowly(writer: Writer) -> bool:
+        async def in_two_parts(writer: Writer) -> bool:
             writer.write(array_header(len(VALUE)) + VALUE[:1000])
-            await go.wait()
+            await rest_released.wait()
             writer.write(VALUE[1000:] + TAIL)
             return True
 
-        async with StreamingSetup(ScriptedServer(slowly)) as scene:
+        async with StreamingSetup(ScriptedServer(in_two_parts)) as scene:
             reader, writer = await scene.ask("a", wait=150)
             begin = b"$%d\r\n" % len(VALUE) + VALUE[:1000]
             assert await read_exactly(reader, len(begin)) == begin
             await asyncio.sleep(0.3)  # beyond the client's timeout, and the sweep has run
             assert scene.router.dispatcher.outstanding == 1
-            go.set()
+            rest_released.set()
             assert await read_exactly(reader, len(VALUE) - 998) == VALUE[1000:] + b"\r\n"
             writer.close()
             await scene.until_idle()
@@ -169,7 +169,7 @@
     async def test() -> None:
         written = 0
 
-        async def all_of_it(writer: Writer) -> bool:
+        async def whole_value(writer: Writer) -> bool:
             nonlocal written
             writer.write(array_header(MAX_VALUE_BYTES))
             for _ in range(MAX_VALUE_BYTES // (64 << 10)):
@@ -179,7 +179,7 @@
             writer.write(TAIL)
             return True
 
-        async with StreamingSetup(ScriptedServer(all_of_it)) as scene:
+        async with StreamingSetup(ScriptedServer(whole_value)) as scene:
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.setblocking(False)
@@ -231,10 +231,10 @@
 
 def test_a_streamed_value_that_breaks_before_its_turn_becomes_an_error() -> None:
     async def test() -> None:
-        go = asyncio.Event()
+        first_released = asyncio.Event()
 
-        async def later(writer: Writer) -> bool:
-            await go.wait()
+        async def first_answer(writer: Writer) -> bool:
+            await first_released.wait()
             writer.write(array_header(5) + b"first" + TAIL)
             return True
 
@@ -243,7 +243,7 @@
             return False
 
         async with StreamingSetup(
-            ScriptedServer(later, breaks, answer_with(array_header(5) + b"third" + TAIL))
+            ScriptedServer(first_answer, breaks, answer_with(array_header(5) + b"third" + TAIL))
         ) as scene:
             reader, writer = await scene.ask("a")
             while not scene.cache.connections:
@@ -251,7 +251,7 @@
             writer.write(read("b", "key-b"))
             while b'aborted"} 1' not in scene.router.dispatcher.metrics.text(0, 0, 0):
                 await asyncio.sleep(0.01)
-            go.set()
+            first_released.set()
             assert await read_exactly(reader, 11) == bulk(b"first")
             assert await read_exactly(reader, 13) == b"-ERR failed\r\n"
             writer.write(read("c", "key-c"))
@@ -447,10 +447,10 @@
     fetch = only_send(policy.handle(ended(first, Outcome.MISS), 2))
     second = only_send(policy.handle(request("b"), 3))
     assert not sends(policy.handle(ended(second, Outcome.MISS), 4))  # the request waits for the fetch
-    load = [endpoint.in_flight for endpoint in policy._origins.endpoints.values()]
-    again = only_send(policy.handle(StreamStarted("a", 1), 5))
-    assert (again.request_id, again.endpoint_id) == ("b", second.endpoint_id)
-    assert [endpoint.in_flight for endpoint in policy._origins.endpoints.values()] == [load[0] - 1]
+    in_flight = [endpoint.in_flight for endpoint in policy._origins.endpoints.values()]
+    second_retry = only_send(policy.handle(StreamStarted("a", 1), 5))
+    assert (second_retry.request_id, second_retry.endpoint_id) == ("b", second.endpoint_id)
+    assert [endpoint.in_flight for endpoint in policy._origins.endpoints.values()] == [in_flight[0] - 1]
     assert not policy.handle(StreamStarted("a", 1), 6)  # a repeated event counts once
     policy.handle(ended(fetch, Outcome.OK, attempt=1), 7)
     assert [endpoint.in_flight for endpoint in policy._origins.endpoints.values()] == [0]
--- a/tests/router/test_sockets.py
+++ b/tests/router/test_sockets.py
@@ -329,12 +329,12 @@
         cache, router = Cache(answer), LoopbackRouter()
         await cache.start()
         await router.start(entry("s1", cache.port))
-        usual, sender = await router.dial()
-        sender.write(read("r1"))
-        assert await asyncio.wait_for(usual.readexactly(len(SERVED)), LIMIT_S) == SERVED
+        reader, writer = await router.dial()
+        writer.write(read("r1"))
+        assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         assert (await router.ask(start, 1000)).startswith(b"-ERR ")
-        sender.write(read("r2"))
-        assert await asyncio.wait_for(usual.readexactly(len(SERVED)), LIMIT_S) == SERVED
+        writer.write(read("r2"))
+        assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         router.stop()
         cache.stop()
 
@@ -378,9 +378,9 @@
         cache, router = Cache(answer), LoopbackRouter(limit=8)
         await cache.start()
         await router.start(entry("s1", cache.port))
-        usual, sender = await router.dial()
-        sender.write(read("r1"))
-        assert await asyncio.wait_for(usual.readexactly(len(SERVED)), LIMIT_S) == SERVED
+        reader, writer = await router.dial()
+        writer.write(read("r1"))
+        assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         silent = []
         for _ in range(30):
             silent.append(await router.dial())
@@ -388,8 +388,8 @@
             await asyncio.sleep(0.01)  # lets the router read it; the assertions don't depend on it
         while router.clients.connection_count < 8 or sum(reader.at_eof() for reader, _ in silent) < 20:
             await asyncio.sleep(0.01)
-        sender.write(read("r2"))
-        assert await asyncio.wait_for(usual.readexactly(len(SERVED)), LIMIT_S) == SERVED
+        writer.write(read("r2"))
+        assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         assert await router.ask(read("r3"), len(SERVED)) == SERVED  # a new client is admitted
         for _, writer in silent:
             writer.close()
@@ -472,18 +472,18 @@
         router = asyncio.create_task(program.serve(config, listening))
         address = await asyncio.wait_for(listening, LIMIT_S)
         await asyncio.wait_for(agent.watched.wait(), LIMIT_S)
-        idle, idler = await asyncio.open_connection(*address)
-        idler.write(command(b"PING"))
-        assert await asyncio.wait_for(idle.readexactly(7), LIMIT_S) == b"+PONG\r\n"
-        busy, sender = await asyncio.open_connection(*address)
-        sender.write(read("r1", wait=20_000))
+        idle_reader, idle_writer = await asyncio.open_connection(*address)
+        idle_writer.write(command(b"PING"))
+        assert await asyncio.wait_for(idle_reader.readexactly(7), LIMIT_S) == b"+PONG\r\n"
+        busy_reader, busy_writer = await asyncio.open_connection(*address)
+        busy_writer.write(read("r1", wait=20_000))
         await asyncio.wait_for(request_received.wait(), LIMIT_S)
         os.kill(os.getpid(), signal.SIGTERM)
-        assert await asyncio.wait_for(idle.read(), LIMIT_S) == b""  # closed while the other waits
+        assert await asyncio.wait_for(idle_reader.read(), LIMIT_S) == b""  # closed while the other waits
         answers_released.set()
-        assert await asyncio.wait_for(busy.read(), LIMIT_S) == SERVED  # the answer, then the close
+        assert await asyncio.wait_for(busy_reader.read(), LIMIT_S) == SERVED  # the answer, then the close
         await asyncio.wait_for(router, LIMIT_S)
-        for writer in (idler, sender):
+        for writer in (idle_writer, busy_writer):
             writer.close()
         agent.stop()
         cache.stop()
