--- a/tests/router/test_sockets.py
+++ b/tests/router/test_sockets.py
@@ -378,9 +378,9 @@
         cache, router = Cache(answer), LoopbackRouter(limit=8)
         await cache.start()
         await router.start(entry("s1", cache.port))
-        reader, writer = await router.dial()
-        writer.write(read("r1"))
-        assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
+        active_reader, active_writer = await router.dial()
+        active_writer.write(read("r1"))
+        assert await asyncio.wait_for(active_reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         silent = []
         for _ in range(30):
             silent.append(await router.dial())
@@ -388,8 +388,8 @@
             await asyncio.sleep(0.01)  # lets the router read it; the assertions don't depend on it
         while router.clients.connection_count < 8 or sum(reader.at_eof() for reader, _ in silent) < 20:
             await asyncio.sleep(0.01)
-        writer.write(read("r2"))
-        assert await asyncio.wait_for(reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
+        active_writer.write(read("r2"))
+        assert await asyncio.wait_for(active_reader.readexactly(len(SERVED)), LIMIT_S) == SERVED
         assert await router.ask(read("r3"), len(SERVED)) == SERVED  # a new client is admitted
         for _, writer in silent:
             writer.close()
