--- a/holdgw/cores/host_system.py
+++ b/holdgw/cores/host_system.py
@@ -141,7 +141,7 @@
     async def adopt_client(
         self, clients: ClientListener, handover: ClientHandover | None, descriptor: int, late_ns: int
     ) -> None:
-        """Serve a client's connection; `late_ns`: how long its bytes may have lain unread."""
+        """Serve a client's connection; `late_ns`: how long its bytes may have waited unread."""
 
     def duplicate_client(self, transport: Any) -> int:
         """Return another descriptor of a client's connection, to hand over."""
--- a/holdgw/router/client_connection.py
+++ b/holdgw/router/client_connection.py
@@ -22,11 +22,11 @@
 WAITED_INPUT_WINDOW_S = 0.02
 """Only input that is read within this time after connecting can have waited for this process."""
 COMMAND_TIMEOUT_S = 2.3
-"""For a command to arrive completely, and for the first command; clients are promised 3 s."""
+"""Timeout for a command to arrive completely, and for the first command; clients are promised 3 s."""
 WRITE_STALL_TIMEOUT_S = 3.0
-"""For a client to accept any bytes of the answers that wait for it."""
+"""Timeout for a client to accept any bytes of the answers that wait for it."""
 STREAM_STALL_TIMEOUT_S = 8.0
-"""The same within a streamed answer, as clients take seconds to read a long value."""
+"""The same timeout within a streamed answer, as clients take seconds to read a long value."""
 FIRST_COMMAND_S = 0.3
 """A new connection without a command counts as silent after this time."""
 
--- a/holdgw/router/client_listener.py
+++ b/holdgw/router/client_listener.py
@@ -18,9 +18,9 @@
 LISTEN_BACKLOG = 1024
 """Connections that the kernel queues while the event loop is busy."""
 IDLE_TIMEOUT_S = 30.0
-"""For a connection between requests."""
+"""Idle timeout of a connection between requests."""
 BUSY_IDLE_TIMEOUT_S = 2.2
-"""The same above BUSY_FRACTION; clients are promised 2 s."""
+"""The same timeout above BUSY_FRACTION; clients are promised 2 s."""
 BUSY_FRACTION = 0.25
 """Fraction of the limit of connections above which BUSY_IDLE_TIMEOUT_S applies."""
 MAX_IDLE_FRACTION = 0.4
--- a/tests/operation/test_takeover.py
+++ b/tests/operation/test_takeover.py
@@ -313,7 +313,7 @@
 
 
 class StubOwner:
-    """A process with an override and tenant usage under its own name, which ignores messages of others."""
+    """A process with an override and a tenant usage under its name, which ignores others' messages."""
 
     def __init__(self, name: str) -> None:
         self.name = name
--- a/tests/router/test_caches.py
+++ b/tests/router/test_caches.py
@@ -21,7 +21,7 @@
 
 
 class RecordingExchange(Exchange):
-    """Records how it ended."""
+    """An exchange that records its outcome."""
 
     def __init__(self) -> None:
         self.ends: list[End] = []
--- a/tests/router/test_watch_timeout.py
+++ b/tests/router/test_watch_timeout.py
@@ -30,7 +30,7 @@
 
 @dataclass
 class Caller:
-    wait: WatchTimeout
+    timeout: WatchTimeout
     call: int = 0  # number of the current call; events of earlier calls are ignored
     seen_version: int = 0  # of the list
 
@@ -39,7 +39,7 @@
 class Service:
     """A service that answers calls in order of arrival, one from each router within `all_call_s` seconds."""
 
-    wait: Callable[[], WatchTimeout]
+    new_timeout: Callable[[], WatchTimeout]
     all_call_s: float
     change_interval_s: float  # between two changes of the list
     routers: int = 100
@@ -54,7 +54,7 @@
     def simulate(self) -> Service:
         """Simulate `length_s` seconds, and count the calls and those that failed."""
         rng, serial = random.Random(self.seed), count()
-        self.callers = [Caller(self.wait()) for _ in range(self.routers)]
+        self.callers = [Caller(self.new_timeout()) for _ in range(self.routers)]
         events: list[tuple[float, int, Callable[[float], None]]] = []
 
         def schedule(at: float, act: Callable[[float], None]) -> None:
@@ -62,13 +62,13 @@
 
         def fail(caller: Caller, now: float) -> None:
             self.failed += 1
-            caller.wait.failed()
+            caller.timeout.failed()
             schedule(now + rng.uniform(0.25, 1.0), lambda at: begin(caller, at))
 
         def begin(caller: Caller, now: float) -> None:
             self.calls += 1
             caller.call += 1
-            number, wait_s = caller.call, caller.wait.wait_s
+            number, wait_s = caller.call, caller.timeout.wait_s
             if self.free_at - now > MAX_QUEUE_DELAY_S:
                 fail(caller, now)
                 return
@@ -84,7 +84,7 @@
 
         def end(caller: Caller, number: int, now: float, delay: float) -> None:
             if number == caller.call:
-                caller.wait.timed_out(delay)
+                caller.timeout.timed_out(delay)
                 begin(caller, now)
 
         def give_up(caller: Caller, number: int, now: float) -> None:
@@ -124,24 +124,24 @@
 def test_a_service_with_capacity_is_polled_with_the_shortest_wait(all_call_s: float) -> None:
     simulated = Service(adaptive, all_call_s, 1e9).simulate()
     assert not simulated.failed
-    assert {caller.wait.wait_s for caller in simulated.callers} == {SHORTEST_S}
+    assert {caller.timeout.wait_s for caller in simulated.callers} == {SHORTEST_S}
 
 
 def test_the_wait_begins_long_grows_by_one_late_answer_and_shrinks_by_many_quick_ones() -> None:
-    wait, needed = adaptive(), 0
-    assert wait.wait_s == LONGEST_S
-    while wait.wait_s > SHORTEST_S:
-        before = wait.wait_s
-        wait.timed_out(0.001)
-        assert wait.wait_s < before
+    timeout, needed = adaptive(), 0
+    assert timeout.wait_s == LONGEST_S
+    while timeout.wait_s > SHORTEST_S:
+        before = timeout.wait_s
+        timeout.timed_out(0.001)
+        assert timeout.wait_s < before
         needed += 1
     assert needed > 20
-    wait.timed_out(0.5)
-    assert wait.wait_s == 10.0
-    wait.failed()
-    assert wait.wait_s == LONGEST_S
-    wait.timed_out(1e9)
-    assert wait.wait_s == LONGEST_S
+    timeout.timed_out(0.5)
+    assert timeout.wait_s == 10.0
+    timeout.failed()
+    assert timeout.wait_s == LONGEST_S
+    timeout.timed_out(1e9)
+    assert timeout.wait_s == LONGEST_S
 
 
 class RecordingService(LoopbackServer):
