--- a/holdgw/router/discovery.py
+++ b/holdgw/router/discovery.py
@@ -34,9 +34,9 @@
 # The call times out this long after its wait.
 CALL_SLACK_S = 0.5  # at an agent on this machine
 POLL_SLACK_S = 1.0  # at a polled service, which answers all routers' calls one after the other
-LIST_TIMEOUT_S = 2.0  # of a call for the complete list
-# Time between the starts of two calls for the complete list. A watch counts as uninterrupted if its next call
-# comes within 0.2 s (PROTOCOL, "Discovery").
+LIST_TIMEOUT_S = 2.0  # timeout of a call for the complete list
+# Shortest time between the starts of two calls for the complete list. A watch counts as uninterrupted if its
+# next call comes within 0.2 s (PROTOCOL, "Discovery").
 RETRY_S = 0.1
 # Short timeout of a call for the complete list: an agent on this machine answers by then or not at all.
 QUICK_TIMEOUT_S = 0.1
@@ -169,9 +169,10 @@
     async def _get_full_list(self, watch: _Watch) -> None:
         """Get the complete list, with as many calls as that takes.
 
-        By PROTOCOL an agent's list counts as notified from the moment at which the agent comes back. One call
-        whose answer is lost would delay the list by that call's timeout; short timeouts alone would never get
-        a list from a slow agent. Hence two calls at a time, one with a long and one with a short timeout.
+        An agent's list counts as notified to the router from the moment at which the agent comes back. One
+        call whose answer is lost would delay the list by that call's timeout; short timeouts alone would
+        never get a list from a slow agent. Hence two calls at a time, one with a long and one with a short
+        timeout.
         """
         loop = asyncio.get_running_loop()
         long_timeout_client, short_timeout_client = watch.client, DiscoveryClient(watch.address)
