--- a/holdgw/cores/worker_pool.py
+++ b/holdgw/cores/worker_pool.py
@@ -11,7 +11,7 @@
 STABLE_AFTER_S = 10.0  # a worker that ends sooner counts as a failed start
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
-UNRESPONSIVE_AFTER_S = 0.1  # a worker that accepts no assigned client for longer gets no more
+UNRESPONSIVE_AFTER_S = 0.1  # a worker that accepts none of its assigned clients for longer is chosen last
 START_TIMEOUT_S = 10.0  # a starting worker that cannot serve by then is killed
 EVEN_SHARE_FRACTION = 0.25  # of a tenant's limit is divided evenly, the rest by demand
 MIN_SHARE_CHANGE = 0.02  # smaller changes of a limit share are not sent
@@ -34,14 +34,14 @@
     if not 1 <= workers <= MAX_WORKERS:
         raise InsufficientResourcesError(f"--cores: expected 1 to {MAX_WORKERS}, got {workers}")
     if memory_bytes // processes < MIN_PROCESS_MEMORY_BYTES:
-        need_mb = processes * MIN_PROCESS_MEMORY_BYTES >> 20
+        needed_mb = processes * MIN_PROCESS_MEMORY_BYTES >> 20
         raise InsufficientResourcesError(
-            f"{workers} workers need {need_mb} MB of memory; limits.memory_mb is {memory_bytes >> 20}"
+            f"{workers} workers need {needed_mb} MB of memory; limits.memory_mb is {memory_bytes >> 20}"
         )
     if sockets // processes < MIN_PROCESS_SOCKETS:
-        need = processes * MIN_PROCESS_SOCKETS
+        needed_descriptors = processes * MIN_PROCESS_SOCKETS
         raise InsufficientResourcesError(
-            f"{workers} workers need {need} descriptors; limits.sockets is {sockets}"
+            f"{workers} workers need {needed_descriptors} descriptors; limits.sockets is {sockets}"
         )
 
 
@@ -96,7 +96,7 @@
         return self.shares.get(tenant, 0.0)
 
     def set_share(self, tenant: str, share: float) -> None:
-        """Record a share that is sent to the process."""
+        """Record a limit share that is sent to the process."""
         self.shares[tenant] = share
         self.peak_shares[tenant] = max(self.peak_share(tenant), share)
 
@@ -121,7 +121,8 @@
         self._failed_starts = [0] * workers  # in a row, by index
         self.ending = False
         """Whether the router is shutting down, so that no worker is started any more."""
-        self._replaced: set[int] | None = None  # indices replaced so far; None: no replacement
+        # The indices of the workers replaced so far; None: no replacement is in progress.
+        self._replaced: set[int] | None = None
         self._replacement_began = 0.0
 
     # Starts and ends
@@ -150,17 +151,19 @@
         return [process for process in self.processes if process.state is WorkerState.SERVING]
 
     def _serving_at(self, index: int, exclude: WorkerProcess | None = None) -> WorkerProcess | None:
-        found = (process for process in self._serving() if process.index == index and process is not exclude)
-        return next(found, None)
+        matches = (
+            process for process in self._serving() if process.index == index and process is not exclude
+        )
+        return next(matches, None)
 
     def process_ended(self, process: WorkerProcess, now: float) -> float | None:
         """Remove a process that has ended; returns the seconds until its restart, None for no restart."""
-        before = process.state
+        last_state = process.state
         process.state = WorkerState.ENDED
         self.processes.remove(process)
-        if before is WorkerState.DRAINING or self.ending:
+        if last_state is WorkerState.DRAINING or self.ending:
             return None
-        failed = before is WorkerState.STARTING or now - process.started_s < STABLE_AFTER_S
+        failed = last_state is WorkerState.STARTING or now - process.started_s < STABLE_AFTER_S
         failures = self._failed_starts[process.index] + 1 if failed else 0
         self._failed_starts[process.index] = failures
         if self._serving_at(process.index) is not None:
@@ -204,10 +207,10 @@
 
     def finish_replacement(self) -> bool:
         """Whether every worker is replaced; returns True once for each replacement."""
-        done = self._replaced is not None and len(self._replaced) == self.workers
-        if done:
+        finished = self._replaced is not None and len(self._replaced) == self.workers
+        if finished:
             self._replaced = None
-        return done
+        return finished
 
     @property
     def serving_count(self) -> int:
@@ -296,10 +299,10 @@
                 changes.setdefault(process, {})[tenant] = process.share(tenant)
 
     def _raise_shares(self, tenant: str, targets: Shares, changes: Shares) -> None:
-        free = 1.0 - sum(process.peak_share(tenant) for process in self.processes)
+        unassigned = 1.0 - sum(process.peak_share(tenant) for process in self.processes)
         for process in sorted(targets, key=lambda process: process.share(tenant)):
-            raised_by = min(targets[process][tenant] - process.share(tenant), free)
+            raised_by = min(targets[process][tenant] - process.share(tenant), unassigned)
             if raised_by > MIN_SHARE_CHANGE:
                 process.set_share(tenant, process.share(tenant) + raised_by)
                 changes.setdefault(process, {})[tenant] = process.share(tenant)
-                free -= raised_by
+                unassigned -= raised_by
--- a/holdgw/router/client_listener.py
+++ b/holdgw/router/client_listener.py
@@ -18,9 +18,9 @@
 LISTEN_BACKLOG = 1024
 """Connections that the kernel queues while the event loop is busy."""
 IDLE_TIMEOUT_S = 30.0
-"""For a connection between requests."""
+"""Idle timeout of a connection between requests."""
 BUSY_IDLE_TIMEOUT_S = 2.2
-"""The same above BUSY_FRACTION; clients are promised 2 s."""
+"""The same timeout above BUSY_FRACTION; clients are promised 2 s."""
 BUSY_FRACTION = 0.25
 """Fraction of the limit of connections above which BUSY_IDLE_TIMEOUT_S applies."""
 MAX_IDLE_FRACTION = 0.4
@@ -63,7 +63,7 @@
         self.loop = loop
         self.handler = handler
         self.peer_closed = peer_closed
-        self.duplicate: Callable[[Any], int] = duplicate_descriptor
+        self.duplicate_descriptor: Callable[[Any], int] = duplicate_descriptor
         """Duplicates a transport's descriptor for another process; the sender closes the duplicate."""
         self.lingering: dict[ClientConnection, None] = {}
         """Connections in a lingering close, the oldest first."""
@@ -120,19 +120,19 @@
             self._connections[connection] = None
             return
         # Without a limit, clients that only connect would leave no descriptors for endpoints or others.
-        full = len(self._connections) >= self._limit + MAX_REJECTING_CONNECTIONS
-        if full and self.lingering:
+        is_full = len(self._connections) >= self._limit + MAX_REJECTING_CONNECTIONS
+        if is_full and self.lingering:
             next(iter(self.lingering)).abort()
-            full = False
+            is_full = False
         if len(self._connections) - len(self.lingering) >= self._limit:
             candidate = self._eviction_candidate()
             if candidate is not None:
-                candidate.evict(at_once=full)
-            elif full:
+                candidate.evict(at_once=is_full)
+            elif is_full:
                 connection.abort()
                 return
             else:
-                connection.rejecting = True
+                connection.rejects_requests = True
         self._connections[connection] = None
 
     def connection_closed(self, connection: ClientConnection) -> None:
@@ -157,7 +157,7 @@
             default=None,
         )
 
-    # Handover between processes
+    # Handover of connections between processes
 
     async def adopt(
         self, handover: ClientHandover | None, descriptor: int, possible_wait_ns: int = 0
@@ -241,7 +241,9 @@
         unsent = sum(connection.unsent_bytes for connection in self._connections)
         if unsent <= self._max_unsent_bytes:
             return
-        for connection in sorted(self._connections, key=lambda c: c.unsent_bytes, reverse=True):
+        for connection in sorted(
+            self._connections, key=lambda connection: connection.unsent_bytes, reverse=True
+        ):
             if unsent <= self._max_unsent_bytes:
                 break
             unsent -= connection.unsent_bytes
--- a/holdgw/router/dispatcher.py
+++ b/holdgw/router/dispatcher.py
@@ -98,15 +98,15 @@
         now_ns: Callable[[], int] = time.monotonic_ns,
     ) -> None:
         """`max_open`: the most requests open at a time; `now_ns`: a monotonic clock in nanoseconds."""
-        disabled = disabled_features(settings)
-        metrics = Metrics((request_class.name for request_class in settings.classes), disabled)
+        disabled_reasons = disabled_features(settings)
+        metrics = Metrics((request_class.name for request_class in settings.classes), disabled_reasons)
         super().__init__(settings, now_ns, TimerWheel(loop, now_ns), metrics, OpenRequestTable(max_open))
         self.loop = loop
         self.ready = False
         """Whether there is an endpoint list; until then a client's PING is answered with an error."""
         self.subscribe: Callable[[], None] = lambda: None
         """Starts a watch where discovery is polled; set by the owner of the watch."""
-        self.shared: SharedState | None = None
+        self.shared_state: SharedState | None = None
         """None if this process is the whole router."""
         self._policy = RoutingPolicy(settings, seed)
         self.uses_load_reports = self._policy.uses_load_reports
@@ -119,8 +119,8 @@
         self._lag_monitor = LagMonitor(int(SWEEP_INTERVAL_S * NS_PER_S), now_ns())
         self._overdue_check: asyncio.Handle | None = None
         self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-        if disabled:
-            features = "; ".join(f"{feature} ({reason})" for feature, reason in disabled.items())
+        if disabled_reasons:
+            features = "; ".join(f"{feature} ({reason})" for feature, reason in disabled_reasons.items())
             log.warning("settings: off are %s", features)
 
     def close(self) -> None:
@@ -190,7 +190,7 @@
         """Restore another process's handover state."""
         self._policy.restore(state, self.now_ns())
 
-    # Requests
+    # Requests from client connections (RequestHandler)
 
     def request_arrived(self, command: Command, reply: Reply) -> None:
         """Open a request or answer it at once; each request gets exactly one final answer."""
@@ -202,7 +202,7 @@
         if error_text:
             reply.send_error_and_close(error_text)
         elif self.open_requests.knows(request_id) or (
-            self.shared is not None and not self.shared.claim(command.id)
+            self.shared_state is not None and not self.shared_state.claim(command.id)
         ):
             # Two requests with one id would share attempts, and one would get the other's answer.
             reply.send_error_and_close("duplicate id")
@@ -294,7 +294,7 @@
     # Called by exchanges (ExchangeOwner)
 
     def parse_load_report(self, report: bytes | None) -> tuple[float, ...] | None:
-        """The numbers of a load report in the order of the settings; None if there is no readable report."""
+        """A load report's numbers in the order of `load_report_fields`; None if it is missing or invalid."""
         return resp.parse_load(report, self.settings.load_report_fields) if report else None
 
     def latency_objective_ns(self, class_name: str) -> int:
@@ -302,7 +302,7 @@
         return self._classes[class_name].latency_objective_ns
 
     def idle_connections_closed(self, endpoint_id: str) -> bool:
-        """Whether the endpoint has closed idle connections, and none has come up since."""
+        """Whether the endpoint has closed an idle connection, and none has been opened since."""
         return self._pool.idle_connections_closed(endpoint_id)
 
     # The endpoint list
@@ -352,8 +352,8 @@
         """Pass the routing policy an event; one caused by an action is queued until all actions are done."""
         # A worker that was stalled may find clients' commands and an endpoint update at once, and read the
         # commands first: without this it would send attempts to an endpoint announced long ago as draining.
-        if self.shared is not None and not self._handling:
-            self.shared.catch_up()
+        if self.shared_state is not None and not self._handling:
+            self.shared_state.catch_up()
         self._events.append(event)
         self._handle_events()
 
@@ -415,8 +415,8 @@
         now_ns = self.now_ns()
         to_origin = action.endpoint_id in self._origins
         attempt = Attempt(self, request, action.endpoint_id, to_origin, action.purpose)
-        too_many = request.attempts > self.settings.max_attempts
-        if request.answered or request.remaining_ms(now_ns) < 1 or too_many:
+        has_too_many_attempts = request.attempts > self.settings.max_attempts
+        if request.answered or request.remaining_ms(now_ns) < 1 or has_too_many_attempts:
             attempt.end(Outcome.NOT_SENT)
             return
         due_ns = request.deadline_ns
--- a/tests/router/test_endings.py
+++ b/tests/router/test_endings.py
@@ -153,11 +153,11 @@
     async def steps(setup: RouterSetup) -> None:
         first = asyncio.create_task(setup.node.ask(read("r0"), len(SERVED)))
         await asyncio.wait_for(setup.request_received.wait(), LIMIT_S)
-        leaving = [await setup.node.dial() for _ in range(count)]
-        for i, (_, writer) in enumerate(leaving):
+        disconnecting = [await setup.node.dial() for _ in range(count)]
+        for i, (_, writer) in enumerate(disconnecting):
             writer.write(read(f"g{i}", f"k{i}"))
         await until(lambda: len(setup.node.dispatcher.open_requests.by_id) == 1 + count)
-        for _, writer in leaving:
+        for _, writer in disconnecting:
             if reset:
                 sock = writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
@@ -236,8 +236,8 @@
         # With an answer, the next command would be handled.
         setup.answer = HIT if "answered" in reason else None
         _, writer = await setup.node.dial()
-        more = command(b"NOSUCH") if reason == "behind a fault" else b""
-        writer.write(read("r1") + more)
+        next_command = command(b"NOSUCH") if reason == "behind a fault" else b""
+        writer.write(read("r1") + next_command)
         if "too many" in reason:
             writer.write(read("r2", "k2") + read("r3", "k3") + read("r4", "k4"))
         await asyncio.wait_for(setup.request_received.wait(), LIMIT_S)
@@ -440,7 +440,7 @@
         # The answer and the end of the connection; a reset would raise an exception here.
         assert await asyncio.wait_for(reader.read(), LIMIT_S) == SERVED
         with suppress(OSError):
-            writer.write(read("r3"))  # after the shutdown
+            writer.write(read("r3"))  # after the router has shut down its side
             writer.write_eof()
         await setup.wait_for_client_count()
         assert request_ids(setup.cache) == ["r1"]
@@ -766,14 +766,14 @@
     assert pushed + 2 * (discovery.RETRY_S + discovery.QUICK_TIMEOUT_S) < notification_bound_s
     first_pause_s = 1.0
     assert discovery.POLL_SLACK_S + first_pause_s <= 2.0  # beyond a call's wait, as documented
-    longest = 0
+    longest_delay_ns = 0
     router = RoutingPolicy(settings(subscription_required=True, poll_within_ns=3600 * S), 7)
     for i in range(40):
         for action in router.handle(EndpointsChanged(UpdateKind.FAILED), i * S):
             assert isinstance(action, SetTimer)
-            longest = max(longest, action.delay_ns)
+            longest_delay_ns = max(longest_delay_ns, action.delay_ns)
             router.handle(TimerFired("subscribe"), i * S)
-    assert notification_bound_s > longest / S + discovery.POLL_SLACK_S
+    assert notification_bound_s > longest_delay_ns / S + discovery.POLL_SLACK_S
     first = RoutingPolicy(settings(subscription_required=True, poll_within_ns=3600 * S), 7)
     (action,) = first.handle(EndpointsChanged(UpdateKind.FAILED), 0)
     assert isinstance(action, SetTimer)
@@ -782,10 +782,10 @@
 
 def test_an_unanswered_watch_at_a_polled_service_is_detected_within_six_seconds() -> None:
     assert discovery.POLL_WAIT_MS / 1000 + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
-    wait = discovery._Watch(("127.0.0.1", 9), 0, needs_full_list=True).timeout
+    watch_timeout = discovery._Watch(("127.0.0.1", 9), 0, needs_full_list=True).timeout
     for _ in range(60):
-        wait.timed_out(0.1)  # the delay at a service with capacity
-    assert wait.wait_s + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
+        watch_timeout.timed_out(0.1)  # the delay at a service with capacity
+    assert watch_timeout.wait_s + 2 * discovery.POLL_SLACK_S + 1.0 <= 6.0
 
 
 def test_the_old_services_list_is_replaced_once_the_new_service_sends_one(tmp_path: Path) -> None:
@@ -838,13 +838,13 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     connection_made = client_connection.ClientConnection.connection_made
-    max_descriptors = accepted = 0
+    max_descriptors = accepted_count = 0
 
     def count_connection(
         connection: client_connection.ClientConnection, transport: asyncio.BaseTransport
     ) -> None:
-        nonlocal max_descriptors, accepted
-        accepted += 1
+        nonlocal max_descriptors, accepted_count
+        accepted_count += 1
         max_descriptors = max(max_descriptors, len(os.listdir("/proc/self/fd")))
         connection_made(connection, transport)
 
@@ -854,7 +854,7 @@
         before = len(os.listdir("/proc/self/fd"))
         # All connect in one event loop iteration.
         clients = [socket.create_connection(setup.node.address) for _ in range(300)]
-        await until(lambda: accepted == len(clients))
+        await until(lambda: accepted_count == len(clients))
         assert (
             0 < max_descriptors - before - len(clients) <= 8 + client_listener.MAX_REJECTING_CONNECTIONS + 1
         )
@@ -992,7 +992,8 @@
         await asyncio.sleep(0)
         for server in origin._writers:
             server.transport.abort()
-        write_now(writer, put(b"w2"))  # the router reads both in one iteration, in either order
+        # The router reads the close and the request in one iteration, in either order.
+        write_now(writer, put(b"w2"))
         answer = await asyncio.wait_for(reader.readline(), LIMIT_S)
         assert origin.seen <= 2
         assert answer == b"$5\r\n" if origin.seen == 2 else answer.startswith(b"-")
