--- a/holdgw/emulators/discovery.py
+++ b/holdgw/emulators/discovery.py
@@ -43,8 +43,8 @@
         self.server, self.router = server, router
         self.transport: asyncio.Transport | None = None
         self._reader = RequestReader(1 << 16)
-        self._wait: asyncio.TimerHandle | None = None
-        self._index = 0
+        self._wait_timer: asyncio.TimerHandle | None = None
+        self._version = 0
         self.watching = False
         self.held_since = 0.0
 
@@ -73,19 +73,19 @@
             raise ValueError("a second call before the first one's answer")
         self.server.handle_call(self, query)
 
-    def wait(self, index: int, milliseconds: int) -> None:
-        """Answer when there are changes after version `index`, or after `milliseconds` without one."""
-        self._index, self.watching = index, True
+    def wait(self, version: int, milliseconds: int) -> None:
+        """Answer when there are changes after `version`, or after `milliseconds` without one."""
+        self._version, self.watching = version, True
         if self.answer_if_newer():
             return
         delay = min(milliseconds, MAX_WAIT_MS) / 1000
-        self._wait = self.server.loop.call_later(delay, self.answer, False, [])
+        self._wait_timer = self.server.loop.call_later(delay, self.answer, False, [])
 
     def answer_if_newer(self) -> bool:
         """Answer an open watch if there are newer changes; return whether it was answered."""
         if not self.watching:
             return False
-        reset, entries = self.server.model.views[self.router].newer_than(self._index)
+        reset, entries = self.server.model.views[self.router].newer_than(self._version)
         if not reset and not entries:
             return False
         self.answer(reset, entries)
@@ -111,9 +111,9 @@
 
     def _stop_waiting(self) -> None:
         self.watching = False
-        if self._wait is not None:
-            self._wait.cancel()
-            self._wait = None
+        if self._wait_timer is not None:
+            self._wait_timer.cancel()
+            self._wait_timer = None
 
     def abort(self) -> None:
         reset_connection(self.transport)
@@ -162,10 +162,12 @@
         """Listen for a router at a new address; the old one refuses new connections and closes later."""
         listeners = Listeners(Host(self._ip, proxied=self._proxied), self._clock)
         await listeners.open(lambda _: _Connection(self, router))
-        old = self._listeners.get(router)
-        if old is not None:
-            old.close()
-            for connection in [one for one in self.connections if one.router == router]:
+        old_listeners = self._listeners.get(router)
+        if old_listeners is not None:
+            old_listeners.close()
+            for connection in [
+                open_connection for open_connection in self.connections if open_connection.router == router
+            ]:
                 self.loop.call_later(OLD_ADDRESS_OPEN_S, connection.abort)
         self._listeners[router] = listeners
         way, until = self._blocked.get(router, ("both", 0.0))
@@ -253,10 +255,14 @@
         return set(changed)
 
     def _answer_watches(self) -> None:
-        changed = self._advance_views()
+        changed_routers = self._advance_views()
         if self._clock() < self._down_until:
             return
-        for connection in [one for one in self.connections if one.router in changed]:
+        for connection in [
+            open_connection
+            for open_connection in self.connections
+            if open_connection.router in changed_routers
+        ]:
             connection.answer_if_newer()
 
     def body(self, router: str, reset: bool, entries: list[Entry]) -> bytes:
--- a/holdgw/emulators/discovery_model.py
+++ b/holdgw/emulators/discovery_model.py
@@ -24,8 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One entry of the endpoint list. `started_ms`: Unix time, 0 for long ago; `zone` also says which
-    listener it has.
+    """One entry of the endpoint list.
+
+    `started_ms` is the Unix time at which the endpoint started, 0 if it started long ago.
     """
 
     id: str
--- a/holdgw/emulators/listeners.py
+++ b/holdgw/emulators/listeners.py
@@ -121,14 +121,14 @@
         servers, self._servers = self._servers, []
         for server in servers:
             server.close()
-        for one in self._proxied.values():
-            one.close()
+        for listener in self._proxied.values():
+            listener.close()
 
     def end(self) -> None:
         """Close the listeners at the end of the run."""
         self.close()
-        for one in self._proxied.values():
-            one.end()
+        for listener in self._proxied.values():
+            listener.end()
 
 
 def call_after(loop: asyncio.AbstractEventLoop, delay: float, call: Callable[[], None]) -> None:
--- a/holdgw/emulators/node.py
+++ b/holdgw/emulators/node.py
@@ -152,8 +152,8 @@
         first, self._first = self._first, False
         return first
 
-    def begin(self) -> None:
-        """Finish the handshake and start the commands that waited for it."""
+    def on_handshake_done(self) -> None:
+        """Mark the handshake as done, and start the commands that waited for it."""
         self.ready = True
         waiting, self._awaiting_handshake = self._awaiting_handshake, []
         for words, times in waiting:
@@ -272,8 +272,8 @@
 
     def flush(self, share: float, seed: int, serial: int) -> None:
         """Drop the copies of a share of the keys, and record how many."""
-        gone = self.model.cache.flush(share, seed, serial)
-        self._recorder.record(Flushed(self.name, self.clock(), gone, len(self.model.cache)))
+        dropped = self.model.cache.flush(share, seed, serial)
+        self._recorder.record(Flushed(self.name, self.clock(), dropped, len(self.model.cache)))
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
         """Store the object of a request that the origin answered, if the request missed here."""
@@ -345,11 +345,11 @@
         job = self._parse_command(words)
         if isinstance(job, Job) and job.kind is not JobKind.PROBE:
             self._serial += 1
-            name = job.id.decode()
+            request_id = job.id.decode()
             ended = self.clock()
             self._recorder.record(
                 Attempt(
-                    name,
+                    request_id,
                     self.name,
                     times.at,
                     result,
@@ -398,20 +398,20 @@
         elif self.alive:
             self._timer.set(self.model.next_due())
 
-    def _handle_finished(self, done: list[FinishedJob]) -> None:
-        for end in done:
-            owner = end.job.owner
+    def _handle_finished(self, finished: list[FinishedJob]) -> None:
+        for finished_job in finished:
+            owner = finished_job.job.owner
             if isinstance(owner, NodeConnection):
-                owner.begin()
+                owner.on_handshake_done()
             elif isinstance(owner, PendingAnswer):
-                self._answer(owner, end)
+                self._answer(owner, finished_job)
 
-    def _answer(self, pending: PendingAnswer, end: FinishedJob) -> None:
+    def _answer(self, pending: PendingAnswer, finished_job: FinishedJob) -> None:
         job = pending.job
-        report = self.model.report(end.at)
+        report = self.model.report(finished_job.at)
         load = self._format_report(report.latency_ms, report.queue)
         fault = Fault.NONE
-        if end.result is JobResult.BUSY:
+        if finished_job.result is JobResult.BUSY:
             pending.data = b"-BUSY %b\r\n" % load
         elif job.kind is JobKind.PROBE:
             pending.data = b"$%d\r\n%b\r\n" % (len(load), load) if job.id else b"+PONG\r\n"
@@ -421,21 +421,26 @@
                 del self._attempt_counts[next(iter(self._attempt_counts))]
             fault = self.shares.draw(self.workload.seed, self.name, job.id, count)
             result_and_load = b"$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
-                len(end.result.value),
-                end.result.value.encode(),
+                len(finished_job.result.value),
+                finished_job.result.value.encode(),
                 len(load),
                 load,
             )
             if fault is Fault.GARBLE:
                 pending.data = MALFORMED_RESP[self._serial % len(MALFORMED_RESP)]
-            elif end.result is JobResult.HIT:
+            elif finished_job.result is JobResult.HIT:
                 value = make_value(job.id, job.key, self.name, self._serial + 1, job.size)
                 pending.data = b"*3\r\n$%d\r\n%b\r\n%b" % (len(value), value, result_and_load)
             else:
                 pending.data = b"*3\r\n$-1\r\n" + result_and_load
         pending.fault, pending.ready = fault, True
         if job.kind is not JobKind.PROBE:
-            self._record(pending, end.result.value, fault, end.missing.value if end.missing else "")
+            self._record(
+                pending,
+                finished_job.result.value,
+                fault,
+                finished_job.missing.value if finished_job.missing else "",
+            )
         if fault is not Fault.SILENCE:
             call_after(self._loop, pending.connection.delay, pending.connection.flush)
         else:
--- a/holdgw/emulators/node_model.py
+++ b/holdgw/emulators/node_model.py
@@ -131,7 +131,9 @@
         self._sent: deque[tuple[float, float]] = deque()
         self._sent_sum = 0.0
         self._missed: OrderedDict[bytes, bytes] = OrderedDict()  # request id -> key
-        self._fetching: OrderedDict[bytes, float] = OrderedDict()  # key -> until
+        self._fetching: OrderedDict[bytes, float] = (
+            OrderedDict()
+        )  # key -> when its fetch stops counting as in flight
         self._smoothed_service_s = 0.0
         self._next_report = now
         self._reports: deque[LoadReport] = deque([LoadReport(now, 0.0, 0)], maxlen=MAX_REPORTS)
--- a/holdgw/emulators/origin.py
+++ b/holdgw/emulators/origin.py
@@ -196,22 +196,22 @@
         self._timer.set(self.model.next_due())
 
     def _handle_finished(self, finished: list[FinishedOriginJob]) -> None:
-        for end in finished:
-            connection = end.job.owner
+        for finished_job in finished:
+            connection = finished_job.job.owner
             if isinstance(connection, OriginServerConnection):
-                self._answer(connection, end)
+                self._answer(connection, finished_job)
 
-    def _answer(self, connection: OriginServerConnection, end: FinishedOriginJob) -> None:
-        job = end.job
+    def _answer(self, connection: OriginServerConnection, finished_job: FinishedOriginJob) -> None:
+        job = finished_job.job
         connection.job = None
         if job.probe:
             connection.write(response(200, b"queue=%d" % self.model.held))
             return
         fault = Fault.NONE
-        if end.result is not OriginResult.BUSY:
+        if finished_job.result is not OriginResult.BUSY:
             fault = self.shares.draw(self.workload.seed, self.name, job.id, 0)
-        self._record(connection, job, end.result.value, fault, end.effect)
-        if end.effect:
+        self._record(connection, job, finished_job.result.value, fault, finished_job.effect)
+        if finished_job.effect:
             self._recorder.voided(job.key)
         if fault is Fault.RESET:
             connection.abort()
@@ -219,9 +219,9 @@
             connection.write(MALFORMED_HTTP[self._serial % len(MALFORMED_HTTP)])
         elif fault is Fault.SILENCE:
             pass
-        elif end.result is OriginResult.BUSY:
+        elif finished_job.result is OriginResult.BUSY:
             connection.write(response(503, headers=b"Not-Started: 1\r\n"))
-        elif end.result is OriginResult.FAILED:
+        elif finished_job.result is OriginResult.FAILED:
             connection.write(response(500))
         else:
             size = 48 if job.write else self.workload.bytes_of(job.key)
--- a/holdgw/emulators/origin_model.py
+++ b/holdgw/emulators/origin_model.py
@@ -89,7 +89,7 @@
         return FinishedOriginJob(at, job, OriginResult.SERVED, effect=job.write)
 
     def arrive(self, now: float, job: OriginJob) -> list[FinishedOriginJob]:
-        """Accept a job; return the jobs finished by now, including this one if it needs no work."""
+        """Accept a job; return the jobs finished by now, including this one if it is dropped or rejected."""
         done = self.advance(now)
         keyed = job.write and bool(job.idempotency)
         # The dedup window of a key begins when its first write arrives, finished or not.
--- a/holdgw/emulators/records.py
+++ b/holdgw/emulators/records.py
@@ -200,7 +200,10 @@
 
 
 class Recorder(Protocol):
-    """Receives the records of emulated servers and clients, and the news that cache servers share."""
+    """Receives the records of emulated servers and clients, and the origin's reads and writes.
+
+    It passes the reads and writes of the origin on to all cache servers.
+    """
 
     def record(self, record: Record) -> None:
         """Store a record."""
--- a/holdgw/emulators/relay_model.py
+++ b/holdgw/emulators/relay_model.py
@@ -60,12 +60,14 @@
 
     def block(self, a: Iterable[str], b: Iterable[str], until: float, both: bool) -> None:
         """Drop all datagrams from `a` to `b` until then, and with `both` also those from `b` to `a`."""
-        others = list(b)
-        for one in a:
-            for other in others:
-                if one == other:
+        other_routers = list(b)
+        for router in a:
+            for other_router in other_routers:
+                if router == other_router:
                     continue
-                for pair in ((one, other), (other, one)) if both else ((one, other),):
+                for pair in (
+                    ((router, other_router), (other_router, router)) if both else ((router, other_router),)
+                ):
                     self._cut[pair] = max(self._cut.get(pair, until), until)
 
     def delivery_delays(self, now: float, a: str, b: str, size: int) -> list[float]:
--- a/tests/emulators/test_emulator_sockets.py
+++ b/tests/emulators/test_emulator_sockets.py
@@ -153,10 +153,10 @@
         origin = origin_server(fixture.recorder, fixture.clock)
         await fixture.start()
         await origin.start()
-        listener = fixture.node if server == "node" else origin
+        server_under_test = fixture.node if server == "node" else origin
 
         def request(name: str) -> bytes:
-            return read_command(name) if server == "node" else http_request("GET", name)
+            return read_command(name) if server == "node" else http_request_bytes("GET", name)
 
         def recorded(count: int) -> bool:
             """Return whether `count` attempts are recorded; advances the servers while they execute any."""
@@ -165,7 +165,7 @@
                 origin.slow(1.0)  # advances the model to the current time
             return len(fixture.recorder.of_type(Attempt)) == count
 
-        sock = socket.create_connection(listener.addresses[""])
+        sock = socket.create_connection(server_under_test.addresses[""])
         if not new_connection:
             sock.sendall(request("before"))
             await wait_until(lambda: recorded(1))
@@ -419,7 +419,9 @@
     return OriginServer("store", spec, WORKLOAD, {"edit": 2.5}, Host(), recorder, clock)
 
 
-def http_request(method: str, name: str, body: bytes | None = None, info: str = "c=read,t=a,d=900") -> bytes:
+def http_request_bytes(
+    method: str, name: str, body: bytes | None = None, info: str = "c=read,t=a,d=900"
+) -> bytes:
     length = f"Content-Length: {len(body)}\r\n" if body is not None else ""
     head = (
         f"{method} /k%2Fx HTTP/1.1\r\nHost: a\r\nRequest-Id: {name}\r\nRequest-Info: {info}\r\n{length}\r\n"
@@ -440,13 +442,15 @@
         await server.start()
         connections = [await asyncio.open_connection(*server.addresses[""]) for _ in range(4)]
         info = "c=edit,t=a,d=900,k=abc"
-        connections[0][1].write(http_request("PUT", "w1", b"new", info))
+        connections[0][1].write(http_request_bytes("PUT", "w1", b"new", info))
         await wait_until(lambda: server.model.held == 1)
-        connections[1][1].write(http_request("PUT", "w2", b"new", info))  # a repeated write: answered at once
+        connections[1][1].write(
+            http_request_bytes("PUT", "w2", b"new", info)
+        )  # a repeated write: answered at once
         status, _, receipt = await read_http_answer(connections[1][0])
         assert (status, receipt[:8]) == (200, b"w2 k/x s")
         for connection, name in zip(connections[1:], ("r1", "r2", "r3"), strict=True):
-            connection[1].write(http_request("GET", name))
+            connection[1].write(http_request_bytes("GET", name))
         status, head, _ = await read_http_answer(connections[3][0])
         assert status == 503
         assert b"Not-Started: 1" in head
@@ -473,7 +477,7 @@
         server = origin_server(recorder, clock)
         await server.start()
         reader, writer = await asyncio.open_connection(*server.addresses[""])
-        writer.write(http_request("PUT", "w1", b"new", "c=edit,t=a,d=900,k=abc"))
+        writer.write(http_request_bytes("PUT", "w1", b"new", "c=edit,t=a,d=900,k=abc"))
         await wait_until(lambda: server.model.held == 1)
         server.down()
         with pytest.raises(ConnectionResetError):
@@ -482,7 +486,7 @@
             await asyncio.open_connection(*server.addresses[""])
         await server.start()
         again, new_writer = await asyncio.open_connection(*server.addresses[""])
-        new_writer.write(http_request("PUT", "w1", b"new", "c=edit,t=a,d=900,k=abc"))
+        new_writer.write(http_request_bytes("PUT", "w1", b"new", "c=edit,t=a,d=900,k=abc"))
         assert (await read_http_answer(again))[0] == 200
         assert [one.result for one in recorder.of_type(Attempt)] == ["gone", "repeat"]
         server.close()
