--- a/holdgw/emulators/discovery.py
+++ b/holdgw/emulators/discovery.py
@@ -293,17 +293,17 @@
         """Record what was written to a router."""
         router, now = connection.router, self._clock()
         view = self.model.views[router]
-        known = self._known_endpoints.setdefault(router, {})
+        known_endpoints = self._known_endpoints.setdefault(router, {})
         for entry in entries:
             since = view.since.get(entry.id, now)
             self._recorder.record(EndpointStateSent(router, entry.id, entry.state.value, now, since, full))
         if full:
             # A full list also removes the servers that it does not contain.
-            for server in [name for name in known if name not in {entry.id for entry in entries}]:
+            for server in [name for name in known_endpoints if name not in {entry.id for entry in entries}]:
                 self._recorder.record(EndpointStateSent(router, server, State.REMOVED.value, now, now, full))
-            known.clear()
+            known_endpoints.clear()
         for entry in entries:
             if entry.state is State.REMOVED:
-                known.pop(entry.id, None)
+                known_endpoints.pop(entry.id, None)
             else:
-                known[entry.id] = None
+                known_endpoints[entry.id] = None
--- a/holdgw/emulators/node_model.py
+++ b/holdgw/emulators/node_model.py
@@ -146,19 +146,19 @@
         """Advance the server to `now`; return the finished jobs, in order."""
         if self.crash is not None:
             return []
-        done: list[FinishedJob] = []
+        finished: list[FinishedJob] = []
         if self._inbox and now >= self.work.paused_until:
             resumed = self.work.paused_until
-            done += self._finish(resumed)
+            finished += self._finish(resumed)
             inbox, self._inbox = self._inbox, []
             for job in inbox:
-                done += self._take(resumed, job)
-        done += self._finish(now)
+                finished += self._take(resumed, job)
+        finished += self._finish(now)
         if now >= self._next_report:
             self._reports.append(LoadReport(now, self._smoothed_service_s * 1000, self.work.waiting))
             periods = int((now - self._next_report) / self.spec.report_s) + 1
             self._next_report += periods * self.spec.report_s
-        return done
+        return finished
 
     def next_due(self) -> float | None:
         """Return when `advance` will next have an effect, if nothing else happens; None if never."""
@@ -197,15 +197,15 @@
 
     def arrive(self, now: float, job: Job) -> list[FinishedJob]:
         """Accept a job; return the jobs finished by now, including this one if it is rejected."""
-        done = self.advance(now)
+        finished = self.advance(now)
         if self.crash is not None:
-            return done
+            return finished
         if self.work.paused(now):
             # A stopped process neither rejects a job nor answers a health check; when it resumes, it reads
             # what the kernel has buffered.
             self._inbox.append(job)
-            return done
-        return done + self._take(now, job)
+            return finished
+        return finished + self._take(now, job)
 
     def _take(self, now: float, job: Job) -> list[FinishedJob]:
         work = self._cost(job, now)
@@ -242,9 +242,9 @@
 
     def pause(self, now: float, seconds: float) -> list[FinishedJob]:
         """Stall for `seconds` with the process alive; return the jobs finished by now."""
-        done = self.advance(now)
+        finished = self.advance(now)
         self.work.pause(now + seconds)
-        return done
+        return finished
 
     def stored(self, now: float, request: bytes, key: bytes, size: int) -> bool:
         """Store the object of a request that the origin answered; return False if it did not miss here."""
--- a/holdgw/emulators/origin_model.py
+++ b/holdgw/emulators/origin_model.py
@@ -90,33 +90,33 @@
 
     def arrive(self, now: float, job: OriginJob) -> list[FinishedOriginJob]:
         """Accept a job; return the jobs finished by now, including this one if it is dropped or rejected."""
-        done = self.advance(now)
+        finished = self.advance(now)
         keyed = job.write and bool(job.idempotency)
         # The dedup window of a key begins when its first write arrives, finished or not.
         if keyed and self._dedup_until.get(job.idempotency, now) > now:
-            return [*done, FinishedOriginJob(now, job, OriginResult.REPEAT)]
+            return [*finished, FinishedOriginJob(now, job, OriginResult.REPEAT)]
         if not self._work.submit(job, job.work):
-            return [*done, FinishedOriginJob(now, job, OriginResult.BUSY)]
+            return [*finished, FinishedOriginJob(now, job, OriginResult.BUSY)]
         if keyed:
             self._dedup_until[job.idempotency] = now + job.dedup_window
             self._dedup_until.move_to_end(job.idempotency)
             if len(self._dedup_until) > MAX_REMEMBERED_KEYS:
                 self._dedup_until.popitem(last=False)
-        return done
+        return finished
 
     def slow(self, now: float, factor: float) -> list[FinishedOriginJob]:
         """Make each job take `factor` times its usual time from now on; return the jobs finished by now."""
         if factor <= 0:
             raise ValueError("factor must be above 0")
-        done = self.advance(now)
+        finished = self.advance(now)
         self._work.speed = 1.0 / factor
-        return done
+        return finished
 
     def pause(self, now: float, seconds: float) -> list[FinishedOriginJob]:
         """Stall for `seconds`; return the jobs finished by now."""
-        done = self.advance(now)
+        finished = self.advance(now)
         self._work.pause(now + seconds)
-        return done
+        return finished
 
     @property
     def held(self) -> int:
--- a/holdgw/emulators/processor_sharing.py
+++ b/holdgw/emulators/processor_sharing.py
@@ -132,7 +132,7 @@
 
     def advance(self, now: float) -> list[Finished[T]]:
         """Execute items up to `now`; return the finished ones, in order."""
-        done: list[Finished[T]] = []
+        finished: list[Finished[T]] = []
         while self._now <= now:
             if self._now < self._paused_until:
                 if self._now == now:
@@ -143,19 +143,19 @@
                 self._now = now
                 break
             rate = self._rate()
-            left = self._active[0][0] - self._progress
-            at = self._now + self._time_for(max(left, 0.0), self._now, rate)
+            remaining_work = self._active[0][0] - self._progress
+            at = self._now + self._time_for(max(remaining_work, 0.0), self._now, rate)
             if at > now:
                 self._progress += self._work_in(self._now, now - self._now, rate)
                 self._now = now
                 break
             self._now = at
             self._progress, _, began, item = heapq.heappop(self._active)
-            done.append(Finished(at, began, item))
+            finished.append(Finished(at, began, item))
             if self._waiting:
                 work, following = self._waiting.popleft()
                 self._begin(work, following)
-        return done
+        return finished
 
     def _begin(self, work: float, item: T) -> None:
         heapq.heappush(self._active, (self._progress + work, self._order, self._now, item))
@@ -193,8 +193,8 @@
         if not self._active:
             return None
         start = max(self._now, self._paused_until)
-        left = max(self._active[0][0] - self._progress, 0.0)
-        return start + self._time_for(left, start, self._rate())
+        remaining_work = max(self._active[0][0] - self._progress, 0.0)
+        return start + self._time_for(remaining_work, start, self._rate())
 
     def drop_all(self) -> list[T]:
         """Drop all items, as when the process dies, and return them."""
--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -265,9 +265,12 @@
     lives: Mapping[str, list[ProcessLifetime]],
     stops: Intervals,
 ) -> Iterable[Violation]:
-    for extra in history.extras:
+    for extra_answer in history.extras:
         yield Violation(
-            "lost", extra.at, (extra.request,), f"one more answer came after its final one ({extra.router})"
+            "lost",
+            extra_answer.at,
+            (extra_answer.request,),
+            f"one more answer came after its final one ({extra_answer.router})",
         )
     attempts_by_serial = {(attempt.server, attempt.serial): attempt for attempt in history.attempts}
     known_request_ids = {request.request for request in history.tries}
@@ -317,9 +320,9 @@
                 )
         if request.answer in ("served", "refused", "failed") and not request.crossed:
             for attempt in forwarded:
-                late = history.left_at(attempt) - request.ended
-                if late > SLACK_S:
-                    text = f"sent to {attempt.server} {late:.3f} s after its answer"
+                late_s = history.left_at(attempt) - request.ended
+                if late_s > SLACK_S:
+                    text = f"sent to {attempt.server} {late_s:.3f} s after its answer"
                     yield Violation("lost", attempt.at, (request.request,), text)
     for request_id, group in attempts.items():
         if request_id not in known_request_ids:
@@ -359,39 +362,46 @@
         ):
             # The client itself sent the request twice, on a connection that no router could have kept open.
             continue
-        ran = [attempt for attempt in attempts.get(request.request, []) if attempt.result not in NO_EFFECT]
-        if not ran:
+        may_have_run = [
+            attempt for attempt in attempts.get(request.request, []) if attempt.result not in NO_EFFECT
+        ]
+        if not may_have_run:
             continue
         # The first attempt is the one that arrived first, not the one that was read first: a server whose
         # process had no core reads an attempt late, possibly after a second attempt that arrived later.
-        first, began = min(ran, key=history.reached_at), ran[0].at
+        first_attempt, first_read_at = min(may_have_run, key=history.reached_at), may_have_run[0].at
         for attempt in attempts[request.request]:
-            late = history.left_at(attempt) - history.reached_at(first)
-            if attempt is first or late < 0:
+            late_s = history.left_at(attempt) - history.reached_at(first_attempt)
+            if attempt is first_attempt or late_s < 0:
                 continue
             if rule.effect == "unsafe":
-                text = f"sent again to {attempt.server} after {first.server} may have run it"
+                text = f"sent again to {attempt.server} after {first_attempt.server} may have run it"
                 yield Violation("twice", attempt.at, (request.request,), f"{text} ({request.router})")
-            elif late > rule.window + SLACK_S:
+            elif late_s > rule.window + SLACK_S:
                 text = (
-                    f"sent again {late:.3f} s after it may have run, beyond its window of {rule.window:g} s"
+                    f"sent again {late_s:.3f} s after it may have run, beyond its window of {rule.window:g} s"
                 )
                 yield Violation("twice", attempt.at, (request.request,), f"{text} ({request.router})")
         # A repeat that was sent within the window counts as dropped if only the network, or a process of the
         # emulator that had no core, delayed it beyond the window.
         held_back = {
             attempt.serial
-            for attempt in ran
+            for attempt in may_have_run
             if history.left_at(attempt) < attempt.at
-            and history.left_at(attempt) + SLACK_S <= began + rule.window < attempt.at + SLACK_S
+            and history.left_at(attempt) + SLACK_S <= first_read_at + rule.window < attempt.at + SLACK_S
         }
-        effects = sum(attempt.effect and attempt.serial not in held_back for attempt in ran)
-        if effects > 1 and all(attempt.at - began <= rule.window + SLACK_S for attempt in ran):
+        effects = sum(attempt.effect and attempt.serial not in held_back for attempt in may_have_run)
+        if effects > 1 and all(
+            attempt.at - first_read_at <= rule.window + SLACK_S for attempt in may_have_run
+        ):
             yield Violation(
-                "twice", ran[-1].at, (request.request,), f"its effect happened twice ({request.router})"
+                "twice",
+                may_have_run[-1].at,
+                (request.request,),
+                f"its effect happened twice ({request.router})",
             )
         if rule.effect == "unsafe" and request.answer == "refused":
-            text = f"refused after {first.server} may have run it"
+            text = f"refused after {first_attempt.server} may have run it"
             yield Violation("twice", request.ended, (request.request,), f"{text} ({request.router})")
 
 
@@ -489,8 +499,10 @@
             if started <= statement.at <= attempt.at:
                 since = (since if since is not None else statement.at) if statement.out else None
         if since is not None and history.left_at(attempt) > since + grace + SLACK_S:
-            late = history.left_at(attempt) - since
-            text = f"sent to {attempt.server} {late:.3f} s after {request.router} said yes to leaving it out"
+            late_s = history.left_at(attempt) - since
+            text = (
+                f"sent to {attempt.server} {late_s:.3f} s after {request.router} said yes to leaving it out"
+            )
             yield Violation("late_drain", attempt.at, (attempt.request,), text)
 
 
@@ -529,15 +541,19 @@
     if not readings:
         return LagVerdict(0.0, 0.0, "", "the emulator took no reading of its own lag")
     buckets = [sum(column) for column in zip(*(lag.buckets for lag in readings), strict=True)]
-    left, p99 = sum(buckets) * 0.99, LAG_BOUNDS_MS[-1]
+    remaining, p99 = sum(buckets) * 0.99, LAG_BOUNDS_MS[-1]
     for bound, count in zip(LAG_BOUNDS_MS, buckets, strict=False):
-        left -= count
-        if left <= 0:
+        remaining -= count
+        if remaining <= 0:
             p99 = bound
             break
-    late, why = max(readings, key=lambda lag: lag.worst), ""
-    if late.worst * 1000 > worst_ms:
-        why = f"{late.worker} was {late.worst * 1000:.0f} ms late once, over {worst_ms:g}"
+    worst_reading, reason = max(readings, key=lambda lag: lag.worst), ""
+    if worst_reading.worst * 1000 > worst_ms:
+        reason = (
+            f"{worst_reading.worker} was {worst_reading.worst * 1000:.0f} ms late once, over {worst_ms:g}"
+        )
     elif p99 > p99_ms:
-        why = f"the 99th percentile of its lag is {p99:g} ms, over {p99_ms:g}"
-    return LagVerdict(p99, round(late.worst * 1000, 2), late.worker, why, late.at)
+        reason = f"the 99th percentile of its lag is {p99:g} ms, over {p99_ms:g}"
+    return LagVerdict(
+        p99, round(worst_reading.worst * 1000, 2), worst_reading.worker, reason, worst_reading.at
+    )
--- a/holdgw/harness/deployment.py
+++ b/holdgw/harness/deployment.py
@@ -52,7 +52,7 @@
     """
     if "build" not in _read(path):
         return
-    ran = subprocess.run(
+    result = subprocess.run(
         ["/bin/sh", "-c", _command(path, "build")],
         cwd=path.absolute().parent.parent,
         stdin=subprocess.DEVNULL,
@@ -60,9 +60,9 @@
         stderr=subprocess.STDOUT,
         check=False,
     )
-    if ran.returncode:
-        last = ran.stdout.decode(errors="replace").strip().rpartition("\n")[2]
-        raise DeployError(f"{path}: build ended with {ran.returncode}: {last}")
+    if result.returncode:
+        last_line = result.stdout.decode(errors="replace").strip().rpartition("\n")[2]
+        raise DeployError(f"{path}: build ended with {result.returncode}: {last_line}")
 
 
 def _read(path: Path) -> dict[str, Any]:
@@ -83,7 +83,7 @@
 def settings(scenario: Scenario, number: int) -> dict[str, Any]:
     """Return the settings of the router with this number, in the names and units of its configuration."""
     node, router = scenario.node, scenario.router
-    share = sum(one.share for one in scenario.tenants)
+    total_share = sum(one.share for one in scenario.tenants)
     ceilings = {
         "cancel": True,
         "dialTimeoutNs": 120 * _NS_PER_MS,
@@ -116,7 +116,7 @@
             for one in scenario.classes
         ],
         "tenants": [
-            {"name": one.name, "portion": one.share / share, "quotaPerS": one.quota_per_s}
+            {"name": one.name, "portion": one.share / total_share, "quotaPerS": one.quota_per_s}
             for one in scenario.tenants
         ],
         "failureDomains": list(scenario.fleet.zones),
--- a/holdgw/harness/fault_schedule.py
+++ b/holdgw/harness/fault_schedule.py
@@ -45,9 +45,9 @@
     """
     drawing = _FaultDrawing(scenario, seed)
     order = sorted(enumerate(scenario.trouble), key=lambda pair: pair[1].at)
-    drawn = [drawing.draw(number, fault) for number, fault in order]
+    drawn_faults = [drawing.draw(number, fault) for number, fault in order]
     steps = sorted(drawing.steps, key=lambda step: step.at)
-    return [step for step in steps if step.at < scenario.length_s], drawn
+    return [step for step in steps if step.at < scenario.length_s], drawn_faults
 
 
 @dataclass(slots=True)
@@ -153,10 +153,12 @@
         self._current.until = fault.at + fault.down_s
         self._remove_nodes(nodes)
         for name in nodes:
-            new = self._new_node()
+            new_node = self._new_node()
             self._add(fault.at, "kill", name)
-            self._add(self._current.until, "create", new, {"instead": name if fault.same_address else ""})
-            self._alive.append(new)
+            self._add(
+                self._current.until, "create", new_node, {"instead": name if fault.same_address else ""}
+            )
+            self._alive.append(new_node)
         return f"{', '.join(nodes)} replaced"
 
     @_draw.register
@@ -216,8 +218,8 @@
 
     @_draw.register
     def _(self, fault: t.HotCaller) -> str:
-        through = generator(self._seed, f"hot{self._current.number}").sample(self._routers, fault.routers)
-        return f"hot caller: {fault.share:.0%} through {', '.join(through)}"
+        hot_routers = generator(self._seed, f"hot{self._current.number}").sample(self._routers, fault.routers)
+        return f"hot caller: {fault.share:.0%} through {', '.join(hot_routers)}"
 
     @_draw.register
     def _(self, fault: t.Burst) -> str:
@@ -273,66 +275,66 @@
 
     @_draw.register
     def _(self, fault: t.RouterRestart) -> str:
-        picked = self._current.chosen_routers(self._routers, fault.routers)
-        for i, name in enumerate(picked):
+        chosen = self._current.chosen_routers(self._routers, fault.routers)
+        for i, name in enumerate(chosen):
             at = fault.at + i // fault.together * fault.gap_s
             self._add(at, "restart", name, {"signal": fault.signal})
             self._current.until = at
-        return f"{', '.join(picked)}: SIG{fault.signal} and a new start"
+        return f"{', '.join(chosen)}: SIG{fault.signal} and a new start"
 
     @_draw.register
     def _(self, fault: t.RouterReload) -> str:
-        picked = self._current.rng.sample(self._routers, fault.routers)
-        for name in picked:
+        chosen = self._current.rng.sample(self._routers, fault.routers)
+        for name in chosen:
             self._add(fault.at, "reload", name)
-        return f"{', '.join(picked)}: new configuration, SIGHUP"
+        return f"{', '.join(chosen)}: new configuration, SIGHUP"
 
     @_draw.register(t.Freeze)
     @_draw.register(t.RouterStop)
     def _(self, fault: t.Freeze | t.RouterStop) -> str:
-        picked = self._current.chosen_routers(self._routers, fault.routers)
-        for name in picked:
+        chosen = self._current.chosen_routers(self._routers, fault.routers)
+        for name in chosen:
             self._add(fault.at, "stop", ROUTERS, {"router": name})
-        for name in picked:
+        for name in chosen:
             self._add(self._current.until, "continue", ROUTERS, {"router": name})
         what = "frozen" if isinstance(fault, t.Freeze) else "stand still"
-        return f"{', '.join(picked)} {what} for {fault.seconds:g} s"
+        return f"{', '.join(chosen)} {what} for {fault.seconds:g} s"
 
     @_draw.register
     def _(self, fault: t.Slow) -> str:
-        picked = self._current.chosen_routers(self._routers, fault.routers)
-        for name in picked:
+        chosen = self._current.chosen_routers(self._routers, fault.routers)
+        for name in chosen:
             self._add(
                 fault.at,
                 "slow",
                 ROUTERS,
                 {"router": name, "seconds": fault.seconds, "run_ms": fault.run_ms},
             )
-        return f"{', '.join(picked)} run {fault.run_ms} ms of each 100"
+        return f"{', '.join(chosen)} run {fault.run_ms} ms of each 100"
 
     @_draw.register
     def _(self, fault: t.ClockJump) -> str:
-        picked = self._current.rng.sample(self._routers, fault.routers)
-        for name in picked:
+        chosen = self._current.rng.sample(self._routers, fault.routers)
+        for name in chosen:
             self._add(fault.at, "clock", NETWORK, {"router": name, "by_s": fault.by_s})
-        return f"{', '.join(picked)}: clock set by {fault.by_s:+g} s"
+        return f"{', '.join(chosen)}: clock set by {fault.by_s:+g} s"
 
     @_draw.register
     def _(self, fault: t.MachineLoss) -> str:
-        picked = self._current.chosen_routers(self._routers, fault.routers)
+        chosen = self._current.chosen_routers(self._routers, fault.routers)
         self._current.until = fault.at + fault.down_s
-        self._lose_machines(fault.at, self._current.until if fault.down_s else None, picked)
+        self._lose_machines(fault.at, self._current.until if fault.down_s else None, chosen)
         back = f"back empty after {fault.down_s:g} s" if fault.down_s else "for good"
-        return f"{', '.join(picked)}: machine lost, {back}"
+        return f"{', '.join(chosen)}: machine lost, {back}"
 
     @_draw.register
     def _(self, fault: t.ZoneLoss) -> str:
-        lost = [name for name in self._alive if zone_of_server(self._scenario, name) == fault.zone]
-        picked = [name for name in self._routers if zone_of_router(self._scenario, name) == fault.zone]
-        for name in lost:
+        lost_nodes = [name for name in self._alive if zone_of_server(self._scenario, name) == fault.zone]
+        chosen = [name for name in self._routers if zone_of_router(self._scenario, name) == fault.zone]
+        for name in lost_nodes:
             self._vanish(name, fault.at, fault.at + fault.notice_s, self._current.until)
-        self._lose_machines(fault.at, self._current.until, picked)
-        return f"zone {fault.zone} lost: {len(lost)} nodes and {len(picked)} routers"
+        self._lose_machines(fault.at, self._current.until, chosen)
+        return f"zone {fault.zone} lost: {len(lost_nodes)} nodes and {len(chosen)} routers"
 
     def _lose_machines(self, at: float, back: float | None, routers: Sequence[str]) -> None:
         for name in routers:
@@ -347,26 +349,26 @@
     def _(self, fault: t.Partition) -> str:
         nodes = self._alive if fault.nodes == "all" else self._current.chosen_nodes(fault.nodes)
         servers = [*nodes, *([ORIGIN] if fault.store else [])]
-        picked = (
+        chosen = (
             self._current.chosen_routers(self._routers, fault.routers) if fault.routers else self._routers
         )
-        rest = [name for name in self._routers if name not in picked]
-        others = self._current.chosen_routers(rest, fault.peers)
+        remaining_routers = [name for name in self._routers if name not in chosen]
+        other_routers = self._current.chosen_routers(remaining_routers, fault.peers)
         if fault.zone:
             return self._partition_zone(fault)
-        parts = [f"{len(others)} routers"] * bool(others) + servers
+        parts = [f"{len(other_routers)} routers"] * bool(other_routers) + servers
         parts += [DISCOVERY] * fault.discovery
-        self._add_partition(fault, [(picked, servers)], picked, (picked, others))
-        return f"{len(picked)} routers and {', '.join(parts)} parted ({fault.way})"
+        self._add_partition(fault, [(chosen, servers)], chosen, (chosen, other_routers))
+        return f"{len(chosen)} routers and {', '.join(parts)} parted ({fault.way})"
 
     def _partition_zone(self, fault: t.Partition) -> str:
-        every = [*self._alive, *([ORIGIN] if fault.store else [])]
-        picked = [name for name in self._routers if zone_of_router(self._scenario, name) == fault.zone]
-        others = [name for name in self._routers if name not in picked]
-        own = [name for name in every if zone_of_server(self._scenario, name) == fault.zone]
-        sides = [(picked, [name for name in every if name not in own]), (others, own)]
-        without_discovery = others if fault.zone == self._scenario.fleet.zones[0] else picked
-        self._add_partition(fault, sides, without_discovery, (picked, others))
+        all_servers = [*self._alive, *([ORIGIN] if fault.store else [])]
+        chosen = [name for name in self._routers if zone_of_router(self._scenario, name) == fault.zone]
+        other_routers = [name for name in self._routers if name not in chosen]
+        own = [name for name in all_servers if zone_of_server(self._scenario, name) == fault.zone]
+        sides = [(chosen, [name for name in all_servers if name not in own]), (other_routers, own)]
+        without_discovery = other_routers if fault.zone == self._scenario.fleet.zones[0] else chosen
+        self._add_partition(fault, sides, without_discovery, (chosen, other_routers))
         return f"zone {fault.zone} parted from the others ({fault.way})"
 
     def _add_partition(
@@ -395,8 +397,8 @@
     @_draw.register
     def _(self, fault: t.LossyPeers) -> str:
         self._add(fault.at, "weather", PEERS, {name: getattr(fault, name) for name in DATAGRAM_FAULTS})
-        usual = {name: getattr(self._scenario.peers, name) for name in DATAGRAM_FAULTS}
-        self._add(self._current.until, "weather", PEERS, usual)
+        usual_conditions = {name: getattr(self._scenario.peers, name) for name in DATAGRAM_FAULTS}
+        self._add(self._current.until, "weather", PEERS, usual_conditions)
         return f"lines between routers: {fault.loss:.1%} lost"
 
     @_draw.register
@@ -408,13 +410,13 @@
 
     @_draw.register
     def _(self, fault: t.LineConditions) -> str:
-        weather = {
+        conditions = {
             "loss": fault.loss,
             "chop": fault.chop,
             "slow_ms": fault.slow_ms,
             "window_kb": fault.window_kb,
         }
-        self._add(fault.at, "weather", NETWORK, {**weather, "name": self._current.number})
+        self._add(fault.at, "weather", NETWORK, {**conditions, "name": self._current.number})
         self._add(self._current.until, "weather", NETWORK, {"name": self._current.number})
         return f"bad lines: {fault.loss:.1%} lost, {fault.chop:.0%} in pieces"
 
--- a/holdgw/harness/html_report.py
+++ b/holdgw/harness/html_report.py
@@ -39,11 +39,11 @@
 Series = Mapping[str, Sequence[tuple[float, float]]]
 
 
-def nice_step(most: float, steps: int = 4) -> float:
-    """Return a round distance between grid lines, so that at most `steps` of them reach `most`."""
-    if most <= 0:
+def nice_step(highest: float, steps: int = 4) -> float:
+    """Return a round distance between grid lines, so that at most `steps` of them reach `highest`."""
+    if highest <= 0:
         return 1.0
-    raw = most / steps
+    raw = highest / steps
     power = 10.0 ** floor(log10(raw))
     return next(factor * power for factor in (1, 2, 5, 10) if factor * power >= raw)
 
@@ -57,9 +57,9 @@
         faults: The faults to mark.
         least: The value that the vertical axis reaches at least.
     """
-    most = max((y for line in series.values() for _, y in line), default=0.0)
-    step = nice_step(max(most, least))
-    top = max(step * ceil(max(most, least) / step), step)
+    highest = max((y for line in series.values() for _, y in line), default=0.0)
+    step = nice_step(max(highest, least))
+    top = max(step * ceil(max(highest, least) / step), step)
     plot_width, plot_height = WIDTH - LEFT - RIGHT, HEIGHT - TOP - BOTTOM
 
     def x(at: float) -> float:
@@ -106,8 +106,8 @@
 
 
 def _per_second(times: Sequence[float], length: float) -> list[tuple[float, float]]:
-    counted = Counter(int(at) for at in times)
-    return [(i + 0.5, counted[i]) for i in range(max(int(length), 1))]
+    counts = Counter(int(at) for at in times)
+    return [(i + 0.5, counts[i]) for i in range(max(int(length), 1))]
 
 
 def _figure(title: str, series: Series, report: Report, note: str = "") -> str:
@@ -168,38 +168,42 @@
 
 
 def _node_load(report: Report) -> Series:
-    work = defaultdict[int, Counter[str]](Counter)
-    for one in report.attempts:
-        if one.server != ORIGIN and one.result not in ("busy", "gone"):
-            work[int(one.at)][one.server] += 1
-    nodes = len(report.body["nodes"]) or 1
+    attempts_by_second = defaultdict[int, Counter[str]](Counter)
+    for attempt in report.attempts:
+        if attempt.server != ORIGIN and attempt.result not in ("busy", "gone"):
+            attempts_by_second[int(attempt.at)][attempt.server] += 1
+    node_count = len(report.body["nodes"]) or 1
     lines: dict[str, list[tuple[float, float]]] = {"mean": [], "busiest": []}
     for i in range(max(int(report.schedule.scenario.length_s), 1)):
-        lines["mean"].append((i + 0.5, sum(work[i].values()) / nodes))
-        lines["busiest"].append((i + 0.5, max(work[i].values(), default=0)))
+        lines["mean"].append((i + 0.5, sum(attempts_by_second[i].values()) / node_count))
+        lines["busiest"].append((i + 0.5, max(attempts_by_second[i].values(), default=0)))
     return lines
 
 
 def _memory(usage: Mapping[str, Sequence[Usage]], begun: float) -> Series:
     """Return the most memory and the most descriptors of a router, by second."""
-    rows = defaultdict[int, list[Usage]](list)
-    for several in usage.values():
-        for one in several:
-            if one.at >= begun:
-                rows[int(one.at - begun)].append(one)
+    samples_by_second = defaultdict[int, list[Usage]](list)
+    for samples in usage.values():
+        for sample in samples:
+            if sample.at >= begun:
+                samples_by_second[int(sample.at - begun)].append(sample)
     return {
         "most memory of a router, MB": [
-            (i, max(one.memory for one in row) / (1 << 20)) for i, row in sorted(rows.items())
+            (i, max(sample.memory for sample in second_samples) / (1 << 20))
+            for i, second_samples in sorted(samples_by_second.items())
         ],
         "most descriptors of a router": [
-            (i, max(one.descriptors for one in row)) for i, row in sorted(rows.items())
+            (i, max(sample.descriptors for sample in second_samples))
+            for i, second_samples in sorted(samples_by_second.items())
         ],
     }
 
 
 def _table(head: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
     top = "".join(f"<th>{escape(word)}</th>" for word in head)
-    body = "".join("<tr>" + "".join(f"<td>{escape(str(one))}</td>" for one in row) + "</tr>" for row in rows)
+    body = "".join(
+        "<tr>" + "".join(f"<td>{escape(str(cell))}</td>" for cell in row) + "</tr>" for row in rows
+    )
     return f"<table><tr>{top}</tr>{body}</table>"
 
 
@@ -208,8 +212,17 @@
         (
             name,
             *(
-                row[what]
-                for what in ("asked", "in_aim", "served", "refused", "failed", "service", "p50_ms", "p99_ms")
+                row[column]
+                for column in (
+                    "asked",
+                    "in_aim",
+                    "served",
+                    "refused",
+                    "failed",
+                    "service",
+                    "p50_ms",
+                    "p99_ms",
+                )
             ),
         )
         for name, row in report.body[group].items()
--- a/holdgw/harness/scenario.py
+++ b/holdgw/harness/scenario.py
@@ -287,10 +287,10 @@
         _check_range("discovery.notice_s", self.discovery.notice_s)
         for name in ("try_share", "backoff_ms", "front_notice_s"):
             _check_range(f"clients.{name}", getattr(self.clients, name))
-        for i, one in enumerate(self.classes):
-            if one.aim_ms > one.give_up_ms:
-                raise ValueError(f"classes[{i}].aim_ms: {one.aim_ms:g} is over give_up_ms {one.give_up_ms:g}")
-            if (one.effect == "keyed") != (one.window_ms > 0):
+        for i, cls in enumerate(self.classes):
+            if cls.aim_ms > cls.give_up_ms:
+                raise ValueError(f"classes[{i}].aim_ms: {cls.aim_ms:g} is over give_up_ms {cls.give_up_ms:g}")
+            if (cls.effect == "keyed") != (cls.window_ms > 0):
                 raise ValueError(f"classes[{i}].window_ms: a keyed class has a window, and no other has one")
         if [second for second, _ in self.load.shape] != sorted({second for second, _ in self.load.shape}):
             raise ValueError("load.shape: the seconds must rise")
@@ -342,9 +342,9 @@
         """Why only the simulation can play the scenario, naming the field; empty if real processes can."""
         if self.storm.count[1]:
             return "storm: only `holdgw simulate` can play drawn faults"
-        for i, one in enumerate(self.trouble):
-            if only_simulated(one):
-                return f"trouble[{i}] ({kind_of(one)}): only `holdgw simulate` can play it"
+        for i, fault in enumerate(self.trouble):
+            if only_simulated(fault):
+                return f"trouble[{i}] ({kind_of(fault)}): only `holdgw simulate` can play it"
         return ""
 
     def _check_fault(self, where: str, fault: Fault) -> None:
@@ -365,13 +365,13 @@
         if isinstance(fault, Burst) and fault.tenant not in ("", *(one.name for one in self.tenants)):
             raise ValueError(f"{where}.tenant: no tenant {fault.tenant!r}")
 
-    def _check_routers(self, where: str, wanted: int | tuple[str, ...]) -> None:
-        if isinstance(wanted, int):
-            if wanted > self.fleet.routers:
+    def _check_routers(self, where: str, routers: int | tuple[str, ...]) -> None:
+        if isinstance(routers, int):
+            if routers > self.fleet.routers:
                 raise ValueError(f"{where}: more than the {self.fleet.routers} there are")
             return
         names = router_names(self.fleet)
-        for name in wanted:
+        for name in routers:
             if name not in names:
                 raise ValueError(f"{where}: no router {name!r}; they are {names[0]} to {names[-1]}")
 
--- a/holdgw/harness/scenario_fields.py
+++ b/holdgw/harness/scenario_fields.py
@@ -29,5 +29,5 @@
         for name in value.__struct_fields__:
             yield from not_finite(getattr(value, name), f"{where}.{name}" if where else name)
     elif isinstance(value, (tuple, list)):
-        for i, one in enumerate(value):
-            yield from not_finite(one, f"{where}[{i}]")
+        for i, element in enumerate(value):
+            yield from not_finite(element, f"{where}[{i}]")
--- a/holdgw/harness/schedule_drawing.py
+++ b/holdgw/harness/schedule_drawing.py
@@ -11,5 +11,5 @@
 def draw_schedule(scenario: Scenario, seed: int) -> Schedule:
     """Draw a run's requests and faults; the same scenario and seed give the same schedule."""
     requests = tuple(draw_prelude(scenario, seed)) + tuple(draw_arrivals(scenario, seed))
-    steps, drawn = draw_faults(scenario, seed)
-    return Schedule(scenario, seed, requests, tuple(steps), tuple(drawn))
+    steps, drawn_faults = draw_faults(scenario, seed)
+    return Schedule(scenario, seed, requests, tuple(steps), tuple(drawn_faults))
--- a/holdgw/harness/scoring.py
+++ b/holdgw/harness/scoring.py
@@ -67,20 +67,24 @@
         begun: The time of second 0 on the clock of `tries`.
     """
     tries_by_request = defaultdict[int, list[ClientRequest]](list)
-    for one in tries:
-        tries_by_request[one.ask].append(one)
+    for client_request in tries:
+        tries_by_request[client_request.ask].append(client_request)
     outcomes = []
-    for ask in requests:
-        if ask.source == PRELUDE:
+    for request in requests:
+        if request.source == PRELUDE:
             continue
-        outcome = RequestOutcome(ask, ended=ask.at)
-        for one in sorted(tries_by_request.get(ask.number, ()), key=lambda one: one.number):
+        outcome = RequestOutcome(request, ended=request.at)
+        for client_request in sorted(
+            tries_by_request.get(request.number, ()), key=lambda client_request: client_request.number
+        ):
             outcome.tries += 1
-            outcome.ended = max(outcome.ended, one.ended - begun)
-            if one.answer == "served" and not one.fault:
-                outcome.result, outcome.took = "served", one.ended - begun - ask.at
+            outcome.ended = max(outcome.ended, client_request.ended - begun)
+            if client_request.answer == "served" and not client_request.fault:
+                outcome.result, outcome.took = "served", client_request.ended - begun - request.at
             elif outcome.took is None:
-                outcome.result = one.answer if one.answer in ("refused", "left") else "failed"
+                outcome.result = (
+                    client_request.answer if client_request.answer in ("refused", "left") else "failed"
+                )
         outcomes.append(outcome)
     return outcomes
 
@@ -147,7 +151,7 @@
     worst, at = 1.0, 0.0
     for start in range(max(int(length / WINDOW_STEP_S) - window_steps + 1, 1)):
         part = [steps.get(i, Share()) for i in range(start, start + window_steps)]
-        service = Share(sum(one.asked for one in part), sum(one.got for one in part)).service
+        service = Share(sum(share.asked for share in part), sum(share.got for share in part)).service
         if service < worst:
             worst, at = service, start * WINDOW_STEP_S
     return worst, at
@@ -179,8 +183,8 @@
     by_class = shares(outcomes, classes, lambda outcome: outcome.request.request_class)
     by_tenant = shares(outcomes, classes, lambda outcome: outcome.request.tenant)
     window, window_at = worst_window(outcomes, classes, length)
-    worst_class = min(((classes[i].name, one.service) for i, one in by_class.items()), key=lambda x: x[1])
-    worst_tenant = min(((tenants[i], one.service) for i, one in by_tenant.items()), key=lambda x: x[1])
+    worst_class = min(((classes[i].name, share.service) for i, share in by_class.items()), key=lambda x: x[1])
+    worst_tenant = min(((tenants[i], share.service) for i, share in by_tenant.items()), key=lambda x: x[1])
     goal = (
         TOTAL_WEIGHT * total.service
         + WINDOW_WEIGHT * window
@@ -210,8 +214,12 @@
     """Return the deductions from the score by name; the arguments are those of `score`."""
     request_count = max(len(outcomes), 1)
     attempts = [attempt for attempt in history.attempts if attempt.at >= begun]
-    router_by_request = {one.request: one.router for one in history.tries}
-    used_answers = {(one.server, one.serial) for one in history.tries if one.answer == "served"}
+    router_by_request = {client_request.request: client_request.router for client_request in history.tries}
+    used_answers = {
+        (client_request.server, client_request.serial)
+        for client_request in history.tries
+        if client_request.answer == "served"
+    }
     fetches = sum(attempt.server == ORIGIN and not attempt.idempotency for attempt in attempts)
     crossings = sum(
         zones.get(attempt.server) != zones.get(router_by_request.get(attempt.request, ""))
--- a/holdgw/harness/worker.py
+++ b/holdgw/harness/worker.py
@@ -84,10 +84,10 @@
         self._loop.call_later(LAG_SAMPLE_INTERVAL_S, self._sample)
 
     def _sample(self) -> None:
-        late = max(CLOCK() - self._due, 0.0)
-        self._worst = max(self._worst, late)
+        lag_s = max(CLOCK() - self._due, 0.0)
+        self._worst = max(self._worst, lag_s)
         bucket = next(
-            (i for i, bound in enumerate(LAG_BOUNDS_MS) if late * 1000 <= bound), len(LAG_BOUNDS_MS)
+            (i for i, bound in enumerate(LAG_BOUNDS_MS) if lag_s * 1000 <= bound), len(LAG_BOUNDS_MS)
         )
         self._buckets[bucket] += 1
         self._schedule_sample()
--- a/tests/emulators/test_emulator_models.py
+++ b/tests/emulators/test_emulator_models.py
@@ -123,11 +123,11 @@
     plan: list[tuple[float, float, float | None]], cold: bool
 ) -> None:
     work: ProcessorSharingQueue[float] = ProcessorSharingQueue(COLD, 0.0, cold)
-    now = done = paused = 0.0
+    now = finished_work = paused = 0.0
     paused_until = 0.0
     for gap, size, pause in plan:
         now += gap
-        done += sum(item for _, _, item in work.advance(now))
+        finished_work += sum(item for _, _, item in work.advance(now))
         if pause:
             paused += max(now + pause - max(paused_until, now), 0.0)
             paused_until = max(paused_until, now + pause)
@@ -135,13 +135,13 @@
         work.submit(size, size)
     due = work.next_due()
     assert due is not None
-    ended = work.advance(due + 1e-9)
-    assert ended, "an item ends at next_due"
-    done += sum(item for _, _, item in ended)
+    last_finished = work.advance(due + 1e-9)
+    assert last_finished, "an item ends at next_due"
+    finished_work += sum(item for _, _, item in last_finished)
     span = min(due, COLD.warm_s)
     ramp = 0.25 * span + 0.75 * span * span / (2 * COLD.warm_s) if cold else span
-    most = ramp + max(due - COLD.warm_s, 0.0)
-    assert done <= most + 1e-6
+    max_work = ramp + max(due - COLD.warm_s, 0.0)
+    assert finished_work <= max_work + 1e-6
 
 
 # Cached copies
@@ -212,11 +212,11 @@
 
 def test_a_second_miss_is_pending_for_the_lease_of_the_fetch_and_no_longer() -> None:
     node = NodeModel(WARM, 0.0)
-    seen = []
+    read_results = []
     for i, at in enumerate((0.0, 0.2, 3.0)):
         node.arrive(at, read(f"r{i}"))
-        seen += [end.result for end in node.advance(at + 0.15)]
-    assert seen == [JobResult.MISS, JobResult.PENDING, JobResult.MISS]
+        read_results += [finished_job.result for finished_job in node.advance(at + 0.15)]
+    assert read_results == [JobResult.MISS, JobResult.PENDING, JobResult.MISS]
 
 
 def test_requests_beyond_the_queue_are_rejected_and_accepted_ones_are_always_executed() -> None:
--- a/tests/emulators/test_emulator_sockets.py
+++ b/tests/emulators/test_emulator_sockets.py
@@ -130,8 +130,8 @@
         value = make_value(b"r2", b"k", "n1", 2, 100)
         assert len(value) == 100
         await expect_bytes(reader, b"*3\r\n$100\r\n" + value + b"\r\n$3\r\nhit\r\n")
-        seen = fixture.recorder.of_type(Attempt)
-        assert [(one.request, one.result, one.serial) for one in seen] == [
+        attempts = fixture.recorder.of_type(Attempt)
+        assert [(attempt.request, attempt.result, attempt.serial) for attempt in attempts] == [
             ("r1", "miss", 1),
             ("r2", "hit", 2),
         ]
@@ -174,8 +174,8 @@
         time.sleep(stall_s)
         await wait_until(lambda: recorded(1 if new_connection else 2))
         longest = time.monotonic() - started
-        seen = fixture.recorder.of_type(Attempt)[-1]
-        waited = seen.at - seen.arrived
+        late_attempt = fixture.recorder.of_type(Attempt)[-1]
+        waited = late_attempt.at - late_attempt.arrived
         assert stall_s - 2 * TICK_NS / 1e9 <= waited <= longest
         if not new_connection:
             before = fixture.recorder.of_type(Attempt)[0]
@@ -209,8 +209,8 @@
             await asyncio.sleep(0)
         await expect_bytes(reader, miss_answer())
         await expect_bytes(new_reader, b"*3\r\n$-1\r\n")
-        seen = {one.request: one for one in fixture.recorder.of_type(Attempt)}
-        assert seen["r2"].at < at, "the time of its arrival in the pause, not of its execution"
+        attempts = {attempt.request: attempt for attempt in fixture.recorder.of_type(Attempt)}
+        assert attempts["r2"].at < at, "the time of its arrival in the pause, not of its execution"
         for one in (writer, new_writer):
             one.close()
         fixture.node.close()
@@ -335,8 +335,8 @@
         else:
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.read(1), 0.05)
-        (seen,) = fixture.recorder.of_type(Attempt)
-        assert (seen.result, seen.fault) == ("miss", fault)
+        (attempt,) = fixture.recorder.of_type(Attempt)
+        assert (attempt.result, attempt.fault) == ("miss", fault)
         writer.close()
         fixture.node.close()
 
@@ -460,10 +460,12 @@
         assert (await read_http_answer(connections[1][0]))[2].startswith(b"r1 k/x store ")
         assert recorder.invalidated == [b"k/x"]
         assert recorder.stored_objects[0][:2] == (b"r1", b"k/x")
-        seen = [(one.request, one.result, one.effect) for one in recorder.of_type(Attempt)]
-        assert ("w1", "served", True) in seen
-        assert ("w2", "repeat", False) in seen
-        assert ("r3", "busy", False) in seen
+        attempts = [
+            (attempt.request, attempt.result, attempt.effect) for attempt in recorder.of_type(Attempt)
+        ]
+        assert ("w1", "served", True) in attempts
+        assert ("w2", "repeat", False) in attempts
+        assert ("r3", "busy", False) in attempts
         server.close()
         for _, writer in connections:
             writer.close()
--- a/tests/harness/test_checker.py
+++ b/tests/harness/test_checker.py
@@ -107,7 +107,7 @@
         (10.14, []),
         (10.16, ["lost"]),  # within the same 57 ms, but its router did forward it after the answer
         (10.207, ["lost"]),
-        (0.0, ["lost"]),  # no record says that it came sooner than it was read
+        (0.0, ["lost"]),  # no record says that it arrived before it was read
     ],
 )
 def test_attempt_after_an_answer_is_judged_by_its_arrival_and_not_by_its_read_time(
@@ -134,11 +134,7 @@
     [
         (0.06, 0.0, "starved"),
         (0.04, 0.0, "lost"),  # not over 50 ms, nor over 25 % of the 950 ms that it had
-        (
-            0.04,
-            10.82,
-            "starved",
-        ),  # over 25 % of 130 ms: the process was stopped until then, the request unread
+        (0.04, 10.82, "starved"),  # over 25 % of 130 ms: stopped until then, with the request unread
         (0.02, 10.82, "lost"),
     ],
 )
--- a/tests/harness/test_harness.py
+++ b/tests/harness/test_harness.py
@@ -318,15 +318,15 @@
 
 def processes_with_mark(mark: str) -> list[int]:
     """Return the processes, except this one, that have the mark in their environment."""
-    found = []
+    pids = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit() and int(entry.name) != os.getpid():
             try:
                 if mark.encode() in (entry / "environ").read_bytes():
-                    found.append(int(entry.name))
+                    pids.append(int(entry.name))
             except OSError:
                 continue
-    return found
+    return pids
 
 
 def start_command_line(mark: str, tmp_path: Path) -> subprocess.Popen[str]:
--- a/tests/harness/test_scenario.py
+++ b/tests/harness/test_scenario.py
@@ -156,8 +156,8 @@
     assert {request.zone for request in hot} == {"mladost"}
     there = [request for request in schedule.requests if 2 <= request.at < 7 and request.zone == "mladost"]
     assert len(hot) / len(there) == pytest.approx(0.5 * 0.97, abs=0.06)
-    said = [(step.at, step.target, step.args["says"]) for step in schedule.faults if step.verb == "report"]
-    assert said == [(3, "node002", "full"), (7, "node002", "")]
+    reports = [(step.at, step.target, step.args["says"]) for step in schedule.faults if step.verb == "report"]
+    assert reports == [(3, "node002", "full"), (7, "node002", "")]
 
 
 def test_load_shape_is_linear_between_its_points() -> None:
@@ -211,7 +211,7 @@
     steps = [
         s for s in draw_schedule(scenario_of(text), 1).faults if s.verb == "partition" and s.target == NETWORK
     ]
-    parted = {(one, other) for s in steps for one in s.args["routers"] for other in s.args["servers"]}
+    parted = {(router, server) for s in steps for router in s.args["routers"] for server in s.args["servers"]}
     assert ("router01", "node000") in parted
     assert ("router00", "node001") in parted
     assert ("router01", "store") in parted  # the origin is in the first zone
@@ -247,61 +247,61 @@
         ClientRequest("c", 2, 0, "r", 102.0, 0.9, "failed", 102.9),
         ClientRequest("d", 3, 0, "r", 103.0, 0.9, "served", 103.1, fault="not its value"),
     ]
-    found = request_outcomes(
+    outcomes = request_outcomes(
         [request(1, 1.0), request(2, 2.0), request(3, 3.0), request(4, 4.0)], tries, begun=100.0
     )
-    assert [(outcome.result, outcome.tries) for outcome in found] == [
+    assert [(outcome.result, outcome.tries) for outcome in outcomes] == [
         ("served", 2),
         ("failed", 1),
         ("failed", 1),
         ("failed", 0),
     ]
-    assert found[0].took == pytest.approx(0.25)
-    assert [one.took for one in found[1:]] == [None] * 3
+    assert outcomes[0].took == pytest.approx(0.25)
+    assert [outcome.took for outcome in outcomes[1:]] == [None] * 3
 
 
 def test_worth_is_full_in_time_reduced_when_late_and_small_beyond_the_quota() -> None:
     classes = load_scenario("quiet").classes
-    got = [
-        worth_of(RequestOutcome(one, took=took), classes)
-        for one, took in (
+    worths = [
+        worth_of(RequestOutcome(scheduled, took=took), classes)
+        for scheduled, took in (
             (request(1, 0), 0.3),
             (request(1, 0), 0.31),
             (request(1, 0, over=True), 0.1),
             (request(1, 0), None),
         )
     ]
-    assert got == [(3.0, 3.0), (3.0, 0.75), (pytest.approx(0.15), pytest.approx(0.15)), (3.0, 0.0)]
+    assert worths == [(3.0, 3.0), (3.0, 0.75), (pytest.approx(0.15), pytest.approx(0.15)), (3.0, 0.0)]
     assert worth_of(RequestOutcome(request(1, 0), took=1.3), classes) == (3.0, 0.0)
 
 
 def test_score_weighs_the_worst_window_class_and_tenant_as_the_brief_defines() -> None:
     classes = load_scenario("quiet").classes
-    found = [RequestOutcome(request(i, i * 0.1, tenant=i % 2), took=0.1) for i in range(400)]
-    for outcome in found:
+    outcomes = [RequestOutcome(request(i, i * 0.1, tenant=i % 2), took=0.1) for i in range(400)]
+    for outcome in outcomes:
         if outcome.request.tenant == 1 and 10 <= outcome.request.at < 20:
             outcome.took = None
-    window, window_at = worst_window(found, classes, 40.0)
+    window, window_at = worst_window(outcomes, classes, 40.0)
     assert (round(window, 6), window_at) == (0.5, 10.0)
-    counted = score(found, History(), classes, ["public", "municipal"], 40.0, 0.0, {})
+    service = score(outcomes, History(), classes, ["public", "municipal"], 40.0, 0.0, {})
     whole, tenant = 350 / 400, 150 / 200
     expected = 0.55 * whole + 0.15 * 0.5 + 0.05 * whole + 0.25 * tenant
-    assert counted.service == pytest.approx(expected - counted.deductions["late_fail"], abs=1e-9)
-    assert counted.worst_tenant[0] == "municipal"
-    assert counted.worst_tenant[1] == pytest.approx(tenant)
+    assert service.service == pytest.approx(expected - service.deductions["late_fail"], abs=1e-9)
+    assert service.worst_tenant[0] == "municipal"
+    assert service.worst_tenant[1] == pytest.approx(tenant)
 
 
 # The channel
 
 
 def test_oversized_frame_is_rejected_and_a_scenario_is_decoded_from_pieces() -> None:
-    took: list[object] = []
-    channel = Channel(took.append, lambda: None)
+    received: list[object] = []
+    channel = Channel(received.append, lambda: None)
     setup = Setup("nodes", 0, 1, "nodes0", load_scenario("storm"), 7, "127.0.0.1")
     frame = msgspec.msgpack.encode(setup)
-    data = len(frame).to_bytes(4, "big") + frame
-    for i in range(0, len(data), 100):
-        channel.data_received(data[i : i + 100])
-    assert took == [setup]
+    frame_bytes = len(frame).to_bytes(4, "big") + frame
+    for i in range(0, len(frame_bytes), 100):
+        channel.data_received(frame_bytes[i : i + 100])
+    assert received == [setup]
     with pytest.raises(ValueError, match="a frame of"):
         channel.data_received((MAX_FRAME_BYTES + 1).to_bytes(4, "big"))
