--- a/holdgw/harness/checker.py
+++ b/holdgw/harness/checker.py
@@ -111,7 +111,7 @@
     deaf: list[DiscoveryCut] = field(default_factory=list)
     """When connections from routers to discovery were cut."""
     held: dict[tuple[str, float], float] = field(default_factory=dict)
-    """When a router wrote the bytes that the network delayed, by server and time of its read."""
+    """When a router wrote bytes that the network delayed, by server and the time at which it read them."""
 
     def left_at(self, attempt: Attempt) -> float:
         """Return the latest time at which an attempt can have left its router.
