--- a/holdgw/harness/scenario.py
+++ b/holdgw/harness/scenario.py
@@ -287,10 +287,10 @@
         _check_range("discovery.notice_s", self.discovery.notice_s)
         for name in ("try_share", "backoff_ms", "front_notice_s"):
             _check_range(f"clients.{name}", getattr(self.clients, name))
-        for i, one in enumerate(self.classes):
-            if one.aim_ms > one.give_up_ms:
-                raise ValueError(f"classes[{i}].aim_ms: {one.aim_ms:g} is over give_up_ms {one.give_up_ms:g}")
-            if (one.effect == "keyed") != (one.window_ms > 0):
+        for i, cls in enumerate(self.classes):
+            if cls.aim_ms > cls.give_up_ms:
+                raise ValueError(f"classes[{i}].aim_ms: {cls.aim_ms:g} is over give_up_ms {cls.give_up_ms:g}")
+            if (cls.effect == "keyed") != (cls.window_ms > 0):
                 raise ValueError(f"classes[{i}].window_ms: a keyed class has a window, and no other has one")
         if [second for second, _ in self.load.shape] != sorted({second for second, _ in self.load.shape}):
             raise ValueError("load.shape: the seconds must rise")
@@ -306,8 +306,11 @@
 
     def _check_load(self) -> None:
         """Reject a load too large to play: drawing its requests would take too long and exhaust memory."""
-        usual = self.load.rate * max(factor for _, factor in self.load.shape)
-        for what, peak in (("load.rate times load.shape", usual), ("load with its bursts", self.peak)):
+        peak_without_bursts = self.load.rate * max(factor for _, factor in self.load.shape)
+        for what, peak in (
+            ("load.rate times load.shape", peak_without_bursts),
+            ("load with its bursts", self.peak),
+        ):
             if peak > MAX_PEAK_RATE:
                 raise ValueError(
                     f"{what}: a peak of {peak:.6g} requests a second; at most {MAX_PEAK_RATE:g} can be played"
@@ -321,23 +324,27 @@
     @property
     def peak(self) -> float:
         """The highest rate of scheduled requests per second, with overlapping bursts added up."""
-        most = self.load.rate * max(factor for _, factor in self.load.shape)
-        bursts = [one for one in self.trouble if isinstance(one, Burst)]
+        peak_without_bursts = self.load.rate * max(factor for _, factor in self.load.shape)
+        bursts = [burst for burst in self.trouble if isinstance(burst, Burst)]
         if len(bursts) == 1:
-            return most * max(bursts[0].factor, 1.0)
-        more = [
-            sum(max(two.factor - 1.0, 0.0) for two in bursts if two.at <= one.at < two.at + two.seconds)
-            for one in bursts
+            return peak_without_bursts * max(bursts[0].factor, 1.0)
+        extra_factors = [
+            sum(
+                max(other.factor - 1.0, 0.0)
+                for other in bursts
+                if other.at <= burst.at < other.at + other.seconds
+            )
+            for burst in bursts
         ]
-        return most * (1.0 + max(more, default=0.0))
+        return peak_without_bursts * (1.0 + max(extra_factors, default=0.0))
 
     def simulation_only_reason(self) -> str:
         """Why only the simulation can play the scenario, naming the field; empty if real processes can."""
         if self.storm.count[1]:
             return "storm: only `holdgw simulate` can play drawn faults"
-        for i, one in enumerate(self.trouble):
-            if only_simulated(one):
-                return f"trouble[{i}] ({kind_of(one)}): only `holdgw simulate` can play it"
+        for i, fault in enumerate(self.trouble):
+            if only_simulated(fault):
+                return f"trouble[{i}] ({kind_of(fault)}): only `holdgw simulate` can play it"
         return ""
 
     def _check_fault(self, where: str, fault: Fault) -> None:
@@ -358,13 +365,13 @@
         if isinstance(fault, Burst) and fault.tenant not in ("", *(one.name for one in self.tenants)):
             raise ValueError(f"{where}.tenant: no tenant {fault.tenant!r}")
 
-    def _check_routers(self, where: str, wanted: int | tuple[str, ...]) -> None:
-        if isinstance(wanted, int):
-            if wanted > self.fleet.routers:
+    def _check_routers(self, where: str, routers: int | tuple[str, ...]) -> None:
+        if isinstance(routers, int):
+            if routers > self.fleet.routers:
                 raise ValueError(f"{where}: more than the {self.fleet.routers} there are")
             return
         names = router_names(self.fleet)
-        for name in wanted:
+        for name in routers:
             if name not in names:
                 raise ValueError(f"{where}: no router {name!r}; they are {names[0]} to {names[-1]}")
 
@@ -434,6 +441,6 @@
     except tomllib.TOMLDecodeError as error:
         raise ScenarioError(f"{name}: {error}") from None
     except msgspec.ValidationError as error:
-        message, _, place = str(error).partition(" - at `$")
-        field = place.strip("`.") or ""
+        message, _, path = str(error).partition(" - at `$")
+        field = path.strip("`.") or ""
         raise ScenarioError(f"{name}: {field + ': ' if field else ''}{message}") from None
--- a/holdgw/harness/scoring.py
+++ b/holdgw/harness/scoring.py
@@ -67,27 +67,31 @@
         begun: The time of second 0 on the clock of `tries`.
     """
     tries_by_request = defaultdict[int, list[ClientRequest]](list)
-    for one in tries:
-        tries_by_request[one.ask].append(one)
+    for client_request in tries:
+        tries_by_request[client_request.ask].append(client_request)
     outcomes = []
-    for ask in requests:
-        if ask.source == PRELUDE:
+    for request in requests:
+        if request.source == PRELUDE:
             continue
-        outcome = RequestOutcome(ask, ended=ask.at)
-        for one in sorted(tries_by_request.get(ask.number, ()), key=lambda one: one.number):
+        outcome = RequestOutcome(request, ended=request.at)
+        for client_request in sorted(
+            tries_by_request.get(request.number, ()), key=lambda client_request: client_request.number
+        ):
             outcome.tries += 1
-            outcome.ended = max(outcome.ended, one.ended - begun)
-            if one.answer == "served" and not one.fault:
-                outcome.result, outcome.took = "served", one.ended - begun - ask.at
+            outcome.ended = max(outcome.ended, client_request.ended - begun)
+            if client_request.answer == "served" and not client_request.fault:
+                outcome.result, outcome.took = "served", client_request.ended - begun - request.at
             elif outcome.took is None:
-                outcome.result = one.answer if one.answer in ("refused", "left") else "failed"
+                outcome.result = (
+                    client_request.answer if client_request.answer in ("refused", "left") else "failed"
+                )
         outcomes.append(outcome)
     return outcomes
 
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """The worth of some requests, and the worth of their answers."""
+    """The worth of some requests (`asked`), and the worth of their answers (`got`)."""
 
     asked: float = 0.0
     got: float = 0.0
@@ -126,9 +130,9 @@
     """Return the worth of requests and answers by group."""
     asked, got = defaultdict[K, float](float), defaultdict[K, float](float)
     for outcome in outcomes:
-        a, g = worth_of(outcome, classes)
-        asked[group(outcome)] += a
-        got[group(outcome)] += g
+        request_worth, answer_worth = worth_of(outcome, classes)
+        asked[group(outcome)] += request_worth
+        got[group(outcome)] += answer_worth
     return {name: Share(asked[name], got[name]) for name in asked}
 
 
@@ -147,7 +151,7 @@
     worst, at = 1.0, 0.0
     for start in range(max(int(length / WINDOW_STEP_S) - window_steps + 1, 1)):
         part = [steps.get(i, Share()) for i in range(start, start + window_steps)]
-        service = Share(sum(one.asked for one in part), sum(one.got for one in part)).service
+        service = Share(sum(share.asked for share in part), sum(share.got for share in part)).service
         if service < worst:
             worst, at = service, start * WINDOW_STEP_S
     return worst, at
@@ -179,23 +183,23 @@
     by_class = shares(outcomes, classes, lambda outcome: outcome.request.request_class)
     by_tenant = shares(outcomes, classes, lambda outcome: outcome.request.tenant)
     window, window_at = worst_window(outcomes, classes, length)
-    worst_class = min(((classes[i].name, one.service) for i, one in by_class.items()), key=lambda x: x[1])
-    worst_tenant = min(((tenants[i], one.service) for i, one in by_tenant.items()), key=lambda x: x[1])
+    worst_class = min(((classes[i].name, share.service) for i, share in by_class.items()), key=lambda x: x[1])
+    worst_tenant = min(((tenants[i], share.service) for i, share in by_tenant.items()), key=lambda x: x[1])
     goal = (
         TOTAL_WEIGHT * total.service
         + WINDOW_WEIGHT * window
         + CLASS_WEIGHT * worst_class[1]
         + TENANT_WEIGHT * worst_tenant[1]
     )
-    taken = deductions(outcomes, history, classes, begun, zones, probes)
+    deducted = deductions(outcomes, history, classes, begun, zones, probes)
     return Service(
-        max(goal - sum(taken.values()), 0.0),
+        max(goal - sum(deducted.values()), 0.0),
         total.service,
         window,
         window_at,
         worst_class,
         worst_tenant,
-        taken,
+        deducted,
     )
 
 
@@ -208,20 +212,24 @@
     probes: int = 0,
 ) -> dict[str, float]:
     """Return the deductions from the score by name; the arguments are those of `score`."""
-    asked = max(len(outcomes), 1)
+    request_count = max(len(outcomes), 1)
     attempts = [attempt for attempt in history.attempts if attempt.at >= begun]
-    router = {one.request: one.router for one in history.tries}
-    used = {(one.server, one.serial) for one in history.tries if one.answer == "served"}
+    router_by_request = {client_request.request: client_request.router for client_request in history.tries}
+    used_answers = {
+        (client_request.server, client_request.serial)
+        for client_request in history.tries
+        if client_request.answer == "served"
+    }
     fetches = sum(attempt.server == ORIGIN and not attempt.idempotency for attempt in attempts)
-    crossing = sum(
-        zones.get(attempt.server) != zones.get(router.get(attempt.request, ""))
+    crossings = sum(
+        zones.get(attempt.server) != zones.get(router_by_request.get(attempt.request, ""))
         for attempt in attempts
         if attempt.server != ORIGIN
     )
-    ran = [attempt for attempt in attempts if attempt.server != ORIGIN and attempt.result in GOOD]
-    wasted = sum(attempt.work for attempt in ran if (attempt.server, attempt.serial) not in used)
+    answered = [attempt for attempt in attempts if attempt.server != ORIGIN and attempt.result in GOOD]
+    wasted = sum(attempt.work for attempt in answered if (attempt.server, attempt.serial) not in used_answers)
     work = sum(classes[outcome.request.request_class].work_ms / 1000 for outcome in outcomes)
-    late = sum(
+    late_failure_worth = sum(
         worth_of(outcome, classes)[0]
         for outcome in outcomes
         if outcome.took is None
@@ -229,11 +237,11 @@
     )
     worth = sum(worth_of(outcome, classes)[0] for outcome in outcomes)
     return {
-        "origin": ORIGIN_DEDUCTION * fetches / asked,
-        "late_fail": LATE_FAILURE_DEDUCTION * late / worth if worth else 0.0,
+        "origin": ORIGIN_DEDUCTION * fetches / request_count,
+        "late_fail": LATE_FAILURE_DEDUCTION * late_failure_worth / worth if worth else 0.0,
         "waste": WASTE_DEDUCTION * wasted / work if work else 0.0,
-        "probes": HEALTH_CHECK_DEDUCTION * probes / asked,
-        "crossing": CROSSING_DEDUCTION * crossing / asked,
+        "probes": HEALTH_CHECK_DEDUCTION * probes / request_count,
+        "crossing": CROSSING_DEDUCTION * crossings / request_count,
     }
 
 
@@ -249,13 +257,13 @@
 
     Requests abandoned by their clients count as failed.
     """
-    counted = Counter[str]()
+    result_counts = Counter[str]()
     for outcome in outcomes:
-        counted["asked"] += 1
-        kind = outcome.result if outcome.result in ("served", "refused") else "failed"
-        counted[kind] += 1
+        result_counts["asked"] += 1
+        result = outcome.result if outcome.result in ("served", "refused") else "failed"
+        result_counts[result] += 1
         in_aim = (
             outcome.took is not None and outcome.took <= classes[outcome.request.request_class].aim_ms / 1000
         )
-        counted["in_aim"] += in_aim
-    return counted
+        result_counts["in_aim"] += in_aim
+    return result_counts
--- a/tests/emulators/test_emulator_sockets.py
+++ b/tests/emulators/test_emulator_sockets.py
@@ -130,8 +130,8 @@
         value = make_value(b"r2", b"k", "n1", 2, 100)
         assert len(value) == 100
         await expect_bytes(reader, b"*3\r\n$100\r\n" + value + b"\r\n$3\r\nhit\r\n")
-        seen = fixture.recorder.of_type(Attempt)
-        assert [(one.request, one.result, one.serial) for one in seen] == [
+        attempts = fixture.recorder.of_type(Attempt)
+        assert [(attempt.request, attempt.result, attempt.serial) for attempt in attempts] == [
             ("r1", "miss", 1),
             ("r2", "hit", 2),
         ]
@@ -153,10 +153,10 @@
         origin = origin_server(fixture.recorder, fixture.clock)
         await fixture.start()
         await origin.start()
-        listener = fixture.node if server == "node" else origin
+        server_under_test = fixture.node if server == "node" else origin
 
         def request(name: str) -> bytes:
-            return read_command(name) if server == "node" else http_request("GET", name)
+            return read_command(name) if server == "node" else http_request_bytes("GET", name)
 
         def recorded(count: int) -> bool:
             """Return whether `count` attempts are recorded; advances the servers while they execute any."""
@@ -165,7 +165,7 @@
                 origin.slow(1.0)  # advances the model to the current time
             return len(fixture.recorder.of_type(Attempt)) == count
 
-        sock = socket.create_connection(listener.addresses[""])
+        sock = socket.create_connection(server_under_test.addresses[""])
         if not new_connection:
             sock.sendall(request("before"))
             await wait_until(lambda: recorded(1))
@@ -174,8 +174,8 @@
         time.sleep(stall_s)
         await wait_until(lambda: recorded(1 if new_connection else 2))
         longest = time.monotonic() - started
-        seen = fixture.recorder.of_type(Attempt)[-1]
-        waited = seen.at - seen.arrived
+        late_attempt = fixture.recorder.of_type(Attempt)[-1]
+        waited = late_attempt.at - late_attempt.arrived
         assert stall_s - 2 * TICK_NS / 1e9 <= waited <= longest
         if not new_connection:
             before = fixture.recorder.of_type(Attempt)[0]
@@ -209,8 +209,8 @@
             await asyncio.sleep(0)
         await expect_bytes(reader, miss_answer())
         await expect_bytes(new_reader, b"*3\r\n$-1\r\n")
-        seen = {one.request: one for one in fixture.recorder.of_type(Attempt)}
-        assert seen["r2"].at < at, "the time of its arrival in the pause, not of its execution"
+        attempts = {attempt.request: attempt for attempt in fixture.recorder.of_type(Attempt)}
+        assert attempts["r2"].at < at, "the time of its arrival in the pause, not of its execution"
         for one in (writer, new_writer):
             one.close()
         fixture.node.close()
@@ -335,8 +335,8 @@
         else:
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(reader.read(1), 0.05)
-        (seen,) = fixture.recorder.of_type(Attempt)
-        assert (seen.result, seen.fault) == ("miss", fault)
+        (attempt,) = fixture.recorder.of_type(Attempt)
+        assert (attempt.result, attempt.fault) == ("miss", fault)
         writer.close()
         fixture.node.close()
 
@@ -419,7 +419,9 @@
     return OriginServer("store", spec, WORKLOAD, {"edit": 2.5}, Host(), recorder, clock)
 
 
-def http_request(method: str, name: str, body: bytes | None = None, info: str = "c=read,t=a,d=900") -> bytes:
+def http_request_bytes(
+    method: str, name: str, body: bytes | None = None, info: str = "c=read,t=a,d=900"
+) -> bytes:
     length = f"Content-Length: {len(body)}\r\n" if body is not None else ""
     head = (
         f"{method} /k%2Fx HTTP/1.1\r\nHost: a\r\nRequest-Id: {name}\r\nRequest-Info: {info}\r\n{length}\r\n"
@@ -440,13 +442,15 @@
         await server.start()
         connections = [await asyncio.open_connection(*server.addresses[""]) for _ in range(4)]
         info = "c=edit,t=a,d=900,k=abc"
-        connections[0][1].write(http_request("PUT", "w1", b"new", info))
+        connections[0][1].write(http_request_bytes("PUT", "w1", b"new", info))
         await wait_until(lambda: server.model.held == 1)
-        connections[1][1].write(http_request("PUT", "w2", b"new", info))  # a repeated write: answered at once
+        connections[1][1].write(
+            http_request_bytes("PUT", "w2", b"new", info)
+        )  # a repeated write: answered at once
         status, _, receipt = await read_http_answer(connections[1][0])
         assert (status, receipt[:8]) == (200, b"w2 k/x s")
         for connection, name in zip(connections[1:], ("r1", "r2", "r3"), strict=True):
-            connection[1].write(http_request("GET", name))
+            connection[1].write(http_request_bytes("GET", name))
         status, head, _ = await read_http_answer(connections[3][0])
         assert status == 503
         assert b"Not-Started: 1" in head
@@ -456,10 +460,12 @@
         assert (await read_http_answer(connections[1][0]))[2].startswith(b"r1 k/x store ")
         assert recorder.invalidated == [b"k/x"]
         assert recorder.stored_objects[0][:2] == (b"r1", b"k/x")
-        seen = [(one.request, one.result, one.effect) for one in recorder.of_type(Attempt)]
-        assert ("w1", "served", True) in seen
-        assert ("w2", "repeat", False) in seen
-        assert ("r3", "busy", False) in seen
+        attempts = [
+            (attempt.request, attempt.result, attempt.effect) for attempt in recorder.of_type(Attempt)
+        ]
+        assert ("w1", "served", True) in attempts
+        assert ("w2", "repeat", False) in attempts
+        assert ("r3", "busy", False) in attempts
         server.close()
         for _, writer in connections:
             writer.close()
@@ -473,7 +479,7 @@
         server = origin_server(recorder, clock)
         await server.start()
         reader, writer = await asyncio.open_connection(*server.addresses[""])
-        writer.write(http_request("PUT", "w1", b"new", "c=edit,t=a,d=900,k=abc"))
+        writer.write(http_request_bytes("PUT", "w1", b"new", "c=edit,t=a,d=900,k=abc"))
         await wait_until(lambda: server.model.held == 1)
         server.down()
         with pytest.raises(ConnectionResetError):
@@ -482,7 +488,7 @@
             await asyncio.open_connection(*server.addresses[""])
         await server.start()
         again, new_writer = await asyncio.open_connection(*server.addresses[""])
-        new_writer.write(http_request("PUT", "w1", b"new", "c=edit,t=a,d=900,k=abc"))
+        new_writer.write(http_request_bytes("PUT", "w1", b"new", "c=edit,t=a,d=900,k=abc"))
         assert (await read_http_answer(again))[0] == 200
         assert [one.result for one in recorder.of_type(Attempt)] == ["gone", "repeat"]
         server.close()
