--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -158,9 +158,9 @@
     regression = stats.linregress(scaled, values)
     slope, intercept = float(regression.slope), float(regression.intercept)
     residuals = [value - intercept - slope * x for x, value in zip(scaled, values, strict=True)]
-    mean = sum(scaled) / len(scaled)
+    mean_scaled = sum(scaled) / len(scaled)
     deviation = math.sqrt(sum(residual * residual for residual in residuals) / (len(values) - 2))
-    sum_of_squares = sum((x - mean) ** 2 for x in scaled)
+    sum_of_squares = sum((x - mean_scaled) ** 2 for x in scaled)
     # regression.stderr is nan if all values are equal.
     half_width = t_quantile(len(values)) * deviation / math.sqrt(sum_of_squares)
     return Fit(
@@ -172,7 +172,7 @@
         sizes=len(sizes),
         smallest_size=min(sizes),
         largest_size=max(sizes),
-        mean_scaled=mean,
+        mean_scaled=mean_scaled,
         scaled_sum_of_squares=sum_of_squares,
         residual_deviation=deviation,
     )
--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -102,7 +102,7 @@
 
 
 def format_gap(gap: float | None) -> str:
-    """Format a gap as the page shows it."""
+    """Format a gap; "-" if there is none, `NO_MECHANISM_TEXT` if it is infinite."""
     if gap is None:
         return "-"
     return NO_MECHANISM_TEXT if math.isinf(gap) else format_number(gap)
--- a/bench/capacity_rows.py
+++ b/bench/capacity_rows.py
@@ -13,7 +13,7 @@
 
 
 class Role(Enum):
-    """The part of the system that a row is about; the value is a heading of the page."""
+    """The part of the system that a row is about; the enum's value is a heading of the page."""
 
     PATH = "A router's request path"
     CONTROL = "A router's control part"
@@ -23,7 +23,7 @@
 
 
 class Kind(Enum):
-    """What a row's figure counts; the value is a cell of the page."""
+    """What a row's figure counts; the enum's value is the text of the cell on the page."""
 
     STATE = "state"
     MESSAGES = "messages"
@@ -131,12 +131,12 @@
 
 
 def at_most(amount: float, source: str) -> Need:
-    """Return a need that is met by `amount` or less; `source` tells the origin of the amount."""
+    """Return a need that is met by `amount` or less; `source` tells where the amount comes from."""
     return Need(amount, Bound.AT_MOST, source)
 
 
 def at_least(amount: float, source: str) -> Need:
-    """Return a need that is met by `amount` or more; `source` tells the origin of the amount."""
+    """Return a need that is met by `amount` or more; `source` tells where the amount comes from."""
     return Need(amount, Bound.AT_LEAST, source)
 
 
--- a/bench/capacity_scale.py
+++ b/bench/capacity_scale.py
@@ -36,7 +36,7 @@
     Attributes:
         name: Name of its series, as the page shows it.
         window: Key of a time window in the run's "windows".
-        path: Keys of the value within the window.
+        value_keys: Keys that lead to the value within the window, outermost first.
         kind: What the figure counts.
         unit: Unit of the value and of `need`.
         need: The bound that the figure has to meet at the planned size.
@@ -46,7 +46,7 @@
 
     name: str
     window: str
-    path: tuple[str, ...]
+    value_keys: tuple[str, ...]
     kind: Kind
     unit: str
     need: Need
@@ -137,7 +137,7 @@
 def metric_value(run: Mapping[str, Any], metric: RunMetric) -> float | None:
     """Return a metric's value in a run; None if the run doesn't have its window or value."""
     value: Any = run["windows"].get(metric.window)
-    for key in metric.path:
+    for key in metric.value_keys:
         if value is None:
             return None
         value = value[key]
@@ -235,6 +235,6 @@
         lines.append("|" + " --- |" * (len(RUN_METRICS) + 2))
         for run in runs:
             cells = [metric_value(run, metric) for metric in RUN_METRICS]
-            values = " | ".join("-" if cell is None else format_number(cell) for cell in cells)
-            lines.append(f"| {run['size']} | {values} | {format_learning(run) or '-'} |")
+            joined_cells = " | ".join("-" if cell is None else format_number(cell) for cell in cells)
+            lines.append(f"| {run['size']} | {joined_cells} | {format_learning(run) or '-'} |")
     return lines or ["", "None is kept yet."]
--- a/bench/site_variant.py
+++ b/bench/site_variant.py
@@ -116,7 +116,7 @@
 
 
 def main() -> int:
-    """Write all variants, or those that are named; return 1 if one can't be generated."""
+    """Write all variants, or those named on the command line; return 1 if one can't be generated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("names", nargs="*", help="names of overlays without suffix; all of them by default")
     names = parser.parse_args().names
--- a/bench/slopes_aggregation.py
+++ b/bench/slopes_aggregation.py
@@ -113,7 +113,7 @@
 
 
 def measure() -> Measurement:
-    """Run the whole measurement: some minutes on one core."""
+    """Run the whole measurement, which takes some minutes on one core."""
     readings = Readings()
     readings.declare_series("aggregator processor", "routers", "% of a core")
     readings.declare_series("aggregator sends", "routers", "KB a second")
--- a/bench/slopes_connections.py
+++ b/bench/slopes_connections.py
@@ -68,8 +68,8 @@
         memory_before, descriptors_before = resident_bytes(os.getpid()), len(os.listdir("/proc/self/fd"))
         connections = [CacheConnection(endpoint) for _ in range(count)]
         for i in range(0, count, 100):
-            part = connections[i : i + 100]
-            await asyncio.gather(*(loop.create_connection(lambda c=c: c, *address) for c in part))  # type: ignore[misc]
+            batch = connections[i : i + 100]
+            await asyncio.gather(*(loop.create_connection(lambda c=c: c, *address) for c in batch))  # type: ignore[misc]
         await asyncio.sleep(SETTLE_S)
         memory = resident_bytes(os.getpid()) - memory_before
         pipe.send((memory, len(os.listdir("/proc/self/fd")) - descriptors_before))
@@ -96,7 +96,7 @@
 
 
 def measure() -> Measurement:
-    """Run the whole measurement: six minutes, about two cores."""
+    """Run the whole measurement, which takes six minutes and about two cores."""
     readings = Readings()
     readings.declare_series("at rest by servers", "servers", "connections a server", Scale.INVERSE)
     readings.declare_series("at rest by answer time", "ms", "connections a server")
--- a/bench/slopes_failures.py
+++ b/bench/slopes_failures.py
@@ -26,7 +26,7 @@
 MAX_CONVERGENCE_S = 90.0
 BASELINE_SECONDS = 5
 PARTITION_S = 300.0
-REPEATED_SIZES, SINGLE_SIZE = (50, 100, 200, 400), 760  # a run at 760 takes over ten minutes
+REPEATED_SIZES, SINGLE_RUN_SIZE = (50, 100, 200, 400), 760  # a run at 760 takes over ten minutes
 ROUTERS_PER_RACK = 18  # 760 routers / 43 sites
 
 
@@ -124,7 +124,7 @@
 
 
 def measure() -> Measurement:
-    """Measure all failures except the partition; about ten minutes on one core."""
+    """Measure all failures except the partition, which takes about ten minutes on one core."""
     readings = Readings()
     declare_failures(readings)
     for seed in range(1, REPEATS + 1):
@@ -135,7 +135,7 @@
 
 
 def measure_partition() -> Measurement:
-    """Measure the partition of a region; half an hour on one core."""
+    """Measure the partition of a region, which takes half an hour on one core."""
     readings = Readings()
     readings.declare_series("regions apart: worst second", "routers", "bytes")
     readings.declare_series("regions back: one again", "routers", "s", Scale.LOG2)
@@ -144,5 +144,5 @@
     for size in REPEATED_SIZES:
         for seed in range(1, REPEATS + 1):
             measure_region_partition(readings, size, seed)
-    measure_region_partition(readings, SINGLE_SIZE, 1)
+    measure_region_partition(readings, SINGLE_RUN_SIZE, 1)
     return build_measurement("regions", readings)
--- a/bench/slopes_keys.py
+++ b/bench/slopes_keys.py
@@ -50,7 +50,7 @@
 
 
 def slot(number: int) -> int:
-    """Return the slot of an object."""
+    """Return the slot of the object with this number."""
     return crc32(b"object-%d" % number) % SLOTS
 
 
@@ -64,25 +64,25 @@
     return [Counter(slots[i : i + BATCH_REQUESTS]) for i in range(0, stream, BATCH_REQUESTS)]
 
 
-def merge_time_us(counters: int, batches: list[Counter[int]]) -> float:
+def merge_time_us(counter_count: int, batches: list[Counter[int]]) -> float:
     """Return the processor time per request, in microseconds, of merging these batches into a sketch."""
-    sketch = HeavyHitters(counters)
+    sketch = HeavyHitters(counter_count)
 
     def merge_all() -> None:
         for batch in batches:
             sketch.add_counts(batch)
 
-    seconds, _ = measure_cpu_seconds(merge_all)
-    return seconds / sum(batch.total() for batch in batches) * 1e6
+    cpu_s, _ = measure_cpu_seconds(merge_all)
+    return cpu_s / sum(batch.total() for batch in batches) * 1e6
 
 
-def error(counters: int, stream: int, seed: int) -> float:
+def sketch_error(counter_count: int, stream: int, seed: int) -> float:
     """Return by what fraction of all requests the sketch's guaranteed count of the hot slot is too low."""
-    sketch, hot_slot, true_count = HeavyHitters(counters), slot(-1), 0
+    sketch, hot_slot, true_count = HeavyHitters(counter_count), slot(-1), 0
     for batch in draw_batches(stream, seed):
         true_count += batch[hot_slot]
         sketch.add_counts(batch)
-    return (true_count - sketch.guaranteed(counters).get(hot_slot, 0.0)) / stream
+    return (true_count - sketch.guaranteed(counter_count).get(hot_slot, 0.0)) / stream
 
 
 def keys_of(slots: int) -> list[str]:
@@ -130,12 +130,12 @@
     held_bytes, driver = measure_heap_bytes(serve_all)
     readings.add("router memory", slots, held_bytes / 1e6)
     timed_keys = [random.Random(seed).choice(keys) for _ in range(TIMED_REQUESTS)]
-    seconds, _ = measure_cpu_seconds(lambda: driver.serve(timed_keys))
-    readings.add("router time", slots, seconds / TIMED_REQUESTS * 1e6)
+    cpu_s, _ = measure_cpu_seconds(lambda: driver.serve(timed_keys))
+    readings.add("router time", slots, cpu_s / TIMED_REQUESTS * 1e6)
 
 
 def measure() -> Measurement:
-    """Run the whole measurement: two minutes."""
+    """Run the whole measurement, which takes two minutes."""
     readings = Readings()
     readings.declare_series("router memory", "slots in use", "MB")
     readings.declare_series("router time", "slots in use", "us a request")
@@ -147,8 +147,10 @@
         for slots in SLOTS_IN_USE:
             measure_policy(readings, slots, keys[slots], seed)
         for stream in STREAM_LENGTHS:
-            readings.add("error by stream", stream, error(256, stream, seed))
-        for counters in COUNTER_COUNTS:
-            readings.add("error by counters", counters, error(counters, STREAM_LENGTH, seed))
-            readings.add("sketch time", counters, merge_time_us(counters, draw_batches(STREAM_LENGTH, seed)))
+            readings.add("error by stream", stream, sketch_error(256, stream, seed))
+        for counter_count in COUNTER_COUNTS:
+            readings.add("error by counters", counter_count, sketch_error(counter_count, STREAM_LENGTH, seed))
+            readings.add(
+                "sketch time", counter_count, merge_time_us(counter_count, draw_batches(STREAM_LENGTH, seed))
+            )
     return build_measurement("keys", readings)
--- a/bench/slopes_limits.py
+++ b/bench/slopes_limits.py
@@ -62,9 +62,9 @@
             at, router, succeeded = pending_answers.pop(0)
             limiters[router].record_answer(succeeded, at)
         if limiters[i].limiter.admit(now):
-            recent = len(times) - bisect_left(times, now - NS_PER_S)
+            admitted_last_s = len(times) - bisect_left(times, now - NS_PER_S)
             times.append(now)
-            insort(pending_answers, (now + ROUND_TRIP_NS, i, recent < capacity))
+            insort(pending_answers, (now + ROUND_TRIP_NS, i, admitted_last_s < capacity))
         heapreplace(arrivals, (now + int(rng.expovariate(demands[i]) * NS_PER_S), i))
     return times
 
@@ -92,7 +92,7 @@
 
 
 def measure() -> Measurement:
-    """Run the whole measurement: three minutes."""
+    """Run the whole measurement, which takes three minutes."""
     readings = Readings()
     for name in ("mean over quota", "worst second over quota", "mean over capacity", "worst over capacity"):
         readings.declare_series(name, "routers", "times")
--- a/bench/slopes_lists.py
+++ b/bench/slopes_lists.py
@@ -59,17 +59,17 @@
     """Add the bytes of a full update and the processor time of parsing it and of applying it."""
     body, clock = orjson.dumps(full_update(count)), Clock()
     readings.add("list bytes", count, len(body) / 1e3)
-    seconds, parsed = measure_cpu_seconds(
+    cpu_s, parsed = measure_cpu_seconds(
         lambda: [read_endpoint_list(orjson.loads(body), clock) for _ in range(ITERATIONS)]
     )
-    readings.add("list read", count, seconds / ITERATIONS * 1e3)
+    readings.add("list read", count, cpu_s / ITERATIONS * 1e3)
     settings = Settings(
         classes=(RequestClass("read", latency_objective_ns=300_000_000, deadline_ns=1_000_000_000),)
     )
     policies = [RoutingPolicy(settings, seed) for seed in range(ITERATIONS)]
     event = parsed[0].change
-    seconds, _ = measure_cpu_seconds(lambda: [policy.handle(event, 1) for policy in policies])
-    readings.add("list taken in", count, seconds / ITERATIONS * 1e3)
+    cpu_s, _ = measure_cpu_seconds(lambda: [policy.handle(event, 1) for policy in policies])
+    readings.add("list taken in", count, cpu_s / ITERATIONS * 1e3)
 
 
 def measure_configuration(readings: Readings, routers: int, folder: Path) -> None:
@@ -84,10 +84,8 @@
     path.write_bytes(orjson.dumps(document))
     readings.add("configuration bytes", routers, path.stat().st_size / 1e3)
     environ = {"LB_CONFIG": str(path)}
-    seconds, _ = measure_cpu_seconds(
-        lambda: [load_config(environ, is_reload=True) for _ in range(ITERATIONS)]
-    )
-    readings.add("configuration read", routers, seconds / ITERATIONS * 1e3)
+    cpu_s, _ = measure_cpu_seconds(lambda: [load_config(environ, is_reload=True) for _ in range(ITERATIONS)])
+    readings.add("configuration read", routers, cpu_s / ITERATIONS * 1e3)
 
 
 class CallCounter:
@@ -101,10 +99,10 @@
         self.count += isinstance(record, DiscoveryCall)
 
     def stored(self, request: bytes, key: bytes, size: int) -> None:
-        """Ignore a stored value."""
+        """Ignore a value that a server has stored."""
 
     def voided(self, key: bytes) -> None:
-        """Ignore a voided key."""
+        """Ignore a key that was voided."""
 
 
 async def measure_watches(routers: int) -> tuple[float, float, int]:
@@ -120,10 +118,10 @@
     calls = CallCounter()
     server = DiscoveryServer(model, names, lambda _r, s: ("127.0.0.1", 1 + int(s[4:])), calls, time.monotonic)
     addresses = await server.start()
-    notified: set[str] = set()
+    notified_routers: set[str] = set()
 
     def on_update(name: str) -> Callable[[object], None]:
-        return lambda _update: notified.add(name)
+        return lambda _update: notified_routers.add(name)
 
     clients: list[Discovery] = []
     loop = asyncio.get_running_loop()
@@ -145,10 +143,10 @@
     calls_before = calls.count
     await asyncio.sleep(WATCH_S)
     rate = (calls.count - calls_before) / WATCH_S
-    notified.clear()
+    notified_routers.clear()
     calls_before, started = calls.count, time.monotonic()
     server.set_state(entries[0].id, State.DRAINING)
-    while len(notified) < routers and time.monotonic() - started < MAX_NOTIFICATION_S:
+    while len(notified_routers) < routers and time.monotonic() - started < MAX_NOTIFICATION_S:
         await asyncio.sleep(0.005)
     notification_s = time.monotonic() - started
     await asyncio.sleep(0.2)
@@ -161,7 +159,7 @@
 
 
 def measure() -> Measurement:
-    """Measure lists and configurations: half a minute."""
+    """Measure lists and configurations, which takes half a minute."""
     readings = Readings()
     readings.declare_series("list bytes", "servers", "KB")
     readings.declare_series("list read", "servers", "ms")
@@ -178,7 +176,7 @@
 
 
 def measure_service() -> Measurement:
-    """Measure watches at the discovery service: five minutes."""
+    """Measure watches at the discovery service, which takes five minutes."""
     readings = Readings()
     readings.declare_series("calls at rest", "routers", "a second")
     readings.declare_series("all told of a change", "routers", "s", Scale.LINEAR)
--- a/bench/slopes_membership.py
+++ b/bench/slopes_membership.py
@@ -55,7 +55,8 @@
 class ChangePropagation:
     """Starts changes in a tier and measures how long each takes to reach every router.
 
-    A change is the next incarnation of a router: small and versioned, and spread by the membership as it is.
+    A change is a router's next incarnation. It stands for any small versioned change that the membership would
+    spread by the same messages.
     """
 
     def __init__(self, tier: MembershipTier) -> None:
@@ -66,7 +67,10 @@
         """Durations of the changes that have reached every router."""
 
     def change(self, number: int) -> None:
-        """Send a running router the update that it is gone, which it refutes, unless a change is pending."""
+        """Make a router start its next incarnation, by a false update that it is gone, which it refutes.
+
+        Nothing is sent if the router doesn't run or if its last change is still pending.
+        """
         member = self._tier.members[number]
         if member is None or number in self._pending:
             return
@@ -97,7 +101,11 @@
 
 
 def measure_changes(readings: Readings, size: int, seed: int) -> None:
-    """Add the time in which one change, or 13 a second, reach all routers, and the cost of the latter."""
+    """Add the time in which changes reach all routers, for a single one and for 13 a second.
+
+    At 13 a second, add also each router's bytes and processor time, and the fraction of changes that don't
+    reach all routers in time.
+    """
     tier = make_tier(size, seed)
     propagation = ChangePropagation(tier)
     propagation.change(0)
@@ -159,7 +167,7 @@
 
 
 def measure() -> Measurement:
-    """Run the whole measurement: about ten minutes on one core."""
+    """Run the whole measurement, which takes about ten minutes on one core."""
     readings = Readings()
     for name, unit in LINEAR_SERIES:
         readings.declare_series(name, "routers", unit)
--- a/bench/slopes_run.py
+++ b/bench/slopes_run.py
@@ -113,14 +113,14 @@
     """Answers, errors among them."""
     failures: int = 0
     """Errors, and connections closed before a complete answer."""
-    requests: int = 0
+    request_count: int = 0
     idle: list[FixedSizeClient] = field(default_factory=list)
 
     def request(self) -> bytes:
         """Build the next request, with a new id and the next key."""
-        self.requests += 1
-        request_id = b"%b%011d" % (self.name.encode(), self.requests)
-        key = b"pkg-%06d" % (self.requests * 7919 % KEYS)
+        self.request_count += 1
+        request_id = b"%b%011d" % (self.name.encode(), self.request_count)
+        key = b"pkg-%06d" % (self.request_count * 7919 % KEYS)
         parts = (b"KV.GET", key, request_id, REQUEST_INFO)
         return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
@@ -144,7 +144,10 @@
             self.transport.write(self._load.request())
 
     def data_received(self, data: bytes) -> None:
-        """Count an answer when its last byte has arrived; an error is a single line."""
+        """Count an answer when its last byte has arrived, and reuse the connection.
+
+        An error counts as an answer and as a failure; it is a single line, which arrives in one piece.
+        """
         if self._remaining_bytes == self._answer_bytes and data[:1] != b"$":
             self._load.failures += 1
             self._remaining_bytes = 0
@@ -216,8 +219,8 @@
         self._children = Children()
         self.addresses: list[Address] = []
         for i in range(SERVER_PROCESSES):
-            part = servers // SERVER_PROCESSES + (i < servers % SERVER_PROCESSES)
-            started = self._children.start(serve_endpoints, part, self._cores, size, delay_s)
+            endpoint_count = servers // SERVER_PROCESSES + (i < servers % SERVER_PROCESSES)
+            started = self._children.start(serve_endpoints, endpoint_count, self._cores, size, delay_s)
             self.addresses += [(host, port) for host, port in started]
         self._discovery, self._known = self._children.start(serve_discovery, self.addresses, self._cores)
         self._folder = tempfile.TemporaryDirectory()
@@ -242,8 +245,10 @@
         pipes = []
         for i in range(CLIENT_PROCESSES):
             parent_end, child_end = CONTEXT.Pipe()
-            part = connections // CLIENT_PROCESSES
-            load = ClientLoad(f"{name[:1]}{i}", targets, part, self.size, rate / CLIENT_PROCESSES)
+            connections_per_process = connections // CLIENT_PROCESSES
+            load = ClientLoad(
+                f"{name[:1]}{i}", targets, connections_per_process, self.size, rate / CLIENT_PROCESSES
+            )
             CONTEXT.Process(
                 target=run_clients, args=(child_end, load, seconds, self._cores), daemon=True
             ).start()
--- a/bench/slopes_slots.py
+++ b/bench/slopes_slots.py
@@ -40,11 +40,11 @@
 
 
 def measure_servers(readings: Readings, count: int, seed: int) -> None:
-    """Add the readings at `count` servers and 8,192 slots; moves are those as one server leaves."""
+    """Add the readings at `count` servers and 8,192 slots; the moves are those after one server has left."""
     table = make_table(count, seed)
-    seconds, before = measure_cpu_seconds(lambda: owners(table, SLOTS))
+    cpu_s, before = measure_cpu_seconds(lambda: owners(table, SLOTS))
     readings.add("excess by servers", count, excess(before, count))
-    readings.add("rank a slot", count, seconds / SLOTS * 1e6)
+    readings.add("rank a slot", count, cpu_s / SLOTS * 1e6)
     table.update([], [before[0]])
     after = owners(table, SLOTS)
     moves = sum(old != new for old, new in zip(before, after, strict=True))
@@ -54,12 +54,12 @@
 def measure_slots(readings: Readings, slots: int, seed: int) -> None:
     """Add the readings at `slots` slots and 96 servers."""
     table = make_table(SERVERS, seed)
-    seconds, before = measure_cpu_seconds(lambda: owners(table, slots))
+    cpu_s, before = measure_cpu_seconds(lambda: owners(table, slots))
     readings.add("excess by slots", slots, excess(before, SERVERS))
-    readings.add("rank all", slots, seconds * 1e3)
+    readings.add("rank all", slots, cpu_s * 1e3)
     table.update([], [before[0]])
-    seconds, _ = measure_cpu_seconds(lambda: owners(table, slots))
-    readings.add("one server leaves", slots, seconds * 1e3)
+    cpu_s, _ = measure_cpu_seconds(lambda: owners(table, slots))
+    readings.add("one server leaves", slots, cpu_s * 1e3)
 
 
 def measure_memory(readings: Readings, slots: int) -> None:
@@ -72,7 +72,7 @@
 
 
 def measure() -> Measurement:
-    """Run the whole measurement: one minute."""
+    """Run the whole measurement, which takes one minute."""
     readings = Readings()
     readings.declare_series("excess by servers", "servers", "of the mean")
     readings.declare_series("rank a slot", "servers", "us")
--- a/bench/slopes_view.py
+++ b/bench/slopes_view.py
@@ -43,7 +43,7 @@
 
 
 def measure() -> Measurement:
-    """Run the whole measurement: some minutes on one core."""
+    """Run the whole measurement, which takes some minutes on one core."""
     readings = Readings()
     readings.declare_series("view processor", "routers", "% of a core")
     readings.declare_series("control processor", "routers", "% of a core")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -248,12 +248,12 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_the_sketch_error_for_a_hot_slot_stays_within_its_bound(seed: int) -> None:
-    assert 0 <= slopes_keys.error(64, 2_000, seed) <= 1 / 65
+    assert 0 <= slopes_keys.sketch_error(64, 2_000, seed) <= 1 / 65
 
 
 def test_keys_cover_exactly_the_requested_number_of_slots() -> None:
-    keys = slopes_keys.keys_of(256)
-    slots = Counter(slopes_keys.slot(int(key.removeprefix("object-"))) for key in keys)
+    object_keys = slopes_keys.keys_of(256)
+    slots = Counter(slopes_keys.slot(int(key.removeprefix("object-"))) for key in object_keys)
     assert slots == dict.fromkeys(range(256), slopes_keys.KEYS_PER_SLOT)
 
 
@@ -290,28 +290,28 @@
 
 def test_a_change_is_complete_when_the_last_router_has_it() -> None:
     tier = slopes_tier.make_tier(8, 1, loss=0.0)
-    told = slopes_membership.ChangePropagation(tier)
-    told.change(3)
-    told.update()
-    assert (told.pending, told.durations_s) == (1, [])
+    propagation = slopes_membership.ChangePropagation(tier)
+    propagation.change(3)
+    propagation.update()
+    assert (propagation.pending, propagation.durations_s) == (1, [])
     tier.run(5.0)
-    told.update()
-    assert told.pending == 0
-    assert 0 < told.durations_s[0] <= 5.0
+    propagation.update()
+    assert propagation.pending == 0
+    assert 0 < propagation.durations_s[0] <= 5.0
 
 
 def test_a_response_in_parts_is_counted_once_and_an_error_as_wrong() -> None:
-    load_ = slopes_run.ClientLoad("c", [], 1, 3, rate=1.0)
-    caller = slopes_run.FixedSizeClient(load_)
-    caller.transport = Mock(is_closing=lambda: False)
-    caller.send_request()
-    caller.data_received(b"$3\r\nab")
-    assert load_.answers == 0
-    caller.data_received(b"c\r\n")
-    assert (load_.answers, load_.failures) == (1, 0)
-    caller.send_request()
-    caller.data_received(b"-BUSY\r\n")
-    assert (load_.answers, load_.failures) == (2, 1)
+    client_load = slopes_run.ClientLoad("c", [], 1, 3, rate=1.0)
+    client = slopes_run.FixedSizeClient(client_load)
+    client.transport = Mock(is_closing=lambda: False)
+    client.send_request()
+    client.data_received(b"$3\r\nab")
+    assert client_load.answers == 0
+    client.data_received(b"c\r\n")
+    assert (client_load.answers, client_load.failures) == (1, 0)
+    client.send_request()
+    client.data_received(b"-BUSY\r\n")
+    assert (client_load.answers, client_load.failures) == (2, 1)
 
 
 def test_holdgw_imports_neither_the_bench_nor_its_libraries() -> None:
