--- a/bench/aggregation_figures.py
+++ b/bench/aggregation_figures.py
@@ -22,7 +22,7 @@
 DECAYED_S = 3.6  # seconds of requests that a decayed count holds
 HONEST_MIN_MS, HONEST_RANGE_MS = 20, 10  # range of honest servers' response times
 FALSE_RESPONSE_TIME_MS = 60_000
-WEATHER = PeerNetworkConditions(loss=0.02, duplicates=0.05, reordered=0.1)
+NETWORK_CONDITIONS = PeerNetworkConditions(loss=0.02, duplicates=0.05, reordered=0.1)
 
 
 def make_tier(seed: int, aggregators: int = 3, **more: object) -> AggregatedTier:
@@ -31,7 +31,7 @@
     def one_way_delay(a: str, b: str) -> float:
         return 0.004 if int(a[6:]) % SITES == int(b[6:]) % SITES else 0.02
 
-    relay = RelayModel(seed, one_way_delay, WEATHER)
+    relay = RelayModel(seed, one_way_delay, NETWORK_CONDITIONS)
     return AggregatedTier(ROUTERS, aggregators, seed, relay, servers=SERVERS, sites=SITES, **more)  # type: ignore[arg-type]
 
 
--- a/bench/cold_budget.py
+++ b/bench/cold_budget.py
@@ -1,9 +1,9 @@
 """Measures what all processes together send to a cold server: `python -m bench.cold_budget [--seeds 5]`.
 
-Decision modules alone, each with its share of the clients' requests; one server of the fleet has just
+Decision modules run alone, each with its share of the clients' requests; one server of the fleet has just
 started. In each window the settings allow this server N calls (fall multiple x its present capacity x the
-window); the sum over all processes must stay within N + 2 x root of N + 2. Printed is the worst window, in
-roots of N over N.
+window); the sum over all processes must stay within N + 2 x root of N + 2. The table has the window with the
+largest (calls - 2 - N) / root of N, which must be at most 2.
 """
 
 from __future__ import annotations
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -71,16 +71,19 @@
 
 
 def wrongly_dead(seed: int) -> float:
-    """Count members wrongly held to be dead after all have resumed or restarted, with datagrams replayed."""
-    weather = PeerNetworkConditions(loss=0.05, duplicates=0.1, reordered=0.3)
-    tier = MembershipTier(24, seed, RelayModel(seed, lambda _a, _b: 0.004, weather))
+    """Count the pairs of members of which one wrongly holds the other not to be alive.
+
+    All members run at the end: some were paused or restarted before, and old datagrams are replayed.
+    """
+    conditions = PeerNetworkConditions(loss=0.05, duplicates=0.1, reordered=0.3)
+    tier = MembershipTier(24, seed, RelayModel(seed, lambda _a, _b: 0.004, conditions))
     recorded: list[tuple[int, int, bytes]] = []
-    say = tier.send
+    send = tier.send
 
     def record(number: int, to: int, data: bytes) -> None:
         if 12 * S < tier.now < 30 * S:
             recorded.append((number, to, data))
-        say(number, to, data)
+        send(number, to, data)
 
     tier.send = record  # type: ignore[method-assign]
     tier.run(5.0)
@@ -96,10 +99,10 @@
         tier.start(number)
     tier.run(10.0)
     for number, to, data in tier.random.sample(recorded, min(300, len(recorded))):
-        say(number, to, data)
+        send(number, to, data)
     tier.run(15.0)
-    members = [one for one in tier.members if one is not None]
-    return float(sum(other.state is not MemberState.ALIVE for one in members for other in one.members))
+    members = [member for member in tier.members if member is not None]
+    return float(sum(other.state is not MemberState.ALIVE for member in members for other in member.members))
 
 
 class Figure(NamedTuple):
@@ -150,9 +153,9 @@
     names = args.names or list(FIGURES)
     runs = [(name, seed) for name in names for seed in range(1, args.seeds + 1)]
     with ProcessPoolExecutor(args.jobs, mp_context=get_context("spawn")) as pool:
-        found = list(pool.map(_measure, *zip(*runs, strict=True)))
+        values = list(pool.map(_measure, *zip(*runs, strict=True)))
     for i, name in enumerate(names):
-        row = " ".join(f"{one:.2f}" for one in found[i * args.seeds : (i + 1) * args.seeds])
+        row = " ".join(f"{value:.2f}" for value in values[i * args.seeds : (i + 1) * args.seeds])
         print(f"| {name} | {FIGURES[name].about} | {row} | at most {FIGURES[name].bound:g} |")
 
 
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -37,7 +37,7 @@
 SEGMENTS = 64  # drawn ahead; each router replays them in a random order
 SEGMENT_S = 0.3
 MAX_CORRECTED_LATENESS_S = 0.1  # after a later timer, the next delay counts from the current time
-MAX_SEGMENTS_PER_CALL = 10  # the most that is reported at once after a pause
+MAX_SEGMENTS_PER_CALL = 10  # of the stream, that one call reports after however long a pause
 MAX_HELD_DATAGRAMS = 256  # that the socket buffer of a paused process keeps
 SLOW_PERIOD_S = 0.1
 TENANTS = ("public", "municipal")
@@ -278,11 +278,11 @@
         count = round((now - self._observed_ns) / NS_PER_S / SEGMENT_S)
         count = min(max(count, 1), MAX_SEGMENTS_PER_CALL)
         self._observed_ns = now
-        found = merge_segments(
+        observations = merge_segments(
             [self._random.choice(self._process.segments[self.light]) for _ in range(count)], now
         )
         self.meter.owner_ns += thread_time_ns() - began
-        return found
+        return observations
 
     def demands(self) -> dict[str, float]:
         """Return each tenant's demand for the origin, requests a second."""
@@ -294,21 +294,25 @@
         self._record_view(snapshot.response_times)
         self.meter.owner_ns += thread_time_ns() - began
 
-    def _record_view(self, waits: Mapping[str, AgedResponseTime]) -> None:
+    def _record_view(self, response_times: Mapping[str, AgedResponseTime]) -> None:
         """Record the view that is replaced now, with the ages it has reached."""
         now = self._process.play_clock.seconds()
         before, self._held_view = (
             self._held_view,
-            HeldView(now, [wait.age / NS_PER_S for wait in waits.values()]),
+            HeldView(now, [response_time.age / NS_PER_S for response_time in response_times.values()]),
         )
         if before is None or (self.view_readings and self.view_readings[-1].second == int(now)):
             return
         ages = before.ages or [0.0]
         held_s = now - before.at
         middle = statistics.median(ages)
-        given, held, oldest = (round(age, 3) for age in (middle, middle + held_s, max(ages) + held_s))
+        given_age, held_age, oldest_age = (
+            round(age, 3) for age in (middle, middle + held_s, max(ages) + held_s)
+        )
         self.view_readings.append(
-            ViewReading(int(now), len(before.ages), given, held, oldest, 1 + self._other_routers_in_view())
+            ViewReading(
+                int(now), len(before.ages), given_age, held_age, oldest_age, 1 + self._other_routers_in_view()
+            )
         )
 
     def _other_routers_in_view(self) -> int:
@@ -361,8 +365,8 @@
         self._lag: LagMonitor | None = None
         self._pace_readings: list[float] = []
         self._memory_bytes = 0  # of the process before its routers exist
-        self._cpu_ns = 0
-        self._stream_ns = 0
+        self._cpu_start_ns = 0
+        self._stream_start_ns = 0
 
     def handlers(self) -> Mapping[str, Handler]:
         """Return the handlers by verb."""
@@ -428,7 +432,7 @@
         gc.freeze()
         for router in self.routers.values():
             router.begin()
-        self._cpu_ns, self._stream_ns = process_time_ns(), self._total_stream_ns()
+        self._cpu_start_ns, self._stream_start_ns = process_time_ns(), self._total_stream_ns()
         self._lag.reset()
         self._note_pace()
 
@@ -485,8 +489,8 @@
         return {
             "routers": [router.report() for router in self.routers.values()],
             "memory": memory,
-            "cpu_ns": process_time_ns() - self._cpu_ns,
-            "stream_ns": self._total_stream_ns() - self._stream_ns,
+            "cpu_ns": process_time_ns() - self._cpu_start_ns,
+            "stream_ns": self._total_stream_ns() - self._stream_start_ns,
             "seconds": self.play_clock.seconds(),
             "lag": self._lag.readings(),
             "pace_us": statistics.median(self._pace_readings),
--- a/bench/router_core.py
+++ b/bench/router_core.py
@@ -96,7 +96,7 @@
 
 
 def serve_nodes(pipe: Connection, count: int, cores: set[int]) -> None:
-    """Run a process of nodes; sends their addresses through the pipe."""
+    """Run `count` nodes in this process; their addresses are sent through the pipe."""
     bind_to(cores)
 
     async def serve() -> None:
@@ -136,9 +136,9 @@
 def serve_relay(
     pipe: Connection, targets: list[Address], cores: set[int], address: Address = ("127.0.0.1", 0)
 ) -> None:
-    """Run a process that copies bytes between clients and nodes; several may share an address.
+    """Copy bytes between clients and nodes in this process; several processes may share an address.
 
-    Sends its process id and address through the pipe.
+    The process id and the address are sent through the pipe.
     """
     bind_to(cores)
 
@@ -172,8 +172,8 @@
 class LoadConnection(asyncio.Protocol):
     """A client's connection with one request at a time, sent back to back or evenly spaced."""
 
-    def __init__(self, generator: LoadGenerator) -> None:
-        self.generator = generator
+    def __init__(self, load_generator: LoadGenerator) -> None:
+        self.load_generator = load_generator
         self.transport: asyncio.Transport | None = None
         self.reader = hiredis.Reader()
         self.sent = 0.0
@@ -187,22 +187,22 @@
         """Send the next request."""
         if self.transport is not None and not self.transport.is_closing():
             self.sent, self.awaiting_answer = time.perf_counter(), True
-            self.transport.write(self.generator.next())
+            self.transport.write(self.load_generator.next())
 
     def data_received(self, data: bytes) -> None:
-        """Count an answer."""
+        """Count each answer; one that no request awaits counts as lost."""
         self.reader.feed(data)
         while (reply := self.reader.gets()) is not False:
             good = isinstance(reply, bytes) or (isinstance(reply, list) and isinstance(reply[0], bytes))
             if not self.awaiting_answer:
-                self.generator.lost += 1
+                self.load_generator.lost += 1
                 continue
             self.awaiting_answer = False
-            self.generator.answered(self, good, time.perf_counter() - self.sent)
+            self.load_generator.answered(self, good, time.perf_counter() - self.sent)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Count a connection that the server closed."""
-        self.generator.lost += 1
+        self.load_generator.lost += 1
 
 
 class LoadGenerator:
@@ -247,51 +247,58 @@
     seconds: float,
     cores: set[int],
 ) -> None:
-    """Run a process of clients; sends "warm" and then its counts through the pipe."""
+    """Run clients in this process; "warm" and then their counts are sent through the pipe."""
     bind_to(cores)
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        generator = LoadGenerator(name, rate)
+        load_generator = LoadGenerator(name, rate)
         open_connections = []
         for _ in range(connections):
-            _, connection = await loop.create_connection(lambda: LoadConnection(generator), *target)
+            _, connection = await loop.create_connection(lambda: LoadConnection(load_generator), *target)
             open_connections.append(connection)
         pacer = None
         if rate:
-            generator.free = list(open_connections)
-            pacer = loop.create_task(send_evenly(generator))
+            load_generator.free = list(open_connections)
+            pacer = loop.create_task(send_evenly(load_generator))
         else:
             for connection in open_connections:
                 connection.send_request()
         await asyncio.sleep(WARM_UP_S)
         pipe.send("warm")
-        generator.counting = True
+        load_generator.counting = True
         begun = time.perf_counter()
         await asyncio.sleep(seconds)
-        generator.counting = False
+        load_generator.counting = False
         span = time.perf_counter() - begun
         if pacer is not None:
             pacer.cancel()
-        generator.latencies.sort()
+        load_generator.latencies.sort()
         pipe.send(
-            (generator.good, generator.bad, generator.lost, generator.missed, span, generator.latencies)
+            (
+                load_generator.good,
+                load_generator.bad,
+                load_generator.lost,
+                load_generator.missed,
+                span,
+                load_generator.latencies,
+            )
         )
 
     uvloop.run(run())
 
 
-async def send_evenly(generator: LoadGenerator) -> None:
+async def send_evenly(load_generator: LoadGenerator) -> None:
     """Send requests evenly on free connections, whether or not answers come."""
-    begun, made = time.perf_counter(), 0
+    begun, scheduled = time.perf_counter(), 0
     while True:
-        due = int((time.perf_counter() - begun) * generator.rate)
-        while made < due:
-            made += 1
-            if generator.free:
-                generator.free.pop(0).send_request()
+        due = int((time.perf_counter() - begun) * load_generator.rate)
+        while scheduled < due:
+            scheduled += 1
+            if load_generator.free:
+                load_generator.free.pop(0).send_request()
             else:
-                generator.missed += generator.counting
+                load_generator.missed += load_generator.counting
         await asyncio.sleep(0.001)
 
 
@@ -326,12 +333,12 @@
     pipes, children = [], []
     for i in range(len(cores)):
         parent_end, child_end = CONTEXT.Pipe()
-        part = connections // len(cores)
+        connections_per_process = connections // len(cores)
         arguments = (
             child_end,
             f"{what[0]}{load[0]}{i}",
             target,
-            part,
+            connections_per_process,
             rate / len(cores),
             seconds,
             {cores[i]},
@@ -385,7 +392,7 @@
 
 
 def serve_discovery(pipe: Connection, node_addresses: list[Address], cores: set[int]) -> None:
-    """Run a discovery process; sends its address and the endpoint list through the pipe."""
+    """Run emulated discovery in this process; its address and the endpoint list are sent through the pipe."""
     bind_to(cores)
 
     async def serve() -> None:
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -141,8 +141,8 @@
     async def calibrate(self) -> None:
         """Measure the share of a core that a hollow router takes here, including the rig's overhead."""
         if not self.cost:
-            found = await self.run_scenario(Participants(CALIBRATION_ROUTERS), "calm", 1.0)
-            self.cost = found.rig["cpu_percent_whole"] / 100 * COST_GROWTH_FACTOR
+            result = await self.run_scenario(Participants(CALIBRATION_ROUTERS), "calm", 1.0)
+            self.cost = result.rig["cpu_percent_whole"] / 100 * COST_GROWTH_FACTOR
 
     def needs(self, size: int, real: int) -> Needs:
         """Return the resources that a run of `size` routers needs."""
@@ -160,33 +160,34 @@
         real = self.args.real if slow == 1.0 else 0
         if why := scale_plan.refusal(self.machine, self.needs(size, real), slow, real):
             raise RefusedError(f"{size} routers: {why}")
-        found: dict[str, Any] = {
+        run: dict[str, Any] = {
             "size": size, "windows": {}, "learning": {}, "rig": {}, "void": [], "real": None,
         }  # fmt: skip
         aggregators = self.args.aggregators
         for name in self.args.plays:
             result = await self.run_scenario(Participants(size, real, aggregators=aggregators), name, slow)
-            found["windows"] |= to_plain(result.figures["windows"])
-            found["learning"] |= to_plain(result.figures["learning"])
-            found["rig"][name] = result.rig
-            found["void"] += [f"{name}: {why}" for why in result.void]
-            if real and found["real"] is None:
+            run["windows"] |= to_plain(result.figures["windows"])
+            run["learning"] |= to_plain(result.figures["learning"])
+            run["rig"][name] = result.rig
+            run["void"] += [f"{name}: {why}" for why in result.void]
+            if real and run["real"] is None:
                 standalone = await self.run_scenario(Participants(size - real, standalone=real), "calm", slow)
-                found["void"] += [f"without peers: {why}" for why in standalone.void]
-                found["real"] = real_figures(result, standalone, size)
-        return found
+                run["void"] += [f"without peers: {why}" for why in standalone.void]
+                run["real"] = real_figures(result, standalone, size)
+        return run
 
 
 def real_figures(in_membership: ScenarioResult, without_peers: ScenarioResult, size: int) -> dict[str, Any]:
-    """Return the medians over the real routers in calm.
+    """Return the medians over the real routers in the calm window.
 
-    The cost of control is the difference between routers with peers and routers without.
+    The processor time and memory of control are the differences between routers with peers and routers
+    without.
     """
     with_peers, without = (
-        median(one.cpu for one in result.real) * 100 for result in (in_membership, without_peers)
+        median(router.cpu for router in result.real) * 100 for result in (in_membership, without_peers)
     )
-    memory = median(one.memory for one in in_membership.real) - median(
-        one.memory for one in without_peers.real
+    memory = median(router.memory for router in in_membership.real) - median(
+        router.memory for router in without_peers.real
     )
     return {
         "routers": len(in_membership.real),
@@ -195,9 +196,11 @@
         "cpu_percent_without": round(without, 3),
         "memory_bytes": round(memory),
         "bytes_both": round(median(in_membership.real_bytes), 1),
-        "coverage": round(100 * (1 + median(one.routers_in_view for one in in_membership.real)) / size, 1),
+        "coverage": round(
+            100 * (1 + median(router.routers_in_view for router in in_membership.real)) / size, 1
+        ),
         "light_hollow": in_membership.light,
-        "alive_least": min(one.alive for one in in_membership.real),
+        "alive_least": min(router.alive for router in in_membership.real),
     }
 
 
@@ -212,24 +215,24 @@
         + "pace {:.0f} of {:.0f} us, ".format(*(max(rig[name] for rig in rigs) for name in PACE_KEYS))
         + ("VOID: " + "; ".join(run["void"]) if run["void"] else "holds")
     ]
-    lines += [format_window(name, one) for name, one in run["windows"].items()]
-    for name, one in run["learning"].items():
+    lines += [format_window(name, figures) for name, figures in run["windows"].items()]
+    for name, times in run["learning"].items():
         lines.append(
-            f"  {name}: learnt by the first after {one['first_median']} s, by all {one['all_median']} s "
-            f"(worst {one['all_worst']}, {one['unlearnt']} of {one['deaths']} not by all)"
+            f"  {name}: learnt by the first after {times['first_median']} s, by all {times['all_median']} s "
+            f"(worst {times['all_worst']}, {times['unlearnt']} of {times['deaths']} not by all)"
         )
     if run["real"]:
         lines.append(f"  real: {run['real']}")
     return "\n".join(lines)
 
 
-def format_window(name: str, one: dict[str, Any]) -> str:
+def format_window(name: str, figures: dict[str, Any]) -> str:
     """Format a window's figures as one line of text."""
-    cpu, traffic, view = one["cpu_percent"], one["bytes_both"], one["view"]
-    worst = "worst second, p95:"
+    cpu, traffic, view = figures["cpu_percent"], figures["bytes_both"], figures["view"]
+    worst_label = "worst second, p95:"
     return (
-        f"  {name}: control {cpu['mean']['median']:.2f} % ({worst} {cpu['worst']['p95']:.2f}), "
-        f"{traffic['mean']['median']:.0f} bytes a second ({worst} {traffic['worst']['p95']:.0f}), "
+        f"  {name}: control {cpu['mean']['median']:.2f} % ({worst_label} {cpu['worst']['p95']:.2f}), "
+        f"{traffic['mean']['median']:.0f} bytes a second ({worst_label} {traffic['worst']['p95']:.0f}), "
         f"age {view['given_age']['median']:.2f} s (p95 {view['given_age']['p95']:.2f}; worst second "
         f"{view['worst_age']['median']:.2f}, p95 {view['worst_age']['p95']:.2f}), before the next view "
         f"{view['held_age']['median']:.2f} (p95 {view['held_age']['p95']:.2f}), "
@@ -240,8 +243,8 @@
 def load_results(path: Path | None) -> dict[str, Any]:
     """Return the results in a file; an empty set of runs if there is none."""
     if path is not None and path.exists():
-        found: dict[str, Any] = orjson.loads(path.read_bytes())
-        return found
+        results: dict[str, Any] = orjson.loads(path.read_bytes())
+        return results
     return {"runs": []}
 
 
@@ -262,9 +265,9 @@
     for run in body["runs"]:
         if run["void"]:
             continue
-        one = found.setdefault(run["size"], {"size": run["size"], "windows": {}, "real": None})
-        one["windows"] = one["windows"] | run["windows"]
-        one["real"] = run["real"] or one["real"]
+        merged = found.setdefault(run["size"], {"size": run["size"], "windows": {}, "real": None})
+        merged["windows"] = merged["windows"] | run["windows"]
+        merged["real"] = run["real"] or merged["real"]
     return [found[size] for size in sorted(found)]
 
 
--- a/bench/scale_plan.py
+++ b/bench/scale_plan.py
@@ -69,6 +69,7 @@
     KILL = "kill"
     CUT = "cut"
     SLOW = "slow"
+    """The process runs for only a part of each 100 ms."""
     PAUSE = "hold"
     """The process stops running for a while, then resumes."""
 
--- a/bench/scale_report.py
+++ b/bench/scale_report.py
@@ -29,10 +29,12 @@
 
 def distribution(values: Iterable[float]) -> Distribution:
     """Summarize values of routers; raises ValueError if there are none."""
-    found = sorted(values)
-    if not found:
+    ordered = sorted(values)
+    if not ordered:
         raise ValueError("no routers to summarize")
-    rounded = (round(one, 4) for one in (found[0], median(found), quantile(found, 0.95), found[-1]))
+    rounded = (
+        round(value, 4) for value in (ordered[0], median(ordered), quantile(ordered, 0.95), ordered[-1])
+    )
     return Distribution(*rounded)
 
 
@@ -42,7 +44,10 @@
 
 
 class Cost(NamedTuple):
-    """A figure per second over all routers: each router's mean second and worst second of the window."""
+    """Distributions of a figure over all routers.
+
+    `mean` and `worst` have each router's mean and highest value per second of a window.
+    """
 
     mean: Distribution
     worst: Distribution
@@ -81,16 +86,16 @@
     """
     rows = []
     for router in routers:
-        seen = [one for one in router["seen"] if window.since <= one[0] < window.until]
-        if seen:
+        readings = [reading for reading in router["seen"] if window.since <= reading[0] < window.until]
+        if readings:
             rows.append(
                 (
-                    median(one[2] for one in seen),
-                    max(one[2] for one in seen),
-                    max(one[3] for one in seen),
-                    max(one[4] for one in seen),
-                    min(one[1] for one in seen),
-                    min(one[5] for one in seen) / alive,
+                    median(reading[2] for reading in readings),
+                    max(reading[2] for reading in readings),
+                    max(reading[3] for reading in readings),
+                    max(reading[4] for reading in readings),
+                    min(reading[1] for reading in readings),
+                    min(reading[5] for reading in readings) / alive,
                 )
             )
     return View(*(distribution(column) for column in zip(*rows, strict=True)))
@@ -111,14 +116,14 @@
 
 
 def death_detection(
-    routers: Iterable[Mapping[str, Any]], died: Mapping[int, float], members: Collection[int]
+    routers: Iterable[Mapping[str, Any]], death_times: Mapping[int, float], members: Collection[int]
 ) -> DeathDetection:
-    """Summarize how fast the deaths of `members` were learnt of. `died`: second of death by number."""
+    """Summarize how fast the deaths of `members` were learnt of. `death_times`: second of death by number."""
     survivors = [router for router in routers if not router["dead"]]
     first, last, unlearnt = [], [], 0
     for number in members:
         learnt_at = [router["learnt"].get(str(number)) for router in survivors]
-        delays = [at - died[number] for at in learnt_at if at is not None]
+        delays = [at - death_times[number] for at in learnt_at if at is not None]
         if delays:
             first.append(min(delays))
         if len(delays) == len(survivors):
@@ -174,31 +179,33 @@
 
 def summarize(
     scenario: ScaleScenario,
-    hollow: Sequence[Mapping[str, Any]],
+    hollow_reports: Sequence[Mapping[str, Any]],
     relay: Mapping[str, Any],
-    died: Mapping[int, float],
+    death_times: Mapping[int, float],
     size: int,
 ) -> dict[str, Any]:
     """Return a scenario's figures by window and death, over the hollow routers that survived it."""
     survivors = [
-        router for router in hollow if not (router["dead"] or router["light"] or router["aggregator"])
+        router for router in hollow_reports if not (router["dead"] or router["light"] or router["aggregator"])
     ]
     names = [str(router["number"]) for router in survivors]
     windows = {}
     for window in scenario.windows:
-        dead = sum(at < window.until for number, at in died.items() if number < size)
+        dead = sum(at < window.until for number, at in death_times.items() if number < size)
         windows[window.name] = {
             "cpu_percent": cost((router["cpu_ns"] for router in survivors), window, NS_PER_S / 100),
             "bytes_said": cost((relay["said"].get(name, {}) for name in names), window),
             "bytes_heard": cost((relay["heard"].get(name, {}) for name in names), window),
             "bytes_both": cost((total_bytes(relay, name) for name in names), window),
             "view": view(survivors, window, size - dead),
-            "aggregators": aggregator_figures(hollow, relay, window),
+            "aggregators": aggregator_figures(hollow_reports, relay, window),
         }
     faults = {step.label for step in scenario.steps if step.kind is FaultKind.KILL}
     deaths = {
         fault: death_detection(
-            hollow, died, [n for step in scenario.steps if step.label == fault for n in step.members]
+            hollow_reports,
+            death_times,
+            [n for step in scenario.steps if step.label == fault for n in step.members],
         )
         for fault in sorted(faults)
     }
@@ -206,10 +213,10 @@
 
 
 def aggregator_figures(
-    hollow: Iterable[Mapping[str, Any]], relay: Mapping[str, Any], window: Window
+    hollow_reports: Iterable[Mapping[str, Any]], relay: Mapping[str, Any], window: Window
 ) -> dict[str, Any]:
     """Return the cost of the aggregators that survived the scenario; empty if there are none."""
-    survivors = [router for router in hollow if router["aggregator"] and not router["dead"]]
+    survivors = [router for router in hollow_reports if router["aggregator"] and not router["dead"]]
     if not survivors:
         return {}
     names = [str(router["number"]) for router in survivors]
@@ -228,11 +235,11 @@
 def to_plain(value: Any) -> Any:
     """Convert named tuples into maps, for JSON."""
     if hasattr(value, "_asdict"):
-        return {name: to_plain(one) for name, one in value._asdict().items()}
+        return {name: to_plain(item) for name, item in value._asdict().items()}
     if isinstance(value, Mapping):
-        return {str(name): to_plain(one) for name, one in value.items()}
+        return {str(name): to_plain(item) for name, item in value.items()}
     if isinstance(value, list | tuple):
-        return [to_plain(one) for one in value]
+        return [to_plain(item) for item in value]
     return value
 
 
@@ -243,18 +250,18 @@
 
 
 def light_figures(
-    hollow: Iterable[Mapping[str, Any]], relay: Mapping[str, Any], window: Window, size: int
+    hollow_reports: Iterable[Mapping[str, Any]], relay: Mapping[str, Any], window: Window, size: int
 ) -> dict[str, float]:
     """Return the medians over the hollow routers with the real routers' low rate; empty if there are none."""
-    light = [router for router in hollow if router["light"] and not router["dead"]]
+    light = [router for router in hollow_reports if router["light"] and not router["dead"]]
     if not light:
         return {}
-    seen = view(light, window, size)
+    load_view = view(light, window, size)
     return {
         "routers": len(light),
         "cpu_percent": cost((router["cpu_ns"] for router in light), window, NS_PER_S / 100).mean.median,
         "bytes_both": median(mean_bytes_per_s(relay, str(router["number"]), window) for router in light),
-        "coverage": round(seen.coverage.median * 100, 1),
+        "coverage": round(load_view.coverage.median * 100, 1),
     }
 
 
@@ -267,8 +274,11 @@
 
 
 def _points(runs: Sequence[Mapping[str, Any]], panel: str, window: str) -> list[tuple[int, float, float]]:
-    """Return size, median and p95 (for coverage the minimum) over the routers, in one window."""
-    found = []
+    """Return a point for each run that has the window: size, median and p95 over the routers.
+
+    For coverage, the minimum takes the place of the p95, and values are in percent.
+    """
+    points = []
     for run in runs:
         figures = run["windows"].get(window)
         if figures is None:
@@ -278,8 +288,10 @@
         else:
             values = figures[panel]["mean" if window == "calm" else "worst"]
         scale = 100.0 if panel == "coverage" else 1.0
-        found.append((run["size"], values["median"] * scale, values["least" if scale > 1 else "p95"] * scale))
-    return found
+        points.append(
+            (run["size"], values["median"] * scale, values["least" if scale > 1 else "p95"] * scale)
+        )
+    return points
 
 
 def draw_figure(runs: Mapping[str, Sequence[Mapping[str, Any]]], path: Path) -> None:
--- a/bench/scale_rig.py
+++ b/bench/scale_rig.py
@@ -20,7 +20,7 @@
 
 LOW_RATE_ROUTERS = 10  # hollow routers with the real routers' request rate, for comparison with them
 SLOW_ROUTER_RUN_MS = 20  # of each 100 ms
-REAL_MARGIN_S = 60.0  # by which the real routers' schedule outlasts the scenario: the rig ends them
+REAL_MARGIN_S = 60.0  # added to the real routers' schedule, which must not end before the rig ends them
 PROGRESS_INTERVAL_S = 0.2
 
 
@@ -80,7 +80,7 @@
         self.hollow: list[Child] = []
         self.relay = Child("bench.scale_relay", program.root, program.path)
         self.real: RealRouters | None = None
-        self.died: dict[int, float] = {}
+        self.death_times: dict[int, float] = {}
         net = f"127.{64 + os.getpid() % 128}.{os.getpid() // 128 % 250}."
         # Each hollow process has an address of its own: two processes that look for free ports at one address
         # may find the same port.
@@ -162,7 +162,7 @@
             *marks,
             *((step.at, step) for step in self.scenario.steps),
         ]
-        for at, step in sorted(steps, key=lambda one: one[0]):
+        for at, step in sorted(steps, key=lambda entry: entry[0]):
             await self._wait_until(clock, at, progress)
             if step is not None:
                 await self._apply_step(step, clock)
@@ -185,7 +185,7 @@
             await self.relay.ask("cut", members=members, seconds=step.seconds)
             return
         if step.kind is FaultKind.KILL:
-            self.died.update(dict.fromkeys(step.members, clock.seconds()))
+            self.death_times.update(dict.fromkeys(step.members, clock.seconds()))
             arguments: dict[str, Any] = {}
         elif step.kind is FaultKind.PAUSE:
             arguments = {"seconds": step.seconds}
@@ -203,11 +203,11 @@
         drops = kernel_drops(Path("/proc/net/udp").read_text(), [self._relay_ip, *self._hollow_ips])
         relay = await self.relay.ask("report")
         hollow = await asyncio.gather(*(child.ask("report") for child in self.hollow))
-        routers = [one for report in hollow for one in report["routers"]]
+        routers = [router for report in hollow for router in report["routers"]]
         calm = self.scenario.windows[0]
         lags = {f"hollow {i}": report["lag"] for i, report in enumerate(hollow)} | {"relay": relay["lag"]}
         return ScenarioResult(
-            summarize(self.scenario, routers, relay, self.died, self.participants.size),
+            summarize(self.scenario, routers, relay, self.death_times, self.participants.size),
             figures_between(*samples) if len(samples) == 2 else [],
             [mean_bytes_per_s(relay, str(number), calm) for number in range(self.participants.real)],
             light_figures(routers, relay, calm, self.participants.size),
@@ -224,7 +224,7 @@
     ) -> dict[str, Any]:
         count = self.participants.members - self.participants.real
         seconds = max(report["seconds"] for report in hollow)
-        router_seconds = count * seconds - sum(seconds - at for at in self.died.values())
+        router_seconds = count * seconds - sum(seconds - at for at in self.death_times.values())
         without_stream_s = sum(report["cpu_ns"] - report["stream_ns"] for report in hollow) / NS_PER_S
         in_calls_ns = sum(
             ns for report in hollow for one in report["routers"] for ns in one["cpu_ns"].values()
@@ -253,7 +253,11 @@
         }
 
     async def end(self) -> int:
-        """End every process that was started; returns their number without the real routers' processes."""
+        """End every process that was started.
+
+        Returns how many child processes were ended: those of the hollow routers and the relay, without the
+        harness's processes of the real routers.
+        """
         if self.real is not None:
             await self.real.end()
         children = [child for child in (*self.hollow, self.relay) if child.process is not None]
--- a/bench/slopes_membership.py
+++ b/bench/slopes_membership.py
@@ -55,8 +55,8 @@
 class ChangePropagation:
     """Starts changes in a tier and measures how long each takes to reach every router.
 
-    A change is a router's next incarnation. It stands for any small versioned change that the membership would
-    spread by the same messages.
+    A change is a router's next incarnation. It stands for any small versioned change that the membership
+    would spread by the same messages.
     """
 
     def __init__(self, tier: MembershipTier) -> None:
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -136,27 +136,30 @@
     return (max(amounts) / mean, min(amounts) / mean) if mean else (0.0, 0.0)
 
 
-def work_by_node(begun: Sequence[StartedWork], since: float, until: float) -> dict[str, float]:
+def work_by_node(started: Sequence[StartedWork], since: float, until: float) -> dict[str, float]:
     """Return the work by node within a time span."""
     totals: dict[str, float] = defaultdict(float)
-    for one in begun:
-        if since <= one.at < until:
-            totals[one.node] += one.work
+    for entry in started:
+        if since <= entry.at < until:
+            totals[entry.node] += entry.work
     return totals
 
 
 def longest_underloaded(
-    begun: Sequence[StartedWork], schedule: Schedule, since: float, until: float
+    started: Sequence[StartedWork], schedule: Schedule, since: float, until: float
 ) -> float:
-    """Return for how many seconds in a row some node's work of the last 5 s was under half of the mean."""
+    """Return the longest time, s, for which one node began under half of the mean work of all nodes.
+
+    Each second, the work that nodes began in the last 5 s is compared.
+    """
     by_second: dict[int, list[StartedWork]] = defaultdict(list)
-    for one in begun:
-        by_second[int(one.at)].append(one)
+    for entry in started:
+        by_second[int(entry.at)].append(entry)
     runs: dict[str, int] = defaultdict(int)
     longest = 0
     for second in range(int(since), int(until)):
         window = range(second - int(WINDOW_S) + 1, second + 1)
-        work = work_by_node([one for i in window for one in by_second[i]], window[0], second + 1)
+        work = work_by_node([entry for i in window for entry in by_second[i]], window[0], second + 1)
         names = available_nodes(schedule, window[0], second + 1)
         half = sum(work.get(name, 0.0) for name in names) / len(names) / 2
         runs = defaultdict(int, {name: runs[name] + 1 for name in names if work.get(name, 0.0) < half})
@@ -164,7 +167,7 @@
     return float(longest)
 
 
-def spread(begun: Sequence[StartedWork], schedule: Schedule, faults_end: float) -> dict[str, Any]:
+def spread(started: Sequence[StartedWork], schedule: Schedule, faults_end: float) -> dict[str, Any]:
     """Return the figures by window, and over the time from SETTLE_S after `faults_end` on."""
     length = schedule.scenario.length_s
     since = faults_end + SETTLE_S
@@ -172,22 +175,24 @@
     for i in range(int(length / WINDOW_S)):
         first, last = i * WINDOW_S, (i + 1) * WINDOW_S
         busiest, idlest = extremes_over_mean(
-            work_by_node(begun, first, last), available_nodes(schedule, first, last)
+            work_by_node(started, first, last), available_nodes(schedule, first, last)
         )
         rows.append({"busiest": busiest, "idlest": idlest})
     busiest, idlest = extremes_over_mean(
-        work_by_node(begun, since, length), available_nodes(schedule, since, length)
+        work_by_node(started, since, length), available_nodes(schedule, since, length)
     )
-    longest = longest_underloaded(begun, schedule, since, length)
+    longest = longest_underloaded(started, schedule, since, length)
     return {"windows": rows, "busiest": busiest, "idlest": idlest, "idle_longest": longest}
 
 
 def started_work(result: RunResult) -> list[StartedWork]:
     """Return the work that nodes began during the schedule."""
     return [
-        StartedWork(one.at - result.begun, one.server, one.work)
-        for one in result.history.attempts
-        if one.server != ORIGIN and one.at >= result.begun and one.result in ("hit", "miss", "pending")
+        StartedWork(attempt.at - result.begun, attempt.server, attempt.work)
+        for attempt in result.history.attempts
+        if attempt.server != ORIGIN
+        and attempt.at >= result.begun
+        and attempt.result in ("hit", "miss", "pending")
     ]
 
 
@@ -225,16 +230,20 @@
     figure, axes = plt.subplots(
         lines, columns, figsize=(3.6 * columns, 2.5 * lines), sharey=True, squeeze=False
     )
-    styles = {"reports alone": "C3", "peers": "C0", "placed": "0.5", "chance": "0.75"}
+    colours = {"reports alone": "C3", "peers": "C0", "placed": "0.5", "chance": "0.75"}
     for ax in axes.flat[len(results) :]:
         ax.set_axis_off()
     for ax, (case, variants) in zip(axes.flat, results.items(), strict=False):
-        for variant, found in variants.items():
-            at = [i * WINDOW_S for i in range(len(found["windows"]))]
+        for variant, figures in variants.items():
+            at = [i * WINDOW_S for i in range(len(figures["windows"]))]
             for extreme, dash in (("busiest", "-"), ("idlest", "--")):
                 label = variant if extreme == "busiest" else None
                 ax.plot(
-                    at, [row[extreme] for row in found["windows"]], dash, color=styles[variant], label=label
+                    at,
+                    [row[extreme] for row in figures["windows"]],
+                    dash,
+                    color=colours[variant],
+                    label=label,
                 )
         ax.set_title(case, size=8)
     axes[0][0].set_ylim(0.0, 4.5)
--- a/bench/start.py
+++ b/bench/start.py
@@ -60,10 +60,10 @@
     }
 
 
-def by_step(times: Iterable[float]) -> list[int]:
-    """Count times by 100 ms from the kill on."""
-    found = Counter(int((at - KILL_AT_S) / STEP_S) for at in times if at >= KILL_AT_S)
-    return [found[i] for i in range(round((RUN_S - KILL_AT_S) / STEP_S))]
+def by_step(event_times: Iterable[float]) -> list[int]:
+    """Count the events of each 100 ms from the kill on."""
+    counts = Counter(int((at - KILL_AT_S) / STEP_S) for at in event_times if at >= KILL_AT_S)
+    return [counts[i] for i in range(round((RUN_S - KILL_AT_S) / STEP_S))]
 
 
 def recovery_time(served: list[tuple[float, bool]], calm: float, since: float) -> float:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -31,13 +31,13 @@
 
 
 def test_routers_are_spread_evenly_over_43_sites_in_25_zones_and_8_regions() -> None:
-    places = [location_of(number) for number in range(760)]
-    assert {len({one[i] for one in places}) for i in range(3)} == {43, 25, 8}
-    assert set(Counter(one.site for one in places).values()) == {17, 18}
-    zone_of = {one.site: one.zone for one in places}
-    assert all(zone_of[one.site] == one.zone for one in places)
-    region_of = {one.zone: one.region for one in places}
-    assert all(region_of[one.zone] == one.region for one in places)
+    locations = [location_of(number) for number in range(760)]
+    assert {len({location[i] for location in locations}) for i in range(3)} == {43, 25, 8}
+    assert set(Counter(location.site for location in locations).values()) == {17, 18}
+    zone_of = {location.site: location.zone for location in locations}
+    assert all(zone_of[location.site] == location.zone for location in locations)
+    region_of = {location.zone: location.region for location in locations}
+    assert all(region_of[location.zone] == location.region for location in locations)
 
 
 def test_the_delay_is_the_same_in_both_directions_and_grows_with_distance() -> None:
@@ -243,9 +243,9 @@
     def router(dead: bool = False, **learnt: float) -> dict[str, object]:
         return {"dead": dead, "learnt": {name[1:]: at for name, at in learnt.items()}}
 
-    died = {7: 10.0, 8: 12.0}
-    told = [router(n7=16.0, n8=20.0), router(n7=17.5), router(dead=True)]
-    found = death_detection(told, died, [7, 8])
+    death_times = {7: 10.0, 8: 12.0}
+    reports = [router(n7=16.0, n8=20.0), router(n7=17.5), router(dead=True)]
+    found = death_detection(reports, death_times, [7, 8])
     assert found == (2, 7.0, 7.5, 7.5, 1)
 
 
