--- a/tests/emulated_nodes.py
+++ b/tests/emulated_nodes.py
@@ -21,7 +21,7 @@
 from holdgw.router.endpoint_list import Clock, read_endpoint_list
 from tests.helpers import settings
 
-LIMIT_S = 60.0  # a step that takes longer hangs, even on a machine with ten times more load than cores
+LIMIT_S = 60.0  # a step that takes longer is hung, even on a machine with ten times more load than cores
 
 HIT = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"
 MISS = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"
@@ -38,7 +38,7 @@
 
 
 def unused_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> tuple[str, int]:
-    """An address that a process under test can bind some time later.
+    """Return an address that a process under test can bind some time later.
 
     Its loopback IP is used by this test process only. On 127.0.0.1 the kernel could give the port to a
     connection of another test as its ephemeral port before the process binds it.
--- a/tests/processes/test_aggregation.py
+++ b/tests/processes/test_aggregation.py
@@ -44,7 +44,7 @@
         """Return the current metrics of every router."""
         routers = list(self.orchestrator.routers.values())
         found = await asyncio.gather(*(fetch_metrics(router.ops) for router in routers))
-        return {router.name: told for router, told in zip(routers, found, strict=True)}
+        return {router.name: metrics for router, metrics in zip(routers, found, strict=True)}
 
     async def wait_for_metrics(self, condition: Callable[[MetricsByRouter], bool]) -> MetricsByRouter:
         """Return every router's metrics once the condition holds; fail with the last ones after LIMIT_S."""
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -79,8 +79,8 @@
         self.aggregators = [peers_config.each.index(one) for one in peers_config.aggregators]
         self.membership = Membership(number, size, zone, number, now)
         self.load_view = LoadView(number, self.membership.boot_id)
-        place = ExchangeConfig(number, size, self.aggregators, role, int(TICK_S * 1000) * MS)
-        self.exchange = AggregatedExchange(place, self.membership, self.load_view, number, now)
+        exchange_config = ExchangeConfig(number, size, self.aggregators, role, int(TICK_S * 1000) * MS)
+        self.exchange = AggregatedExchange(exchange_config, self.membership, self.load_view, number, now)
         self.alter: Alter = lambda _to, data: [data]
         self.slots: dict[int, int] = {}
         """Requests that it reports to observe per second, by slot."""
@@ -298,10 +298,10 @@
         waits = [wait for _, _, wait in samples]
         return min(waits), max(waits)
 
-    def requests(self, at: float) -> float:
-        """Return the greatest sum of correct routers' decayed request counts in a view at that time.
+    def max_requests(self, at: float) -> float:
+        """Return the most requests that correct routers can contribute to a view at that time.
 
-        Each router contributes its greatest count in the WINDOW_S before.
+        This is the sum of each router's greatest decayed request count in the WINDOW_S before.
         """
         counted = defaultdict[str, list[LogRecord]](list)
         for one in self.observed:
@@ -454,7 +454,7 @@
 
 def most_requests(records: Records, at: float) -> float:
     """Return the most requests in a view, MAX_ROUTER_SHARE of them false; reports carry whole requests."""
-    return (records.requests(at) + ROUTERS) / (1.0 - MAX_ROUTER_SHARE)
+    return (records.max_requests(at) + ROUTERS) / (1.0 - MAX_ROUTER_SHARE)
 
 
 def check_shares(shares: Mapping[int, float], unrequested: set[int], bound: float) -> None:
@@ -463,17 +463,17 @@
 
 
 def check_markers(views: list[ViewPart]) -> None:
-    """Assert that the slot of its true reports disappears from views once its false reports arrive.
+    """Assert that the slot of the false reporter's true reports leaves the views once its false ones arrive.
 
-    No view ever contains the slots that it sent with another boot id, with another router's number or as an
-    aggregator.
+    No view ever contains the slots that the false reporter sent with another boot id, with another router's
+    number or as an aggregator.
     """
     markers = defaultdict[tuple[int, int], set[int]](set)
     for one in views:
         markers[one.aggregator, one.sequence] |= MARKER_SLOTS & set(one.slot_shares)
     for aggregator in {aggregator for aggregator, _ in markers}:
         found = [markers[key] for key in sorted(markers) if key[0] == aggregator]
-        attack_seen_from = next(place for place, one in enumerate(found) if not one)
+        attack_seen_from = next(index for index, one in enumerate(found) if not one)
         assert not any(found[attack_seen_from:]), found
         assert not any(one - {TRUE_SLOT} for one in found), found
     assert len({aggregator for aggregator, _ in markers}) == 2
@@ -494,7 +494,10 @@
 
     @property
     def full(self) -> bool:
-        """Whether it currently claims that all servers are very slow and requests abound, or the opposite."""
+        """Whether the claims are now the highest: all servers very slow, and the most requests.
+
+        Otherwise they are the lowest: response times and requests of 0. They alternate every 40 rounds.
+        """
         return self.count // 40 % 2 == 0
 
     def false_view(self, changes: dict[str, Any]) -> bytes:
@@ -522,7 +525,7 @@
         return merged_view.to_datagram(merged_view.encode_body(part), 0)
 
     def false_report(self, reporter: int) -> bytes:
-        """Return a forged report that it forwards as the newest of a router."""
+        """Return a forged report, forwarded as if it were the newest of this router."""
         samples = tuple(
             ServerSample(server, FALSE_RESPONSE_TIME_NS if self.full else 0, 0) for server in self.servers
         )
@@ -533,7 +536,7 @@
         return sequenced_report.forward(encoded, self.member.number)
 
     def alter(self, _to: int, data: bytes) -> list[bytes]:
-        """Replace views that it sends by false ones, and drop reports that it should forward."""
+        """Replace the member's views by false ones, and drop the reports that it should forward."""
         if merged_view.is_view(data):
             return [self.false_view({})]
         return [] if sequenced_report.is_forwarded_report(data) else [data]
@@ -586,7 +589,7 @@
     assert len(checked) > len(under_attack) / 2, "too few snapshots use the correct aggregator's view"
     check_response_times(records, checked)
     for record in checked:
-        fields, true_requests = record.fields, records.requests(record.at)
+        fields, true_requests = record.fields, records.max_requests(record.at)
         # Each report that the false aggregator forwarded counts for at most twice the others' mean.
         own = fields["own_requests"] * len(orchestrator.peers["router00"].each)
         assert fields["requests"] <= max(MAX_MEAN_RATIO * (true_requests + ROUTERS), own), (
--- a/tests/processes/test_endings.py
+++ b/tests/processes/test_endings.py
@@ -39,7 +39,7 @@
         self.caches = [Cache(self._answer), Cache(self._answer)]
         self.agent = UnresponsiveAgent([])
         self.processes: list[asyncio.subprocess.Process] = []
-        self.addresses: list[tuple[str, int]] = []
+        self.router_addresses: list[tuple[str, int]] = []
 
     async def _answer(self, _: list[bytes]) -> bytes | None:
         await self.answers_allowed.wait()
@@ -57,7 +57,7 @@
         await self.agent.start()
         for number in range(ROUTERS):
             await self._start(number)
-        for address in self.addresses:
+        for address in self.router_addresses:
             await self.ping(address)
 
     async def _start(self, number: int) -> None:
@@ -72,7 +72,7 @@
         path = self.folder / f"{number}.json"
         path.write_bytes(orjson.dumps(config))
         with socket.create_server(("127.0.0.1", 0), backlog=512) as held:
-            self.addresses.append(held.getsockname())
+            self.router_addresses.append(held.getsockname())
             process = await asyncio.create_subprocess_exec(
                 "/bin/sh",
                 "-c",
@@ -95,7 +95,7 @@
 
     async def connect(self, number: int, data: bytes = b"") -> Connection:
         """Connect to a router and send these bytes."""
-        reader, writer = await asyncio.open_connection(*self.addresses[number])
+        reader, writer = await asyncio.open_connection(*self.router_addresses[number])
         writer.write(data)
         return reader, writer
 
@@ -189,7 +189,7 @@
             with contextlib.suppress(ConnectionResetError):
                 assert await asyncio.wait_for(busy[0][0].read(), LIMIT_S) == b""
             await fleet._start(0)  # its replacement starts while the others drain
-            await fleet.ping(fleet.addresses[-1])
+            await fleet.ping(fleet.router_addresses[-1])
             after_restart = await fleet.connect(-1, read("again", "b"))
             fleet.answers_allowed.set()
             assert await asyncio.wait_for(after_restart[0].readexactly(len(SERVED)), LIMIT_S) == SERVED
@@ -216,7 +216,7 @@
             for _, writer in departing:
                 writer.close()
             for _ in range(2):
-                for address in fleet.addresses:
+                for address in fleet.router_addresses:
                     await fleet.ping(address)
             received = len(fleet.seen)
             assert received == connections
--- a/tests/processes/test_faults.py
+++ b/tests/processes/test_faults.py
@@ -64,22 +64,22 @@
 
 def attempts_sent(result: RunResult, since: float, until: float) -> list[tuple[str, Attempt]]:
     """Return the attempts that left routers between two seconds of the run, each with its router's name."""
-    router_of = {one.request: one.router for one in result.history.tries}
+    router_of = {attempt.request: attempt.router for attempt in result.history.tries}
     begun = result.begun
     found = []
-    for one in result.history.attempts:
-        at = result.history.left_at(one) - begun
-        if since <= at <= until and one.request in router_of:
-            found.append((router_of[one.request], one))
+    for attempt in result.history.attempts:
+        at = result.history.left_at(attempt) - begun
+        if since <= at <= until and attempt.request in router_of:
+            found.append((router_of[attempt.request], attempt))
     return found
 
 
 def tries(result: RunResult, router: str, since: float, until: float) -> list[ClientRequest]:
     """Return the client attempts sent to a router between two seconds of the run."""
     return [
-        one
-        for one in result.history.tries
-        if one.router == router and since <= one.sent - result.begun <= until
+        attempt
+        for attempt in result.history.tries
+        if attempt.router == router and since <= attempt.sent - result.begun <= until
     ]
 
 
@@ -156,17 +156,19 @@
     assert_rules_hold(report)
     assert [life.router for life in result.history.lives].count("router02") == 2
     assert [life.router for life in result.history.lives].count("router07") == 1
-    lost = {life.router: life.told_to_end or 0.0 for life in reversed(result.history.lives)}
-    assert all(0.9 < lost[name] - result.begun < 2.5 for name in ("router02", "router07"))
+    lost_at = {life.router: life.told_to_end or 0.0 for life in reversed(result.history.lives)}
+    assert all(0.9 < lost_at[name] - result.begun < 2.5 for name in ("router02", "router07"))
     since_lost = [
-        one
+        attempt
         for name in ("router02", "router07")
-        for one in tries(result, name, lost[name] - result.begun, 2.9)  # a loaded machine delays the loss
+        for attempt in tries(
+            result, name, lost_at[name] - result.begun, 2.9
+        )  # the actual loss: a loaded machine delays it
     ]
     assert since_lost, "the clients noticed the loss at once"
-    assert {one.answer for one in since_lost} <= {"none", "left", "unsent"}
+    assert {attempt.answer for attempt in since_lost} <= {"none", "left", "unsent"}
     assert not [router for router, _ in attempts_sent(result, 1.0 + SLACK_S, 6.0) if router == "router07"]
-    assert any(one.answer == "served" for one in tries(result, "router02", 3.0, 6.0))
+    assert any(attempt.answer == "served" for attempt in tries(result, "router02", 3.0, 6.0))
 
 
 def test_a_lost_zone_restarts_cold_while_slow_routers_keep_serving() -> None:
--- a/tests/processes/test_scale.py
+++ b/tests/processes/test_scale.py
@@ -37,19 +37,19 @@
 
 
 @asynccontextmanager
-async def rig(play: ScaleScenario) -> AsyncIterator[Rig]:
+async def rig(scenario: ScaleScenario) -> AsyncIterator[Rig]:
     """Start hollow and real routers, with a clock that is not slowed; end them all on exit."""
-    found = Rig(Participants(SIZE, REAL), play, PROGRAM, seed=1, loss=0.01, slow=1.0)
+    started_rig = Rig(Participants(SIZE, REAL), scenario, PROGRAM, seed=1, loss=0.01, slow=1.0)
     try:
-        await found.start(workers=2)
-        yield found
+        await started_rig.start(workers=2)
+        yield started_rig
     finally:
-        await found.end()
+        await started_rig.end()
 
 
 def test_hollow_and_real_routers_form_one_membership_and_all_learn_of_a_death() -> None:
     killed = SIZE - 1
-    play = ScaleScenario(
+    scenario = ScaleScenario(
         "test",
         (FaultStep(4.0, FaultKind.KILL, (killed,), label="one death"),),
         (Window("calm", 1, 4), Window("after", 4, 6)),
@@ -57,33 +57,35 @@
     )
 
     async def steps() -> None:
-        async with rig(play) as found:
-            assert found.real is not None
+        async with rig(scenario) as started_rig:
+            assert started_rig.real is not None
 
             async def all_have_alive(count: int) -> bool:
-                assert found.real is not None
-                hollow = list((await found.alive()).values())
-                real = [one.alive for one in await found.real.sample()]
+                assert started_rig.real is not None
+                hollow = list((await started_rig.alive()).values())
+                real = [router.alive for router in await started_rig.real.sample()]
                 return set(hollow + real) == {count} and len(real) == REAL
 
             async def real_routers_receive_most() -> bool:
-                assert found.real is not None
-                return all(one.routers_in_view >= 0.75 * SIZE for one in await found.real.sample())
+                assert started_rig.real is not None
+                return all(
+                    router.routers_in_view >= 0.75 * SIZE for router in await started_rig.real.sample()
+                )
 
             await until(lambda: all_have_alive(SIZE))
             await until(real_routers_receive_most)
-            played = await found.run(lambda _at: None)
+            result = await started_rig.run(lambda _at: None)
             await until(lambda: all_have_alive(SIZE - 1))
-        calm = played.figures["windows"]["calm"]
+        calm = result.figures["windows"]["calm"]
         assert calm["view"].servers.least == 96
         assert calm["view"].coverage.least >= 0.6
         assert calm["bytes_said"].worst.most <= MAX_BYTES_PER_S + MAX_BURST
         assert 1000 < calm["bytes_both"].mean.median < MAX_BYTES_PER_S
-        assert all(1000 < each < 2 * MAX_BYTES_PER_S for each in played.real_bytes)
-        assert len(played.real) == REAL
-        assert played.rig["over_256_bytes"] == 0
-        assert played.rig["dropped_by_routers"] == {}
-        assert played.rig["memory_bytes_per_router"] < 32 << 20
+        assert all(1000 < each < 2 * MAX_BYTES_PER_S for each in result.real_bytes)
+        assert len(result.real) == REAL
+        assert result.rig["over_256_bytes"] == 0
+        assert result.rig["dropped_by_routers"] == {}
+        assert result.rig["memory_bytes_per_router"] < 32 << 20
 
     uvloop.run(steps())
 
@@ -133,9 +135,9 @@
             wait_until(lambda: len(descendants(running.pid)) >= max(min(cores - 1, 20), 1) + 1 + 4 + REAL)
             started = descendants(running.pid)
             running.send_signal(number)
-            _, said = running.communicate(timeout=WITHIN_S)
+            _, error_output = running.communicate(timeout=WITHIN_S)
         finally:
             running.kill()
     assert running.returncode == 130
-    assert "scale: interrupted" in said
+    assert "scale: interrupted" in error_output
     wait_until(lambda: not [pid for pid in started if Path(f"/proc/{pid}").exists()])
--- a/tests/test_cold_budget.py
+++ b/tests/test_cold_budget.py
@@ -23,6 +23,6 @@
 
 @pytest.mark.parametrize("case", [case for case in CASES if case.name in NAMES], ids=lambda case: case.name)
 def test_all_processes_together_stay_within_the_budget_of_a_cold_server(case: Case) -> None:
-    play = ColdStartRun(case, seed=1)
-    assert play.run() <= 2.0
-    assert len(play.sent) > 3  # the server received requests
+    run = ColdStartRun(case, seed=1)
+    assert run.run() <= 2.0
+    assert len(run.sent) > 3  # the server received requests
--- a/tests/test_native.py
+++ b/tests/test_native.py
@@ -63,8 +63,8 @@
 @pytest.mark.xdist_group("compiled")
 def test_simulation_digests_are_the_same_with_and_without_compilation(compiled: Path) -> None:
     with ThreadPoolExecutor() as pool:
-        runs = [pool.submit(run_python, PRINT_DIGESTS, *path) for path in ((ROOT,), (compiled, ROOT))]
-    from_sources, from_compiled = (run.result().split() for run in runs)
+        futures = [pool.submit(run_python, PRINT_DIGESTS, *path) for path in ((ROOT,), (compiled, ROOT))]
+    from_sources, from_compiled = (future.result().split() for future in futures)
     assert from_sources[0].endswith(".py")
     assert not from_compiled[0].endswith(".py")
     assert from_compiled[0].startswith(str(compiled))
@@ -74,7 +74,7 @@
 
 @pytest.mark.xdist_group("compiled")
 def test_tests_of_the_sources_pass_on_the_compiled_copy(compiled: Path) -> None:
-    code = "import sys, holdgw, pytest; sys.exit(pytest.main(sys.argv[1:]))"  # pytest changes the path
+    code = "import sys, holdgw, pytest; sys.exit(pytest.main(sys.argv[1:]))"  # pytest changes sys.path
     arguments = ("-q", "-p", "no:cacheprovider", "-m", "not sources_only", "--tb=native")
 
     def run_tests(files: tuple[str, ...]) -> str:
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -76,12 +76,12 @@
 
 @pytest.mark.parametrize("module", sorted(WIRE_NAMES))
 def test_a_wire_name_appears_in_one_module_only(module: str) -> None:
-    for name in WIRE_NAMES[module]:
+    for wire_name in WIRE_NAMES[module]:
         found = {
             str(path.relative_to(ROOT))
             for package in EDGE_PACKAGES
             for path in (ROOT / "holdgw" / package).rglob("*.py")
-            if name in path.read_text()
+            if wire_name in path.read_text()
         }
-        assert found <= {module}, name
-    assert any(name in (ROOT / module).read_text() for name in WIRE_NAMES[module])
+        assert found <= {module}, wire_name
+    assert any(wire_name in (ROOT / module).read_text() for wire_name in WIRE_NAMES[module])
--- a/tests/test_site_variant.py
+++ b/tests/test_site_variant.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("overlay", "named"),
+    ("overlay", "expected_name"),
     [
         ({"price": {}}, "price"),
         ({"prices": {"wast": 1}}, "prices.wast"),
@@ -45,9 +45,9 @@
     ],
 )
 def test_settings_that_the_site_file_lacks_are_rejected_by_name(
-    overlay: dict[str, object], named: str
+    overlay: dict[str, object], expected_name: str
 ) -> None:
-    with pytest.raises(SiteError, match=named):
+    with pytest.raises(SiteError, match=expected_name):
         apply_overlay(BASE, overlay)
 
 
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -134,23 +134,23 @@
         found += [f"child {child}" for child in (task / "children").read_text().split()]
     if not any(name in Path(f"/proc/{pid}/maps").read_text() for name in ("/libc.so.6", "/libc-")):
         found.append("no C library")
-    ours = [os.readlink(path) for path in Path(f"/proc/{pid}/fd").iterdir()]
-    own_sockets = [name[8:-1] for name in ours if name.startswith("socket:")]
+    descriptor_targets = [os.readlink(path) for path in Path(f"/proc/{pid}/fd").iterdir()]
+    own_sockets = [name[8:-1] for name in descriptor_targets if name.startswith("socket:")]
     inet_sockets = sockets_by_inode(pid, "tcp") | sockets_by_inode(pid, "udp")
     # Unix sockets without a name are allowed: they serve as wake-ups.
-    own = {inode for inode, row in sockets_by_inode(pid, "unix").items() if len(row) == 7}
+    unnamed_unix_sockets = {inode for inode, row in sockets_by_inode(pid, "unix").items() if len(row) == 7}
     found += [
         f"socket of a forbidden kind {inode}"
         for inode in own_sockets
-        if inode not in inet_sockets.keys() | own
+        if inode not in inet_sockets.keys() | unnamed_unix_sockets
     ]
-    return found + [f"holds {name}" for name in ours if "io_uring" in name]
+    return found + [f"holds {name}" for name in descriptor_targets if "io_uring" in name]
 
 
 def running_threads(pid: int) -> list[str]:
     """Return the status lines of threads that are not sleeping."""
-    log = [path.read_text() for path in Path(f"/proc/{pid}/task").glob("*/stat")]
-    return [text for text in log if text.rpartition(")")[2].split()[0] != "S"]
+    stat_lines = [path.read_text() for path in Path(f"/proc/{pid}/task").glob("*/stat")]
+    return [line for line in stat_lines if line.rpartition(")")[2].split()[0] != "S"]
 
 
 @pytest.fixture(scope="module")
--- a/tests/watching_router.py
+++ b/tests/watching_router.py
@@ -17,7 +17,7 @@
 
 
 class _Recorder:
-    """Logs the calls that the router's peers make to its program, and passes them on."""
+    """Logs the calls that the router's peer-to-peer part makes to its program, and passes them on."""
 
     def __init__(self) -> None:
         self._take, self._apply = Program.take_observations, Program.apply_load_snapshot
@@ -25,12 +25,14 @@
     def take_observations(self, router: Program) -> Observations:
         """Log and return the router's observations."""
         observations = self._take(router)
-        waits = {name: sampled.response_time for name, sampled in observations.response_times.items()}
-        _write(OBSERVED, {"waits": waits, "slots": dict(observations.slot_requests)})
+        response_times = {
+            name: sampled.response_time for name, sampled in observations.response_times.items()
+        }
+        _write(OBSERVED, {"waits": response_times, "slots": dict(observations.slot_requests)})
         return observations
 
     def apply_load_snapshot(self, router: Program, snapshot: LoadSnapshot) -> None:
-        """Log a load snapshot with the router's own certain counts, and apply the snapshot."""
+        """Log a load snapshot with the router's own samples and guaranteed slot counts, and apply it."""
         assert router.peers is not None
         assert router.peers.exchange is not None
         assert router.peers.exchange.client is not None
