--- a/bench/cold_budget.py
+++ b/bench/cold_budget.py
@@ -109,7 +109,7 @@
         self.case, self._rng = case, random.Random(seed)
         self._servers = [Endpoint(f"10.0.0.{i}:80") for i in range(case.servers)]
         self._cold = self._servers[seed % case.servers]
-        self._refusing = {one.id for one in self._servers if one is not self._cold}
+        self._refusing = {server.id for server in self._servers if server is not self._cold}
         self._refusing = set(sorted(self._refusing)[: case.dead_servers])
         self._processes = [self._start_process(i) for i in range(case.processes)]
         self.sent: list[float] = []  # attempts at the cold server, seconds since its start
@@ -154,7 +154,7 @@
 
     def _start_server(self) -> None:
         self._cold = Endpoint(self._cold.id, started_ns=self._events.now)
-        self._servers = [self._cold if one.id == self._cold.id else one for one in self._servers]
+        self._servers = [self._cold if server.id == self._cold.id else server for server in self._servers]
         if self.case.restarts == "all":
             self._processes = [self._start_process(i) for i in range(self.case.processes)]
         elif self.case.restarts == "pairs":
--- a/bench/cores.py
+++ b/bench/cores.py
@@ -63,11 +63,18 @@
         dedicated = len(all_cores) - count >= 2
         other_cores = all_cores[count:] if dedicated else all_cores
         worker_cores = set(all_cores[:count]) if dedicated else set(all_cores)
-        figures += [(count, dedicated, one) for one in run_round(count, worker_cores, other_cores, args)]
-    show([one for _, _, one in figures], with_ratio=False)
+        figures += [
+            (count, dedicated, figures_of_run)
+            for figures_of_run in run_round(count, worker_cores, other_cores, args)
+        ]
+    show([figures_of_run for _, _, figures_of_run in figures], with_ratio=False)
     body = [
-        {"workers": count, "apart": dedicated, **{name: getattr(one, name) for name in Figures.__slots__}}
-        for count, dedicated, one in figures
+        {
+            "workers": count,
+            "apart": dedicated,
+            **{name: getattr(figures_of_run, name) for name in Figures.__slots__},
+        }
+        for count, dedicated, figures_of_run in figures
     ]
     if args.json is not None:
         args.json.write_text(json.dumps(body, indent=1) + "\n")
@@ -81,7 +88,7 @@
     """Measure `count` relays, then a router with `count` workers, under the same clients and nodes."""
     children, relays = Children(), Children()
     client_cores = [other_cores[i % len(other_cores)] for i in range(args.clients)]
-    found: list[Figures] = []
+    results: list[Figures] = []
     router = None
     try:
         node_addresses = []
@@ -93,7 +100,7 @@
             pid,
             *(relays.start(serve_relay, node_addresses, worker_cores, target)[0] for _ in range(count - 1)),
         ]
-        found.append(
+        results.append(
             measure(
                 f"relay x{count}", "full", pids, target, args.connections, 0.0, args.seconds, client_cores
             )
@@ -110,7 +117,7 @@
             full = measure(what, "full", pids, address, args.connections, 0.0, args.seconds, client_cores)
             rate = full.per_s / 2
             half = measure(what, "half", pids, address, args.connections, rate, args.seconds, client_cores)
-            found += [full, half]
+            results += [full, half]
             assert process_and_children(router.pid) == pids, "a worker died"
     finally:
         if router is not None:
@@ -118,7 +125,7 @@
             router.wait()
         relays.kill()
         children.kill()
-    return found
+    return results
 
 
 def draw(body: list[dict[str, Any]], path: Path) -> None:
--- a/bench/hot_path.py
+++ b/bench/hot_path.py
@@ -88,12 +88,12 @@
 
 def requests(count: int, keys: int) -> list[bytes]:
     """Return commands as clients send them, each with a new id."""
-    found = []
+    commands = []
     for i in range(count):
         key = b"pkg-%06d" % (i * 7919 % keys)
         info = b"c=fetch,t=%b,d=%d" % (b"public" if i % 3 else b"municipal", 700 + i % 200)
-        found.append(command(b"KV.GET", key, b"%08x-%d-0" % (i * 2654435761 % (1 << 32), i), info))
-    return found
+        commands.append(command(b"KV.GET", key, b"%08x-%d-0" % (i * 2654435761 % (1 << 32), i), info))
+    return commands
 
 
 async def run_rounds(
@@ -130,18 +130,20 @@
     cpu_us = []
     for round_number in range(count + 1):
         commands = requests(REQUESTS, keys)
-        commands = [one.replace(b"-0\r\n", b"-%d\r\n" % (round_number % 10)) for one in commands]
+        commands = [request.replace(b"-0\r\n", b"-%d\r\n" % (round_number % 10)) for request in commands]
         before, written = time.process_time(), transport.written
         if profile is not None and round_number:
             profile.enable()
-        for one in commands:
-            client.data_received(one)
+        for request in commands:
+            client.data_received(request)
             for _ in range(1000):
                 if PENDING:
                     break
                 await asyncio.sleep(0)  # lets the pool open a connection
             else:
-                raise RuntimeError(f"no attempt was sent for {one!r}; the client received {transport.last!r}")
+                raise RuntimeError(
+                    f"no attempt was sent for {request!r}; the client received {transport.last!r}"
+                )
             while PENDING:
                 PENDING.pop().protocol.data_received(ANSWER)
         if profile is not None:
--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -508,8 +508,8 @@
 
         figure = FIGURES[mutant.figure]
         for seed in seeds[:FIGURE_SEEDS]:
-            if (found := figure.measure(seed)) > figure.bound:
-                return seed, f"{figure.about}: {found:.2f}, over {figure.bound:g}"
+            if (value := figure.measure(seed)) > figure.bound:
+                return seed, f"{figure.about}: {value:.2f}, over {figure.bound:g}"
         return 0, ""
     if mutant.test:
         import pytest
@@ -552,12 +552,12 @@
     missed = 0
     with ThreadPoolExecutor(args.jobs) as pool:
         for name, line, elapsed_s in pool.map(
-            lambda one: _run_mutant_process(one, args.seeds), args.names or list(MUTANTS)
+            lambda name: _run_mutant_process(name, args.seeds), args.names or list(MUTANTS)
         ):
             first, _, text = line.partition("\t")
-            found = first.isdigit() and first != "0"
-            missed += not found
-            outcome = first if found else "NOT FOUND"
+            detected = first.isdigit() and first != "0"
+            missed += not detected
+            outcome = first if detected else "NOT FOUND"
             print(f"| {name} | {MUTANTS[name].about} | {outcome} | {text} | {elapsed_s:.0f} s |", flush=True)
     return 1 if missed else 0
 
--- a/bench/peer_cost.py
+++ b/bench/peer_cost.py
@@ -247,13 +247,13 @@
     print(f"CPU ms by simulated second | {args.rate:g} requests a second, {args.servers} servers")
     print(f"| routers | {' | '.join(PARTS)} | total | of a core | sent B/s | received B/s | KB | in view |")
     print("| --- " * (len(PARTS) + 7) + "|")
-    found = []
+    all_rows = []
     for routers in args.routers:
         rows = list(measure(load, routers, args.rate, args.seconds, args.rounds))
-        found += rows
+        all_rows += rows
         print(format_row(rows), flush=True)
     if args.json is not None:
-        args.json.write_text("".join(json.dumps(row) + "\n" for row in found))
+        args.json.write_text("".join(json.dumps(row) + "\n" for row in all_rows))
 
 
 if __name__ == "__main__":
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -59,8 +59,8 @@
     """Return the last commit that changed holdgw, with "+changes" if the working tree differs from it."""
 
     def git(*words: str) -> str:
-        ran = subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=False)
-        return ran.stdout.strip()
+        completed = subprocess.run(["git", *words], cwd=ROOT, capture_output=True, text=True, check=False)
+        return completed.stdout.strip()
 
     dirty = "+changes" * bool(git("status", "--porcelain", "holdgw"))
     return git("log", "-1", "--format=%h", "--", "holdgw") + dirty
@@ -261,14 +261,14 @@
 
 def valid_runs(body: dict[str, Any]) -> list[dict[str, Any]]:
     """Merge the windows of all valid runs by size, in rising order; of a repeated window the latest stays."""
-    found: dict[int, dict[str, Any]] = {}
+    by_size: dict[int, dict[str, Any]] = {}
     for run in body["runs"]:
         if run["void"]:
             continue
-        merged = found.setdefault(run["size"], {"size": run["size"], "windows": {}, "real": None})
+        merged = by_size.setdefault(run["size"], {"size": run["size"], "windows": {}, "real": None})
         merged["windows"] = merged["windows"] | run["windows"]
         merged["real"] = run["real"] or merged["real"]
-    return [found[size] for size in sorted(found)]
+    return [by_size[size] for size in sorted(by_size)]
 
 
 def draw_results(args: argparse.Namespace) -> None:
--- a/bench/scale_report.py
+++ b/bench/scale_report.py
@@ -228,8 +228,8 @@
 
 def total_bytes(relay: Mapping[str, Any], name: str) -> dict[str, float]:
     """Return the bytes that a router sent and received, by second."""
-    said, heard = relay["said"].get(name, {}), relay["heard"].get(name, {})
-    return {second: said.get(second, 0) + heard.get(second, 0) for second in {*said, *heard}}
+    sent, received = relay["said"].get(name, {}), relay["heard"].get(name, {})
+    return {second: sent.get(second, 0) + received.get(second, 0) for second in {*sent, *received}}
 
 
 def to_plain(value: Any) -> Any:
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -269,7 +269,7 @@
     """Run a scenario; returns its figures and its schedule."""
     result = run_schedule(text, seed, deploy)
     body = make_report(result).body
-    found = {
+    figures = {
         **{name: body[name] for name in REPORT_FIELDS},
         "void": body["void"],
         "lag_worst_ms": body["emulator"]["worst_ms"],
@@ -278,25 +278,25 @@
         "late": [row["served"] - row["in_aim"] for row in body["windows"]],
         **spread(started_work(result), result.schedule, faults_end),
     }
-    return found, result.schedule
+    return figures, result.schedule
 
 
-def format_row(case: str, variant: str, found: dict[str, Any]) -> str:
+def format_row(case: str, variant: str, figures: dict[str, Any]) -> str:
     """Format a row of the table."""
-    if "service" not in found:
+    if "service" not in figures:
         cells = ["-"] * 6
     else:
-        broken = ", ".join(f"{name} {count}" for name, count in found["rules"].items() if count)
+        broken = ", ".join(f"{name} {count}" for name, count in figures["rules"].items() if count)
         cells = [
-            f"{found['service']:.3f}",
-            f"{found['in_aim'] / found['asked']:.3f}",
-            str(found["origin_fetches"]),
-            " ".join(map(str, found["late"])),
+            f"{figures['service']:.3f}",
+            f"{figures['in_aim'] / figures['asked']:.3f}",
+            str(figures["origin_fetches"]),
+            " ".join(map(str, figures["late"])),
             broken or "kept",
-            f"{found['lag_worst_ms']:.0f} ms" if found["void"] else "no",
+            f"{figures['lag_worst_ms']:.0f} ms" if figures["void"] else "no",
         ]
-    spans = [" ".join(f"{row[name]:.1f}" for row in found["windows"]) for name in ("busiest", "idlest")]
-    settled = [f"{found['busiest']:.2f}", f"{found['idlest']:.2f}", f"{found['idle_longest']:.0f}"]
+    spans = [" ".join(f"{row[name]:.1f}" for row in figures["windows"]) for name in ("busiest", "idlest")]
+    settled = [f"{figures['busiest']:.2f}", f"{figures['idlest']:.2f}", f"{figures['idle_longest']:.0f}"]
     return f"| {' | '.join([case, variant, *cells, *spans, *settled])} |"
 
 
@@ -329,19 +329,19 @@
     print(f"| {' | '.join(COLUMNS)} |\n|{' --- |' * len(COLUMNS)}", flush=True)
     for case in args.cases or known:
         parameters = known[case]
-        found = results[case] = {}
+        figures_by_variant = results[case] = {}
         for variant, peers in (("reports alone", "false"), ("peers", "true")):
             text = SCENARIO.format(
                 length=parameters.length, rate=args.rate, nodes=args.nodes, routers=args.routers, peers=peers,
                 slowest=args.speed * 0.9, fastest=args.speed * 1.1,
             )  # fmt: skip
-            found[variant], schedule = measure_case(
+            figures_by_variant[variant], schedule = measure_case(
                 text + parameters.faults, args.seed, args.deploy, parameters.faults_end
             )
-            print(format_row(case, variant, found[variant]), flush=True)
+            print(format_row(case, variant, figures_by_variant[variant]), flush=True)
         for variant, started in baselines(schedule).items():
-            found[variant] = spread(started, schedule, parameters.faults_end)
-            print(format_row(case, variant, found[variant]), flush=True)
+            figures_by_variant[variant] = spread(started, schedule, parameters.faults_end)
+            print(format_row(case, variant, figures_by_variant[variant]), flush=True)
         if args.json is not None:
             args.json.write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2))
     if args.svg is not None:
--- a/bench/start.py
+++ b/bench/start.py
@@ -140,13 +140,13 @@
     figure, axes = plt.subplots(*shape, figsize=(4.2 * shape[1], 1.7 * shape[0]), squeeze=False, sharex=True)
     for column, (case, programs) in enumerate(results.items()):
         axes[0][column].set_title(case, size=8)
-        for i, (program, found) in enumerate(programs.items()):
+        for i, (program, figures) in enumerate(programs.items()):
             for line, name in enumerate(names):
-                row = found["rows"][name]
+                row = figures["rows"][name]
                 at = [i * STEP_S for i in range(len(row))]
                 axes[line][column].plot(at, row, color=f"C{i}", label=program, linewidth=0.8)
                 axes[line][0].set_ylabel(f"{name}\nby 100 ms", size=7)
-            seconds = found["served_by_second"][int(KILL_AT_S) :]
+            seconds = figures["served_by_second"][int(KILL_AT_S) :]
             axes[-1][column].plot(range(len(seconds)), seconds, color=f"C{i}", linewidth=0.8)
         axes[-1][column].set_xlabel("s from the kill")
     axes[-1][0].set_ylabel("served", size=7)
@@ -179,14 +179,16 @@
         text = SCENARIO.format(length=RUN_S, rate=args.rate, nodes=args.nodes, routers=args.routers)
         for program, root in programs.items():
             logs = args.logs / program / case.replace(" ", "-") if args.logs else None
-            found = measure(run_schedule(text + known[case], args.seed, root / "deploy/balancer.toml", logs))
-            results.setdefault(case, {})[program] = found
-            rows = found.pop("rows")
+            figures = measure(
+                run_schedule(text + known[case], args.seed, root / "deploy/balancer.toml", logs)
+            )
+            results.setdefault(case, {})[program] = figures
+            rows = figures.pop("rows")
             worst = {name: max(row) for name, row in rows.items()}
             first_five_s = {name: sum(row[: round(5 / STEP_S)]) for name, row in rows.items()}
-            print(f"{case}, {program}: {found}")
+            print(f"{case}, {program}: {figures}")
             print(f"  most by 100 ms {worst}; in the first 5 s {first_five_s}", flush=True)
-            found["rows"] = rows
+            figures["rows"] = rows
     if args.json is not None:
         args.json.write_bytes(orjson.dumps(results, option=orjson.OPT_INDENT_2))
     if args.svg is not None:
--- a/tests/processes/test_aggregation.py
+++ b/tests/processes/test_aggregation.py
@@ -43,29 +43,30 @@
     async def router_metrics(self) -> MetricsByRouter:
         """Return the current metrics of every router."""
         routers = list(self.orchestrator.routers.values())
-        found = await asyncio.gather(*(fetch_metrics(router.ops) for router in routers))
-        return {router.name: metrics for router, metrics in zip(routers, found, strict=True)}
+        all_metrics = await asyncio.gather(*(fetch_metrics(router.ops) for router in routers))
+        return {router.name: metrics for router, metrics in zip(routers, all_metrics, strict=True)}
 
     async def wait_for_metrics(self, condition: Callable[[MetricsByRouter], bool]) -> MetricsByRouter:
         """Return every router's metrics once the condition holds; fail with the last ones after LIMIT_S."""
-        seen: MetricsByRouter = {}
+        metrics_by_router: MetricsByRouter = {}
         for _ in range(int(LIMIT_S / 0.25)):
-            seen = await self.router_metrics()
-            if condition(seen):
-                return seen
+            metrics_by_router = await self.router_metrics()
+            if condition(metrics_by_router):
+                return metrics_by_router
             await asyncio.sleep(0.25)
-        raise AssertionError(seen)
+        raise AssertionError(metrics_by_router)
 
 
-def view_metric(found: Metrics, of: str) -> float:
+def view_metric(metrics: Metrics, of: str) -> float:
     """Return one of a router's metrics of its load view."""
-    return found[f'lb_view{{of="{of}"}}']
+    return metrics[f'lb_view{{of="{of}"}}']
 
 
-def views_cover_all_routers(seen: MetricsByRouter) -> bool:
+def views_cover_all_routers(metrics_by_router: MetricsByRouter) -> bool:
     """Return whether every router uses views that cover the reports of all routers."""
     return all(
-        view_metric(one, "reporters") == ROUTERS and not view_metric(one, "fallback") for one in seen.values()
+        view_metric(metrics, "reporters") == ROUTERS and not view_metric(metrics, "fallback")
+        for metrics in metrics_by_router.values()
     )
 
 
@@ -97,16 +98,16 @@
 def test_after_one_aggregator_is_killed_every_router_has_a_view_of_all_reports(tmp_path: Path) -> None:
     async def steps(run: ScenarioRun) -> None:
         await run.wait_for_metrics(
-            lambda seen: (
-                views_cover_all_routers(seen)
-                and all(one['lb_picture{of="servers"}'] == 9 for one in seen.values())
+            lambda metrics_by_router: (
+                views_cover_all_routers(metrics_by_router)
+                and all(metrics['lb_picture{of="servers"}'] == 9 for metrics in metrics_by_router.values())
             )
         )
         run.first.send_signal(signal.SIGKILL)
         await run.wait_until(8.0)
-        for name, one in (await run.wait_for_metrics(views_cover_all_routers)).items():
-            assert view_metric(one, "fallbacks") == 0, name
-            assert view_metric(one, "age_ms") < 5000, name
+        for name, metrics in (await run.wait_for_metrics(views_cover_all_routers)).items():
+            assert view_metric(metrics, "fallbacks") == 0, name
+            assert view_metric(metrics, "age_ms") < 5000, name
 
     run_scenario(steps, 9.0, tmp_path, "loss = 0.02\nduplicates = 0.05\nreordered = 0.2\n")
     assert fallback_changes(tmp_path) == {f"router0{i}": [] for i in range(ROUTERS)}
@@ -118,9 +119,9 @@
         run.first.send_signal(signal.SIGSTOP)
         await asyncio.sleep(5.0)
         run.first.send_signal(signal.SIGCONT)
-        for name, one in (await run.wait_for_metrics(views_cover_all_routers)).items():
-            assert view_metric(one, "fallbacks") == 0, name
-            assert view_metric(one, "age_ms") < 5000, name
+        for name, metrics in (await run.wait_for_metrics(views_cover_all_routers)).items():
+            assert view_metric(metrics, "fallbacks") == 0, name
+            assert view_metric(metrics, "age_ms") < 5000, name
         resumed = await fetch_metrics(run.first.ops)
         assert view_metric(resumed, "halts") >= 1
         # The age of reports that arrived while it was frozen is unknown when they are read.
@@ -134,18 +135,22 @@
         await run.wait_for_metrics(views_cover_all_routers)
         run.first.send_signal(signal.SIGKILL)
         run.second.send_signal(signal.SIGKILL)
-        seen = await run.wait_for_metrics(
-            lambda seen: all(view_metric(one, "fallback") for one in seen.values())
+        metrics_by_router = await run.wait_for_metrics(
+            lambda metrics_by_router: all(
+                view_metric(metrics, "fallback") for metrics in metrics_by_router.values()
+            )
         )
-        for name, one in seen.items():
-            assert view_metric(one, "reporters") == 0, name
+        for name, metrics in metrics_by_router.items():
+            assert view_metric(metrics, "reporters") == 0, name
         on_gossip = await run.wait_for_metrics(
-            lambda seen: all(one['lb_picture{of="routers"}'] >= 1 for one in seen.values())
+            lambda metrics_by_router: all(
+                metrics['lb_picture{of="routers"}'] >= 1 for metrics in metrics_by_router.values()
+            )
         )
-        assert all(one['lb_picture{of="servers"}'] > 0 for one in on_gossip.values())
+        assert all(metrics['lb_picture{of="servers"}'] > 0 for metrics in on_gossip.values())
         await run.orchestrator.start_aggregator(run.second)
-        for name, one in (await run.wait_for_metrics(views_cover_all_routers)).items():
-            assert view_metric(one, "fallbacks") == 1, name
+        for name, metrics in (await run.wait_for_metrics(views_cover_all_routers)).items():
+            assert view_metric(metrics, "fallbacks") == 1, name
 
     run_scenario(steps, 16.0, tmp_path)
     assert fallback_changes(tmp_path) == {f"router0{i}": ["entered", "left"] for i in range(ROUTERS)}
@@ -157,19 +162,23 @@
         partition = {"a": ["aggregator00"], "b": ["aggregator01"], "way": "both", "seconds": 60.0}
         await run.orchestrator.relay.ask("partition", PEERS, partition)
         await asyncio.sleep(4.0)
-        for name, one in (await run.wait_for_metrics(views_cover_all_routers)).items():
-            assert view_metric(one, "reporters") == ROUTERS, name
+        for name, metrics in (await run.wait_for_metrics(views_cover_all_routers)).items():
+            assert view_metric(metrics, "reporters") == ROUTERS, name
             # 120 requests a second, counted over about 3.6 s, which is 432; counted twice they exceed 600.
-            assert one['lb_picture{of="requests"}'] < 600, (name, one)
+            assert metrics['lb_picture{of="requests"}'] < 600, (name, metrics)
         # Then each reaches only half of the routers: both views cover half, and still every router has one.
         half = {"a": ["aggregator00"], "b": [f"router0{i}" for i in range(4)], "way": "both", "seconds": 60.0}
         await run.orchestrator.relay.ask("partition", PEERS, half)
         other = {**half, "a": ["aggregator01"], "b": [f"router0{i}" for i in range(4, 8)]}
         await run.orchestrator.relay.ask("partition", PEERS, other)
-        seen = await run.wait_for_metrics(
-            lambda seen: all(view_metric(one, "reporters") == 4 for one in seen.values())
+        metrics_by_router = await run.wait_for_metrics(
+            lambda metrics_by_router: all(
+                view_metric(metrics, "reporters") == 4 for metrics in metrics_by_router.values()
+            )
+        )
+        assert not any(view_metric(metrics, "fallbacks") for metrics in metrics_by_router.values()), (
+            metrics_by_router
         )
-        assert not any(view_metric(one, "fallbacks") for one in seen.values()), seen
 
     run_scenario(steps, 16.0, tmp_path)
     assert not any(fallback_changes(tmp_path).values())
--- a/tests/processes/test_aggregation_adversaries.py
+++ b/tests/processes/test_aggregation_adversaries.py
@@ -76,7 +76,7 @@
     def __init__(self, number: int, peers_config: Peers, zone: int, role: Role) -> None:
         now, size = time.monotonic_ns(), len(peers_config.each)
         self.number, self.peers_config = number, peers_config
-        self.aggregators = [peers_config.each.index(one) for one in peers_config.aggregators]
+        self.aggregators = [peers_config.each.index(address) for address in peers_config.aggregators]
         self.membership = Membership(number, size, zone, number, now)
         self.load_view = LoadView(number, self.membership.boot_id)
         exchange_config = ExchangeConfig(number, size, self.aggregators, role, int(TICK_S * 1000) * MS)
@@ -126,9 +126,9 @@
             self.send(send.to, datagram.encode(send.message))
 
     def _send_all(self, out: list[OutgoingDatagram]) -> None:
-        for one in out:
-            for data in self.alter(one.to, one.data):
-                self.send(one.to, data)
+        for outgoing in out:
+            for data in self.alter(outgoing.to, outgoing.data):
+                self.send(outgoing.to, data)
 
     def send(self, to: int, data: bytes) -> None:
         """Send a datagram unchanged."""
@@ -180,43 +180,49 @@
 
     async def router_metrics(self) -> MetricsByRouter:
         """Return the current metrics of every correct router."""
-        found = await asyncio.gather(*(fetch_metrics(one.ops) for one in self.correct_routers.values()))
-        return dict(zip(self.correct_routers, found, strict=True))
+        all_metrics = await asyncio.gather(
+            *(fetch_metrics(router.ops) for router in self.correct_routers.values())
+        )
+        return dict(zip(self.correct_routers, all_metrics, strict=True))
 
     async def wait_for_metrics(self, condition: Callable[[MetricsByRouter], bool]) -> MetricsByRouter:
         """Return all correct routers' metrics once the condition holds; fail after LIMIT_S."""
-        seen: MetricsByRouter = {}
+        metrics_by_router: MetricsByRouter = {}
         for _ in range(int(LIMIT_S / 0.25)):
-            seen = await self.router_metrics()
-            if condition(seen):
-                return seen
+            metrics_by_router = await self.router_metrics()
+            if condition(metrics_by_router):
+                return metrics_by_router
             await asyncio.sleep(0.25)
-        raise AssertionError(seen)
+        raise AssertionError(metrics_by_router)
 
     async def wait_for_full_views(self) -> MetricsByRouter:
         """Wait until every correct router uses views that cover all routers, each counted once."""
-        seen = await self.wait_for_metrics(
-            lambda seen: all(view_metric(one, "reporters") >= ROUTERS for one in seen.values())
+        metrics_by_router = await self.wait_for_metrics(
+            lambda metrics_by_router: all(
+                view_metric(metrics, "reporters") >= ROUTERS for metrics in metrics_by_router.values()
+            )
         )
-        assert all(view_metric(one, "reporters") == ROUTERS for one in seen.values()), seen
-        return seen
+        assert all(view_metric(metrics, "reporters") == ROUTERS for metrics in metrics_by_router.values()), (
+            metrics_by_router
+        )
+        return metrics_by_router
 
     async def attack(
         self, false_datagrams: Callable[[], Iterator[tuple[int, bytes]]]
     ) -> list[MetricsByRouter]:
         """Send these datagrams every ATTACK_INTERVAL_S for ATTACK_S; return the metrics read meanwhile."""
-        self.attack_began, seen = time.monotonic(), [await self.router_metrics()]
+        self.attack_began, readings = time.monotonic(), [await self.router_metrics()]
         reading = asyncio.ensure_future(self.router_metrics())
         while time.monotonic() - self.attack_began < ATTACK_S:
             for to, data in false_datagrams():
                 self.member.send(to, data)
             if reading.done():
-                seen.append(reading.result())
+                readings.append(reading.result())
                 reading = asyncio.ensure_future(self.router_metrics())
             await asyncio.sleep(ATTACK_INTERVAL_S)
-        seen.append(await reading)
+        readings.append(await reading)
         self.attack_ended = time.monotonic()
-        return seen
+        return readings
 
 
 def run_scenario(steps: Steps, length: float, logs: Path, faked_name: str | None) -> AdversaryOrchestrator:
@@ -264,18 +270,18 @@
 
     @staticmethod
     def read(logs: Path) -> Records:
-        found = Records()
+        records = Records()
         for path in logs.glob("router*.log"):
             for line in path.read_text().splitlines():
-                for prefix, into in ((OBSERVED, found.observed), (SNAPSHOT, found.snapshots)):
+                for prefix, into in ((OBSERVED, records.observed), (SNAPSHOT, records.snapshots)):
                     if line.startswith(prefix):
                         fields = orjson.loads(line.removeprefix(prefix))
                         into.append(LogRecord(path.stem, fields.pop("at"), fields))
-        return found
+        return records
 
     def requested_slots(self) -> set[int]:
         """Return all slots for which any correct router received requests."""
-        return {int(slot) for one in self.observed for slot in one.fields["slots"]}
+        return {int(slot) for record in self.observed for slot in record.fields["slots"]}
 
     def response_time_range(self, server: str, at: float) -> tuple[float, float] | None:
         """Return the least and greatest response time, ns, of a server at correct routers in WINDOW_S.
@@ -285,38 +291,38 @@
         have been forwarded, and of one true and one false sample the lower counts, whichever it is.
         """
         samples = [
-            (one.at, one.name, one.fields["waits"][server])
-            for one in self.observed
-            if at - WINDOW_S <= one.at <= at and server in one.fields["waits"]
+            (record.at, record.name, record.fields["waits"][server])
+            for record in self.observed
+            if at - WINDOW_S <= record.at <= at and server in record.fields["waits"]
         ]
         seconds = defaultdict[int, set[str]](set)
         for when, name, _ in samples:
             seconds[int(at - when)].add(name)
-        begun = min(one.at for one in self.observed if one.fields["waits"])
+        begun = min(record.at for record in self.observed if record.fields["waits"])
         if any(len(seconds[second]) <= ROUTERS / 2 for second in range(int(min(WINDOW_S, at - begun)))):
             return None
         waits = [wait for _, _, wait in samples]
         return min(waits), max(waits)
 
-    def max_requests(self, at: float) -> float:
+    def max_true_requests(self, at: float) -> float:
         """Return the most requests that correct routers can contribute to a view at that time.
 
         This is the sum of each router's greatest decayed request count in the WINDOW_S before.
         """
         counted = defaultdict[str, list[LogRecord]](list)
-        for one in self.observed:
-            if one.at <= at:
-                counted[one.name].append(one)
+        for record in self.observed:
+            if record.at <= at:
+                counted[record.name].append(record)
         return sum(_greatest_count(lines, at - WINDOW_S) for lines in counted.values())
 
 
-def _greatest_count(lines: list[LogRecord], since: float) -> float:
-    total, before, greatest = 0.0, lines[0].at, 0.0
-    for one in sorted(lines, key=lambda one: one.at):
-        total *= math.pow(0.5, (one.at - before) / COUNT_HALF_LIFE_S)
-        total += sum(one.fields["slots"].values())
-        before = one.at
-        if one.at >= since:
+def _greatest_count(records: list[LogRecord], since: float) -> float:
+    total, before, greatest = 0.0, records[0].at, 0.0
+    for record in sorted(records, key=lambda record: record.at):
+        total *= math.pow(0.5, (record.at - before) / COUNT_HALF_LIFE_S)
+        total += sum(record.fields["slots"].values())
+        before = record.at
+        if record.at >= since:
             greatest = max(greatest, total)
     return greatest
 
@@ -328,17 +334,17 @@
     the lower of two views counts.
     """
     checked = 0
-    for one in snapshots:
-        for server, wait in one.fields["waits"].items():
-            allowed = records.response_time_range(server, one.at)
+    for snapshot in snapshots:
+        for server, wait in snapshot.fields["waits"].items():
+            allowed = records.response_time_range(server, snapshot.at)
             if allowed is None:
                 continue
-            assert wait <= allowed[1], (one.name, server, allowed, one)
-            if server not in one.fields["own_waits"]:
+            assert wait <= allowed[1], (snapshot.name, server, allowed, snapshot)
+            if server not in snapshot.fields["own_waits"]:
                 continue
             checked += 1
             # Reports and views carry whole milliseconds.
-            assert wait >= allowed[0] - MS, (one.name, server, allowed, one)
+            assert wait >= allowed[0] - MS, (snapshot.name, server, allowed, snapshot)
     assert checked > ROUTERS, "too few response times were checked"
 
 
@@ -356,15 +362,15 @@
         self.servers = [hash_server(name) for name in servers]
         self.recorded = [data for _, data in member.sent if sequenced_report.is_sequenced_report(data)]
         self.claimed: list[int] = []
-        self.named = self.servers[0]
+        self.repeated_server = self.servers[0]
         size = len(member.peers_config.each)
         self.sequence = max(sequenced_report.decode(data, size).sequence for data in self.recorded)
 
     def report(self, boot_id: int, slots: dict[int, int], sender: int | None = None) -> LoadReport:
         """Return a report of all servers as very slow or as idle, with one of them repeated."""
-        named = [*self.servers, *[self.named] * (MAX_SAMPLES - len(self.servers))]
+        servers = [*self.servers, *[self.repeated_server] * (MAX_SAMPLES - len(self.servers))]
         wait = FALSE_RESPONSE_TIME_NS if self.sequence // 40 % 2 else 0
-        samples = tuple(ServerSample(server, wait, 0) for server in named)
+        samples = tuple(ServerSample(server, wait, 0) for server in servers)
         return LoadReport(
             self.member.number if sender is None else sender, boot_id, samples, MAX_CLAIM, slots
         )
@@ -375,7 +381,7 @@
         self.sequence += 1
         if self.sequence % 60 == 0 or not self.claimed:  # other slots every 60 rounds, as long as views take
             self.claimed = self.random.sample(range(min(MARKER_SLOTS)), MAX_SLOTS)
-            self.named = self.random.choice(self.servers)
+            self.repeated_server = self.random.choice(self.servers)
         datagrams = [
             sequenced_report.encode(
                 SequencedReport(self.sequence, self.report(true_id, dict.fromkeys(self.claimed, MAX_CLAIM)))
@@ -407,7 +413,7 @@
     Its requests and slots count for at most 8 times the median reporter's, and for at most 0.3 of all; with
     eight reporters the latter bound is the narrower.
     """
-    seen: list[MetricsByRouter] = []
+    readings: list[MetricsByRouter] = []
     dropped: list[dict[str, float]] = []
 
     async def steps(orchestrator: AdversaryOrchestrator) -> None:
@@ -419,14 +425,14 @@
         assert len(false.recorded) >= 3
         member.alter = lambda _to, data: [] if sequenced_report.is_sequenced_report(data) else [data]
         member.views.clear()
-        seen.extend(await orchestrator.attack(false.false_datagrams))
-        seen.append(await orchestrator.wait_for_full_views())
+        readings.extend(await orchestrator.attack(false.false_datagrams))
+        readings.append(await orchestrator.wait_for_full_views())
         dropped.extend([await fetch_metrics(one.ops) for one in orchestrator.aggregators.values()])
 
     orchestrator = run_scenario(steps, 8.5, tmp_path, FAKED_ROUTER)
-    for found in (found for one in seen for found in one.values()):
-        assert view_metric(found, "reporters") <= ROUTERS, found
-        assert view_metric(found, "fallbacks") == 0, found
+    for metrics in (metrics for reading in readings for metrics in reading.values()):
+        assert view_metric(metrics, "reporters") <= ROUTERS, metrics
+        assert view_metric(metrics, "fallbacks") == 0, metrics
     records = Records.read(tmp_path)
     under_attack = [
         one for one in records.snapshots if orchestrator.attack_began <= one.at <= orchestrator.attack_ended
@@ -447,14 +453,14 @@
     ]
     assert max(claimed) > 0.1, "no view contains any of its claims"
     check_markers([one for _, one in orchestrator.member.views])
-    for found in dropped:
+    for metrics in dropped:
         for why in ("forged", "replayed", "unexpected"):
-            assert found.get(f'lb_peers_dropped{{why="{why}"}}', 0) > 20, (why, found)
+            assert metrics.get(f'lb_peers_dropped{{why="{why}"}}', 0) > 20, (why, metrics)
 
 
 def most_requests(records: Records, at: float) -> float:
     """Return the most requests in a view, MAX_ROUTER_SHARE of them false; reports carry whole requests."""
-    return (records.max_requests(at) + ROUTERS) / (1.0 - MAX_ROUTER_SHARE)
+    return (records.max_true_requests(at) + ROUTERS) / (1.0 - MAX_ROUTER_SHARE)
 
 
 def check_shares(shares: Mapping[int, float], unrequested: set[int], bound: float) -> None:
@@ -472,10 +478,10 @@
     for one in views:
         markers[one.aggregator, one.sequence] |= MARKER_SLOTS & set(one.slot_shares)
     for aggregator in {aggregator for aggregator, _ in markers}:
-        found = [markers[key] for key in sorted(markers) if key[0] == aggregator]
-        attack_seen_from = next(index for index, one in enumerate(found) if not one)
-        assert not any(found[attack_seen_from:]), found
-        assert not any(one - {TRUE_SLOT} for one in found), found
+        slots_by_view = [markers[key] for key in sorted(markers) if key[0] == aggregator]
+        attack_seen_from = next(index for index, one in enumerate(slots_by_view) if not one)
+        assert not any(slots_by_view[attack_seen_from:]), slots_by_view
+        assert not any(one - {TRUE_SLOT} for one in slots_by_view), slots_by_view
     assert len({aggregator for aggregator, _ in markers}) == 2
 
 
@@ -567,7 +573,7 @@
     the correct view's and the router's own estimate. Forwarded reports move the correct view within the
     quartiles of the other reports, and raise a slot's share to at most 0.005.
     """
-    seen: list[MetricsByRouter] = []
+    readings: list[MetricsByRouter] = []
 
     async def steps(orchestrator: AdversaryOrchestrator) -> None:
         member = orchestrator.member
@@ -576,20 +582,22 @@
         false = FalseAggregator(member, node_names(orchestrator.schedule.scenario.fleet))
         assert len(false.recorded) >= ROUTERS
         member.alter = false.alter
-        seen.extend(await orchestrator.attack(false.false_datagrams))
+        readings.extend(await orchestrator.attack(false.false_datagrams))
 
     orchestrator = run_scenario(steps, 8.5, tmp_path, FAKED_AGGREGATOR)
     other = orchestrator.member.aggregators[1]
     records = Records.read(tmp_path)
     under_attack = [
-        one for one in records.snapshots if orchestrator.attack_began <= one.at <= orchestrator.attack_ended
+        record
+        for record in records.snapshots
+        if orchestrator.attack_began <= record.at <= orchestrator.attack_ended
     ]
-    checked = [one for one in under_attack if other in one.fields["fresh"]]
+    checked = [record for record in under_attack if other in record.fields["fresh"]]
     unrequested = set(range(SLOTS)) - records.requested_slots()
     assert len(checked) > len(under_attack) / 2, "too few snapshots use the correct aggregator's view"
     check_response_times(records, checked)
     for record in checked:
-        fields, true_requests = record.fields, records.max_requests(record.at)
+        fields, true_requests = record.fields, records.max_true_requests(record.at)
         # Each report that the false aggregator forwarded counts for at most twice the others' mean.
         own = fields["own_requests"] * len(orchestrator.peers["router00"].each)
         assert fields["requests"] <= max(MAX_MEAN_RATIO * (true_requests + ROUTERS), own), (
@@ -599,13 +607,13 @@
         check_shares(record.shares, unrequested, MIN_SLOT_SHARE)
         for slot, count in fields["own_slots"].items():
             assert record.shares[int(slot)] >= count / fields["requests"] * 0.999, (slot, record)
-    for found in (found for one in seen for found in one.values()):
-        assert view_metric(found, "reporters") <= len(orchestrator.peers["router00"].each), found
-        assert view_metric(found, "fallbacks") == 0, found
+    for metrics in (metrics for reading in readings for metrics in reading.values()):
+        assert view_metric(metrics, "reporters") <= len(orchestrator.peers["router00"].each), metrics
+        assert view_metric(metrics, "fallbacks") == 0, metrics
     assert not any(fallback_changes(tmp_path).values())
-    for found in seen[-1].values():
-        assert found.get('lb_peers_dropped{why="forged"}', 0) > 5, found
-        assert found.get('lb_peers_dropped{why="replayed"}', 0) > 20, found
+    for metrics in readings[-1].values():
+        assert metrics.get('lb_peers_dropped{why="forged"}', 0) > 5, metrics
+        assert metrics.get('lb_peers_dropped{why="replayed"}', 0) > 20, metrics
 
 
 # A router that is killed and restarted
@@ -613,7 +621,7 @@
 
 def test_a_router_killed_and_restarted_is_counted_again_and_nothing_twice(tmp_path: Path) -> None:
     """The new process has another boot id and restarts its sequence numbers."""
-    seen: list[MetricsByRouter] = []
+    readings: list[MetricsByRouter] = []
 
     async def steps(orchestrator: AdversaryOrchestrator) -> None:
         await orchestrator.wait_for_full_views()
@@ -621,16 +629,16 @@
         again = time.monotonic()
         # Reports of its first process count for 3 s, and a view is used for as long.
         while time.monotonic() < again + 2 * REPORT_MAX_AGE / NS_PER_S:
-            seen.append(await orchestrator.router_metrics())
+            readings.append(await orchestrator.router_metrics())
             await asyncio.sleep(ATTACK_INTERVAL_S)
-        seen.append(await orchestrator.wait_for_full_views())
+        readings.append(await orchestrator.wait_for_full_views())
 
     orchestrator = run_scenario(steps, 8.5, tmp_path, None)
     assert orchestrator.routers[RESTARTED].starts == 2
-    assert len(seen) > 10
-    for found in (found for one in seen for found in one.values()):
-        assert view_metric(found, "reporters") <= ROUTERS, found
-        assert view_metric(found, "fallbacks") == 0, found
+    assert len(readings) > 10
+    for metrics in (metrics for reading in readings for metrics in reading.values()):
+        assert view_metric(metrics, "reporters") <= ROUTERS, metrics
+        assert view_metric(metrics, "fallbacks") == 0, metrics
         # 120 requests a second, counted over about 3.6 s, which is 432; counted twice they exceed 600.
-        assert found['lb_picture{of="requests"}'] < 600, found
+        assert metrics['lb_picture{of="requests"}'] < 600, metrics
     assert not any(fallback_changes(tmp_path).values())
--- a/tests/processes/test_endings.py
+++ b/tests/processes/test_endings.py
@@ -243,28 +243,30 @@
             fleet.agent.ignores = 1 << 30
             idle = [await fleet.connect(i) for _ in range(SOCKETS) for i in range(ROUTERS)]
             # Discovery comes back and lists only one server, to which no router has a connection.
-            new = Cache(fleet._answer)
-            await new.start()
-            fleet.agent.instances = [entry("s9", new.port)]
+            remaining_cache = Cache(fleet._answer)
+            await remaining_cache.start()
+            fleet.agent.instances = [entry("s9", remaining_cache.port)]
             fleet.agent.generation += 1
             fleet.agent.ignores = 0
             async with asyncio.timeout(LIMIT_S):
-                asked = 0
+                request_number = 0
                 for i in range(ROUTERS):
                     served = False
                     while not served:
-                        asked += 1
-                        before = len(new.seen)
-                        reader, writer = await fleet.connect(i, read(f"n{asked}", f"k{asked}"))
+                        request_number += 1
+                        before = len(remaining_cache.seen)
+                        reader, writer = await fleet.connect(
+                            i, read(f"n{request_number}", f"k{request_number}")
+                        )
                         with contextlib.suppress(OSError, EOFError):
                             served = await reader.readexactly(len(SERVED)) == SERVED
-                        served = served and len(new.seen) > before
+                        served = served and len(remaining_cache.seen) > before
                         writer.close()
             for process in fleet.processes:
                 assert process.returncode is None
             for _, writer in idle:
                 writer.close()
-            new.stop()
+            remaining_cache.stop()
 
     run(test)
 
@@ -281,9 +283,13 @@
                 ROUTERS,
                 ROUTERS,
             )  # the routers' next calls fail as well
-            asked = fleet.agent.lists
+            lists_before = fleet.agent.lists
             async with asyncio.timeout(LIMIT_S):
-                while fleet.agent.rejects or fleet.agent.ignores or fleet.agent.lists < asked + 3 * ROUTERS:
+                while (
+                    fleet.agent.rejects
+                    or fleet.agent.ignores
+                    or fleet.agent.lists < lists_before + 3 * ROUTERS
+                ):
                     await asyncio.sleep(0.01)
             # Every router repeats its call, and has applied an answer by the next message on its connection.
             served = 0
--- a/tests/processes/test_faults.py
+++ b/tests/processes/test_faults.py
@@ -66,12 +66,12 @@
     """Return the attempts that left routers between two seconds of the run, each with its router's name."""
     router_of = {attempt.request: attempt.router for attempt in result.history.tries}
     begun = result.begun
-    found = []
+    attempts = []
     for attempt in result.history.attempts:
         at = result.history.left_at(attempt) - begun
         if since <= at <= until and attempt.request in router_of:
-            found.append((router_of[attempt.request], attempt))
-    return found
+            attempts.append((router_of[attempt.request], attempt))
+    return attempts
 
 
 def tries(result: RunResult, router: str, since: float, until: float) -> list[ClientRequest]:
@@ -94,8 +94,10 @@
     for name in ("router00", "router03", "router05"):
         while_frozen = tries(result, name, 1.1, 2.2)
         assert while_frozen, name
-        assert not any(one.answer == "served" and one.ended - result.begun < 2.4 for one in while_frozen)
-        assert any(one.answer == "served" for one in tries(result, name, 2.6, 5.0)), name
+        assert not any(
+            attempt.answer == "served" and attempt.ended - result.begun < 2.4 for attempt in while_frozen
+        )
+        assert any(attempt.answer == "served" for attempt in tries(result, name, 2.6, 5.0)), name
 
 
 def test_a_partition_is_silent_in_both_directions_for_the_partitioned_routers_only() -> None:
@@ -106,13 +108,15 @@
     cut = {"router01", "router04"}
     begun = result.begun
     arrived = [
-        (router, one)
-        for router, one in attempts_sent(result, 0.0, 5.0)
-        if one.server == "node002" and 1.0 + SLACK_S < one.at - begun < 3.0 - SLACK_S
+        (router, attempt)
+        for router, attempt in attempts_sent(result, 0.0, 5.0)
+        if attempt.server == "node002" and 1.0 + SLACK_S < attempt.at - begun < 3.0 - SLACK_S
     ]
     assert arrived
     assert not [router for router, _ in arrived if router in cut]
-    afterwards = [router for router, one in attempts_sent(result, 3.0, 5.0) if one.server == "node002"]
+    afterwards = [
+        router for router, attempt in attempts_sent(result, 3.0, 5.0) if attempt.server == "node002"
+    ]
     assert set(afterwards) & cut
 
 
@@ -128,7 +132,9 @@
     )
     result, report = run_scenario(text)
     assert_rules_hold(report)
-    reached = [router for router, one in attempts_sent(result, 1.0, 3.0 - SLACK_S) if one.server == "store"]
+    reached = [
+        router for router, attempt in attempts_sent(result, 1.0, 3.0 - SLACK_S) if attempt.server == "store"
+    ]
     assert set(reached) & {"router00", "router02"}, "the partition blocked requests to the store"
 
 
@@ -139,9 +145,9 @@
     result, report = run_scenario(text)
     assert_rules_hold(report)
     notified = {
-        one.router: one.at - result.begun
-        for one in result.history.told
-        if one.server == "node003" and one.state == "draining"
+        notification.router: notification.at - result.begun
+        for notification in result.history.told
+        if notification.server == "node003" and notification.state == "draining"
     }
     assert len(notified) == 8
     assert notified["router06"] >= 3.0
@@ -179,12 +185,12 @@
     assert_rules_hold(report)
     gone = {f"node{i:03d}" for i in (1, 4, 7)}
     begun = result.begun
-    ran = [
-        one
-        for _, one in attempts_sent(result, 0.0, 6.0)
-        if one.server in gone and one.result in ("hit", "miss")
+    served_attempts = [
+        attempt
+        for _, attempt in attempts_sent(result, 0.0, 6.0)
+        if attempt.server in gone and attempt.result in ("hit", "miss")
     ]
-    assert not [one for one in ran if 1.0 + SLACK_S < one.ended - begun < 3.5]
-    assert [one for one in ran if one.at - begun > 3.5]
+    assert not [attempt for attempt in served_attempts if 1.0 + SLACK_S < attempt.ended - begun < 3.5]
+    assert [attempt for attempt in served_attempts if attempt.at - begun > 3.5]
     assert len([stop for stop in result.history.stops if stop[0] == "router00"]) > 5
-    assert any(one.answer == "served" for one in tries(result, "router00", 1.0, 3.0))
+    assert any(attempt.answer == "served" for attempt in tries(result, "router00", 1.0, 3.0))
--- a/tests/processes/test_odd_peers.py
+++ b/tests/processes/test_odd_peers.py
@@ -73,15 +73,15 @@
             ServerSample(hash_server(name), 60_000_000_000, 0) for name in node_names(SCHEDULE.scenario.fleet)
         )
         slots = dict.fromkeys(self.random.sample(range(8192), MAX_SLOTS), 60_000)
-        found = [
+        datagrams = [
             load_report.encode(LoadReport(7, 1, full[:MAX_SERVERS], 60_000, slots)),
             self.random.randbytes(self.random.randrange(1, 257)),
             *self.random.sample(self.received, min(2, len(self.received))),
         ]
         if with_accusations:
             dead = tuple(MemberUpdate(number, MemberState.GONE, 3, 0) for number in range(5))
-            found.append(datagram.encode(Message(MessageKind.UPDATES, 7, 1, 9, 0, 1, 0, dead)))
-        return found
+            datagrams.append(datagram.encode(Message(MessageKind.UPDATES, 7, 1, 9, 0, 1, 0, dead)))
+        return datagrams
 
     async def send_repeatedly(self, transport: asyncio.DatagramTransport, begun: float, clock: Any) -> None:
         while True:
@@ -98,7 +98,7 @@
 
 def test_false_reports_a_wrong_member_number_and_a_wrong_member_list_harm_no_router() -> None:
     """The correct routers' metrics are read amid false load reports, after the false member updates end."""
-    seen: dict[str, dict[str, float]] = {}
+    metrics_by_router: dict[str, dict[str, float]] = {}
 
     async def run() -> None:
         read_time_reached = asyncio.Event()
@@ -117,7 +117,9 @@
         )
         await asyncio.wait_for(read_time_reached.wait(), 60.0)
         for name in CORRECT:
-            seen[name] = await asyncio.wait_for(fetch_metrics(orchestrator.routers[name].ops), 20.0)
+            metrics_by_router[name] = await asyncio.wait_for(
+                fetch_metrics(orchestrator.routers[name].ops), 20.0
+            )
         sending.cancel()
         transport.close()
         assert reporter.sent > 1000
@@ -127,12 +129,12 @@
         assert all(life.code == 0 for life in result.history.lives)
 
     uvloop.run(run())
-    for name, found in seen.items():
+    for name, metrics in metrics_by_router.items():
         # The correct routers regard one another as alive, since each refutes the updates that call it gone.
         # Datagrams of the impersonator and of the misconfigured member are accepted in no member's name.
-        assert found['lb_peers{state="alive"}'] >= 5, (name, found)
-        assert found['lb_peers_dropped{why="forged"}'] > 10, (name, found)
-        assert sum(found.get(f'lb_peers_dropped{{why="{why}"}}', 0) for why in ("version", "checksum")) > 10
+        assert metrics['lb_peers{state="alive"}'] >= 5, (name, metrics)
+        assert metrics['lb_peers_dropped{why="forged"}'] > 10, (name, metrics)
+        assert sum(metrics.get(f'lb_peers_dropped{{why="{why}"}}', 0) for why in ("version", "checksum")) > 10
         # A member that claims 60,000 requests counts for 0.3 of all; a server's response time is the median.
-        assert 50 < found['lb_picture{of="requests"}'] < 1500, (name, found)
-        assert found['lb_picture{of="servers"}'] == 9
+        assert 50 < metrics['lb_picture{of="requests"}'] < 1500, (name, metrics)
+        assert metrics['lb_picture{of="servers"}'] == 9
--- a/tests/processes/test_peers.py
+++ b/tests/processes/test_peers.py
@@ -74,7 +74,7 @@
 
 def test_routers_share_one_load_view_and_one_that_is_cut_off_keeps_its_own() -> None:
     """All routers' metrics are read during the run, once reports from before the partition have expired."""
-    seen: dict[str, dict[str, float]] = {}
+    metrics_by_router: dict[str, dict[str, float]] = {}
 
     async def run() -> None:
         orchestrators: list[Orchestrator] = []
@@ -89,19 +89,30 @@
         running = asyncio.create_task(play(schedule, ROUTER, ROOT, progress))
         await asyncio.wait_for(read_time_reached.wait(), 60.0)
         for name, router in orchestrators[0].routers.items():
-            seen[name] = await asyncio.wait_for(fetch_metrics(router.ops), 20.0)
+            metrics_by_router[name] = await asyncio.wait_for(fetch_metrics(router.ops), 20.0)
         assert_rules_hold(make_report(await asyncio.wait_for(running, 90.0)))
 
     uvloop.run(run())
-    assert seen["router00"]['lb_picture{of="routers"}'] == 0
+    assert metrics_by_router["router00"]['lb_picture{of="routers"}'] == 0
     for name in (f"router0{i}" for i in range(1, 8)):
-        assert seen[name]['lb_picture{of="routers"}'] >= 5, seen[name]
-        assert seen[name]['lb_picture{of="servers"}'] == 9
-        assert seen[name]['lb_picture{of="requests"}'] > 2 * seen["router00"]['lb_picture{of="requests"}']
+        assert metrics_by_router[name]['lb_picture{of="routers"}'] >= 5, metrics_by_router[name]
+        assert metrics_by_router[name]['lb_picture{of="servers"}'] == 9
+        assert (
+            metrics_by_router[name]['lb_picture{of="requests"}']
+            > 2 * metrics_by_router["router00"]['lb_picture{of="requests"}']
+        )
     # Routers that receive one another's reports compute the same plan of which endpoints give slots up.
-    giving = [seen[name]['lb_levels{of="giving"}'] for name in sorted(seen) if name != "router00"]
-    assert min(giving) >= 1, seen
-    assert max(giving) - min(giving) <= 3, seen
-    least = [seen[name]['lb_levels{of="kept_least"}'] for name in sorted(seen) if name != "router00"]
+    giving = [
+        metrics_by_router[name]['lb_levels{of="giving"}']
+        for name in sorted(metrics_by_router)
+        if name != "router00"
+    ]
+    assert min(giving) >= 1, metrics_by_router
+    assert max(giving) - min(giving) <= 3, metrics_by_router
+    least = [
+        metrics_by_router[name]['lb_levels{of="kept_least"}']
+        for name in sorted(metrics_by_router)
+        if name != "router00"
+    ]
     assert max(least) < 1.0
-    assert max(least) - min(least) <= 0.3, seen
+    assert max(least) - min(least) <= 0.3, metrics_by_router
--- a/tests/processes/test_scale.py
+++ b/tests/processes/test_scale.py
@@ -91,24 +91,24 @@
 
 
 def test_more_routers_than_the_machine_can_run_are_refused_in_one_line_with_exit_code_2() -> None:
-    ran = subprocess.run(
+    completed = subprocess.run(
         [*COMMAND, "--sizes", "43", "1000000"], cwd=ROOT, capture_output=True, text=True, timeout=WITHIN_S
     )
-    assert ran.returncode == 2
-    assert ran.stdout == ""
-    assert ran.stderr.strip().startswith("scale: refused: 1000000 routers: ")
-    assert ran.stderr.strip().count("\n") == 0
+    assert completed.returncode == 2
+    assert completed.stdout == ""
+    assert completed.stderr.strip().startswith("scale: refused: 1000000 routers: ")
+    assert completed.stderr.strip().count("\n") == 0
 
 
 def descendants(pid: int) -> set[int]:
     """Return the ids of all descendants of a process."""
-    found = [pid]
-    for parent in found:
+    pids = [pid]
+    for parent in pids:
         try:
-            found += map(int, Path(f"/proc/{parent}/task/{parent}/children").read_text().split())
+            pids += map(int, Path(f"/proc/{parent}/task/{parent}/children").read_text().split())
         except OSError:
             continue
-    return set(found[1:])
+    return set(pids[1:])
 
 
 def wait_until(condition: Callable[[], bool]) -> None:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -31,14 +31,14 @@
 
 def imported_names(text: str) -> set[str]:
     """Return all dotted names that a source text imports, at module level or inside functions."""
-    found: set[str] = set()
+    names: set[str] = set()
     for node in ast.walk(ast.parse(text)):
         if isinstance(node, ast.Import):
-            found |= {alias.name for alias in node.names}
+            names |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
             assert node.level == 0, "relative imports hide the imported package"
-            found |= {f"{node.module}.{alias.name}" for alias in node.names}
-    return found
+            names |= {f"{node.module}.{alias.name}" for alias in node.names}
+    return names
 
 
 def packages(names: set[str]) -> set[str]:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -83,22 +83,22 @@
         Scale.INVERSE_ROOT: lambda x: x**-0.5,
     }
     scaled = functions[scale]
-    found = fit(series([(x, 7.0 + 3.0 * scaled(x)) for x in SIZES], scale))
-    assert found.slope.value == pytest.approx(3.0)
-    assert found.intercept == pytest.approx(7.0)
-    assert found.largest_residual < 1e-9
-    assert found.estimate(1520).value == pytest.approx(7.0 + 3.0 * scaled(1520))
+    line = fit(series([(x, 7.0 + 3.0 * scaled(x)) for x in SIZES], scale))
+    assert line.slope.value == pytest.approx(3.0)
+    assert line.intercept == pytest.approx(7.0)
+    assert line.largest_residual < 1e-9
+    assert line.estimate(1520).value == pytest.approx(7.0 + 3.0 * scaled(1520))
 
 
 def test_the_intervals_match_a_calculation_by_hand() -> None:
     # Calculated by hand: means 2.5 and 2.75, Sxx 5, slope 1.1, residuals -0.1, 0.8, -1.3, 0.6; s^2 = 2.7 / 2;
     # t(0.975, 2) = 4.3027.
-    found = fit(series([(1, 1.0), (2, 3.0), (3, 2.0), (4, 5.0)]))
-    assert found.slope.value == pytest.approx(1.1)
-    assert found.largest_residual == pytest.approx(1.3)
-    assert found.slope.high - found.slope.value == pytest.approx(4.3027 * math.sqrt(1.35 / 5), rel=1e-4)
+    line = fit(series([(1, 1.0), (2, 3.0), (3, 2.0), (4, 5.0)]))
+    assert line.slope.value == pytest.approx(1.1)
+    assert line.largest_residual == pytest.approx(1.3)
+    assert line.slope.high - line.slope.value == pytest.approx(4.3027 * math.sqrt(1.35 / 5), rel=1e-4)
     half_width = 4.3027 * math.sqrt(1.35) * math.sqrt(1 / 4 + (8 - 2.5) ** 2 / 5)
-    assert found.estimate(8).high - found.estimate(8).value == pytest.approx(half_width, rel=1e-4)
+    assert line.estimate(8).high - line.estimate(8).value == pytest.approx(half_width, rel=1e-4)
 
 
 def test_the_slope_interval_contains_the_true_slope_as_often_as_stated() -> None:
@@ -117,8 +117,8 @@
 
 
 def test_constant_values_have_slope_zero_with_an_interval_of_zero_width() -> None:
-    found = fit(series([(float(x), 2.0) for x in SIZES] * 3))
-    assert (found.slope.value, found.slope.low, found.slope.high) == (0.0, 0.0, 0.0)
+    line = fit(series([(float(x), 2.0) for x in SIZES] * 3))
+    assert (line.slope.value, line.slope.low, line.slope.high) == (0.0, 0.0, 0.0)
 
 
 def test_fewer_than_four_sizes_are_rejected_regardless_of_repeats() -> None:
@@ -163,7 +163,7 @@
         row(ComputedFigure(0.5, ""), need, affects_decisions=True),
         row(ComputedFigure(9.0, ""), need, affects_decisions=True),
     ]
-    lines = ranking_table([resolve(one, {}) for one in rows])[2:]
+    lines = ranking_table([resolve(entry, {}) for entry in rows])[2:]
     assert [line.split(" | ")[1:3] for line in lines] == [
         ["yes", "9"],
         ["yes", "2"],
@@ -219,7 +219,7 @@
     measurements = capacity_scale.load_measurements(tmp_path)
     assert set(measurements) == {"scale-a"}
     rows = capacity_scale.rows(measurements, tmp_path)
-    assert [one.number for one in rows] == ["H1a", "H1c", "H1e", "H1f"]
+    assert [entry.number for entry in rows] == ["H1a", "H1c", "H1e", "H1f"]
     assert resolve(rows[0], measurements).value == pytest.approx(0.76)
     text = "\n".join(capacity_scale.run_tables(format_number, tmp_path))
     assert "Void and left out: 760 (late)" in text
@@ -227,9 +227,9 @@
 
 
 def test_a_stored_measurement_is_loaded_unchanged(tmp_path: Path) -> None:
-    made = measurement((1, 1), (2, 2), (3, 3), (4, 4))
-    store(made, tmp_path)
-    assert load(tmp_path) == {"made": made}
+    original = measurement((1, 1), (2, 2), (3, 3), (4, 4))
+    store(original, tmp_path)
+    assert load(tmp_path) == {"made": original}
 
 
 def test_the_busiest_servers_excess_is_over_the_mean_of_all_servers_including_idle_ones() -> None:
@@ -238,10 +238,10 @@
 
 
 def test_only_the_slots_of_a_removed_server_move() -> None:
-    ranked = slopes_slots.make_table(12, 1)
-    before = slopes_slots.owners(ranked, 500)
-    ranked.update([], [before[0]])
-    after = slopes_slots.owners(ranked, 500)
+    table = slopes_slots.make_table(12, 1)
+    before = slopes_slots.owners(table, 500)
+    table.update([], [before[0]])
+    after = slopes_slots.owners(table, 500)
     assert all(b == a for b, a in zip(before, after, strict=True) if b != before[0])
     assert before[0] not in after
 
@@ -321,8 +321,8 @@
 
 
 def test_a_measurement_survives_conversion_to_json_and_back() -> None:
-    made = measurement((1, 1), (2, 2), (3, 3), (4, 4))
-    assert measurement_from_json(measurement_to_json(made)) == made
+    original = measurement((1, 1), (2, 2), (3, 3), (4, 4))
+    assert measurement_from_json(measurement_to_json(original)) == original
 
 
 @pytest.mark.parametrize(
--- a/tests/test_readability.py
+++ b/tests/test_readability.py
@@ -41,12 +41,12 @@
 
 def test_comments_use_no_stock_phrases_for_failures() -> None:
     stock_phrases = ("Danger:", "could do harm")
-    found = [
+    paths_with_phrases = [
         str(path.relative_to(ROOT))
         for path in sorted((ROOT / "holdgw").rglob("*.py"))
         if any(phrase in path.read_text() for phrase in stock_phrases)
     ]
-    assert found == []
+    assert paths_with_phrases == []
 
 
 WIRE_NAMES = {
@@ -77,11 +77,11 @@
 @pytest.mark.parametrize("module", sorted(WIRE_NAMES))
 def test_a_wire_name_appears_in_one_module_only(module: str) -> None:
     for wire_name in WIRE_NAMES[module]:
-        found = {
+        modules = {
             str(path.relative_to(ROOT))
             for package in EDGE_PACKAGES
             for path in (ROOT / "holdgw" / package).rglob("*.py")
             if wire_name in path.read_text()
         }
-        assert found <= {module}, wire_name
+        assert modules <= {module}, wire_name
     assert any(wire_name in (ROOT / module).read_text() for wire_name in WIRE_NAMES[module])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -52,11 +52,11 @@
 def test_a_play_is_under_40_seconds_contains_its_windows_and_affects_no_real_router(
     name: str, size: int
 ) -> None:
-    found = build_scenario(name, size, real=3, aggregators=4)
-    assert found.length < 40
-    assert all(0 <= one.since < one.until <= found.length for one in found.windows)
-    assert all(0 <= step.at < found.length for step in found.steps)
-    affected = {member for step in found.steps for member in step.members}
+    scenario = build_scenario(name, size, real=3, aggregators=4)
+    assert scenario.length < 40
+    assert all(0 <= window.since < window.until <= scenario.length for window in scenario.windows)
+    assert all(0 <= step.at < scenario.length for step in scenario.steps)
+    affected = {member for step in scenario.steps for member in step.members}
     assert affected <= set(range(size, size + 4) if name == "aggregators" else range(3, size))
 
 
@@ -74,9 +74,9 @@
 
 
 def test_aggregators_are_killed_and_paused_and_no_router_is_affected() -> None:
-    found = build_scenario("aggregators", 760, 0, 4)
-    assert {member for step in found.steps for member in step.members} == set(range(760, 764))
-    assert [step.kind for step in found.steps] == [FaultKind.KILL, FaultKind.PAUSE, FaultKind.KILL]
+    scenario = build_scenario("aggregators", 760, 0, 4)
+    assert {member for step in scenario.steps for member in step.members} == set(range(760, 764))
+    assert [step.kind for step in scenario.steps] == [FaultKind.KILL, FaultKind.PAUSE, FaultKind.KILL]
 
 
 def test_every_router_has_one_process_and_routers_are_divided_evenly() -> None:
@@ -183,26 +183,26 @@
 
 def test_a_stretch_of_the_stream_has_its_rate_its_servers_and_a_skew_over_the_slots() -> None:
     servers = [f"s{i}" for i in range(96)]
-    found = draw_segments(servers, 1, 934.0)
-    assert {sum(one.slots.values()) for one in found} == {280}
-    assert {name for one in found for name in one.response_times} == set(servers)
+    segments = draw_segments(servers, 1, 934.0)
+    assert {sum(segment.slots.values()) for segment in segments} == {280}
+    assert {name for segment in segments for name in segment.response_times} == set(servers)
     total = Counter(dict.fromkeys(range(8192), 0))
-    for one in found:
-        total.update(one.slots)
+    for segment in segments:
+        total.update(segment.slots)
     assert max(total.values()) > 20 * sum(total.values()) / 8192
-    assert found == draw_segments(servers, 1, 934.0)
+    assert segments == draw_segments(servers, 1, 934.0)
 
 
 def test_two_stretches_together_have_the_requests_and_sample_times_of_both() -> None:
-    one, other = draw_segments([f"s{i}" for i in range(96)], 1, 934.0)[:2]
+    earlier, later = draw_segments([f"s{i}" for i in range(96)], 1, 934.0)[:2]
     now = 100 * NS_PER_S
-    found = merge_segments([one, other], now)
-    assert sum(found.slot_requests.values()) == 560
-    for server, (_, at) in found.response_times.items():
+    observations = merge_segments([earlier, later], now)
+    assert sum(observations.slot_requests.values()) == 560
+    for server, (_, at) in observations.response_times.items():
         age = (
-            other.response_times[server][1]
-            if server in other.response_times
-            else one.response_times[server][1] + NS_PER_S * 3 // 10
+            later.response_times[server][1]
+            if server in later.response_times
+            else earlier.response_times[server][1] + NS_PER_S * 3 // 10
         )
         assert now - at == age
 
@@ -212,9 +212,9 @@
 
 def test_the_cost_of_a_window_is_given_as_mean_and_as_each_routers_worst_second() -> None:
     routers = [{"9": 99.0, "10": 1.0, "11": 2.0, "12": 3.0, "13": 99.0}, {"10": 9.0}]
-    found = cost(routers, WINDOW)
-    assert found.mean == (2.0, 2.5, 3.0, 3.0)
-    assert found.worst == (3.0, 6.0, 9.0, 9.0)
+    summary = cost(routers, WINDOW)
+    assert summary.mean == (2.0, 2.5, 3.0, 3.0)
+    assert summary.worst == (3.0, 6.0, 9.0, 9.0)
 
 
 def test_a_quantile_is_a_value_that_was_measured() -> None:
@@ -230,13 +230,13 @@
         (11, 95, 0.7, 0.9, 1.0, 40),
         (13, 0, 9.0, 9.0, 9.0, 1),
     ]
-    found = view([{"seen": seen}], WINDOW, alive=80)
-    assert found.given_age.median == 0.6
-    assert found.worst_age.median == 0.7
-    assert found.held_age.median == 0.9
-    assert found.oldest_age.median == 2.0
-    assert found.servers.median == 95
-    assert found.coverage.median == 0.5
+    summary = view([{"seen": seen}], WINDOW, alive=80)
+    assert summary.given_age.median == 0.6
+    assert summary.worst_age.median == 0.7
+    assert summary.held_age.median == 0.9
+    assert summary.oldest_age.median == 2.0
+    assert summary.servers.median == 95
+    assert summary.coverage.median == 0.5
 
 
 def test_a_death_is_learnt_by_all_only_once_every_live_router_has_learnt_of_it() -> None:
@@ -245,8 +245,8 @@
 
     death_times = {7: 10.0, 8: 12.0}
     reports = [router(n7=16.0, n8=20.0), router(n7=17.5), router(dead=True)]
-    found = death_detection(reports, death_times, [7, 8])
-    assert found == (2, 7.0, 7.5, 7.5, 1)
+    summary = death_detection(reports, death_times, [7, 8])
+    assert summary == (2, 7.0, 7.5, 7.5, 1)
 
 
 def test_a_late_rig_or_a_full_buffer_voids_a_run_and_punctual_readings_do_not() -> None:
@@ -289,8 +289,8 @@
     hollow = [router(0, 2e7), router(1, 9e7, dead=True), router(2, 9e7, light=True), router(3, 4e7)]
     hollow.append(router(4, 8e7))
     bytes_by_member = {str(number): dict.fromkeys(seconds, 1000 * (number + 1)) for number in range(5)}
-    found = summarize(timeline, hollow, {"said": bytes_by_member, "heard": bytes_by_member}, {1: 1.0}, 4)
-    figures = found["windows"]["calm"]
+    summary = summarize(timeline, hollow, {"said": bytes_by_member, "heard": bytes_by_member}, {1: 1.0}, 4)
+    figures = summary["windows"]["calm"]
     assert figures["cpu_percent"].mean[0::3] == (2.0, 4.0)
     assert figures["bytes_both"].mean[0::3] == (2000.0, 8000.0)
     assert figures["view"].coverage.median == 1.0
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -129,22 +129,22 @@
 
 def violations(pid: int) -> list[str]:
     """Return broken restrictions: no child process, a dynamic C library, only allowed kinds of sockets."""
-    found = []
+    broken = []
     for task in Path(f"/proc/{pid}/task").iterdir():
-        found += [f"child {child}" for child in (task / "children").read_text().split()]
+        broken += [f"child {child}" for child in (task / "children").read_text().split()]
     if not any(name in Path(f"/proc/{pid}/maps").read_text() for name in ("/libc.so.6", "/libc-")):
-        found.append("no C library")
+        broken.append("no C library")
     descriptor_targets = [os.readlink(path) for path in Path(f"/proc/{pid}/fd").iterdir()]
     own_sockets = [name[8:-1] for name in descriptor_targets if name.startswith("socket:")]
     inet_sockets = sockets_by_inode(pid, "tcp") | sockets_by_inode(pid, "udp")
     # Unix sockets without a name are allowed: they serve as wake-ups.
     unnamed_unix_sockets = {inode for inode, row in sockets_by_inode(pid, "unix").items() if len(row) == 7}
-    found += [
+    broken += [
         f"socket of a forbidden kind {inode}"
         for inode in own_sockets
         if inode not in inet_sockets.keys() | unnamed_unix_sockets
     ]
-    return found + [f"holds {name}" for name in descriptor_targets if "io_uring" in name]
+    return broken + [f"holds {name}" for name in descriptor_targets if "io_uring" in name]
 
 
 def running_threads(pid: int) -> list[str]:
--- a/tests/test_suite.py
+++ b/tests/test_suite.py
@@ -28,7 +28,7 @@
     (tmp_path / "test_grouped.py").write_text(GROUPED)
     options = ("-q", "-n", str(WORKERS), "--dist", "loadgroup", "-p", "no:cacheprovider", "--rootdir", ".")
     environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")}
-    result = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", *options, "."],
         cwd=tmp_path,
         env=environment,
@@ -36,10 +36,10 @@
         text=True,
         check=False,
     )
-    assert result.returncode == 0, result.stdout + result.stderr
-    ran = {path.name: path.read_text() for path in tmp_path.glob("ran-*")}
-    assert sorted(ran) == [f"ran-{number}" for number in range(4)]
-    assert len(set(ran.values())) == 1, ran
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    worker_by_test = {path.name: path.read_text() for path in tmp_path.glob("ran-*")}
+    assert sorted(worker_by_test) == [f"ran-{number}" for number in range(4)]
+    assert len(set(worker_by_test.values())) == 1, worker_by_test
 
 
 KNOWN_RED = """tests/test_red.py::test_by_the_named_assertion [3 - 1 <= 1]: too far apart; issue 0
@@ -77,7 +77,7 @@
     shutil.copy(Path(__file__).with_name("conftest.py"), tmp_path / "tests")
     environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST_")}
     options = ("-q", "-rfx", "-p", "no:cacheprovider", "--rootdir", ".", "-n", "1", "--dist", "loadgroup")
-    ran = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "pytest", *options, "tests"],
         cwd=tmp_path,
         env=environment,
@@ -85,8 +85,10 @@
         text=True,
         check=False,
     )
-    assert "2 failed, 1 passed, 1 xfailed in " in ran.stdout, ran.stdout + ran.stderr
-    assert "XFAIL tests/test_red.py::test_by_the_named_assertion@one, two" in ran.stdout
-    assert "FAILED tests/test_red.py::test_by_another_assertion" in ran.stdout
-    assert "FAILED tests/test_red.py::test_unlisted" in ran.stdout
-    assert "KNOWN RED tests/test_red.py::test_passing [3 - 1 <= 1]: too far apart; issue 0" in ran.stdout
+    assert "2 failed, 1 passed, 1 xfailed in " in completed.stdout, completed.stdout + completed.stderr
+    assert "XFAIL tests/test_red.py::test_by_the_named_assertion@one, two" in completed.stdout
+    assert "FAILED tests/test_red.py::test_by_another_assertion" in completed.stdout
+    assert "FAILED tests/test_red.py::test_unlisted" in completed.stdout
+    assert (
+        "KNOWN RED tests/test_red.py::test_passing [3 - 1 <= 1]: too far apart; issue 0" in completed.stdout
+    )
