--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -98,7 +98,7 @@
         self.clock = clock
         self.spent_ns: Counter[int] = Counter()
         """CPU time by second of the scenario, ns."""
-        self.owner_ns = 0
+        self.stream_ns = 0
         """CPU time of the synthetic stream, ns; not part of the control's."""
         self.after_call: Callable[[], None] = lambda: None
         self.dropped_datagrams = 0
@@ -111,9 +111,9 @@
         if self._pauses:
             self._held_calls.append((call, args))
             return
-        owner_before_ns, began = self.owner_ns, thread_time_ns()
+        stream_before_ns, began = self.stream_ns, thread_time_ns()
         call(*args)
-        took_ns = thread_time_ns() - began - (self.owner_ns - owner_before_ns)
+        took_ns = thread_time_ns() - began - (self.stream_ns - stream_before_ns)
         self.spent_ns[int(self.clock())] += took_ns
         self.after_call()
 
@@ -281,7 +281,7 @@
         observations = merge_segments(
             [self._random.choice(self._process.segments[self.light]) for _ in range(count)], now
         )
-        self.meter.owner_ns += thread_time_ns() - began
+        self.meter.stream_ns += thread_time_ns() - began
         return observations
 
     def demands(self) -> dict[str, float]:
@@ -292,7 +292,7 @@
         """Record the merged view once a second; it has no effect."""
         began = thread_time_ns()
         self._record_view(snapshot.response_times)
-        self.meter.owner_ns += thread_time_ns() - began
+        self.meter.stream_ns += thread_time_ns() - began
 
     def _record_view(self, response_times: Mapping[str, AgedResponseTime]) -> None:
         """Record the view that is replaced now, with the ages it has reached."""
@@ -441,7 +441,7 @@
         asyncio.get_running_loop().call_later(PACE_INTERVAL_S, self._note_pace)
 
     def _total_stream_ns(self) -> int:
-        return sum(router.meter.owner_ns for router in self.routers.values())
+        return sum(router.meter.stream_ns for router in self.routers.values())
 
     async def kill(self, members: list[int]) -> None:
         """Kill these members; the others record when they learn of it."""
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -148,7 +148,7 @@
         """Return the resources that a run of `size` routers needs."""
         return scale_plan.needs(size, real, self.workers(size), self.cost)
 
-    async def size(self, size: int) -> dict[str, Any]:
+    async def measure_size(self, size: int) -> dict[str, Any]:
         """Run all scenarios at one size; real routers take part if the clock need not be slowed.
 
         Raises RefusedError if this machine can't run the size.
@@ -288,7 +288,7 @@
     scale.check_sizes()
     code = 0
     for size in args.sizes:
-        run = await scale.size(size)
+        run = await scale.measure_size(size)
         run |= {
             "commit": source_commit(),
             "at": datetime.now(UTC).isoformat(timespec="seconds"),
--- a/bench/slopes_failures.py
+++ b/bench/slopes_failures.py
@@ -124,7 +124,7 @@
 
 
 def measure() -> Measurement:
-    """Measure all failures except the partition, which takes about ten minutes on one core."""
+    """Measure all failures except the partition. This takes about ten minutes on one core."""
     readings = Readings()
     declare_failures(readings)
     for seed in range(1, REPEATS + 1):
@@ -135,7 +135,7 @@
 
 
 def measure_partition() -> Measurement:
-    """Measure the partition of a region, which takes half an hour on one core."""
+    """Measure the partition of a region. This takes half an hour on one core."""
     readings = Readings()
     readings.declare_series("regions apart: worst second", "routers", "bytes")
     readings.declare_series("regions back: one again", "routers", "s", Scale.LOG2)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -158,7 +158,7 @@
     def tick() -> None:
         advance(100)
         advance(40)  # the generated stream
-        meter.owner_ns += 40
+        meter.stream_ns += 40
 
     meter.run(tick)
     meter.run(tick)
