--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -438,8 +438,8 @@
     "cold-undivided": Mutant(
         "each router uses the whole budget of a cold server",
         "holdgw.policy.slow_start",
-        "        tokens_per_ns = per_endpoint_ns * capacity * workers\n",
-        "        tokens_per_ns = per_endpoint_ns * capacity * workers * self._settings.routers\n",
+        "        tokens_per_ns = answers_per_endpoint_ns * capacity * workers\n",
+        "        tokens_per_ns = answers_per_endpoint_ns * capacity * workers * self._settings.routers\n",
         test="tests/test_cold_budget.py",
     ),
     "fin-before-answers": Mutant(
--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -324,7 +324,7 @@
             if self._send_or_reject(request, endpoint, ranking):
                 return
         if has_capacity:
-            self._fetch_missing(request)
+            self._fetch_or_wait(request)
         else:  # only endpoints that are warming up are left, and they have no capacity
             self._reject_or_fail(request, RejectionReason.WARMING_UP)
 
@@ -348,7 +348,7 @@
         self._reject_or_fail(request, RejectionReason.ENDPOINT_OVERLOADED)
         return True
 
-    def _fetch_missing(self, request: PendingRequest) -> None:
+    def _fetch_or_wait(self, request: PendingRequest) -> None:
         """Fetch from the origin after a miss, or wait for the fetch of the same key that is in flight."""
         if self._fetches.join(request):
             self._wait(request, request.deadline_ns - self._now)
@@ -523,7 +523,7 @@
         """Carry out the next step of a request that its attempt has not answered."""
         step = self._retries.next_step(request, event, loss, was_at_origin)
         if step is NextStep.FETCH:
-            self._fetch_missing(request)
+            self._fetch_or_wait(request)
         elif step is NextStep.FETCH_AGAIN:
             self._send_to_origin(request, admitted=True)
         elif step is NextStep.FETCH_FAILED:
@@ -553,7 +553,7 @@
             if stored:
                 self._route(waiter)
             else:
-                self._fetch_missing(waiter)
+                self._fetch_or_wait(waiter)
 
 
 def _is_late(request: PendingRequest, event: AttemptEnded) -> bool:
--- a/holdgw/policy/slow_start.py
+++ b/holdgw/policy/slow_start.py
@@ -45,7 +45,7 @@
         self._counted_at_ns = now_ns
         self.started_at_ns = now_ns - 2 * ANSWER_DECAY_NS
 
-    def per_endpoint_ns(self, endpoints: int, now_ns: int) -> float:
+    def answers_per_endpoint_ns(self, endpoints: int, now_ns: int) -> float:
         """Return the answers a nanosecond of one endpoint, if there are so many endpoints."""
         elapsed_ns = min(self.started_at_ns - now_ns, -NS_PER_S)
         counted_fraction = -math.expm1(elapsed_ns / ANSWER_DECAY_NS)
@@ -109,8 +109,10 @@
         same one, as each worker would otherwise spend it again.
         """
         workers = self._settings.workers
-        per_endpoint_ns = self.answer_rate.per_endpoint_ns(len(self._endpoints.endpoints), now_ns)
-        tokens_per_ns = per_endpoint_ns * capacity * workers
+        answers_per_endpoint_ns = self.answer_rate.answers_per_endpoint_ns(
+            len(self._endpoints.endpoints), now_ns
+        )
+        tokens_per_ns = answers_per_endpoint_ns * capacity * workers
         if endpoint.seed % workers != self._settings.worker_index:
             return False
         tokens = endpoint.warm_up_tokens
