--- a/holdgw/wire/http.py
+++ b/holdgw/wire/http.py
@@ -175,7 +175,7 @@
     def __init__(self, max_body: int) -> None:
         self._max_body = max_body
         self._parser = httptools.HttpRequestParser(self)
-        self._complete: list[HttpRequest] = []
+        self._complete_requests: list[HttpRequest] = []
         self._target, self._headers, self._body = b"", dict[bytes, bytes](), bytearray()
 
     def read(self, data: bytes) -> list[HttpRequest]:
@@ -184,7 +184,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             raise HttpError(str(error.__context__ or error)) from None
-        complete, self._complete = self._complete, []
+        complete, self._complete_requests = self._complete_requests, []
         return complete
 
     def on_message_begin(self) -> None:
@@ -212,7 +212,7 @@
     def on_message_complete(self) -> None:
         """Called by httptools."""
         method = self._parser.get_method()
-        self._complete.append(HttpRequest(method, self._target, self._headers, bytes(self._body)))
+        self._complete_requests.append(HttpRequest(method, self._target, self._headers, bytes(self._body)))
 
 
 _REASONS = {
--- a/holdgw/wire/resp.py
+++ b/holdgw/wire/resp.py
@@ -11,7 +11,8 @@
 import re
 from functools import lru_cache
 
-MAX_BUFFERED_VALUE_BYTES = 64 << 10  # a longer value is streamed
+# A longer value from a cache server or the origin is streamed; a longer one from a client is refused.
+MAX_BUFFERED_VALUE_BYTES = 64 << 10
 MAX_VALUE_BYTES = 16 << 20  # a larger length is treated as malformed; the longest values in use have 4 MiB
 MAX_ARGUMENTS = 5  # KV.SET has the most
 MAX_ARGUMENT_BYTES = 4 << 10  # for each argument except the value; far more than any has
@@ -24,7 +25,7 @@
 )
 _REQUEST_ID = re.compile(rb"[!-+\--~]{1,128}")  # printable, without space and comma
 _MAX_KEY_BYTES = 1 << 10
-INFO_CACHE_ENTRIES = 4096  # many, as lists differ in `d`, a number of milliseconds
+INFO_CACHE_ENTRIES = 4096  # many, as lists differ in `d`, the client's timeout in milliseconds
 MAX_CACHED_INFO_BYTES = 128  # longer lists are not cached: the cache takes 1 to 2 MB at most
 _GET_FORMAT = b"*4\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n"
 _SET_FORMAT = b"*5" + _GET_FORMAT[2:] + b"$%d\r\n%b\r\n"
@@ -77,8 +78,9 @@
         return b"%b%d%b" % (self._prefix, timeout_ms, self._suffix)
 
 
-# The cache is bounded in entries and entry size, as clients can send any number of distinct lists.
-_cached_info = lru_cache(maxsize=INFO_CACHE_ENTRIES)(RequestInfo)
+# Returns the cached `RequestInfo` of an equal list. The cache is bounded in entries and entry size, as
+# clients can send any number of distinct lists.
+_parse_info_cached = lru_cache(maxsize=INFO_CACHE_ENTRIES)(RequestInfo)
 
 
 class Command:
@@ -112,7 +114,7 @@
         """Why the input can't be parsed any further; empty while it can."""
 
     def feed(self, data: bytes) -> None:
-        """Append received bytes to the buffer; they are dropped after a framing error."""
+        """Append received bytes to the buffer; after a framing error they are dropped."""
         if not self.framing_error:
             self._buffer += data
 
@@ -181,7 +183,7 @@
         return words
 
     def _parse_length_line(self, data: bytearray, begin: int, mark: bytes) -> tuple[int, int]:
-        """Parse a length line; returns its number and the offset behind it, 0 where it is incomplete."""
+        """Parse a length line; returns its number and the offset behind it, (0, 0) if it is incomplete."""
         end = data.find(b"\r\n", begin, begin + MAX_LENGTH_LINE_BYTES)
         if end < 0 and len(data) - begin < MAX_LENGTH_LINE_BYTES and mark.startswith(data[begin : begin + 1]):
             return 0, 0
@@ -209,7 +211,7 @@
             raise ValueError("key must be text without spaces")
     except UnicodeDecodeError:
         raise ValueError("key must be text without spaces") from None
-    parsed_info = _cached_info(info) if len(info) <= MAX_CACHED_INFO_BYTES else RequestInfo(info)
+    parsed_info = _parse_info_cached(info) if len(info) <= MAX_CACHED_INFO_BYTES else RequestInfo(info)
     return Command(name, key, request_id, parsed_info, words[4] if is_write else None)
 
 
@@ -233,7 +235,11 @@
 
 
 def parse_load(report: bytes, names: tuple[str, ...]) -> tuple[float, ...] | None:
-    """Parse a load report into the order of `names`; None where a value is missing or not a finite number."""
+    """Parse a load report.
+
+    Returns the values of `names` in their order; None if there are no names, or if any value is missing or
+    not a finite number.
+    """
     try:
         values = dict(part.split("=", 1) for part in report.decode("ascii").split(","))
         load = tuple(float(values[name]) for name in names)
--- a/holdgw/wire/unread.py
+++ b/holdgw/wire/unread.py
@@ -20,12 +20,14 @@
     if sock is None or TCP_INFO is None:
         return 0
     try:
-        info = sock.getsockopt(socket.IPPROTO_TCP, TCP_INFO, TCP_INFO_BYTES)
+        tcp_info = sock.getsockopt(socket.IPPROTO_TCP, TCP_INFO, TCP_INFO_BYTES)
     except OSError:
         return 0
-    if len(info) < LAST_DATA_RECV_OFFSET + 4:
+    if len(tcp_info) < LAST_DATA_RECV_OFFSET + 4:
         return 0
-    return int.from_bytes(info[LAST_DATA_RECV_OFFSET : LAST_DATA_RECV_OFFSET + 4], sys.byteorder) * NS_PER_MS
+    return (
+        int.from_bytes(tcp_info[LAST_DATA_RECV_OFFSET : LAST_DATA_RECV_OFFSET + 4], sys.byteorder) * NS_PER_MS
+    )
 
 
 def arrived_at(transport: asyncio.BaseTransport | None, now: float) -> float:
