--- a/holdgw/policy/adapter.py
+++ b/holdgw/policy/adapter.py
@@ -46,7 +46,7 @@
 _CACHE_STATUSES = {1: CacheStatus.HIT, 2: CacheStatus.MISS, 3: CacheStatus.MISS_FETCH_PENDING}
 
 
-def _indexed(where: str, table: tuple[Any, ...], value: Any) -> Any:
+def _lookup_index(where: str, table: tuple[Any, ...], value: Any) -> Any:
     if not 0 <= require_type(where, value, int) < len(table):
         raise WireFormatError(f"{where}: unknown value {value!r}")
     return table[value]
@@ -56,7 +56,7 @@
     return Endpoint(
         id=entry["server"],
         kind=entry.get("type") or "",
-        state=_indexed("lines.mode", _ENDPOINT_STATES, entry["mode"]),
+        state=_lookup_index("lines.mode", _ENDPOINT_STATES, entry["mode"]),
         weight=1.0 if entry.get("weight") is None else entry["weight"],
         started_ns=entry.get("bornNs") or 0,
         zone=entry.get("campus") or "",
@@ -65,7 +65,7 @@
 
 
 def _endpoints_changed(fields: Fields) -> EndpointsChanged:
-    kind = _indexed("backendsChanged.scope", _UPDATE_KINDS, fields["scope"])
+    kind = _lookup_index("backendsChanged.scope", _UPDATE_KINDS, fields["scope"])
     return EndpointsChanged(kind, tuple(_endpoint(entry) for entry in fields.get("lines") or ()))
 
 
--- a/holdgw/policy/endpoint_health.py
+++ b/holdgw/policy/endpoint_health.py
@@ -30,7 +30,7 @@
 MAX_CONSECUTIVE_ERRORS = 4
 MAX_CONSECUTIVE_UNANSWERED = 3
 FAILURE_FRACTION_SAMPLES = 32  # answers over which the failure fraction is smoothed
-RECOVERY_NS = 60 * NS_PER_S  # recovery ramp of the probability from 0 to 1, if there are too few answers
+RECOVERY_NS = 60 * NS_PER_S  # time in which the admission probability rises from 0 to 1 without any answer
 EJECTED_PROBABILITY = -0.02  # below 0, so nothing is sent for this fraction of RECOVERY_NS
 
 
@@ -48,7 +48,7 @@
     ) -> None:
         self.outcome = outcome
         self.late = late
-        """Whether the endpoint itself made it take longer than the latency objective."""
+        """Whether the attempt took longer than the latency objective because of the endpoint itself."""
         self.ended_at_ns = ended_at_ns
         self.sent_at_ns = sent_at_ns
         self.others_healthy = others_healthy
--- a/holdgw/policy/endpoint_selection.py
+++ b/holdgw/policy/endpoint_selection.py
@@ -35,8 +35,8 @@
     def candidates(self, slot: int, popularity: float, now_ns: int) -> list[TrackedEndpoint]:
         """Return the endpoints for a slot, the preferred one first.
 
-        A slot that is too hot for one endpoint is shared by the first endpoints of its ranking, which is a
-        departure from the design. `popularity`: the slot's fraction of all requests.
+        A slot that is too hot for one endpoint is shared by the first endpoints of its ranking, a departure
+        from DESIGN. `popularity`: the slot's fraction of all requests.
         """
         ranking, owners = self.rank(slot, popularity, now_ns)
         if owners > 1:
--- a/holdgw/policy/endpoint_subscription.py
+++ b/holdgw/policy/endpoint_subscription.py
@@ -8,8 +8,8 @@
 from holdgw.policy.settings import Settings
 from holdgw.policy.units import NS_PER_S
 
-# A change counts as notified 6 s after discovery had it and could be reached; a longer delay would use up
-# that time.
+# By PROTOCOL, a change counts as notified 6 s after discovery had it and could be reached; a longer delay
+# would use up that time.
 MAX_BACKOFF_NS = 2 * NS_PER_S
 MAX_DOUBLINGS = 8  # bounds the bit shift; MAX_BACKOFF_NS is reached long before
 
--- a/holdgw/policy/events.py
+++ b/holdgw/policy/events.py
@@ -107,7 +107,7 @@
     queued_ns: int = 0
     """The part of the latency before the request was written: the wait for a connection, or for its dial."""
     first_on_connection: bool = False
-    """Whether it was the first on its connection, which takes longer whatever the endpoint's load."""
+    """Whether the request was the first on its connection, and so took longer whatever the load."""
     response_started: bool = False
     """Whether part of an answer had arrived, so the attempt ran."""
     idle_connections_closed: bool = False
--- a/holdgw/policy/handover_state.py
+++ b/holdgw/policy/handover_state.py
@@ -61,8 +61,8 @@
     tenant_usage: dict[str, float] = field(default_factory=dict)
     """Recent requests by tenant."""
     origin_latency_ns: float = 0.0
-    """Smoothed latency of good fetches, nanoseconds; 0: unknown."""
+    """Smoothed latency of the origin's good answers that were not late, nanoseconds; 0: unknown."""
     write_concurrency_limit: float = 0.0
-    """Attempts in flight at the origin from which on writes are queued; 0: unknown."""
+    """Number of attempts in flight at the origin at which further writes are queued; 0: unknown."""
     cache_answers: float = 0.0
     """Exponentially decaying count of recent answers from cache servers; 0: unknown."""
--- a/holdgw/policy/hot_keys.py
+++ b/holdgw/policy/hot_keys.py
@@ -10,8 +10,12 @@
 
 Key = TypeVar("Key", int, str)
 
-MAX_COUNTED_REQUESTS = 1024  # at which counts are halved: enough for many endpoints, yet seconds under load
-MAX_SLOT_LOAD = 0.25  # of an endpoint's fair load; a slot with more load gets more owners
+# Number of counted requests at which all counts are halved: enough to compare slots among many endpoints, but
+# under load only the requests of some seconds.
+MAX_COUNTED_REQUESTS = 1024
+# Fraction of an endpoint's fair load, which is all requests divided by the number of endpoints. A slot with
+# more load gets more owners.
+MAX_SLOT_LOAD = 0.25
 # A snapshot replaces a router's own counts if it is based on enough requests, and only a small fraction of
 # them are the router's own. It covers only the most frequent slots, and undercounts each of them, while the
 # router's own counts are complete.
@@ -52,7 +56,8 @@
 class SlotPopularity:
     """Each slot's fraction of all requests: of all routers' requests if known, else of this router's.
 
-    The policy counts each request here; the result decides how many endpoints own its slot.
+    The policy calls `record_request` for each request that it routes to a cache server. The returned fraction
+    decides how many endpoints own the slot.
     """
 
     def __init__(self) -> None:
@@ -74,8 +79,9 @@
     def apply_snapshot(self, snapshot: LoadSnapshotChanged) -> bool:
         """Use a snapshot of many routers' requests if it is better than this router's own counts.
 
-        Returns whether it is. One of two hundred routers gets a hot key once in ten seconds, too seldom to
-        detect it alone; a router with a large fraction of all requests finds more hot keys by its own counts.
+        Returns whether it is better. One of two hundred routers gets a hot key once in ten seconds, which is
+        too seldom to detect it alone; a router with a large fraction of all requests finds more hot keys by
+        its own counts.
         """
         sampled = snapshot.sampled_requests
         usable = sampled >= MIN_SNAPSHOT_REQUESTS and snapshot.own_requests < MAX_OWN_FRACTION * sampled
--- a/holdgw/policy/load_reports.py
+++ b/holdgw/policy/load_reports.py
@@ -18,7 +18,7 @@
 
 
 class Observations:
-    """What this router has observed since the last `take`, for other routers of the tier."""
+    """What this router has observed since the last `take`, for other routers."""
 
     def __init__(self, enabled: bool) -> None:
         self._enabled = enabled
--- a/holdgw/policy/origin_concurrency.py
+++ b/holdgw/policy/origin_concurrency.py
@@ -10,10 +10,10 @@
 from holdgw.policy.origin_limiter import CUT_FACTOR
 from holdgw.policy.pending_request import PendingRequest
 
-FAILURE_SMOOTHING = 8  # fetches over which the failure fraction is smoothed
-OVERLOAD_FAILURE_FRACTION = 0.2  # reached by two consecutive failed fetches, or by one in five
+FAILURE_SMOOTHING = 8  # attempts (fetches and writes) over which the failure fraction is smoothed
+OVERLOAD_FAILURE_FRACTION = 0.2  # reached by two consecutive failed attempts, or by one in five
 MAX_CONNECTION_FAILURES = 6  # consecutive and without an answer; from this number on, they count as overload
-LATENCY_SMOOTHING = 16  # good fetches over which the latency is smoothed
+LATENCY_SMOOTHING = 16  # good answers over which the latency is smoothed
 INITIAL_LATENCY_DIVISOR = 2  # the initial latency is the shortest latency objective divided by this
 
 
@@ -38,9 +38,9 @@
     """
 
     def __init__(self, latency_objective_ns: int) -> None:
-        self.latency_ns = latency_objective_ns / INITIAL_LATENCY_DIVISOR  # smoothed, of good fetches
+        self.latency_ns = latency_objective_ns / INITIAL_LATENCY_DIVISOR  # smoothed, of good answers
         self.failure_fraction = 0.0
-        self.write_limit = math.inf  # attempts in flight at the origin from which on writes are queued
+        self.write_limit = math.inf  # number of attempts in flight at which further writes are queued
         self._connection_failures = 0  # consecutive ones
         self._cut_at_ns = 0
         self._queue: list[PendingRequest] = []
@@ -75,11 +75,11 @@
         """Record the end of an attempt at the origin, and return what it shows about the origin's load.
 
         Args:
-            outcome: how it ended.
-            latency_ns: its latency.
-            late: whether it took longer than its latency objective.
+            outcome: how the attempt ended.
+            latency_ns: the attempt's latency.
+            late: whether the attempt took longer than the latency objective of its request.
             lost: whether its answer was lost in transit.
-            in_flight: other attempts in flight there.
+            in_flight: other attempts in flight at the origin.
             now: clock time, nanoseconds.
 
         A broken connection or a lost answer is no sign of load: cutting limits for it would starve every
@@ -101,7 +101,7 @@
         return OriginVerdict.NEUTRAL
 
     def _record_failure(self, in_flight: int, now: int) -> OriginVerdict:
-        """Record a failed fetch; cut the limit if failures are frequent, at most once per round trip.
+        """Record a failed attempt; cut the limit if failures are frequent, at most once per round trip.
 
         A single failure may be chance (the latency has a heavy tail), and all failures within one round trip
         are one sign of overload.
--- a/holdgw/policy/origin_limiter.py
+++ b/holdgw/policy/origin_limiter.py
@@ -37,7 +37,7 @@
 
     The policy calls `admit` once for each fetch after a cache miss. True means that the fetch may be sent; a
     denied fetch is counted too. The limit adapts by additive increase and multiplicative decrease:
-    `raise_limit` follows a good fetch of any tenant, and `cut_limit` an overload of the origin.
+    `raise_limit` follows a good answer to any tenant's call, and `cut_limit` an overload of the origin.
     """
 
     def __init__(self, tenant: Tenant, routers: int, rng: random.Random, workers: int = 1) -> None:
@@ -85,7 +85,7 @@
         return len(self._calls) / self.window_s
 
     def admit(self, now: int) -> bool:
-        """Decide on one fetch by the source's three regimes, and count it."""
+        """Decide on one fetch by the three regimes of the source (see the module), and count it."""
         accepted = self.accepted_calls(now)
         observed = len(self._calls)
         soft_limit = self.window_s * self.rate_limit
@@ -114,7 +114,7 @@
         return self._probability
 
     def raise_limit(self, now: int) -> None:
-        """Raise the limit after a good fetch, up to its maximum; only if at least half of it is in use."""
+        """Raise the limit after a good answer, up to its maximum; only if at least half of it is in use."""
         if self.accepted_calls(now) * 2 >= self.rate_limit * self.window_s:
             elapsed_s = min((now - self._raised_at_ns) / NS_PER_S, self.window_s)
             step = self.max_rate_limit / RECOVERY_S * elapsed_s
--- a/holdgw/policy/pending_request.py
+++ b/holdgw/policy/pending_request.py
@@ -35,7 +35,7 @@
         self.attempts = 0
         self.endpoint: TrackedEndpoint | None = None  # of the last attempt
         self.sent_at_ns = 0  # of the last attempt
-        self.attempt_timeout_ns = 0  # of the last attempt; 0: none
+        self.attempt_timeout_ns = 0  # of the last attempt; 0: that attempt has no timeout of its own
         self.in_flight = False
         self.is_at_origin = False  # of the attempt in flight
         self.is_streaming = False  # whether the answer of the attempt in flight has begun
--- a/holdgw/policy/retry_policy.py
+++ b/holdgw/policy/retry_policy.py
@@ -19,7 +19,8 @@
 # An answer that is missing after this multiple of the smoothed latency, while the endpoint answers other
 # requests, is lost in transit.
 LOST_LATENCY_FACTOR = 4.0
-TIMEOUT_MAX_OVERLOADED_FRACTION = 0.1  # of overloaded endpoints: no attempt timeout above it
+# Above this fraction of overloaded endpoints no attempt timeout is set.
+TIMEOUT_MAX_OVERLOADED_FRACTION = 0.1
 RETRY_BUDGET_PER_ANSWER = 0.01  # allows one attempt in a hundred to be abandoned as lost in transit
 MAX_RETRY_BUDGET = 4.0
 
@@ -74,8 +75,8 @@
     def may_send(self, request: PendingRequest, endpoint: TrackedEndpoint, now: int) -> bool:
         """Whether the request may be sent to this endpoint without taking effect twice.
 
-        A request that may have run, and is not idempotent, is sent again only to endpoints that drop its
-        repeat, and only within the dedup window (rule 2).
+        No request takes effect twice: one that may have run, and is not idempotent, is sent again only to
+        endpoints that drop its repeat, and only within the dedup window.
         """
         if request.first_run_endpoint is None:
             return True
@@ -109,7 +110,7 @@
         return request.first_run_at_ns + request.request_class.dedup_window_ns - MAX_TRANSIT_NS - now
 
     def may_reject(self, request: PendingRequest) -> bool:
-        """Whether the client may safely retry, which a rejection promises (rule 2)."""
+        """Whether the client may safely retry, as a rejection promises: no request takes effect twice."""
         rules = request.request_class
         dropped_anywhere = (
             rules.idempotency is Idempotency.IDEMPOTENCY_KEY and rules.dedup_scope is DedupScope.ALL
@@ -122,7 +123,7 @@
     ) -> int:
         """Return the attempt timeout (ns), after which the answer counts as lost in transit; 0: none.
 
-        This is a departure from the design: a connection or a single request can stall although its endpoint
+        This is a departure from DESIGN: a connection or a single request can stall although its endpoint
         is healthy, and the request would wait until its deadline. No attempt timeout is set where the
         endpoint or too many others are not healthy, or the retry budget is used up, so that slow endpoints
         don't get every request twice.
@@ -191,8 +192,8 @@
     ) -> NextStep:
         """Return the next step of a request whose attempt has ended without a final answer.
 
-        After a loss the request is sent to the same endpoint again, a departure from the design: this
-        endpoint has the key, while the next-ranked one would miss and need a fetch, and it drops the repeat
+        After a loss the request is sent to the same endpoint again, a departure from DESIGN: this endpoint
+        has the key, while the next-ranked one would miss and need a fetch, and it drops the repeat
         of a write. Retries after quick breaks are bounded by the number of attempts and by the ejection of
         the endpoint; any other loss is retried once. An endpoint that breaks connections because it is
         overloaded gets a read up to four times, until six consecutive resets eject it.
--- a/holdgw/policy/routing_policy.py
+++ b/holdgw/policy/routing_policy.py
@@ -212,13 +212,15 @@
         if event.kind is UpdateKind.FAILED:
             return
         ready = [entry for entry in event.endpoints if entry.state is EndpointState.READY]
-        removed = [entry.id for entry in event.endpoints if entry.state is not EndpointState.READY]
+        unready_ids = [entry.id for entry in event.endpoints if entry.state is not EndpointState.READY]
         for table, is_origin in ((self._caches, False), (self._origins, True)):
-            listed = [entry for entry in ready if (entry.kind == self._settings.origin_kind) == is_origin]
-            gone = list(removed)
+            table_entries = [
+                entry for entry in ready if (entry.kind == self._settings.origin_kind) == is_origin
+            ]
+            removed_ids = list(unready_ids)
             if event.kind is not UpdateKind.DELTA:
-                gone += table.endpoints.keys() - {entry.id for entry in listed}
-            table.update(listed, gone)
+                removed_ids += table.endpoints.keys() - {entry.id for entry in table_entries}
+            table.update(table_entries, removed_ids)
 
     def _limit_shares_changed(self, event: LimitSharesChanged) -> None:
         for tenant, share in event.shares.items():
@@ -344,12 +346,12 @@
             return True
         if endpoint.ejected:
             return False
-        # Any other endpoint would miss, unless the slot migrates to it for good.
+        # Any other endpoint would miss, unless the slot itself migrates to it.
         self._reject_or_fail(request, RejectionReason.ENDPOINT_OVERLOADED)
         return True
 
     def _fetch_or_wait(self, request: PendingRequest) -> None:
-        """Fetch from the origin after a miss, or wait for the fetch of the same key that is in flight."""
+        """Send the request to the origin, or let it wait for the fetch of the same key that is in flight."""
         if self._fetches.join(request):
             self._wait(request, request.deadline_ns - self._now)
         else:
@@ -557,7 +559,7 @@
 
 
 def _is_late(request: PendingRequest, event: AttemptEnded) -> bool:
-    """Whether an answer took longer than the latency objective for a reason of its endpoint's own.
+    """Whether an answer took longer than the latency objective because of its endpoint.
 
     The first request on a connection also bears the cost of its setup, which is highest across zones. If that
     counted as load, healthy endpoints would be shed wherever connections are short-lived. The first request
--- a/holdgw/policy/settings.py
+++ b/holdgw/policy/settings.py
@@ -102,7 +102,7 @@
     warm_up_overload_factor: float = 4.0
     """An endpoint that is warming up fails if it gets more than this multiple of what it can handle."""
     warm_up_overload_window_ns: int = 0
-    """Time over which its requests are counted for that; 0: not stated."""
+    """Time over which its requests are counted for `warm_up_overload_factor`; 0: not stated."""
     max_attempts: int = 4
     retry_after_allowed: bool = False
     """Whether a rejection may state a Retry-After."""
--- a/holdgw/policy/settings_reader.py
+++ b/holdgw/policy/settings_reader.py
@@ -119,18 +119,20 @@
 
 def _unrecognized(facts: Fields, family: Fields) -> tuple[tuple[str, str], ...]:
     """Return the features that are disabled because of an unknown value, each with the reason."""
-    found = []
+    unrecognized = []
     mode = family.get("mode")
     if mode not in _FAMILY_MODES:
-        found.append(("origin", f"familyInfo.mode is {mode!r}"))
+        unrecognized.append(("origin", f"familyInfo.mode is {mode!r}"))
     elif mode == _CACHE_ASIDE and _origin_kind(facts, family) is None:
         index = _origin_index(family)
-        found.append(("origin", f"familyInfo.originKind is {index}, which is not the index of a kind"))
+        unrecognized.append(("origin", f"familyInfo.originKind is {index}, which is not the index of a kind"))
     how = (facts.get("feedback") or {}).get("how", "answers")
     if how != "answers":
-        found.append(("load_reports", f"feedback.how is {how!r}, and the router sends no probes"))
+        unrecognized.append(("load_reports", f"feedback.how is {how!r}, and the router sends no probes"))
     if facts.get("weightKind") not in _WEIGHT_KINDS:
-        found.append(("weights", f"weightKind is {facts['weightKind']!r}"))
+        unrecognized.append(("weights", f"weightKind is {facts['weightKind']!r}"))
     if facts.get("membershipMode") not in _MEMBERSHIP_MODES:
-        found.append(("subscription", f"membershipMode is {facts['membershipMode']!r}, treated as automatic"))
-    return tuple(found)
+        unrecognized.append(
+            ("subscription", f"membershipMode is {facts['membershipMode']!r}, treated as automatic")
+        )
+    return tuple(unrecognized)
--- a/holdgw/policy/slot_demand.py
+++ b/holdgw/policy/slot_demand.py
@@ -58,8 +58,8 @@
     def slots_over(self, load: float, endpoints: int) -> list[int]:
         """Return the slots with at least `load` of an endpoint's fair load, those of least demand first."""
         least = load * self._total / endpoints
-        found = [(count, slot) for slot, count in self._weighted_requests.items() if count >= least]
-        return [slot for _, slot in sorted(found)]
+        counted_slots = [(count, slot) for slot, count in self._weighted_requests.items() if count >= least]
+        return [slot for _, slot in sorted(counted_slots)]
 
     def _scale_down(self) -> None:
         """Reset the sample weight to 1, and keep only the slots of highest demand, half of the maximum."""
--- a/holdgw/policy/slot_rebalancing.py
+++ b/holdgw/policy/slot_rebalancing.py
@@ -4,6 +4,8 @@
 of routers that act on the same old reports do no more than one router would, and nothing oscillates. The
 plan sets the fraction of its slots that a donor keeps. Which slots these are is a hash of slot and endpoint,
 the same at every router.
+
+An endpoint's fair load is its fraction of all requests by its weight; spare loads are multiples of it.
 """
 
 from __future__ import annotations
@@ -18,7 +20,8 @@
 from holdgw.policy.units import NS_PER_S
 
 PLAN_INTERVAL_NS = 2 * NS_PER_S
-PRIOR_SAMPLES_PER_ENDPOINT = 4.0  # that evidence must outweigh; a few samples differ by chance
+# Samples per endpoint at which the confidence in them is one half; a few samples differ by chance.
+PRIOR_SAMPLES_PER_ENDPOINT = 4.0
 CORRECTION_FRACTION = 0.5  # of an endpoint's deviation from its fair load, corrected by one plan
 MAX_SPARE_LOAD = 4.0  # fair loads that an endpoint may take if it is ranked first for too few slots
 MAX_RECEIVER_RANK = 8  # receivers are among the first so many endpoints of a slot's ranking
@@ -137,7 +140,10 @@
     def _place(
         self, slot: int, fraction: float, ranking: Sequence[Endpoint], owners: int, total_weight: float
     ) -> None:
-        """Add the load of one slot, as sticky or at its endpoint by the active plan."""
+        """Add the load of one slot: to its owners if it is sticky, else to its endpoint by the active plan.
+
+        A sticky slot does not migrate: it has several owners, or more load than `STICKY_SLOT_LOAD`.
+        """
         first = ranking[0]
         if owners > 1 or fraction > STICKY_SLOT_LOAD * first.weight / total_weight:
             self._loads.add_sticky(slot, fraction / owners, [endpoint.seed for endpoint in ranking[:owners]])
@@ -186,8 +192,9 @@
     ) -> float:
         """Return the change of an endpoint's spare load, in fair loads, within the bound on migration.
 
-        The spare load moves towards the value at which the endpoint has its fair load, and towards 0; the
-        confidence in the samples (`confidence`, 0 to 1) weights the two.
+        The spare load moves towards the value at which the endpoint has its fair load, and towards 0. The
+        weight of the first move is `confidence`, the confidence in the samples (0 to 1); that of the second
+        is 1 - `confidence`.
         """
         change = (
             confidence * (1.0 - load) * CORRECTION_FRACTION
@@ -197,7 +204,7 @@
         return min(max(change, -max_change), max_change)
 
     def receiver_rank(self, slot: int, ranking: Sequence[Endpoint]) -> int:
-        """Return the rank of the endpoint that has the slot: 0, or that of a receiver.
+        """Return the rank of the endpoint that has the slot: 0, or the rank of a receiver.
 
         This router's own measurements take precedence over the plan, which does not know which endpoints this
         router can reach, nor how overloaded they are. The slots of an ejected endpoint go to the next-ranked
--- a/holdgw/policy/slot_retention.py
+++ b/holdgw/policy/slot_retention.py
@@ -8,7 +8,7 @@
 
 DONOR_FAILURE_FRACTION = 0.25  # above it an endpoint releases slots with each request
 RECEIVER_FAILURE_FRACTION = 0.1  # below it an endpoint may receive slots, and gets its own back
-RELEASE_PER_REQUEST = 1 / 16  # of the slots, times the excess of the failure fraction over the donor's limit
+RELEASE_PER_REQUEST = 1 / 16  # of the slots, times the excess of failures over DONOR_FAILURE_FRACTION
 RELEASE_RATE_PER_S = 0.5  # of the slots a second, at twice the response time from which it is overloaded
 MAX_RELEASE_FACTOR = 2.0  # bounds the multiple of RELEASE_RATE_PER_S, whatever response time is reported
 MAX_REPORT_INTERVAL_NS = NS_PER_S  # longest time that one load report accounts for
@@ -30,7 +30,7 @@
         self._updated_at_ns = 0
 
     def retains(self, slot: int, failure_fraction: float, now_ns: int) -> bool:
-        """Whether the endpoint keeps the slot; while it is healthy again, its slots return over time."""
+        """Whether the endpoint keeps the slot; released slots return over time while few attempts fail."""
         if self.fraction >= 1.0:
             return True
         if failure_fraction < RECEIVER_FAILURE_FRACTION:
@@ -40,7 +40,7 @@
         return not releases_slot(slot, self._seed, self.fraction)
 
     def release_by_reported_load(self, load_factor: float, since_report_ns: int, now_ns: int) -> None:
-        """Release slots because a load report states that the endpoint is overloaded, at a rate by time.
+        """Release slots because a load report states that the endpoint is overloaded, at a rate per second.
 
         Each of forty routers sends an endpoint two requests a second or fewer, and would need ten seconds to
         count enough late answers. A report informs all of them at once, and all release the same slots at the
--- a/holdgw/policy/slot_table.py
+++ b/holdgw/policy/slot_table.py
@@ -91,7 +91,7 @@
         """Return the endpoints ranked for a slot, best first: at least `depth`, if there are so many.
 
         The score of an endpoint that is warming up is multiplied by its warm-up weight, so that it gets slots
-        only as it warms up (rule 4). This limits its load and its misses alike.
+        only as it warms up: a cold endpoint is not overloaded. This limits its load and its misses alike.
         """
         applied_changes, ranking = self._rankings.get(slot, (0, []))
         if applied_changes < len(self._changes):
--- a/holdgw/policy/slow_start.py
+++ b/holdgw/policy/slow_start.py
@@ -46,7 +46,7 @@
         self.started_at_ns = now_ns - 2 * ANSWER_DECAY_NS
 
     def answers_per_endpoint_ns(self, endpoints: int, now_ns: int) -> float:
-        """Return the answers a nanosecond of one endpoint, if there are so many endpoints."""
+        """Return the mean rate of one of so many endpoints, in answers a nanosecond."""
         elapsed_ns = min(self.started_at_ns - now_ns, -NS_PER_S)
         counted_fraction = -math.expm1(elapsed_ns / ANSWER_DECAY_NS)
         return self._answers / counted_fraction / ANSWER_DECAY_NS / endpoints
--- a/holdgw/policy/tracked_endpoint.py
+++ b/holdgw/policy/tracked_endpoint.py
@@ -35,7 +35,7 @@
         self.latency_ns = 0.0
         """Smoothed latency of answers; 0: there was none yet."""
         self.health = EndpointHealth()
-        self.slots = SlotRetention(self.seed)
+        self.retention = SlotRetention(self.seed)
         self.reported = ReportedResponseTime()
         self.warm_up_tokens = WarmUpTokens()
 
@@ -47,7 +47,7 @@
     @property
     def slot_retention(self) -> float:
         """Fraction of its slots that the endpoint keeps, 0 to 1."""
-        return self.slots.fraction
+        return self.retention.fraction
 
     @property
     def reported_response_time_ns(self) -> float:
@@ -81,12 +81,12 @@
         """Record a load report's response time; above `overload_ns` the endpoint releases slots."""
         if response_time_ns > overload_ns:
             since_report_ns = now_ns - self.reported.at_ns
-            self.slots.release_by_reported_load(response_time_ns / overload_ns, since_report_ns, now_ns)
+            self.retention.release_by_reported_load(response_time_ns / overload_ns, since_report_ns, now_ns)
         self.reported.record(response_time_ns, now_ns)
 
     def retains(self, slot: int, now_ns: int) -> bool:
         """Whether the endpoint keeps the slot; at every router the same slots leave first and return last."""
-        return self.slots.retains(slot, self.health.failure_fraction, now_ns)
+        return self.retention.retains(slot, self.health.failure_fraction, now_ns)
 
     @property
     def is_donor(self) -> bool:
@@ -94,7 +94,7 @@
         return self.health.failure_fraction > DONOR_FAILURE_FRACTION and not self.health.ejected
 
     def release_slots(self, next_ranked: list[TrackedEndpoint], now_ns: int) -> None:
-        """Release slots to the next-ranked endpoint, if that one is healthy (a departure from the design).
+        """Release slots to the next-ranked endpoint, if that one is healthy (a departure from DESIGN).
 
         Otherwise requests for the keys of an endpoint that is slow, or limits its request rate, would be
         rejected for as long as it is so, although other endpoints are idle. A single request sent elsewhere
@@ -104,14 +104,14 @@
         """
         receiver = next((endpoint for endpoint in next_ranked if not endpoint.ejected), None)
         if receiver is not None and receiver.health.failure_fraction < RECEIVER_FAILURE_FRACTION:
-            self.slots.release_by_failures(self.health.failure_fraction, now_ns)
+            self.retention.release_by_failures(self.health.failure_fraction, now_ns)
 
     def handover(self, now_ns: int) -> EndpointHandover:
         """Return the state from which another process of this router continues."""
         return EndpointHandover(
             admission_probability=self.admission_probability(now_ns),
             ejected=self.health.ejected,
-            slot_retention=self.slots.fraction,
+            slot_retention=self.retention.fraction,
             failure_fraction=self.health.failure_fraction,
             latency_ns=self.latency_ns,
             usual_in_flight=self.usual_in_flight,
@@ -120,6 +120,6 @@
     def restore(self, state: EndpointHandover, now_ns: int) -> None:
         """Continue from the state of another process of this router."""
         self.health.restore(state.admission_probability, state.ejected, state.failure_fraction, now_ns)
-        self.slots.restore(state.slot_retention, now_ns)
+        self.retention.restore(state.slot_retention, now_ns)
         self.latency_ns = state.latency_ns
         self.usual_in_flight = state.usual_in_flight
--- a/tests/policy/test_routing_policy.py
+++ b/tests/policy/test_routing_policy.py
@@ -302,7 +302,7 @@
     endpoint = router._caches.endpoints[fleet(6)[0].id]
     released = [slot for slot in range(200) if not endpoint.retains(slot, 3 * S)]
     other = started(settings(tenants=()), fleet(6), seed=9)._caches.endpoints[endpoint.entry.id]
-    other.slots.restore(endpoint.slot_retention, 3 * S)
+    other.retention.restore(endpoint.slot_retention, 3 * S)
     other.health.failure_fraction = 1.0
     assert released == [
         slot for slot in range(200) if not other.retains(slot, 3 * S)
