--- a/tests/policy/test_adapter.py
+++ b/tests/policy/test_adapter.py
@@ -44,8 +44,8 @@
 
 
 def create(router: int = 3) -> dict[str, Any]:
-    listed = {"backendsChanged": {"index": 1, "scope": 2, "lines": LINES}}
-    return batch(1, {"create": {"salt": 5, "facts": FACTS}}, listed, router=router)
+    endpoint_list = {"backendsChanged": {"index": 1, "scope": 2, "lines": LINES}}
+    return batch(1, {"create": {"salt": 5, "facts": FACTS}}, endpoint_list, router=router)
 
 
 def request_event(corr: str, key: str | None = "k", category: str = "get") -> dict[str, Any]:
--- a/tests/policy/test_decisions.py
+++ b/tests/policy/test_decisions.py
@@ -29,7 +29,7 @@
     names = (
         re.findall(r"^def (test_\w+)", path.read_text(), re.M) for path in (ROOT / "tests").rglob("*.py")
     )
-    return {name for found in names for name in found}
+    return {name for names_in_file in names for name in names_in_file}
 
 
 def test_every_row_of_a_rule_has_all_columns() -> None:
@@ -44,8 +44,8 @@
     assert named
     for name in named:
         module, *attributes = name.split(".")
-        found = reduce(getattr, attributes, importlib.import_module(f"holdgw.policy.{module}"))
-        assert callable(found), name
+        function = reduce(getattr, attributes, importlib.import_module(f"holdgw.policy.{module}"))
+        assert callable(function), name
     assert named_tests
     assert set(named_tests) <= names_in_the_suite()
 
--- a/tests/policy/test_disabled_features.py
+++ b/tests/policy/test_disabled_features.py
@@ -29,73 +29,75 @@
 
 # The published format of a router's configuration: the type of each field, the fields of each object, and the
 # type of a list's members.
-LIMITS = {"cores": float, "memory_mb": int, "sockets": int}
-CEILINGS = {
+LIMITS_FORMAT = {"cores": float, "memory_mb": int, "sockets": int}
+CEILINGS_FORMAT = {
     "cancel": bool, "cpuUsPerRequest": float, "cpuUsPerS": int, "dialTimeoutNs": int, "idleCloseNs": int,
     "maxOpen": int, "maxRetryAfterNs": int, "mayProbe": bool, "mostTries": int, "peers": bool,
     "retryAfter": bool, "secondCopies": bool, "streamsPerConn": int,
 }  # fmt: skip
-CLASS = {
+CLASS_FORMAT = {
     "aimNs": int, "aimStretch": float, "dedupWindowNs": int, "giveUpNs": int,
     "group": {"all", "zone", "cell"}, "lateValue": float, "name": str,
     "semantics": {"retryable", "dedup", "fragile"}, "streamed": bool, "worth": float,
 }  # fmt: skip
-TENANT = {"name": str, "portion": float, "quotaPerS": float}
-FAMILY = {
+TENANT_FORMAT = {"name": str, "portion": float, "quotaPerS": float}
+FAMILY_FORMAT = {
     "mode": {"aside", "through"}, "notes": str, "originFallMultiple": float, "originFallNs": int,
     "originKind": int, "reportX0": str, "reportX1": str,
 }  # fmt: skip
 REPORT_WORDS = {"recent_ms", "backlog", "outstanding", "utilization", "throughput", "x0", "x1"}
-FEEDBACK = {"fields": [REPORT_WORDS], "how": {"answers", "probe", "none"}}
-RULES = {
+FEEDBACK_FORMAT = {"fields": [REPORT_WORDS], "how": {"answers", "probe", "none"}}
+RULES_FORMAT = {
     "askWithinNs": int, "coldNs": int, "coldShare": float, "drainGraceNs": int, "fallMultiple": float,
     "fallNs": int, "graceToAnswerNs": int,
 }  # fmt: skip
-SETTINGS = {
-    "balancers": int, "blend": dict, "callers": dict, "ceilings": CEILINGS, "classes": [CLASS],
-    "domainType": str, "failureDomains": [str], "familyInfo": FAMILY, "feedback": FEEDBACK, "kinds": [str],
-    "layer": int, "me": int, "membershipMode": {"automatic", "subscribe"}, "overShareWorth": float,
-    "penalties": dict, "roundNs": int, "rules": RULES, "tenants": [TENANT], "tiers": [str], "valueBy": str,
+SETTINGS_FORMAT = {
+    "balancers": int, "blend": dict, "callers": dict, "ceilings": CEILINGS_FORMAT, "classes": [CLASS_FORMAT],
+    "domainType": str, "failureDomains": [str], "familyInfo": FAMILY_FORMAT, "feedback": FEEDBACK_FORMAT,
+    "kinds": [str], "layer": int, "me": int, "membershipMode": {"automatic", "subscribe"},
+    "overShareWorth": float, "penalties": dict, "roundNs": int, "rules": RULES_FORMAT,
+    "tenants": [TENANT_FORMAT], "tiers": [str], "valueBy": str,
     "weightKind": {"none", "nominal", "rough", "live"}, "zone": str,
 }  # fmt: skip
-ENTRY = {
+ENTRY_FORMAT = {
     "instanceId": str, "hostPort": str, "zone": str, "machineType": str, "cell": int,
     "lifecycle": {"up", "draining"}, "weight": float, "startedAtMs": int,
 }  # fmt: skip
-KNOWN = {"generation": int, "reset": bool, "instances": [ENTRY]}
-CONFIGURATION = {
-    "name": str, "listen": str, "discovery": str, "ops": str, "seed": str, "limits": LIMITS,
-    "peer_listen": str, "peers": [str], "peers_all": str, "known": KNOWN, "settings": SETTINGS,
+KNOWN_FORMAT = {"generation": int, "reset": bool, "instances": [ENTRY_FORMAT]}
+CONFIGURATION_FORMAT = {
+    "name": str, "listen": str, "discovery": str, "ops": str, "seed": str, "limits": LIMITS_FORMAT,
+    "peer_listen": str, "peers": [str], "peers_all": str, "known": KNOWN_FORMAT, "settings": SETTINGS_FORMAT,
 }  # fmt: skip
 # Fields that some sites leave out; a router's configuration has all others.
 OPTIONAL = {"aimStretch", "notes", "reportX0", "reportX1", "ops", "peer_listen", "peers_all", "quotaPerS"}
-# Fields that the emulators leave out, because they only state how a run is priced or no router reads them.
+# Fields that the emulators leave out, because they only state how the results of a run are valued, or because
+# no router reads them.
 NOT_CONFIGURED = {
     "blend", "callers", "cpuUsPerRequest", "cpuUsPerS", "domainType", "graceToAnswerNs", "layer",
     "originFallMultiple", "originFallNs", "overShareWorth", "penalties", "roundNs", "tiers", "valueBy",
 }  # fmt: skip
 
 
-def deviations(where: str, actual: Any, published: Any) -> list[str]:
+def format_deviations(where: str, actual: Any, published: Any) -> list[str]:
     """List the places where a configuration deviates from the published format."""
     if isinstance(published, dict):
         if not isinstance(actual, dict):
             return [f"{where}: no object"]
-        found = [f"{where}.{name}: not published" for name in actual.keys() - published.keys()]
-        found += [
+        deviations = [f"{where}.{name}: not published" for name in actual.keys() - published.keys()]
+        deviations += [
             f"{where}.{name}: missing"
             for name in published.keys() - actual.keys() - OPTIONAL - NOT_CONFIGURED
         ]
         for name in actual.keys() & published.keys():
-            found += deviations(f"{where}.{name}", actual[name], published[name])
-        return found
+            deviations += format_deviations(f"{where}.{name}", actual[name], published[name])
+        return deviations
     if isinstance(published, list):
         if not isinstance(actual, list):
             return [f"{where}: no list"]
         return [
             deviation
             for i, member in enumerate(actual)
-            for deviation in deviations(f"{where}[{i}]", member, published[0])
+            for deviation in format_deviations(f"{where}[{i}]", member, published[0])
         ]
     if isinstance(published, set):
         return [] if actual in published else [f"{where}: {actual!r} is none of {sorted(published)}"]
@@ -105,15 +107,15 @@
 
 
 def router_configuration(name: str) -> Fields:
-    known = {"generation": 1, "reset": True, "instances": []}
+    known_endpoints = {"generation": 1, "reset": True, "instances": []}
     scenario = load_scenario(name)
-    return configuration(scenario, 1, "router00", 0, ("127.0.0.1", 1), ("127.0.0.1", 2), known)
+    return configuration(scenario, 1, "router00", 0, ("127.0.0.1", 1), ("127.0.0.1", 2), known_endpoints)
 
 
 @pytest.mark.parametrize("name", shipped())
 def test_emulators_configure_a_router_as_published(name: str) -> None:
     config = router_configuration(name)
-    assert deviations("", config, CONFIGURATION) == []
+    assert format_deviations("", config, CONFIGURATION_FORMAT) == []
     policy_settings = read_settings(config["settings"])
     assert policy_settings.unrecognized == ()
     assert set(disabled_features(policy_settings)) <= {"origin_limits"}
@@ -125,7 +127,7 @@
     del config["settings"]["rules"]["coldNs"]
     config["settings"]["ceilings"]["mostTrys"] = 4
     config["settings"]["classes"][0]["aimNs"] = 0.3
-    assert {text.partition(":")[0] for text in deviations("", config, CONFIGURATION)} == {
+    assert {text.partition(":")[0] for text in format_deviations("", config, CONFIGURATION_FORMAT)} == {
         ".settings.feedback.fields[0]",
         ".settings.rules.coldNs",
         ".settings.ceilings.mostTrys",
@@ -222,4 +224,4 @@
     simulate(changed(scenario.cut(1.0), load=changed(scenario.load, rate=100.0)), 1)
     assert max(response_times) > 0
     assert any(body["instances"] for body in lists)
-    assert [deviation for body in lists for deviation in deviations("", body, KNOWN)] == []
+    assert [deviation for body in lists for deviation in format_deviations("", body, KNOWN_FORMAT)] == []
--- a/tests/policy/test_endpoint_health.py
+++ b/tests/policy/test_endpoint_health.py
@@ -26,12 +26,12 @@
 ]
 
 
-def after(*outcomes: Outcome, others_healthy: bool = True, late: bool = False) -> EndpointHealth:
+def health_after(*outcomes: Outcome, others_healthy: bool = True, all_late: bool = False) -> EndpointHealth:
     """Return the health after such attempts, one a millisecond, all sent after the endpoint's last answer."""
     health = EndpointHealth()
     for number, outcome in enumerate(outcomes, start=1):
         now_ns = S + number * MS
-        health.record(AttemptResult(outcome, late, now_ns, now_ns, others_healthy))
+        health.record(AttemptResult(outcome, all_late, now_ns, now_ns, others_healthy))
     return health
 
 
@@ -39,24 +39,24 @@
 def test_failures_of_one_kind_in_a_row_eject(outcome: Outcome, count: int) -> None:
     # A dead process refuses connections, and a hanging one answers nothing: each causes consecutive failures
     # of one kind. One failure fewer may be chance, and the endpoint stays in use.
-    assert not after(*[outcome] * (count - 1)).ejected
-    assert after(*[outcome] * count).ejected
+    assert not health_after(*[outcome] * (count - 1)).ejected
+    assert health_after(*[outcome] * count).ejected
 
 
 @pytest.mark.parametrize(("outcome", "count"), FAILURES_IN_A_ROW[:3])
 def test_a_good_answer_in_between_starts_the_count_again(outcome: Outcome, count: int) -> None:
-    assert not after(*[outcome] * (count - 1), Outcome.OK, *[outcome] * (count - 1)).ejected
+    assert not health_after(*[outcome] * (count - 1), Outcome.OK, *[outcome] * (count - 1)).ejected
 
 
 def test_failed_connection_keeps_the_count_of_resets() -> None:
     # A reset is often followed by a connection that is not established; the count of resets goes on.
     resets = [Outcome.RESET] * (MAX_CONSECUTIVE_RESETS - 1)
-    assert after(*resets, Outcome.CONNECT_FAILED, Outcome.RESET).ejected
+    assert health_after(*resets, Outcome.CONNECT_FAILED, Outcome.RESET).ejected
 
 
 def test_timeouts_do_not_eject_while_other_endpoints_are_overloaded() -> None:
     # In an overload answers are missing everywhere; ejecting endpoints for it would leave none.
-    assert not after(*[Outcome.TIMEOUT] * 10, others_healthy=False).ejected
+    assert not health_after(*[Outcome.TIMEOUT] * 10, others_healthy=False).ejected
 
 
 def test_timeouts_do_not_eject_an_endpoint_that_answers_others_meanwhile() -> None:
@@ -86,7 +86,7 @@
 
 
 def test_failed_trial_ejects_again_and_a_good_answer_ends_the_ejection() -> None:
-    health = after(*[Outcome.CONNECT_FAILED] * MAX_CONSECUTIVE_CONNECT_FAILURES)
+    health = health_after(*[Outcome.CONNECT_FAILED] * MAX_CONSECUTIVE_CONNECT_FAILURES)
     health.record(AttemptResult(Outcome.RESET, False, 30 * S, 30 * S))
     assert health.ejected
     assert health.probability(30 * S) == EJECTED_PROBABILITY
@@ -96,7 +96,7 @@
 
 
 def test_late_answers_lower_the_admission_probability_and_do_not_eject() -> None:
-    health = after(*[Outcome.OK] * 50, late=True)
+    health = health_after(*[Outcome.OK] * 50, all_late=True)
     assert not health.ejected
     assert health.probability(S + 50 * MS) == MIN_ADMISSION_PROBABILITY
     assert health.failure_fraction > 0.7
@@ -104,6 +104,6 @@
 
 def test_one_broken_connection_changes_nothing() -> None:
     for outcome in (Outcome.CONNECT_FAILED, Outcome.RESET):
-        health = after(outcome)
+        health = health_after(outcome)
         assert health.probability(S + MS) == 1.0
         assert health.failure_fraction == 0.0
--- a/tests/policy/test_endpoint_subscription.py
+++ b/tests/policy/test_endpoint_subscription.py
@@ -14,8 +14,10 @@
 
 def test_subscribes_at_the_start_and_after_failures_with_backoff() -> None:
     router = started(settings(subscription_required=True, poll_within_ns=8 * S), fleet(2), seed=3)
-    fresh = started(settings(subscription_required=True), ())
-    (timer,) = fresh.handle(EndpointsChanged(UpdateKind.FAILED), 0) or [SetTimer(0, "subscribe")]
+    router_without_endpoints = started(settings(subscription_required=True), ())
+    (timer,) = router_without_endpoints.handle(EndpointsChanged(UpdateKind.FAILED), 0) or [
+        SetTimer(0, "subscribe")
+    ]
     assert isinstance(timer, SetTimer)
     delays = []
     for _ in range(6):
--- a/tests/policy/test_large_fleet.py
+++ b/tests/policy/test_large_fleet.py
@@ -79,11 +79,11 @@
 
 
 def test_admission_probability_falls_with_the_reported_response_time() -> None:
-    def probability_after(wait_ms: float, after: int) -> float:
+    def probability_after(wait_ms: float, report_age_ns: int) -> float:
         router = started(settings(**REPORTS), fleet(1))
         name = fleet(1)[0].id
         serve(router, "first", "k", 0, {name: (wait_ms, 0.0)})
-        return router._caches.endpoints[name].admission_probability(20 * MS + after)
+        return router._caches.endpoints[name].admission_probability(20 * MS + report_age_ns)
 
     assert probability_after(200.0, 0) == 1.0  # within the latency objective of 300 ms
     assert probability_after(480.0, 0) == pytest.approx(0.5)
@@ -91,18 +91,20 @@
     assert probability_after(960.0, 3 * S) == 1.0  # an old report has no effect
 
 
-@pytest.mark.parametrize(("left", "after", "goes"), [(0.5, 0, False), (0.7, 0, True), (0.5, S, True)])
+@pytest.mark.parametrize(
+    ("time_left_s", "report_age_ns", "is_sent"), [(0.5, 0, False), (0.7, 0, True), (0.5, S, True)]
+)
 def test_request_is_rejected_at_once_if_the_reported_response_time_exceeds_its_time_left(
-    left: float, after: int, goes: bool
+    time_left_s: float, report_age_ns: int, is_sent: bool
 ) -> None:
     # Scenario join+mass: 200 routers sent 5,000 requests in 2 s whose time left was too short for an answer.
     router = started(settings(**REPORTS), fleet(1))
     serve(router, "first", "k", 0, {fleet(1)[0].id: (150.0, 12.0)})  # 600 ms
     router._caches.endpoints[fleet(1)[0].id].reported.set_limit(float("inf"))
-    now = 20 * MS + after
-    actions = router.handle(request("r", now, tenant=None, deadline_ns=now + int(left * S)), now)
-    assert bool(sends(actions)) is goes
-    assert bool(finals(actions)) is not goes
+    now = 20 * MS + report_age_ns
+    actions = router.handle(request("r", now, tenant=None, deadline_ns=now + int(time_left_s * S)), now)
+    assert bool(sends(actions)) is is_sent
+    assert bool(finals(actions)) is not is_sent
 
 
 def test_endpoint_that_closed_its_idle_connections_is_ejected_by_one_refused_connection() -> None:
@@ -118,26 +120,30 @@
 
 
 def test_a_hot_slot_has_more_owners_only_while_its_owners_are_overloaded() -> None:
-    # Scenario join+vast: nine of 60 endpoints, each an owner of a hot slot, had two thirds of the late hits.
+    # Scenario join+vast: nine of 60 endpoints, each an owner of a hot slot, had two thirds of the cache hits
+    # that came late.
     router = started(settings(**REPORTS), fleet(24))
     for i in range(320):
         serve(router, f"r{i}", "hot" if i % 32 == 0 else f"k{i}", i * S // 60, {})
     send = only_send(router.handle(request("one", 6 * S, tenant=None, key="hot"), 6 * S))
-    one = router._requests["one"]
+    hot_request = router._requests["one"]
     router.handle(ended(send, Outcome.OK), 6 * S)
 
     def owners() -> set[TrackedEndpoint]:
-        return {router._selector.candidates(one.slot, one.slot_popularity, 6 * S)[0] for _ in range(300)}
-
-    usual = owners()
-    assert 2 <= len(usual) <= 6
-    for endpoint in usual:
+        return {
+            router._selector.candidates(hot_request.slot, hot_request.slot_popularity, 6 * S)[0]
+            for _ in range(300)
+        }
+
+    usual_owners = owners()
+    assert 2 <= len(usual_owners) <= 6
+    for endpoint in usual_owners:
         endpoint.reported.latest_ns = 200.0 * MS
-    assert usual < owners()
-    assert len(owners()) <= 2 * len(usual)
-    for endpoint in usual:
+    assert usual_owners < owners()
+    assert len(owners()) <= 2 * len(usual_owners)
+    for endpoint in usual_owners:
         endpoint.reported.latest_ns = 100.0 * MS  # not above half the latency objective
-    assert owners() == usual
+    assert owners() == usual_owners
 
 
 def test_load_reports_without_known_fields_change_nothing() -> None:
--- a/tests/policy/test_limit_shares.py
+++ b/tests/policy/test_limit_shares.py
@@ -76,7 +76,9 @@
     assert alone
     assert len(sending_workers) == 1
     assert together <= alone + 2
-    assert len(uncoordinated_workers) > 1  # each with a bound of its own, by its own part of the requests
+    assert (
+        len(uncoordinated_workers) > 1
+    )  # without coordination each has its own bound, by its part of the requests
     assert uncoordinated <= alone + 2
 
 
@@ -96,9 +98,9 @@
                 count += sum(server == ORIGIN.id for _, server in workers.sent)
         return count
 
-    whole = 60 * 10  # of tenant a's 60 a second, in 10 s
-    assert fetches(coordinated=True) <= whole * 1.2
-    assert fetches(coordinated=False) > whole * 2
+    full_limit = 60 * 10  # of tenant a's 60 a second, in 10 s
+    assert fetches(coordinated=True) <= full_limit * 1.2
+    assert fetches(coordinated=False) > full_limit * 2
 
 
 def test_a_new_limit_share_keeps_the_proportion_of_a_cut() -> None:
--- a/tests/policy/test_origin_limiter.py
+++ b/tests/policy/test_origin_limiter.py
@@ -1,4 +1,7 @@
-"""The source's three regimes, checked against values computed by hand, and the adaptive limit."""
+"""The origin limiter: the three regimes of its source, by values computed by hand, and the adaptive limit.
+
+The source is the Trypema documentation that `holdgw/policy/origin_limiter.py` names.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from tests.helpers import MS, S
 
 
-class Fixed(random.Random):
+class FixedRandom(random.Random):
     """A random number generator that always returns the same number."""
 
     def __init__(self, value: float) -> None:
@@ -23,7 +26,7 @@
 
 
 def limiter_of(limit: float = 10.0, window_s: float = 60.0, draw: float = 0.5) -> OriginLimiter:
-    limiter = OriginLimiter(Tenant("t", 1.0, limit), 1, Fixed(draw))
+    limiter = OriginLimiter(Tenant("t", 1.0, limit), 1, FixedRandom(draw))
     limiter.window_s = window_s
     return limiter
 
--- a/tests/policy/test_retry_policy.py
+++ b/tests/policy/test_retry_policy.py
@@ -110,9 +110,9 @@
     assert [limiter.rate_limit for limiter in router._origin_limiters.values()] == initial_limits
 
 
-@pytest.mark.parametrize(("then", "least", "most"), [(Outcome.ERROR, 3, 6), (Outcome.OK, 40, 40)])
+@pytest.mark.parametrize(("retry_outcome", "least", "most"), [(Outcome.ERROR, 3, 6), (Outcome.OK, 40, 40)])
 def test_missing_answer_is_retried_by_attempt_timeout_within_the_retry_budget(
-    then: Outcome, least: int, most: int
+    retry_outcome: Outcome, least: int, most: int
 ) -> None:
     # A connection stalls although its endpoint is healthy, and the request would wait until its deadline. The
     # policy retries after the attempt timeout, and the retry budget keeps this rare unless prompt answers
@@ -128,7 +128,7 @@
             second = only_send(router.handle(late, send.timeout_ns))
             assert (second.endpoint_id, second.timeout_ns) == (send.endpoint_id, 0)
             assert router._caches.endpoints[send.endpoint_id].admission_probability(0) == 1.0
-            router.handle(ended(second, then, 1, closed=True), send.timeout_ns)
+            router.handle(ended(second, retry_outcome, 1, closed=True), send.timeout_ns)
             retries += 1
     assert least <= retries <= most  # prompt answers prove that the first ones were lost
 
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,8 @@
-"""The policy's four rules, checked on random sequences of events."""
+"""The policy's rules, checked on random sequences of events.
+
+Each request gets one final answer in time, attempts go to ready endpoints only, no request takes effect
+twice, and a cold endpoint is not overloaded.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +43,7 @@
 
 @dataclass
 class OpenRequest:
-    """A request as the driver sees it."""
+    """A request of the driver: its attempts, those that may have run, and the time of its final answer."""
 
     event: RequestArrived
     sends: list[tuple[int, str]] = field(default_factory=list)
@@ -55,7 +59,7 @@
         self.config, self.rng = config, random.Random(seed)
         self.router = RoutingPolicy(config, seed)
         self.queue: list[tuple[int, int, Event]] = []
-        self.order = 0
+        self.last_sequence_number = 0
         self.open_requests: dict[str, OpenRequest] = {}
         self.endpoints = {f"s{i}": Endpoint(f"s{i}", zone=f"z{i % 2}", cell=i % 3) for i in range(5)}
         if config.origin_kind is not None:
@@ -63,8 +67,8 @@
         self.log: list[Action] = []
 
     def schedule(self, at: int, event: Event) -> None:
-        self.order += 1
-        heapq.heappush(self.queue, (at, self.order, event))
+        self.last_sequence_number += 1
+        heapq.heappush(self.queue, (at, self.last_sequence_number, event))
 
     def run(self, requests: int) -> None:
         self.schedule(0, EndpointsChanged(UpdateKind.CACHED, tuple(self.endpoints.values())))
@@ -87,7 +91,7 @@
         while self.queue:
             now, _, event = heapq.heappop(self.queue)
             self.deliver(event, now)
-        unanswered = [name for name, record in self.open_requests.items() if record.ended_at is None]
+        unanswered = [name for name, request in self.open_requests.items() if request.ended_at is None]
         assert not unanswered
         assert self.router.table_sizes()[:2] == (0, 0)
 
@@ -95,28 +99,30 @@
         if isinstance(event, RequestArrived):
             self.open_requests[event.request_id] = OpenRequest(event)
         elif isinstance(event, RequestCancelled):
-            record = self.open_requests[event.request_id]
-            record.ended_at = now if record.ended_at is None else record.ended_at
+            request = self.open_requests[event.request_id]
+            request.ended_at = now if request.ended_at is None else request.ended_at
         elif isinstance(event, AttemptEnded):
-            record = self.open_requests[event.request_id]
-            record.in_flight = False
-            if event.outcome is Outcome.OK and record.ended_at is None:
-                record.ended_at = now
+            request = self.open_requests[event.request_id]
+            request.in_flight = False
+            if event.outcome is Outcome.OK and request.ended_at is None:
+                request.ended_at = now
             event = AttemptEnded(
                 event.request_id,
                 event.attempt,
                 event.endpoint_id,
                 event.outcome,
-                record.ended_at is not None,
+                request.ended_at is not None,
                 event.latency_ns,
             )
             if not event.outcome.has_no_effect:
-                record.may_have_run.append(record.sends[event.attempt])
+                request.may_have_run.append(request.sends[event.attempt])
         elif isinstance(event, EndpointsChanged) and event.kind is UpdateKind.DELTA:
             endpoint_id = self.rng.choice(list(self.endpoints))
             old = self.endpoints[endpoint_id]
-            state = self.rng.choice(list(EndpointState))
-            self.endpoints[endpoint_id] = Endpoint(endpoint_id, old.kind, state, 1.0, now, old.zone, old.cell)
+            new_state = self.rng.choice(list(EndpointState))
+            self.endpoints[endpoint_id] = Endpoint(
+                endpoint_id, old.kind, new_state, 1.0, now, old.zone, old.cell
+            )
             event = EndpointsChanged(UpdateKind.DELTA, (self.endpoints[endpoint_id],))
         for action in self.router.handle(event, now):
             self.log.append(action)
@@ -126,14 +132,16 @@
         if isinstance(action, SetTimer):
             self.schedule(now + max(action.delay_ns, 0) + 1, TimerFired(action.token))
         elif isinstance(action, Reject | Fail):
-            record = self.open_requests[action.request_id]
-            assert record.ended_at is None, "a second final answer"
-            assert now <= max(record.event.deadline_ns, record.sends[0][0] if record.sends else now) + 20 * MS
-            record.ended_at = now
-            request_class = CLASSES[record.event.request_class]
+            request = self.open_requests[action.request_id]
+            assert request.ended_at is None, "a second final answer"
+            assert (
+                now <= max(request.event.deadline_ns, request.sends[0][0] if request.sends else now) + 20 * MS
+            )
+            request.ended_at = now
+            request_class = CLASSES[request.event.request_class]
             if (
                 isinstance(action, Reject)
-                and record.may_have_run
+                and request.may_have_run
                 and request_class.idempotency is not Idempotency.IDEMPOTENT
             ):
                 assert request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
@@ -142,24 +150,24 @@
             self.check_send(action, now)
 
     def check_send(self, action: SendAttempt, now: int) -> None:
-        record = self.open_requests[action.request_id]
-        request_class = CLASSES[record.event.request_class]
-        assert record.ended_at is None, "an attempt after the final answer"
-        assert not record.in_flight, "two attempts at once"
-        assert len(record.sends) < self.config.max_attempts
+        request = self.open_requests[action.request_id]
+        request_class = CLASSES[request.event.request_class]
+        assert request.ended_at is None, "an attempt after the final answer"
+        assert not request.in_flight, "two attempts at once"
+        assert len(request.sends) < self.config.max_attempts
         assert self.endpoints[action.endpoint_id].state is EndpointState.READY, (
             "an attempt at an endpoint that is not ready"
         )
-        if record.may_have_run and request_class.idempotency is not Idempotency.IDEMPOTENT:
-            first_at, first_endpoint = record.may_have_run[0]
+        if request.may_have_run and request_class.idempotency is not Idempotency.IDEMPOTENT:
+            first_at, first_endpoint = request.may_have_run[0]
             assert request_class.idempotency is Idempotency.IDEMPOTENCY_KEY
             assert now - first_at < request_class.dedup_window_ns
             if request_class.dedup_scope is DedupScope.ZONE:
                 assert self.endpoints[first_endpoint].zone == self.endpoints[action.endpoint_id].zone
-        record.in_flight = True
-        attempt = len(record.sends)
-        record.sends.append((now, action.endpoint_id))
-        time_to_deadline = record.event.deadline_ns - now
+        request.in_flight = True
+        attempt = len(request.sends)
+        request.sends.append((now, action.endpoint_id))
+        time_to_deadline = request.event.deadline_ns - now
         time_left = min(action.timeout_ns or time_to_deadline, time_to_deadline)
         duration = int(self.rng.expovariate(1.0) * 150) * MS
         outcome = Outcome.OK if self.rng.random() < 0.5 else self.rng.choice(FAILURES)
--- a/tests/policy/test_slot_rebalancing.py
+++ b/tests/policy/test_slot_rebalancing.py
@@ -61,7 +61,7 @@
         for slot, first in RANKINGS.items()
     }
     total = sum(count.values())
-    return {slot: one / total for slot, one in count.items()}
+    return {slot: requests / total for slot, requests in count.items()}
 
 
 def rebalancer_after(
@@ -71,12 +71,12 @@
     rebalancer: SlotRebalancer | None = None,
     start_s: float = 0.0,
 ) -> SlotRebalancer:
-    found = rebalancer or SlotRebalancer()
+    sampled_rebalancer = rebalancer or SlotRebalancer()
     for i in range(1, int(seconds * 10 / 3) + 1):
         now = int((start_s + i * 0.3) * S)
-        found.add_sample(fractions(noise and noise * 1000 + i) if samples else {}, samples, now)
-        found.plan(lambda slot, _: (RANKINGS[slot], 1), lambda _: True, ENDPOINTS, set(), now)
-    return found
+        sampled_rebalancer.add_sample(fractions(noise and noise * 1000 + i) if samples else {}, samples, now)
+        sampled_rebalancer.plan(lambda slot, _: (RANKINGS[slot], 1), lambda _: True, ENDPOINTS, set(), now)
+    return sampled_rebalancer
 
 
 def placement(rebalancer: SlotRebalancer) -> dict[int, int]:
@@ -84,11 +84,11 @@
 
 
 def loads(rebalancer: SlotRebalancer) -> dict[int, float]:
-    found: Counter[int] = Counter()
+    load_by_seed: Counter[int] = Counter()
     share = fractions()
     for slot, seed in placement(rebalancer).items():
-        found[seed] += share[slot] * len(ENDPOINTS)  # type: ignore[assignment]
-    return dict(found)
+        load_by_seed[seed] += share[slot] * len(ENDPOINTS)  # type: ignore[assignment]
+    return dict(load_by_seed)
 
 
 def test_excess_load_of_a_donor_migrates_to_receivers() -> None:
@@ -117,11 +117,11 @@
 
 
 def test_routers_with_different_samples_place_slots_alike() -> None:
-    one, other = (
+    first, second = (
         placement(rebalancer_after(90.0, noise=1, samples=300.0)),
         placement(rebalancer_after(90.0, noise=2, samples=300.0)),
     )
-    assert sum(one[slot] == other[slot] for slot in RANKINGS) > 0.97 * len(RANKINGS)
+    assert sum(first[slot] == second[slot] for slot in RANKINGS) > 0.97 * len(RANKINGS)
 
 
 def test_few_samples_cause_almost_no_migration() -> None:
@@ -144,7 +144,7 @@
     rebalancer = SlotRebalancer()
     popular = next(slot for slot in RANKINGS if RANKINGS[slot][0] is DONOR)
     share = fractions()
-    share = {slot: one * 0.99 for slot, one in share.items()} | {popular: share[popular] + 0.01}
+    share = {slot: fraction * 0.99 for slot, fraction in share.items()} | {popular: share[popular] + 0.01}
     for i in range(1, 300):
         rebalancer.add_sample(share, 2000.0, i * 3 * S // 10)
         rebalancer.plan(
@@ -234,7 +234,7 @@
     donor = servers[4].id
     share = {slot: 4.0 if endpoint[0].entry.id == donor else 1.0 for slot, endpoint in ranks.items()}
     total = sum(share.values())
-    share = {slot: one / total for slot, one in share.items()}
+    share = {slot: demand / total for slot, demand in share.items()}
     for i in range(1, 100):
         router.handle(LoadSnapshotChanged({donor: (100.0 * MS, 0)}, share, 1000.0), i * 3 * S // 10)
     assert router._selector.rebalancer.metrics()["giving"] >= 1
--- a/tests/policy/test_slot_table.py
+++ b/tests/policy/test_slot_table.py
@@ -63,12 +63,11 @@
     table.update([Endpoint("10.9.9.9:80")], [fleet(12)[3].id])
     fresh = table_of((*fleet(12)[:3], *fleet(12)[4:], Endpoint("10.9.9.9:80")))
     for slot in range(300):
-        remembered = [endpoint.entry.id for endpoint in table.rank(slot, 0)]
+        cached = [endpoint.entry.id for endpoint in table.rank(slot, 0)]
         assert (
-            remembered[:RANKING_DEPTH]
-            == [endpoint.entry.id for endpoint in fresh.rank(slot, 0)][:RANKING_DEPTH]
+            cached[:RANKING_DEPTH] == [endpoint.entry.id for endpoint in fresh.rank(slot, 0)][:RANKING_DEPTH]
         )
-        assert len(remembered) >= RANKING_DEPTH
+        assert len(cached) >= RANKING_DEPTH
 
 
 def test_warm_up_ramp_starts_at_the_initial_weight_and_rises_monotonically() -> None:
@@ -83,7 +82,9 @@
     assert 0.08 < len(owned[-1]) / 2000 < 0.12
     warm = first_ranked(table_of(fleet(9)))
     at_start = first_ranked(table, 100 * S)
-    assert all(h == w for h, w in zip(at_start, warm, strict=True) if h != cold.id)
+    assert all(
+        owner == warm_owner for owner, warm_owner in zip(at_start, warm, strict=True) if owner != cold.id
+    )
 
 
 def test_fleet_that_warms_up_together_keeps_its_placement() -> None:
--- a/tests/policy/test_spread.py
+++ b/tests/policy/test_spread.py
@@ -105,9 +105,9 @@
 
 def test_observations_are_returned_once_and_bounded() -> None:
     router = started(settings(**GOSSIP_SETTINGS), SERVERS)
-    seen = Counter(serve(router, f"r{i}", f"k{i % 3}", i * 30 * MS, {}) for i in range(9))
+    requests_by_endpoint = Counter(serve(router, f"r{i}", f"k{i % 3}", i * 30 * MS, {}) for i in range(9))
     response_times, slot_requests = router.take_observations()
-    assert response_times.keys() == seen.keys()
+    assert response_times.keys() == requests_by_endpoint.keys()
     assert all(response_time > 0 for response_time, _ in response_times.values())
     assert slot_requests == {slot(f"k{i}"): 3 for i in range(3)}
     assert router.take_observations() == ({}, {})
@@ -128,8 +128,8 @@
     """Simulate 40 routers with 6 requests a second each and 20 endpoints, with and without gossip."""
     monkeypatch.setattr(
         slot_rebalancing, "MAX_MIGRATION_PER_S", 0.0
-    )  # migrating slots cost fetches; other tests check their benefit
-    text = """
+    )  # no slot migrates: that costs fetches, and other tests check the benefit of migration
+    scenario_toml = """
 name = "x"
 length_s = 7.0
 [load]
@@ -147,7 +147,7 @@
 """
     fetched = {"true": 0, "false": 0}
     for peers, seed in product(fetched, SPREAD_SEEDS):
-        outcome = play_seed(read_scenario(text.format(peers), "x"), seed)
+        outcome = play_seed(read_scenario(scenario_toml.format(peers), "x"), seed)
         assert not outcome.failed, (outcome.fault, outcome.broken[:3])
         assert outcome.played is not None
         history = outcome.played.history
