--- a/holdgw/policy/slow_start.py
+++ b/holdgw/policy/slow_start.py
@@ -78,9 +78,9 @@
     ) -> bool:
         """Whether an endpoint may be sent the request; `ranking`: all endpoints that may get it.
 
-        A burst, or a hot key whose slot falls to a new endpoint, overloads it at once, long before its
-        answers are late. If the load rises permanently while endpoints warm up, they take their part of the
-        increase some seconds later.
+        A burst, or a hot key whose slot moves to a new endpoint, overloads the endpoint at once, long before
+        its answers are late. If the load rises permanently while endpoints warm up, they take their part of
+        the increase some seconds later.
         """
         weight = self._endpoints.warm_up_weight(endpoint, now_ns)
         if weight >= 1.0:
--- a/tests/policy/test_slot_rebalancing.py
+++ b/tests/policy/test_slot_rebalancing.py
@@ -85,9 +85,9 @@
 
 def loads(rebalancer: SlotRebalancer) -> dict[int, float]:
     load_by_seed: Counter[int] = Counter()
-    share = fractions()
+    fraction_by_slot = fractions()
     for slot, seed in placement(rebalancer).items():
-        load_by_seed[seed] += share[slot] * len(ENDPOINTS)  # type: ignore[assignment]
+        load_by_seed[seed] += fraction_by_slot[slot] * len(ENDPOINTS)  # type: ignore[assignment]
     return dict(load_by_seed)
 
 
@@ -143,10 +143,12 @@
 def test_popular_slot_is_sticky_and_other_slots_migrate() -> None:
     rebalancer = SlotRebalancer()
     popular = next(slot for slot in RANKINGS if RANKINGS[slot][0] is DONOR)
-    share = fractions()
-    share = {slot: fraction * 0.99 for slot, fraction in share.items()} | {popular: share[popular] + 0.01}
+    fraction_by_slot = fractions()
+    fraction_by_slot = {slot: fraction * 0.99 for slot, fraction in fraction_by_slot.items()} | {
+        popular: fraction_by_slot[popular] + 0.01
+    }
     for i in range(1, 300):
-        rebalancer.add_sample(share, 2000.0, i * 3 * S // 10)
+        rebalancer.add_sample(fraction_by_slot, 2000.0, i * 3 * S // 10)
         rebalancer.plan(
             lambda slot, _: (RANKINGS[slot], 1), lambda _: True, ENDPOINTS, set(), i * 3 * S // 10
         )
@@ -232,11 +234,15 @@
     rng = random.Random(5)
     ranks = {slot: router._caches.rank(slot, 0) for slot in rng.sample(range(SLOTS), 1600)}
     donor = servers[4].id
-    share = {slot: 4.0 if endpoint[0].entry.id == donor else 1.0 for slot, endpoint in ranks.items()}
-    total = sum(share.values())
-    share = {slot: demand / total for slot, demand in share.items()}
+    fraction_by_slot = {
+        slot: 4.0 if endpoint[0].entry.id == donor else 1.0 for slot, endpoint in ranks.items()
+    }
+    total = sum(fraction_by_slot.values())
+    fraction_by_slot = {slot: demand / total for slot, demand in fraction_by_slot.items()}
     for i in range(1, 100):
-        router.handle(LoadSnapshotChanged({donor: (100.0 * MS, 0)}, share, 1000.0), i * 3 * S // 10)
+        router.handle(
+            LoadSnapshotChanged({donor: (100.0 * MS, 0)}, fraction_by_slot, 1000.0), i * 3 * S // 10
+        )
     assert router._selector.rebalancer.metrics()["giving"] >= 1
     migrated = [slot for slot in ranks if router._selector.rebalancer.receiver_rank(slot, ranks[slot])]
     assert migrated
