--- a/holdgw/policy/slow_start.py
+++ b/holdgw/policy/slow_start.py
@@ -45,8 +45,8 @@
         self._counted_at_ns = now_ns
         self.started_at_ns = now_ns - 2 * ANSWER_DECAY_NS
 
-    def per_endpoint_ns(self, endpoints: int, now_ns: int) -> float:
-        """Return the answers a nanosecond of one endpoint, if there are so many endpoints."""
+    def answers_per_endpoint_ns(self, endpoints: int, now_ns: int) -> float:
+        """Return the mean rate of one of so many endpoints, in answers a nanosecond."""
         elapsed_ns = min(self.started_at_ns - now_ns, -NS_PER_S)
         counted_fraction = -math.expm1(elapsed_ns / ANSWER_DECAY_NS)
         return self._answers / counted_fraction / ANSWER_DECAY_NS / endpoints
@@ -78,9 +78,9 @@
     ) -> bool:
         """Whether an endpoint may be sent the request; `ranking`: all endpoints that may get it.
 
-        A burst, or a hot key whose slot falls to a new endpoint, overloads it at once, long before its
-        answers are late. If the load rises permanently while endpoints warm up, they take their part of the
-        increase some seconds later.
+        A burst, or a hot key whose slot moves to a new endpoint, overloads the endpoint at once, long before
+        its answers are late. If the load rises permanently while endpoints warm up, they take their part of
+        the increase some seconds later.
         """
         weight = self._endpoints.warm_up_weight(endpoint, now_ns)
         if weight >= 1.0:
@@ -109,8 +109,10 @@
         same one, as each worker would otherwise spend it again.
         """
         workers = self._settings.workers
-        per_endpoint_ns = self.answer_rate.per_endpoint_ns(len(self._endpoints.endpoints), now_ns)
-        tokens_per_ns = per_endpoint_ns * capacity * workers
+        answers_per_endpoint_ns = self.answer_rate.answers_per_endpoint_ns(
+            len(self._endpoints.endpoints), now_ns
+        )
+        tokens_per_ns = answers_per_endpoint_ns * capacity * workers
         if endpoint.seed % workers != self._settings.worker_index:
             return False
         tokens = endpoint.warm_up_tokens
