--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -62,8 +62,8 @@
     "stall-not-handed-on": Mutant(
         "a worker hands connections over after a pause as if it had read all their data",
         "holdgw.router.client_connection",
-        "        handover = ClientHandover(buffered, self.has_sent_command, waited_s, unread_since)",
-        "        handover = ClientHandover(buffered, self.has_sent_command, waited_s)",
+        "        handover = ClientHandover(pending_bytes, self.has_sent_command, waited_s, unread_since)",
+        "        handover = ClientHandover(pending_bytes, self.has_sent_command, waited_s)",
         scenario="bench/scenarios/cores-storm.toml",
     ),
     "doubled-answer": Mutant(
