--- a/bench/figures.py
+++ b/bench/figures.py
@@ -34,7 +34,7 @@
     """Return variance over mean of a server's arrivals by 100 ms, with load reports delayed by 1 s."""
     fleet = _fleet(seed, delay=S)
     fleet.run(15.0)
-    return fleet.herd(5.0, 15.0)
+    return fleet.arrival_dispersion(5.0, 15.0)
 
 
 def lasting_loss(seed: int) -> float:
@@ -61,7 +61,7 @@
     def reported(one: SimulatedPolicy) -> None:
         nonlocal older_count
         report(one)
-        for name, node in one.router._caches.endpoints.items():
+        for name, node in one.policy._caches.endpoints.items():
             older_count += node.reported.at_ns < newest.get((one.number, name), 0)
             newest[one.number, name] = node.reported.at_ns
 
--- a/bench/herd.py
+++ b/bench/herd.py
@@ -156,11 +156,11 @@
                 cold_overload = max(cold_overload, arrivals_by_second[second] / capacity)
     late_requests = sum(count for at, count in fleet.late_by_second.items() if at >= fault_at_s)
     return {
-        "herd": fleet.herd(since, RUN_S),
+        "herd": fleet.arrival_dispersion(since, RUN_S),
         "busiest": busiest,
         "idlest": idlest,
         "late": late_requests / fleet.rate / (RUN_S - fault_at_s),
-        "misses": float(fleet.count["misses"]),
+        "misses": float(fleet.request_counts["misses"]),
         "cold": cold_overload,
     }
 
--- a/bench/hollow.py
+++ b/bench/hollow.py
@@ -319,7 +319,7 @@
         if client is None or client.in_fallback:
             return self.node.load_view.routers
         # A merged view counts every router that reported, this one among them.
-        return client.views.reporters(self._process.clock.ns()) - 1
+        return client.views.max_reporters(self._process.clock.ns()) - 1
 
     # Figures for the rig
 
--- a/holdgw/peers/aggregated_exchange.py
+++ b/holdgw/peers/aggregated_exchange.py
@@ -211,7 +211,7 @@
 
         The bound keeps a false view from claiming more.
         """
-        reporters = 0 if self.client is None else self.client.views.reporters(now)
+        reporters = 0 if self.client is None else self.client.views.max_reporters(now)
         return min(reporters, len(self._members.present()))
 
     def _median_age(self, now: int) -> int:
--- a/holdgw/peers/view_selection.py
+++ b/holdgw/peers/view_selection.py
@@ -127,7 +127,7 @@
         """Whether at least one view is fresh."""
         return any(view.is_fresh(now) for view in self._views.values())
 
-    def reporters(self, now: int) -> int:
+    def max_reporters(self, now: int) -> int:
         """Return the largest number of reporters behind a fresh view; 0 without a fresh view."""
         return max((view.reporters for view in self._views.values() if view.is_fresh(now)), default=0)
 
--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -219,7 +219,7 @@
     def coverage(self) -> dict[int, int]:
         """Return, by router, the number of reporters in its views."""
         return {
-            number: one.exchange.client.views.reporters(self.now)
+            number: one.exchange.client.views.max_reporters(self.now)
             for number, one in self.members.items()
             if one.exchange.client is not None
         }
--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -65,7 +65,7 @@
     """A router: its routing policy and, where it has peers, its load view."""
 
     number: int
-    router: RoutingPolicy
+    policy: RoutingPolicy
     load_view: LoadView
     frozen: list[Callable[[], None]] | None = None
     weight: float = 1.0
@@ -129,7 +129,7 @@
             str, tuple[SimulatedPolicy, str, int, int]
         ] = {}  # request: router, key, start time, attempt
         self._missed: dict[str, str] = {}  # request: the server of its cache miss
-        self.count: Counter[str] = Counter()
+        self.request_counts: Counter[str] = Counter()
         self.late_by_second: dict[int, int] = defaultdict(int)  # late, rejected or failed requests
         for one in self.routers:
             self._send_list(one, UpdateKind.FULL)
@@ -146,7 +146,7 @@
         def apply() -> None:
             entries = tuple(self.servers[name].entry for name in self.listed)
             one.load_view.set_servers(self.listed)
-            self._apply_actions(one, one.router.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now))
+            self._apply_actions(one, one.policy.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now))
 
         self._unless_frozen(one, apply)
 
@@ -198,14 +198,14 @@
                 break
         if not key:
             key = self._keys[bisect(self._popular, self.random.random() * self._popular[-1])]
-        self.count["asked"] += 1
+        self.request_counts["asked"] += 1
         begun = self.now
 
         def arrive() -> None:
             name = f"r{next(self._ids)}"
             self._open[name] = one, key, begun, 0
             event = RequestArrived(name, "read", self.now + DEADLINE_NS, key=key)
-            self._apply_actions(one, one.router.handle(event, self.now))
+            self._apply_actions(one, one.policy.handle(event, self.now))
 
         self._unless_frozen(one, arrive)
 
@@ -214,7 +214,7 @@
             if isinstance(action, SendAttempt):
                 self._send_attempt(one, action)
             elif hasattr(action, "request"):
-                self.count["refused" if isinstance(action, Reject) else "failed"] += 1
+                self.request_counts["refused" if isinstance(action, Reject) else "failed"] += 1
                 self.late_by_second[self.now // NS_PER_S] += 1
                 self._open.pop(action.request, None)
 
@@ -223,7 +223,7 @@
         self._open[send.request_id] = one, key, begun, attempt + 1
         server = self.servers.get(send.endpoint_id)
         if server is None:
-            self.count["fetches"] += 1
+            self.request_counts["fetches"] += 1
             self._end_attempt(one, send, self.now + FETCH_NS, Outcome.OK, None)
             return
         server.arrivals.append(self.now)
@@ -232,7 +232,7 @@
         server.ends.append(end)
         hit = key in server.keys
         if not hit:
-            self.count["misses"] += 1
+            self.request_counts["misses"] += 1
             self._missed[send.request_id] = send.endpoint_id
         self._end_attempt(one, send, end, Outcome.OK if hit else Outcome.MISS, server)
 
@@ -258,9 +258,9 @@
             request = self._open.get(send.request_id)
             if request is not None and request[3] == attempt and outcome is Outcome.OK:
                 self._open.pop(send.request_id)
-                self.count["served"] += 1
+                self.request_counts["served"] += 1
                 late = self.now - request[2] > AIM_NS
-                self.count["late"] += late
+                self.request_counts["late"] += late
                 self.late_by_second[self.now // NS_PER_S] += late
                 missed = self._missed.pop(send.request_id, "")
                 if server is None and missed in self.servers:
@@ -274,7 +274,7 @@
                 took,
                 load_report=load,
             )
-            self._apply_actions(one, one.router.handle(event, self.now))
+            self._apply_actions(one, one.policy.handle(event, self.now))
 
         self.at(end, receive_reply)
 
@@ -284,7 +284,7 @@
         self.at(self.now + REPORT_NS, lambda: self._report(one))
         if not self.peers or one.frozen is not None:
             return
-        waits, slot_requests = one.router.take_observations()
+        waits, slot_requests = one.policy.take_observations()
         sampled = {server: SampledResponseTime(wait, at) for server, (wait, at) in waits.items()}
         one.load_view.record(Observations(sampled, slot_requests))
         report = self.falsify(one, one.load_view.report(self.now))
@@ -296,7 +296,7 @@
         event = LoadSnapshotChanged(
             view.response_times, dict(view.slot_shares), view.requests, view.own_requests
         )
-        self._apply_actions(one, one.router.handle(event, self.now))
+        self._apply_actions(one, one.policy.handle(event, self.now))
 
     def _receive(self, one: SimulatedPolicy, report: LoadReport) -> None:
         self._unless_frozen(one, lambda: one.load_view.receive(report, self.now))
@@ -312,7 +312,7 @@
         mean = sum(found) / len(found)
         return max(found) / mean, min(found) / mean
 
-    def herd(self, since_s: float, until_s: float, window: int = 100_000_000) -> float:
+    def arrival_dispersion(self, since_s: float, until_s: float, window: int = 100_000_000) -> float:
         """Return the mean over servers of the index of dispersion of arrivals per window (Poisson: 1)."""
         found = []
         first, last = int(since_s * NS_PER_S) // window, int(until_s * NS_PER_S) // window
--- a/tests/peers/test_view_selection.py
+++ b/tests/peers/test_view_selection.py
@@ -128,7 +128,7 @@
     assert found.response_times.keys() == {"cache-1"}
     assert selection.has_fresh(VIEW_MAX_AGE - 1)
     assert selection.snapshot((90,), NAMES, NO_OWN_LOAD, VIEW_MAX_AGE) is None
-    assert selection.reporters(VIEW_MAX_AGE) == 0
+    assert selection.max_reporters(VIEW_MAX_AGE) == 0
 
 
 def test_the_part_before_a_lost_part_is_used_until_it_is_too_old() -> None:
