--- a/bench/mutants.py
+++ b/bench/mutants.py
@@ -349,7 +349,7 @@
         "an aggregator counts both a reporter's own report and its forwarded copies",
         "holdgw.peers.report_table",
         "            if sources:\n"
-        "                source = self._best_source(reporter, sources, preferred)\n"
+        "                source = self._best_source(reporter, sources, preferred_after)\n"
         "                register = sources[source]\n",
         "            for source, register in sources.items():\n",
         figure="counted-twice",
--- a/holdgw/peers/aggregated_exchange.py
+++ b/holdgw/peers/aggregated_exchange.py
@@ -94,7 +94,7 @@
         """Merge reports where that is due; to be called once per tick interval."""
         self.guard.tick(now)
         if self.aggregator is not None and self.aggregator.tick(now) and self.client is not None:
-            self.client.receive_own(self.aggregator.own_view(now), now)
+            self.client.receive_own_view(self.aggregator.own_view(now), now)
 
     def report(self, now: int) -> list[OutgoingDatagram]:
         """Return the datagrams of this router's report; to be called once per REPORT_INTERVAL_S.
@@ -198,8 +198,8 @@
     def view_counts(self, now: int) -> dict[str, int]:
         """Return the size of the snapshot: routers and requests behind it, and servers that it covers."""
         snapshot = self.snapshot(now)
-        viewed = 0 if self.client is None or self.client.in_fallback else self._reporters(now)
-        routers = viewed or self._load_view.routers
+        viewed_routers = 0 if self.client is None or self.client.in_fallback else self._reporters(now)
+        routers = viewed_routers or self._load_view.routers
         return {
             "routers": routers,
             "requests": int(snapshot.requests),
--- a/holdgw/peers/aggregation_client.py
+++ b/holdgw/peers/aggregation_client.py
@@ -85,7 +85,7 @@
             return ViewResult.UNEXPECTED
         return self._take(view, now)
 
-    def receive_own(self, parts: Sequence[ViewPart], now: int) -> None:
+    def receive_own_view(self, parts: Sequence[ViewPart], now: int) -> None:
         """Accept the view of the aggregator in this process."""
         for view in parts:
             self._take(view, now)
--- a/holdgw/peers/aggregator.py
+++ b/holdgw/peers/aggregator.py
@@ -99,7 +99,7 @@
         return True
 
     def merged(self, now: int) -> MergedLoad:
-        """Merge the reports that count now."""
+        """Merge the reports that the table selects now, one of each reporter."""
         return merge(self.table.fresh(now))
 
     def _view_age(self, now: int) -> int | None:
--- a/holdgw/peers/datagram.py
+++ b/holdgw/peers/datagram.py
@@ -39,7 +39,7 @@
     """Asks the receiver to ping `target` on behalf of the sender (SWIM's ping-req)."""
     PING_REQUEST_ACK = 4
     """Acknowledges a PING_REQUEST at once, before the target has answered, which shows that the path between
-    requester and proxy works. A missing one has the meaning of a missing nack in Lifeguard.
+    requester and proxy works. Its absence means the same as a missing nack in Lifeguard.
     """
     UPDATES = 5
     """Carries member updates only, and is not answered."""
@@ -120,8 +120,8 @@
         raise DecodeError(DropReason.LENGTH)
     try:
         return tuple(
-            MemberUpdate(number, MemberState(state), since, where)
-            for number, state, since, where in _UPDATE.iter_unpack(data)
+            MemberUpdate(number, MemberState(state), incarnation, zone)
+            for number, state, incarnation, zone in _UPDATE.iter_unpack(data)
             if number < members  # the sender's list of peers may be longer than this router's
         )
     except ValueError:
--- a/holdgw/peers/load_merge.py
+++ b/holdgw/peers/load_merge.py
@@ -202,10 +202,10 @@
 def _weighted_median(values: list[tuple[int, float]]) -> int:
     """Return the first value at which the sum of weights reaches half; `values`: sorted (value, weight)."""
     half = sum(weight for _, weight in values) / 2
-    passed = 0.0
+    cumulative_weight = 0.0
     for value, weight in values:
-        passed += weight
-        if passed >= half * (1.0 - WEIGHT_TOLERANCE):
+        cumulative_weight += weight
+        if cumulative_weight >= half * (1.0 - WEIGHT_TOLERANCE):
             return value
     return values[-1][0]
 
--- a/holdgw/peers/load_report.py
+++ b/holdgw/peers/load_report.py
@@ -69,8 +69,8 @@
     requests = min(report.requests, MAX_COUNT)
     header = _HEADER.pack(VERSION, KIND, report.sender, report.boot_id, requests, *counts)
     demands = b"".join(_TENANT.pack(index, min(rate, MAX_COUNT)) for index, rate in report.demands.items())
-    lists = encode_samples(report.samples) + encode_slot_counts(report.slots.items()) + demands
-    data = append_checksum(header + lists)
+    body = encode_samples(report.samples) + encode_slot_counts(report.slots.items()) + demands
+    data = append_checksum(header + body)
     assert len(data) <= MAX_BYTES
     return data
 
--- a/holdgw/peers/load_view.py
+++ b/holdgw/peers/load_view.py
@@ -22,7 +22,7 @@
 MAX_SAMPLE_AGE = 5 * NS_PER_S  # older samples are ignored
 MAX_COUNT_AGE = 10 * NS_PER_S  # older counts of a router's requests are ignored
 MAX_ROUTER_SHARE = 0.3  # largest fraction of all reported requests that one router's report counts for
-MIN_OTHER_REQUESTS = 50.0  # smallest number of others' requests that this bound is derived from
+MIN_OTHER_REQUESTS = 50.0  # MAX_ROUTER_SHARE assumes at least this many requests of the other routers
 MAX_OWN_SAMPLE_AGE = 3 * NS_PER_S  # older own samples are not reported
 
 
@@ -98,11 +98,11 @@
         for response_time, age in samples
     ]
     weighted.sort()
-    half, passed = sum([weight for _, weight, _ in weighted]) / 2, 0.0
+    half, cumulative_weight = sum([weight for _, weight, _ in weighted]) / 2, 0.0
     median = weighted[-1][0]
     for response_time, weight, _ in weighted:
-        passed += weight
-        if passed >= half:
+        cumulative_weight += weight
+        if cumulative_weight >= half:
             median = response_time
             break
     age = sum([weight * age for _, weight, age in weighted]) / (2 * half)
--- a/holdgw/peers/member_update.py
+++ b/holdgw/peers/member_update.py
@@ -43,8 +43,8 @@
     REPLAYED = "replayed"
     """A duplicate of a load report or view received before, or one older than that."""
     UNEXPECTED = "unexpected"
-    """A view from an aggregator that this router sent no report to, or a report to a member that is no
-    aggregator."""
+    """A view from an aggregator to which this router has sent no report lately, a report to a member that is
+    no aggregator, or a report that such a member forwarded."""
 
 
 class DecodeError(Exception):
--- a/holdgw/peers/membership.py
+++ b/holdgw/peers/membership.py
@@ -116,7 +116,10 @@
     # Time
 
     def tick(self, now: int) -> list[OutgoingMessage]:
-        """Do what is due, and return the messages to send; the caller ticks about ten times a second."""
+        """Run the probes, suspicions and updates that are due, and return the messages to send.
+
+        The caller ticks about ten times a second.
+        """
         self._check_lateness(now)
         self._budget.refill(now)
         if self.has_left:
--- a/holdgw/peers/report_table.py
+++ b/holdgw/peers/report_table.py
@@ -4,7 +4,7 @@
 (Shapiro, Preguica, Baquero and Zawirski, 2011). A report that is received again, late, or through several
 aggregators changes nothing, and aggregators that exchange reports in any order arrive at the same table. The
 source is the reporter itself, or the aggregator that forwarded the report. A false forwarded report therefore
-replaces no report from another source. One report of each reporter counts.
+replaces no report from another source. One report of each reporter is selected for the merge.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from holdgw.peers.sequenced_report import SequencedReport
 from holdgw.peers.timing import NS_PER_S
 
-REPORT_MAX_AGE = 3 * NS_PER_S  # time since its receipt after which a report no longer counts
+REPORT_MAX_AGE = 3 * NS_PER_S  # time since its receipt after which a report is no longer merged
 DIRECT_PREFERRED = int(1.1 * NS_PER_S)  # up to this age a direct report is preferred to forwarded ones
 """More than half of the 2 s between two reports of a router to the same aggregator. The reports that one
 aggregator forwards can thus replace under half of another's direct reports, where these are spread over time.
@@ -26,7 +26,7 @@
 
 
 class ReceivedReport(NamedTuple):
-    """A report that counts, the member that it came from, and the time since its receipt, ns."""
+    """A report selected for the merge, the member that it came from, and the time since its receipt, ns."""
 
     report: LoadReport
     source: int
@@ -39,7 +39,7 @@
 
 
 class _Register:
-    """The latest report of one reporter from one source; it is dropped when it no longer counts."""
+    """The latest report of one reporter from one source; the report is dropped at REPORT_MAX_AGE."""
 
     __slots__ = ("gate", "received_at", "report")
 
@@ -50,10 +50,10 @@
 
 
 class ReportTable:
-    """The latest reports of all reporters, and the choice of the one that counts.
+    """The latest reports of all reporters, and the selection of one per reporter for the merge.
 
-    Its size is bounded by the number of members times the number of sources that the owner accepts, which are
-    the reporter itself and the aggregators.
+    Its size is bounded by the number of members times the number of sources that the aggregator accepts,
+    which are the reporter itself and the other aggregators.
     """
 
     def __init__(self, aggregators_of: Callable[[int], Collection[int]]) -> None:
@@ -72,19 +72,19 @@
         return True
 
     def fresh(self, now: int) -> list[ReceivedReport]:
-        """Return the report of each reporter that counts, where one is younger than REPORT_MAX_AGE."""
+        """Return the selected report of each reporter that has a report younger than REPORT_MAX_AGE."""
         fresh = {reporter: self._fresh_sources(reporter, now) for reporter in self._registers}
-        preferred = _direct_preferred(
+        preferred_after = _direct_preferred_after(
             [sources[reporter].received_at for reporter, sources in fresh.items() if reporter in sources], now
         )
-        counting = []
+        selected = []
         for reporter, sources in fresh.items():
             if sources:
-                source = self._best_source(reporter, sources, preferred)
+                source = self._best_source(reporter, sources, preferred_after)
                 register = sources[source]
                 assert register.report is not None
-                counting.append(ReceivedReport(register.report, source, now - register.received_at))
-        return counting
+                selected.append(ReceivedReport(register.report, source, now - register.received_at))
+        return selected
 
     def _fresh_sources(self, reporter: int, now: int) -> dict[int, _Register]:
         return {
@@ -98,13 +98,13 @@
             register.report = None
         return register.report is not None
 
-    def _best_source(self, reporter: int, fresh: dict[int, _Register], preferred: int) -> int:
-        """Return the reporter itself where its report arrived after `preferred`, else the latest source.
+    def _best_source(self, reporter: int, fresh: dict[int, _Register], preferred_after: int) -> int:
+        """Return the reporter itself if its report arrived after `preferred_after`, else the latest source.
 
         The reporter and its own aggregators take precedence over other aggregators.
         """
         direct = fresh.get(reporter)
-        if len(fresh) == 1 or (direct is not None and direct.received_at > preferred):
+        if len(fresh) == 1 or (direct is not None and direct.received_at > preferred_after):
             return reporter if direct is not None else next(iter(fresh))
         expected = (reporter, *self._aggregators_of(reporter))
         return max(fresh, key=lambda source: (source in expected, fresh[source].received_at, source))
@@ -114,12 +114,12 @@
         return sum(len(sources) for sources in self._registers.values())
 
 
-def _direct_preferred(received: list[int], now: int) -> int:
+def _direct_preferred_after(received_at: list[int], now: int) -> int:
     """Return the time after which direct reports are preferred to forwarded ones, in ns.
 
-    `received`: the times at which direct reports were received.
+    `received_at`: the times at which direct reports were received.
     """
-    half = len(received) // 2
+    half = len(received_at) // 2
     if not half:
         return now - DIRECT_PREFERRED
-    return min(now - DIRECT_PREFERRED, sorted(received)[-half] - 1)
+    return min(now - DIRECT_PREFERRED, sorted(received_at)[-half] - 1)
--- a/holdgw/peers/suspicion.py
+++ b/holdgw/peers/suspicion.py
@@ -56,10 +56,10 @@
         self._set_end(suspicion)
         return True
 
-    def extend(self, duration_ns: int) -> None:
-        """Extend all open suspicions."""
+    def extend(self, extension_ns: int) -> None:
+        """Extend all open suspicions by `extension_ns`."""
         for suspicion in self._open.values():
-            suspicion.ends_ns += duration_ns
+            suspicion.ends_ns += extension_ns
 
     def expired(self, now: int) -> list[int]:
         """Return the members whose suspicion has ended without a refutation."""
--- a/holdgw/peers/view_selection.py
+++ b/holdgw/peers/view_selection.py
@@ -1,10 +1,10 @@
 """The merged views that a router has received, and the values that it takes from them; pure.
 
-Bounds on one lying aggregator, where another one's view is fresh:
+Bounds on one lying aggregator, where the view of another aggregator is fresh:
 
-- A server's response time is the median of both views and this router's own sample, so a lie moves it no
-  further than to the other of these two. Without an own sample younger than OWN_VOTE_MAX_AGE the lower of
-  both views is taken, and a lie can only lower it.
+- A server's response time is the median of both views and this router's own sample. A lie thus leaves it
+  between the other view's value and the own sample. Without an own sample younger than OWN_VOTE_MAX_AGE the
+  lower of both views is taken, and a lie can only lower it.
 - A slot's share is the lower of both views, so a lie makes no slot hot. It is at least the ratio of this
   router's own requests for the slot to all requests, so a lie hides no slot that is hot at this router.
 - The number of all requests is the median of both views' numbers and of this router's own number times the
@@ -128,7 +128,7 @@
         return any(view.is_fresh(now) for view in self._views.values())
 
     def max_reporters(self, now: int) -> int:
-        """Return the largest number of reporters behind a fresh view; 0 without a fresh view."""
+        """Return the largest number of reporters of a fresh view; 0 without a fresh view."""
         return max((view.reporters for view in self._views.values() if view.is_fresh(now)), default=0)
 
     def snapshot(
--- a/tests/peers/test_aggregation.py
+++ b/tests/peers/test_aggregation.py
@@ -52,8 +52,8 @@
     st.dictionaries(SHORT, SHORT, max_size=MAX_SLOTS),
     st.just({}),
 )
-SEQUENCED = st.builds(SequencedReport, WORD, REPORTS)
-MERGED = st.builds(
+SEQUENCED_REPORTS = st.builds(SequencedReport, WORD, REPORTS)
+MERGED_LOADS = st.builds(
     MergedLoad,
     st.lists(SAMPLES, max_size=200, unique_by=lambda sample: sample.server_hash).map(tuple),
     st.dictionaries(SHORT, st.floats(0, 1), max_size=100),
@@ -62,13 +62,13 @@
 )
 
 
-def report(sender: int, response_time: int = 20 * MS, age: int = 0, **changes: object) -> LoadReport:
+def report(sender: int, response_time: int = 20 * MS, age: int = 0, **overrides: object) -> LoadReport:
     fields = {
         "boot_id": 7,
         "samples": (ServerSample(1, response_time, age),),
         "requests": 100,
         "slots": {},
-        **changes,
+        **overrides,
     }
     return LoadReport(sender, **fields)  # type: ignore[arg-type]
 
@@ -84,7 +84,7 @@
 # Datagrams
 
 
-@given(SEQUENCED, st.integers(0, 399))
+@given(SEQUENCED_REPORTS, st.integers(0, 399))
 def test_a_report_and_its_forwarded_form_fit_a_datagram_and_decode_to_the_same_report(
     sequenced: SequencedReport, forwarder: int
 ) -> None:
@@ -97,26 +97,26 @@
     assert sequenced_report.decode_forwarded(forwarded, 400) == ForwardedReport(forwarder, sequenced)
 
 
-@given(MERGED, st.integers(0, 10 * S - 100 * MS))
+@given(MERGED_LOADS, st.integers(0, 10 * S - 100 * MS))
 def test_a_view_decodes_to_what_was_merged_and_each_part_fits_a_datagram(
-    merged: MergedLoad, held_for: int
+    merged: MergedLoad, view_age: int
 ) -> None:
     parts = merged_view.split(merged, 3, 9, 17)
-    found = [
-        merged_view.decode(merged_view.to_datagram(merged_view.encode_body(p), held_for), 400) for p in parts
+    decoded_parts = [
+        merged_view.decode(merged_view.to_datagram(merged_view.encode_body(p), view_age), 400) for p in parts
     ]
-    assert all(len(merged_view.to_datagram(merged_view.encode_body(p), held_for)) <= MAX_BYTES for p in parts)
-    assert [part.part for part in found] == list(range(len(parts)))
-    assert all(held_for <= part.age < held_for + AGE_STEP for part in found)
-    assert sum((part.response_times for part in found), ()) == merged.response_times[:MAX_SERVERS]
-    shares = {slot: share for part in found for slot, share in part.slot_shares.items()}
+    assert all(len(merged_view.to_datagram(merged_view.encode_body(p), view_age)) <= MAX_BYTES for p in parts)
+    assert [part.part for part in decoded_parts] == list(range(len(parts)))
+    assert all(view_age <= part.age < view_age + AGE_STEP for part in decoded_parts)
+    assert sum((part.response_times for part in decoded_parts), ()) == merged.response_times[:MAX_SERVERS]
+    shares = {slot: share for part in decoded_parts for slot, share in part.slot_shares.items()}
     assert shares == {slot: pytest.approx(merged.slot_shares[slot], abs=1e-4) for slot in shares}
-    assert {(p.aggregator, p.boot_id, p.sequence, p.reporters) for p in found} == {
+    assert {(p.aggregator, p.boot_id, p.sequence, p.reporters) for p in decoded_parts} == {
         (3, 9, 17, merged.reporters)
     }
 
 
-@given(SEQUENCED, MERGED, st.data())
+@given(SEQUENCED_REPORTS, MERGED_LOADS, st.data())
 def test_a_datagram_damaged_at_any_place_is_not_decoded(
     sequenced: SequencedReport, merged: MergedLoad, data: st.DataObject
 ) -> None:
@@ -142,7 +142,7 @@
             decode(data, 400)
 
 
-@given(SEQUENCED, MERGED)
+@given(SEQUENCED_REPORTS, MERGED_LOADS)
 def test_a_router_of_the_previous_version_drops_new_kinds_and_its_reports_are_decoded(
     sequenced: SequencedReport, merged: MergedLoad
 ) -> None:
@@ -169,7 +169,7 @@
         Order.NEWER,
         Order.REPLAYED,
     ]
-    assert gate.check(1, (1 << 32) - 1, 0) is Order.REPLAYED  # by serial number arithmetic far older than 6
+    assert gate.check(1, (1 << 32) - 1, 0) is Order.REPLAYED  # older than 6 by serial number arithmetic
     gate = SequenceGate()
     assert [gate.check(1, n, 0) for n in ((1 << 32) - 1, 0)] == [Order.NEWER, Order.NEWER]
 
@@ -237,10 +237,12 @@
     assert (
         report_each_second(choice, all_aggregators, all_aggregators, range(1, 9)) == [[first], [second]] * 4
     )
-    found = report_each_second(choice, all_aggregators - {first}, all_aggregators, range(9, 40))
-    assert found[:4] == [[first], [second, first], [third], [second]]
-    assert sum(first in targets for targets in found) == 2 + 2  # and once all_aggregators RETRY_AFTER
-    assert all(targets[0] != first for targets in found[1:])  # each report goes to one that answers
+    reported_to = report_each_second(choice, all_aggregators - {first}, all_aggregators, range(9, 40))
+    assert reported_to[:4] == [[first], [second, first], [third], [second]]
+    assert (
+        sum(first in targets for targets in reported_to) == 2 + 2
+    )  # 2 until it is unresponsive, then one per RETRY_AFTER
+    assert all(targets[0] != first for targets in reported_to[1:])  # each report goes to one that answers
     after_return = report_each_second(choice, all_aggregators, all_aggregators, range(40, 60))
     assert after_return[-4:] in ([[first], [second]] * 2, [[second], [first]] * 2)
 
@@ -265,8 +267,8 @@
     first, second, third, _ = choice.order
     all_aggregators = set(choice.order)
     report_each_second(choice, all_aggregators, all_aggregators, range(1, 9))
-    found = report_each_second(choice, all_aggregators - {first, second}, all_aggregators, range(9, 12))
-    assert found == [[first], [second, first], [third, second]]
+    reported_to = report_each_second(choice, all_aggregators - {first, second}, all_aggregators, range(9, 12))
+    assert reported_to == [[first], [second, first], [third, second]]
 
 
 def test_an_intermittent_aggregator_is_not_used_until_it_has_stayed_present() -> None:
@@ -283,11 +285,11 @@
 
 def test_unresponsive_aggregators_are_tried_in_turn_and_a_view_is_expected_after_a_report() -> None:
     choice = AggregatorChoice(3, (100, 101, 102, 103))
-    found = report_each_second(choice, set(), set(), range(1, 20))
-    assert sorted(found[-4:]) == [[100], [101], [102], [103]]
+    reported_to = report_each_second(choice, set(), set(), range(1, 20))
+    assert sorted(reported_to[-4:]) == [[100], [101], [102], [103]]
     assert not choice.expects(77, 19 * S)
-    assert choice.expects(found[-1][0], 19 * S)
-    assert not choice.expects(found[-1][0], 19 * S + 3 * S)
+    assert choice.expects(reported_to[-1][0], 19 * S)
+    assert not choice.expects(reported_to[-1][0], 19 * S + 3 * S)
 
 
 # The table of reports
@@ -308,7 +310,7 @@
         table = new_table()
         for sequenced, source in delivered:
             table.receive(sequenced, source, S)
-        tables.append({found.report.sender: found for found in table.fresh(S)})
+        tables.append({received.report.sender: received for received in table.fresh(S)})
         assert len(tables[-1]) == len(table.fresh(S))
     assert tables[0] == tables[1]
     assert merge(list(tables[0].values())).reporters == 4
@@ -347,11 +349,11 @@
         for sender in range(routers):
             table.receive(SequencedReport(1, report(sender)), sender, sender * MS)
             table.receive(SequencedReport(9, report(sender)), 90, 2 * S)
-        found = table.fresh(2 * S)
-        assert [received.report.sender for received in found if received.direct] == list(
+        received_reports = table.fresh(2 * S)
+        assert [received.report.sender for received in received_reports if received.direct] == list(
             range(routers - routers // 2, routers)
         )
-        assert len(found) == routers
+        assert len(received_reports) == routers
         assert not any(received.direct for received in table.fresh(REPORT_MAX_AGE + S))
 
 
@@ -381,12 +383,12 @@
 ) -> None:
     reports = [direct(report(n, response_time=response_time * MS)) for n, response_time in enumerate(honest)]
     samples = (ServerSample(1, false_value * MS, age * MS), ServerSample(1, false_value * MS, 0))
-    (found,) = merge([*reports, direct(report(99, samples=samples))]).response_times
+    (merged_sample,) = merge([*reports, direct(report(99, samples=samples))]).response_times
     ordered = sorted(honest)
     middle = (len(ordered) - 1) // 2
     assert (
         ordered[max(middle - 1, 0)] * MS
-        <= found.response_time
+        <= merged_sample.response_time
         <= ordered[min(middle + 1, len(ordered) - 1)] * MS
     )
 
@@ -409,14 +411,14 @@
     honest: list[tuple[int, int]], false_value: int, age: int
 ) -> None:
     reports = [
-        direct(report(n, response_time=response_time * MS, age=old * MS))
-        for n, (response_time, old) in enumerate(honest)
+        direct(report(n, response_time=response_time * MS, age=sample_age * MS))
+        for n, (response_time, sample_age) in enumerate(honest)
     ]
-    (found,) = merge(
+    (merged_sample,) = merge(
         [*reports, direct(report(99, response_time=false_value * MS, age=age * MS))]
     ).response_times
     response_times = [response_time * MS for response_time, _ in honest]
-    assert min(response_times) <= found.response_time <= max(response_times)
+    assert min(response_times) <= merged_sample.response_time <= max(response_times)
 
 
 def test_one_false_reporters_slot_has_a_bounded_share_where_others_were_forwarded() -> None:
@@ -430,19 +432,23 @@
 
 @given(st.integers(4, 40), st.integers(0, 120), st.sampled_from((0, 1, 200, 60_000)))
 def test_one_lying_aggregator_moves_all_requests_by_at_most_a_factor_of_two(
-    rest: int, false_count: int, claimed: int
+    honest_count: int, false_count: int, claimed_requests: int
 ) -> None:
     """Also where it forwarded most reports, so that the median reporter is a false one."""
-    reports = [direct(report(n)) for n in range(rest)]
-    false = [ReceivedReport(report(n, requests=claimed), 90, 0) for n in range(100, 100 + false_count)]
+    reports = [direct(report(n)) for n in range(honest_count)]
+    false = [
+        ReceivedReport(report(n, requests=claimed_requests), 90, 0) for n in range(100, 100 + false_count)
+    ]
     merged = merge([*reports, *false])
-    assert 50 * (rest + false_count) <= merged.requests <= 200 * (rest + false_count), merged
+    assert 50 * (honest_count + false_count) <= merged.requests <= 200 * (honest_count + false_count), merged
 
 
 def forwarded(
-    by: int, senders: Sequence[int], response_time: int, slots: dict[int, int]
+    forwarder: int, senders: Sequence[int], response_time: int, slots: dict[int, int]
 ) -> list[ReceivedReport]:
-    return [ReceivedReport(report(n, response_time=response_time, slots=slots), by, 0) for n in senders]
+    return [
+        ReceivedReport(report(n, response_time=response_time, slots=slots), forwarder, 0) for n in senders
+    ]
 
 
 @given(
@@ -454,9 +460,13 @@
     """The aggregator forwards any value, for any number of reporters."""
     reports = [direct(report(n, response_time=response_time * MS)) for n, response_time in enumerate(honest)]
     false = forwarded(90, range(100, 100 + false_count), false_value * MS, {})
-    (found,) = merge([*reports, *false]).response_times
+    (merged_sample,) = merge([*reports, *false]).response_times
     ordered, last = sorted(honest), len(honest) - 1
-    assert ordered[last // 4] * MS <= found.response_time <= ordered[min(3 * len(honest) // 4 + 1, last)] * MS
+    assert (
+        ordered[last // 4] * MS
+        <= merged_sample.response_time
+        <= ordered[min(3 * len(honest) // 4 + 1, last)] * MS
+    )
 
 
 def test_one_lying_aggregator_does_not_outvote_two_others() -> None:
@@ -466,8 +476,8 @@
             *forwarded(92, range(20, 40), 30 * MS, {}),
             *forwarded(90, range(100, 100 + false_count), 60 * S, {}),
         ]
-        (found,) = merge(reports).response_times
-        assert found.response_time in (20 * MS, 30 * MS), false_count
+        (merged_sample,) = merge(reports).response_times
+        assert merged_sample.response_time in (20 * MS, 30 * MS), false_count
 
 
 def test_one_lying_aggregator_makes_no_slot_hot_by_forwarded_reports() -> None:
@@ -484,18 +494,18 @@
 def test_young_samples_count_alone_where_there_are_enough() -> None:
     old = [direct(report(n, response_time=900 * MS, age=2 * S)) for n in range(50)]
     young = [direct(report(n, response_time=20 * MS, age=n * MS)) for n in range(50, 57)]
-    (found,) = merge([*old, *young]).response_times
-    assert (found.response_time, found.age) == (20 * MS, 53 * MS)
-    (few,) = merge([*old, *young[:3]]).response_times
-    assert few.response_time == 900 * MS
-    claimed = [ReceivedReport(report(n, response_time=0), 90, 0) for n in range(100, 130)]
-    (found,) = merge([*old, *claimed]).response_times
-    assert found.response_time == 900 * MS
+    (merged_sample,) = merge([*old, *young]).response_times
+    assert (merged_sample.response_time, merged_sample.age) == (20 * MS, 53 * MS)
+    (with_few_young,) = merge([*old, *young[:3]]).response_times
+    assert with_few_young.response_time == 900 * MS
+    forwarded_reports = [ReceivedReport(report(n, response_time=0), 90, 0) for n in range(100, 130)]
+    (merged_sample,) = merge([*old, *forwarded_reports]).response_times
+    assert merged_sample.response_time == 900 * MS
 
 
 def test_samples_age_with_their_report_and_are_ignored_when_too_old() -> None:
-    (found,) = merge([direct(report(1, age=S), S), direct(report(2, age=0), S)]).response_times
-    assert found.age == 2 * S
+    (merged_sample,) = merge([direct(report(1, age=S), S), direct(report(2, age=0), S)]).response_times
+    assert merged_sample.age == 2 * S
     assert merge([direct(report(1, age=2 * S), SAMPLE_MAX_AGE - 2 * S)]).response_times == ()
 
 
@@ -512,11 +522,14 @@
 
 def aggregators(count: int = 4) -> dict[int, Aggregator]:
     numbers = tuple(range(90, 90 + count))
-    return {me: Aggregator(me, me, numbers, lambda reporter: reporter % 5) for me in numbers}
+    return {
+        own_number: Aggregator(own_number, own_number, numbers, lambda reporter: reporter % 5)
+        for own_number in numbers
+    }
 
 
-def parts(out: Sequence[object]) -> list[ViewPart]:
-    return [merged_view.decode(o.data, 100) for o in out if merged_view.is_view(o.data)]  # type: ignore[attr-defined]
+def parts(datagrams: Sequence[object]) -> list[ViewPart]:
+    return [merged_view.decode(sent.data, 100) for sent in datagrams if merged_view.is_view(sent.data)]  # type: ignore[attr-defined]
 
 
 def test_a_report_is_forwarded_once_answered_once_and_not_forwarded_again() -> None:
@@ -533,9 +546,9 @@
         )
         all_aggregators[outgoing.to].tick(0)
         assert all_aggregators[outgoing.to].merged(0).reporters == 1
-    early = sequenced_report.encode(SequencedReport(2, report(5)))
+    early_data = sequenced_report.encode(SequencedReport(2, report(5)))
     assert not all_aggregators[90].receive(
-        early, sequenced_report.decode(early, 100), always_present, MIN_REPORT_INTERVAL - 1
+        early_data, sequenced_report.decode(early_data, 100), always_present, MIN_REPORT_INTERVAL - 1
     )
     assert len(all_aggregators[90].table) == 1
 
@@ -544,16 +557,18 @@
     aggregator = aggregators()[90]
     for n, now in ((1, 0), (2, S // 2), (3, 6 * S)):
         data = sequenced_report.encode(SequencedReport(n, report(5, age=400 * MS)))
-        found = parts(aggregator.receive(data, sequenced_report.decode(data, 100), always_present, now) or ())
+        view_parts = parts(
+            aggregator.receive(data, sequenced_report.decode(data, 100), always_present, now) or ()
+        )
         if n == 1:
-            assert found == []  # no view is merged yet
+            assert view_parts == []  # no view is merged yet
             aggregator.tick(0)
         elif n == 2:
-            (view,) = found
+            (view,) = view_parts
             assert S // 2 <= view.age < S // 2 + AGE_STEP
             assert view.response_times[0].age == 400 * MS
         else:
-            assert found == []  # the aggregator stalled, and its view is too old
+            assert view_parts == []  # the aggregator stalled, and its view is too old
 
 
 def test_an_aggregator_that_resumes_after_a_stall_has_no_view_and_no_reports() -> None:
--- a/tests/peers/test_compact_updates.py
+++ b/tests/peers/test_compact_updates.py
@@ -48,9 +48,9 @@
     sent = message(compact_updates.select(updates, MAX_GROUP_BYTES))
     data = datagram.encode(sent)
     assert len(data) <= datagram.MAX_BYTES
-    read = datagram.decode(data, MEMBERS)
-    assert set(read.updates) == set(sent.updates)
-    assert read[:-1] == sent[:-1]
+    decoded = datagram.decode(data, MEMBERS)
+    assert set(decoded.updates) == set(sent.updates)
+    assert decoded[:-1] == sent[:-1]
 
 
 def test_the_deaths_of_a_region_of_760_routers_fit_into_128_bytes() -> None:
@@ -75,13 +75,13 @@
 
 @given(st.binary(max_size=MAX_GROUP_BYTES))
 def test_random_groups_decode_to_known_members_or_are_rejected(groups: bytes) -> None:
-    head = datagram.encode(message([]))[:-4]
-    data = head + groups + struct.pack("!I", zlib.crc32(head + groups))
+    header = datagram.encode(message([]))[:-4]
+    data = header + groups + struct.pack("!I", zlib.crc32(header + groups))
     try:
-        found = datagram.decode(data, 50).updates
+        updates = datagram.decode(data, 50).updates
     except DecodeError:
         return
-    assert all(0 <= update.number < 50 for update in found)
+    assert all(0 <= update.number < 50 for update in updates)
 
 
 def test_an_unknown_kind_is_dropped_and_so_are_groups_in_place_of_updates() -> None:
--- a/tests/peers/test_load_view.py
+++ b/tests/peers/test_load_view.py
@@ -94,22 +94,22 @@
 def test_decayed_counts_are_within_the_same_error_bound(steps: list[tuple[list[int], int]]) -> None:
     """Compares with exact counts that decay alike; batches are 0.25 s to 2 s apart."""
     hitters, now, total = HeavyHitters(capacity=32, half_life_s=1.0), 1, 0.0
-    truth: dict[int, float] = {}
+    exact_counts: dict[int, float] = {}
     hitters.decay(now)
-    for keys, quarters in steps:
-        now += quarters * NS_PER_S // 4
+    for keys, quarter_seconds in steps:
+        now += quarter_seconds * NS_PER_S // 4
         hitters.decay(now)
-        truth = {key: count * 0.5 ** (quarters / 4) for key, count in truth.items()}
+        exact_counts = {key: count * 0.5 ** (quarter_seconds / 4) for key, count in exact_counts.items()}
         hitters.add_counts(Counter(keys))
         for key in keys:
-            truth[key] = truth.get(key, 0.0) + 1
-        total = total * 0.5 ** (quarters / 4) + len(keys)
+            exact_counts[key] = exact_counts.get(key, 0.0) + 1
+        total = total * 0.5 ** (quarter_seconds / 4) + len(keys)
         assert hitters.total == pytest.approx(total)
         assert len(hitters) <= 32
         for key, (count, error) in hitters._counts.items():
-            assert count - error <= truth[key] + 1e-6
+            assert count - error <= exact_counts[key] + 1e-6
             # Each time that the key was dropped at MIN_COUNT, that much may be missing, less by decay.
-            assert truth[key] - 1.1 * MIN_COUNT <= count <= truth[key] + total / 32 + 1e-6
+            assert exact_counts[key] - 1.1 * MIN_COUNT <= count <= exact_counts[key] + total / 32 + 1e-6
 
 
 def test_a_key_that_no_router_sees_often_is_hot_in_the_view_of_all() -> None:
@@ -129,7 +129,7 @@
         assert requests_counted > 150
         assert shares[7] == pytest.approx(0.05, abs=0.03)
         assert max(share for slot, share in shares.items() if slot != 7) < 0.02
-    assert views[0].slot_counts.total < 12  # a router's own requests alone show no hot key
+    assert views[0].slot_counts.total < 12  # a router's own requests are too few to show a hot key
 
 
 def test_a_servers_sample_expires_and_newer_samples_outweigh_it() -> None:
@@ -140,7 +140,7 @@
     assert view.loads(NS_PER_S)["cache-1"].age == pytest.approx(NS_PER_S, abs=AGE_STEP)
     third.record_response_time("cache-1", 20_000_000, 3 * NS_PER_S)
     view.receive(third.report(3 * NS_PER_S), 3 * NS_PER_S)
-    # The older sample has an eighth of the weight.
+    # The older sample is 3 half-lives older, and has an eighth of the newer one's weight.
     assert view.loads(3 * NS_PER_S)["cache-1"].response_time == 20_000_000
     assert view.loads(NS_PER_S + MAX_SAMPLE_AGE + 1)["cache-1"].samples == 1
     assert view.loads(3 * NS_PER_S + MAX_SAMPLE_AGE) == {}
@@ -151,14 +151,16 @@
     other.record_response_time("cache-1", 80_000_000, 0)
     reported = other.report(NS_PER_S)
     view.receive(reported, NS_PER_S)
-    before = view.loads(4 * NS_PER_S)["cache-1"].age
-    stale = other.report(2 * NS_PER_S)
-    view.receive(stale, 2 * NS_PER_S)
-    assert view.loads(4 * NS_PER_S)["cache-1"].age == pytest.approx(before, abs=AGE_STEP)
+    age_before = view.loads(4 * NS_PER_S)["cache-1"].age
+    reported_again = other.report(2 * NS_PER_S)
+    view.receive(reported_again, 2 * NS_PER_S)
+    assert view.loads(4 * NS_PER_S)["cache-1"].age == pytest.approx(age_before, abs=AGE_STEP)
 
 
-@pytest.mark.parametrize("lie", [0, 60_000_000_000])
-def test_false_reports_of_one_router_move_no_response_time_beyond_what_others_report(lie: int) -> None:
+@pytest.mark.parametrize("false_response_time", [0, 60_000_000_000])
+def test_false_reports_of_one_router_move_no_response_time_beyond_what_others_report(
+    false_response_time: int,
+) -> None:
     rng = random.Random(2)
     views = new_views(12)
     now = NS_PER_S
@@ -170,7 +172,9 @@
         views[0].receive(view.report(now), now)
     for _ in range(20):
         now += 1_000_000
-        false_samples = tuple(ServerSample(load_report.hash_server(name), lie, 0) for name in SERVERS)
+        false_samples = tuple(
+            ServerSample(load_report.hash_server(name), false_response_time, 0) for name in SERVERS
+        )
         views[0].receive(LoadReport(5, 1, false_samples, 1, {9: 60_000}), now)
     load = views[0].loads(now)["cache-3"]
     assert min(reported) - 1_000_000 <= load.response_time <= max(reported)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -39,16 +39,16 @@
 )
 
 
-def new_tier(members: int, seed: int = 1, settle_s: float = 5.0, **weather: float) -> MembershipTier:
+def new_tier(members: int, seed: int = 1, settle_s: float = 5.0, **conditions: float) -> MembershipTier:
     tier = MembershipTier(
-        members, seed, RelayModel(seed, lambda a, b: 0.002, PeerNetworkConditions(**weather))
+        members, seed, RelayModel(seed, lambda a, b: 0.002, PeerNetworkConditions(**conditions))
     )
     tier.run(settle_s)
     return tier
 
 
 def numbers_in_state(tier: MembershipTier, state: MemberState) -> dict[int, set[int]]:
-    """Return by live router the numbers of the members that are in this state in its view."""
+    """Return, for each live router, the numbers of the members that are in this state in its view."""
     return {
         router.number: {member.number for member in router.members if member.state is state}
         for router in tier.members
@@ -58,7 +58,8 @@
 
 def all_alive(tier: MembershipTier) -> bool:
     return all(
-        len(found) == len(tier.members) for found in numbers_in_state(tier, MemberState.ALIVE).values()
+        len(alive_numbers) == len(tier.members)
+        for alive_numbers in numbers_in_state(tier, MemberState.ALIVE).values()
     )
 
 
@@ -102,9 +103,9 @@
     tier.kill(7)
     tier.leave(9)
     tier.run(3.0)
-    assert all(9 in found for found in numbers_in_state(tier, MemberState.LEFT).values())
+    assert all(9 in numbers for numbers in numbers_in_state(tier, MemberState.LEFT).values())
     tier.run(12.0)
-    assert all(found == {7} for found in numbers_in_state(tier, MemberState.GONE).values())
+    assert all(numbers == {7} for numbers in numbers_in_state(tier, MemberState.GONE).values())
 
 
 def test_routers_that_resume_after_a_stall_suspect_no_other_and_are_not_declared_gone() -> None:
@@ -117,10 +118,14 @@
     resumed_at = tier.now
     for number in range(12):
         tier.resume(number)
-    before = len(changes)
+    changes_before_resume = len(changes)
     tier.run(10.0)
-    assert not [c for c in changes if c[2] is MemberState.GONE], resumed_at
-    assert not [c for c in changes[before:] if c[0] < 12 and c[1] >= 12 and c[2] is MemberState.SUSPECTED]
+    assert not [change for change in changes if change[2] is MemberState.GONE], resumed_at
+    assert not [
+        change
+        for change in changes[changes_before_resume:]
+        if change[0] < 12 and change[1] >= 12 and change[2] is MemberState.SUSPECTED
+    ]
     assert all_alive(tier)
 
 
@@ -128,7 +133,7 @@
     tier = new_tier(30)
     tier.kill(4)
     tier.run(15.0)
-    assert all(4 in found for found in numbers_in_state(tier, MemberState.GONE).values())
+    assert all(4 in numbers for numbers in numbers_in_state(tier, MemberState.GONE).values())
     tier.start(4)
     tier.run(6.0)
     assert all_alive(tier)
@@ -157,10 +162,10 @@
     assert gone == []
 
 
-@pytest.mark.parametrize("leap", [1, (1 << 31) - 1])
-def test_false_deaths_are_refuted_by_each_member_named(leap: int) -> None:
+@pytest.mark.parametrize("incarnation", [1, (1 << 31) - 1])
+def test_false_deaths_are_refuted_by_each_member_named(incarnation: int) -> None:
     tier = new_tier(30)
-    false_updates = tuple(MemberUpdate(number, MemberState.GONE, leap, 0) for number in range(1, 29))
+    false_updates = tuple(MemberUpdate(number, MemberState.GONE, incarnation, 0) for number in range(1, 29))
     for to in range(1, 30):
         tier.send(0, to, datagram.encode(Message(MessageKind.PING, 0, 5, 0, 0, 1, 0, false_updates)))
     tier.run(0.05)
@@ -171,16 +176,16 @@
 
 def test_a_replayed_suspicion_changes_nothing_once_refuted() -> None:
     tier = new_tier(20)
-    old = datagram.encode(
+    suspicion_data = datagram.encode(
         Message(MessageKind.PING, 3, 5, 0, 0, 1, 0, (MemberUpdate(8, MemberState.SUSPECTED, 0, 0),))
     )
-    tier.send(3, 5, old)
+    tier.send(3, 5, suspicion_data)
     tier.run(6.0)
     assert all_alive(tier)
     changed: list[int] = []
     tier.on_change = lambda at, number, state: changed.append(number)
     for _ in range(50):
-        tier.send(3, 5, old)
+        tier.send(3, 5, suspicion_data)
         tier.run(0.1)
     assert changed == []
 
@@ -193,8 +198,8 @@
             tier.send(3, outgoing.to, datagram.encode(outgoing.message))
         tier.run(0.1)
     assert sum(member.conflicts for member in tier.members if member is not None) > 0
-    assert all(found <= {3} for found in numbers_in_state(tier, MemberState.GONE).values())
-    assert all(found <= {3} for found in numbers_in_state(tier, MemberState.SUSPECTED).values())
+    assert all(numbers <= {3} for numbers in numbers_in_state(tier, MemberState.GONE).values())
+    assert all(numbers <= {3} for numbers in numbers_in_state(tier, MemberState.SUSPECTED).values())
 
 
 @pytest.mark.parametrize("members", [1, 2, 3])
@@ -203,16 +208,16 @@
     assert all_alive(tier)
     tier.kill(0)
     tier.run(12.0)
-    assert all(found == {0} for found in numbers_in_state(tier, MemberState.GONE).values())
+    assert all(numbers == {0} for numbers in numbers_in_state(tier, MemberState.GONE).values())
 
 
 def test_bytes_sent_by_a_router_do_not_grow_with_the_tier() -> None:
-    spent = {}
+    bytes_per_s = {}
     for members in (20, 150):
         tier = new_tier(members, loss=0.05)
-        before = sum(tier.bytes.values())
+        bytes_before = sum(tier.bytes.values())
         tier.kill(1)
         tier.run(20.0)
-        spent[members] = (sum(tier.bytes.values()) - before) / 20.0 / members
-    assert spent[150] < 250
-    assert spent[150] < 2 * spent[20]
+        bytes_per_s[members] = (sum(tier.bytes.values()) - bytes_before) / 20.0 / members
+    assert bytes_per_s[150] < 250
+    assert bytes_per_s[150] < 2 * bytes_per_s[20]
--- a/tests/peers/test_update_budget.py
+++ b/tests/peers/test_update_budget.py
@@ -59,14 +59,16 @@
     Returns the bytes of the busiest router in its busiest second, and the seconds until all routers know.
     """
     tier = new_tier(size, rate=rate)
-    seconds, began = TrafficPerSecond(tier), tier.now
+    traffic, started_ns = TrafficPerSecond(tier), tier.now
     dead = tier.random.sample(range(size), size * 8 // 100)
     for number in dead:
-        tier.at(began + int(tier.random.random() * 5 * S), lambda number=number: tier.kill(number))  # type: ignore[misc]
+        tier.at(started_ns + int(tier.random.random() * 5 * S), lambda number=number: tier.kill(number))  # type: ignore[misc]
     alive = set(range(size)) - set(dead)
-    while tier.now < began + 5 * S or not (membership_converged(tier, alive) or tier.now > began + 60 * S):
-        seconds.run_second()
-    return seconds.max_bytes, (tier.now - began) / S
+    while tier.now < started_ns + 5 * S or not (
+        membership_converged(tier, alive) or tier.now > started_ns + 60 * S
+    ):
+        traffic.run_second()
+    return traffic.max_bytes, (tier.now - started_ns) / S
 
 
 def test_no_router_exceeds_its_byte_bound_when_8_percent_die_within_5_s() -> None:
@@ -81,16 +83,16 @@
     size = 80
     tier = new_tier(size)
     region = set(second_region_routers(size))
-    until = tier.now + int(PARTITION_S * S)
+    partition_end_ns = tier.now + int(PARTITION_S * S)
     others = [router_name(n) for n in range(size) if n not in region]
-    tier.relay.block(map(router_name, region), others, until / S, both=True)
+    tier.relay.block(map(router_name, region), others, partition_end_ns / S, both=True)
     tier.run(PARTITION_S)
     assert not membership_converged(tier, range(size))
-    seconds = TrafficPerSecond(tier)
-    while not membership_converged(tier, range(size)) and tier.now < until + 60 * S:
-        seconds.run_second()
-    assert seconds.max_bytes < MAX_BYTES_PER_S
-    assert tier.now < until + 15 * S
+    traffic = TrafficPerSecond(tier)
+    while not membership_converged(tier, range(size)) and tier.now < partition_end_ns + 60 * S:
+        traffic.run_second()
+    assert traffic.max_bytes < MAX_BYTES_PER_S
+    assert tier.now < partition_end_ns + 15 * S
 
 
 def test_many_deaths_reach_all_members_when_half_of_them_drop_compact_messages() -> None:
@@ -101,8 +103,10 @@
     size, dead = 80, set(range(20))
     tier = new_tier(size)
     for number in range(0, size, 2):
-        old = tier.members[number] = Membership(number, size, 0, number, tier.now, update_bytes_per_s=None)
-        tier.start_ticking(number, old)
+        old_version = tier.members[number] = Membership(
+            number, size, 0, number, tier.now, update_bytes_per_s=None
+        )
+        tier.start_ticking(number, old_version)
     receive = tier._receive
     dropped = 0
 
@@ -129,7 +133,9 @@
     size = 100
     tier = new_tier(size, rate=rate)
     gone: set[int] = set()
-    tier.on_change = lambda _, who, state: gone.add(who) if state is MemberState.GONE else None
+    tier.on_change = lambda _, member_number, state: (
+        gone.add(member_number) if state is MemberState.GONE else None
+    )
     for number in range(deaths):
         tier.kill(number)
     tier.run(3.0)  # while the dead are suspected, and their updates fill the queues
@@ -162,26 +168,28 @@
 
 
 def test_an_update_sent_in_compact_messages_is_sent_in_plain_form_as_often_as_without() -> None:
-    members, named = 50, range(10, 30)
+    members, gone_numbers = 50, range(10, 30)
     timing = Timing(gone_probe_interval=1e6)  # else probes of members that are gone would carry updates, too
     member, plain_counts, compact_count = Membership(0, members, 0, 1, 0, timing), Counter[int](), 0
-    false_updates = tuple(MemberUpdate(number, MemberState.GONE, 0, 0) for number in named)
+    false_updates = tuple(MemberUpdate(number, MemberState.GONE, 0, 0) for number in gone_numbers)
     now = S // 20
     outgoing_messages = member.receive(Message(MessageKind.PING, 1, 1, 0, 0, 7, 0, false_updates), now)
     while now < 60 * S:
         for outgoing in outgoing_messages:
             if outgoing.message.kind is MessageKind.COMPACT_UPDATES:
                 compact_count += 1
-            elif outgoing.to not in named:
+            elif outgoing.to not in gone_numbers:
                 plain_counts.update(
-                    update.number for update in outgoing.message.updates if update.number in named
+                    update.number for update in outgoing.message.updates if update.number in gone_numbers
                 )
         now += S // 10
         outgoing_messages = member.tick(now) + member.receive(
             Message(MessageKind.PING, 1, 1, 0, 0, 7, 0), now
         )
     assert compact_count > 5
-    assert {plain_counts[number] for number in named} == {int(TRANSMISSION_FACTOR * (1 + log2(members + 1)))}
+    assert {plain_counts[number] for number in gone_numbers} == {
+        int(TRANSMISSION_FACTOR * (1 + log2(members + 1)))
+    }
 
 
 def test_a_refutation_among_many_updates_is_sent_in_both_forms_alternately() -> None:
--- a/tests/peers/test_view_selection.py
+++ b/tests/peers/test_view_selection.py
@@ -39,7 +39,7 @@
 
 
 def view(
-    aggregator: int = 90, sequence: int = 1, response_time: int = 20 * MS, **changes: object
+    aggregator: int = 90, sequence: int = 1, response_time: int = 20 * MS, **overrides: object
 ) -> ViewPart:
     fields: dict[str, object] = {
         "boot_id": 7,
@@ -50,7 +50,7 @@
         "requests": 1000,
         "response_times": (ServerSample(1, response_time, 0),),
         "slot_shares": {5: 0.1},
-        **changes,
+        **overrides,
     }
     return ViewPart(aggregator, sequence=sequence, **fields)  # type: ignore[arg-type]
 
@@ -62,11 +62,11 @@
 def test_a_lying_aggregator_keeps_a_response_time_between_own_sample_and_honest_view(
     honest: float, own: float, false_value: float, age: int, own_age: int
 ) -> None:
-    found = select_response_time(
+    selected = select_response_time(
         [AgedResponseTime(honest, age), AgedResponseTime(false_value, 0)], AgedResponseTime(own, own_age)
     )
-    assert found is not None
-    assert min(honest, own) <= found.response_time <= max(honest, own)
+    assert selected is not None
+    assert min(honest, own) <= selected.response_time <= max(honest, own)
 
 
 def test_without_an_own_sample_a_lie_can_only_lower_a_response_time() -> None:
@@ -88,10 +88,10 @@
 def test_a_slots_share_is_the_lower_of_both_views_and_at_least_the_routers_own_fraction(
     a: dict[int, float], b: dict[int, float], own: dict[int, float]
 ) -> None:
-    found = select_shares([a, b], OwnLoad({}, own, 100.0, 760), 1000.0)
-    for slot, share in found.items():
+    selected = select_shares([a, b], OwnLoad({}, own, 100.0, 760), 1000.0)
+    for slot, share in selected.items():
         assert share == max(min(a.get(slot, 0.0), b.get(slot, 0.0)), own.get(slot, 0.0) / 1000.0)
-    assert own.keys() <= found.keys()
+    assert own.keys() <= selected.keys()
 
 
 def test_shares_that_were_lost_in_transit_are_ignored() -> None:
@@ -103,8 +103,8 @@
 def test_a_lying_aggregator_keeps_all_requests_between_honest_view_and_own_estimate(
     false_value: int, honest: int, own: int
 ) -> None:
-    found = select_requests([false_value, honest], OwnLoad({}, {}, float(own), 760))
-    assert min(honest, own * 760) <= found <= max(honest, own * 760)
+    selected = select_requests([false_value, honest], OwnLoad({}, {}, float(own), 760))
+    assert min(honest, own * 760) <= selected <= max(honest, own * 760)
 
 
 # Received views
@@ -113,19 +113,19 @@
 def test_a_views_ages_include_how_long_it_was_held_and_the_time_since_it_arrived() -> None:
     selection = ViewSelection()
     selection.receive(view(age=400 * MS, response_times=(ServerSample(1, 20 * MS, 200 * MS),)), S)
-    found = selection.snapshot((90,), NAMES, NO_OWN_LOAD, 2 * S)
-    assert found is not None
-    assert found.response_times == {"cache-1": AgedResponseTime(20.0 * MS, 1600 * MS)}
-    assert found.slot_shares == {5: 0.1}
+    snapshot = selection.snapshot((90,), NAMES, NO_OWN_LOAD, 2 * S)
+    assert snapshot is not None
+    assert snapshot.response_times == {"cache-1": AgedResponseTime(20.0 * MS, 1600 * MS)}
+    assert snapshot.slot_shares == {5: 0.1}
 
 
 def test_a_view_or_response_time_past_its_maximum_age_is_never_used() -> None:
     selection = ViewSelection()
-    old = ServerSample(2, 20 * MS, RESPONSE_TIME_MAX_AGE - S)
-    selection.receive(view(response_times=(ServerSample(1, 20 * MS, 0), old)), 0)
-    found = selection.snapshot((90,), NAMES, NO_OWN_LOAD, S)
-    assert found is not None
-    assert found.response_times.keys() == {"cache-1"}
+    old_sample = ServerSample(2, 20 * MS, RESPONSE_TIME_MAX_AGE - S)
+    selection.receive(view(response_times=(ServerSample(1, 20 * MS, 0), old_sample)), 0)
+    snapshot = selection.snapshot((90,), NAMES, NO_OWN_LOAD, S)
+    assert snapshot is not None
+    assert snapshot.response_times.keys() == {"cache-1"}
     assert selection.has_fresh(VIEW_MAX_AGE - 1)
     assert selection.snapshot((90,), NAMES, NO_OWN_LOAD, VIEW_MAX_AGE) is None
     assert selection.max_reporters(VIEW_MAX_AGE) == 0
@@ -136,15 +136,15 @@
     selection.receive(view(sequence=1, part=0, parts=2), 0)
     selection.receive(view(sequence=1, part=1, parts=2, response_times=(ServerSample(2, 9 * MS, 0),)), 0)
     selection.receive(view(sequence=2, part=0, parts=2, response_time=30 * MS), 2 * S)
-    found = selection.snapshot((90,), NAMES, NO_OWN_LOAD, 2 * S)
-    assert found is not None
-    assert found.response_times == {
+    snapshot = selection.snapshot((90,), NAMES, NO_OWN_LOAD, 2 * S)
+    assert snapshot is not None
+    assert snapshot.response_times == {
         "cache-1": AgedResponseTime(30.0 * MS, 0),
         "cache-2": AgedResponseTime(9.0 * MS, 2 * S),
     }
-    later = selection.snapshot((90,), NAMES, NO_OWN_LOAD, VIEW_MAX_AGE)
-    assert later is not None
-    assert later.response_times.keys() == {"cache-1"}
+    later_snapshot = selection.snapshot((90,), NAMES, NO_OWN_LOAD, VIEW_MAX_AGE)
+    assert later_snapshot is not None
+    assert later_snapshot.response_times.keys() == {"cache-1"}
 
 
 def test_a_duplicate_part_or_one_of_an_older_view_or_earlier_process_is_dropped() -> None:
@@ -162,31 +162,31 @@
     selection = ViewSelection()
     selection.receive(view(90, response_time=900 * MS, reporters=349), 0)
     selection.receive(view(91, response_time=20 * MS, reporters=700), 0)
-    found = selection.snapshot((90, 91), NAMES, NO_OWN_LOAD, S)
-    assert found is not None
-    assert found.response_times["cache-1"].response_time == 20 * MS
+    snapshot = selection.snapshot((90, 91), NAMES, NO_OWN_LOAD, S)
+    assert snapshot is not None
+    assert snapshot.response_times["cache-1"].response_time == 20 * MS
     selection.receive(view(90, sequence=2, response_time=900 * MS, reporters=349), 2 * S)
-    alone = selection.snapshot((90, 91), NAMES, NO_OWN_LOAD, VIEW_MAX_AGE)
-    assert alone is not None
-    assert alone.response_times["cache-1"].response_time == 900 * MS
+    later_snapshot = selection.snapshot((90, 91), NAMES, NO_OWN_LOAD, VIEW_MAX_AGE)
+    assert later_snapshot is not None
+    assert later_snapshot.response_times["cache-1"].response_time == 900 * MS
 
 
 def test_a_view_that_claims_too_many_reporters_does_not_exclude_another() -> None:
     selection = ViewSelection()
     selection.receive(view(90, response_time=900 * MS, reporters=0xFFFF), 0)
     selection.receive(view(91, response_time=20 * MS, reporters=700), 0)
-    found = selection.snapshot((90, 91), NAMES, NO_OWN_LOAD, S)
-    assert found is not None
-    assert found.response_times["cache-1"].response_time == 20 * MS
+    snapshot = selection.snapshot((90, 91), NAMES, NO_OWN_LOAD, S)
+    assert snapshot is not None
+    assert snapshot.response_times["cache-1"].response_time == 20 * MS
 
 
 def test_of_three_views_those_of_the_aggregators_in_use_count() -> None:
     selection = ViewSelection()
     for number, response_time in ((90, 0), (91, 40), (92, 50)):
         selection.receive(view(number, response_time=response_time * MS), 0)
-    found = selection.snapshot((92, 91), NAMES, NO_OWN_LOAD, 0)
-    assert found is not None
-    assert found.response_times["cache-1"].response_time == 40 * MS
+    snapshot = selection.snapshot((92, 91), NAMES, NO_OWN_LOAD, 0)
+    assert snapshot is not None
+    assert snapshot.response_times["cache-1"].response_time == 40 * MS
 
 
 def test_servers_of_a_view_that_are_not_listed_are_left_out_and_bounded() -> None:
@@ -195,9 +195,9 @@
         response_times = tuple(ServerSample(sequence * 200 + i, MS, 0) for i in range(3, 203))
         selection.receive(view(sequence=sequence, response_times=response_times), sequence * MS)
     assert len(selection._views[90].response_times) <= MAX_SERVERS_PER_AGGREGATOR
-    found = selection.snapshot((90,), NAMES, NO_OWN_LOAD, S)
-    assert found is not None
-    assert found.response_times.keys() <= set(NAMES.values())
+    snapshot = selection.snapshot((90,), NAMES, NO_OWN_LOAD, S)
+    assert snapshot is not None
+    assert snapshot.response_times.keys() <= set(NAMES.values())
 
 
 # The client
@@ -232,8 +232,8 @@
                 client.receive(view(target, sequence=second + 1), second * S)
         changes.append(client.update_fallback(second * S))
         assert client.in_fallback == (4 <= second < 8)
-        found = client.snapshot(always_present, NAMES, NO_OWN_LOAD, second * S)
-        assert (found is None) == (4 <= second < 8)
+        snapshot = client.snapshot(always_present, NAMES, NO_OWN_LOAD, second * S)
+        assert (snapshot is None) == (4 <= second < 8)
     assert (
         changes.count(FallbackChange.ENTERED) == changes.count(FallbackChange.LEFT) == client.fallbacks == 1
     )
@@ -242,24 +242,24 @@
 def test_in_fallback_a_router_reports_to_few_of_its_own_zone_and_to_no_aggregator() -> None:
     zones = {number: 3 if number < 10 else 4 for number in range(100)} | {90: 3, 91: 3}
     for seed in range(20):
-        found = new_client(seed).fallback_targets(range(100), zones.__getitem__)
-        assert len(found) == FALLBACK_FANOUT
-        assert set(found) <= set(range(10)) - {5}
+        targets = new_client(seed).fallback_targets(range(100), zones.__getitem__)
+        assert len(targets) == FALLBACK_FANOUT
+        assert set(targets) <= set(range(10)) - {5}
     assert new_client().fallback_targets([5, 90], zones.__getitem__) == []
 
 
 def test_in_fallback_routers_of_small_zones_report_to_one_another() -> None:
     zones = dict.fromkeys(range(100), 4) | {number: number for number in range(5, 12)} | {5: 3, 6: 3}
-    small = set(range(6, 12)) - {4}
+    routers_of_small_zones = set(range(6, 12)) - {4}
     for seed in range(20):
-        found = new_client(seed).fallback_targets(range(100), zones.__getitem__)
-        assert len(found) == FALLBACK_FANOUT
-        assert set(found) <= small
+        targets = new_client(seed).fallback_targets(range(100), zones.__getitem__)
+        assert len(targets) == FALLBACK_FANOUT
+        assert set(targets) <= routers_of_small_zones
     zones = {number: 3 if number in (5, 6) else 4 for number in range(100)}
     for seed in range(20):  # a single small zone: its other router, and any router of another zone
-        found = new_client(seed).fallback_targets(range(100), zones.__getitem__)
-        assert len(set(found)) == FALLBACK_FANOUT
-        assert found[0] == 6
+        targets = new_client(seed).fallback_targets(range(100), zones.__getitem__)
+        assert len(set(targets)) == FALLBACK_FANOUT
+        assert targets[0] == 6
 
 
 @pytest.mark.parametrize("present", [set(), {90, 91, 92, 93, 5}])
