--- a/bench/figures.py
+++ b/bench/figures.py
@@ -58,12 +58,12 @@
     older_count = 0
     report = fleet._report
 
-    def reported(one: SimulatedPolicy) -> None:
+    def reported(router: SimulatedPolicy) -> None:
         nonlocal older_count
-        report(one)
-        for name, node in one.policy._caches.endpoints.items():
-            older_count += node.reported.at_ns < newest.get((one.number, name), 0)
-            newest[one.number, name] = node.reported.at_ns
+        report(router)
+        for name, node in router.policy._caches.endpoints.items():
+            older_count += node.reported.at_ns < newest.get((router.number, name), 0)
+            newest[router.number, name] = node.reported.at_ns
 
     fleet._report = reported  # type: ignore[method-assign]
     fleet.run(12.0)
--- a/holdgw/peers/report_table.py
+++ b/holdgw/peers/report_table.py
@@ -53,7 +53,7 @@
     """The latest reports of all reporters, and the selection of one per reporter for the merge.
 
     Its size is bounded by the number of members times the number of sources that the aggregator accepts,
-    which are the reporter itself and the other aggregators.
+    which are the reporter itself and the aggregators.
     """
 
     def __init__(self, aggregators_of: Callable[[int], Collection[int]]) -> None:
--- a/holdgw/simulation/aggregated_tier.py
+++ b/holdgw/simulation/aggregated_tier.py
@@ -156,9 +156,11 @@
                 self._apply(member)
 
     def _report(self, member: SimulatedMember) -> None:
-        asked = self.random.sample(self.servers, min(self.samples_per_s, len(self.servers)))
-        waits = {name: SampledResponseTime(float(self.wait(name, self.now)), self.now) for name in asked}
-        member.load_view.record(Observations(waits, Counter(self.slots(member.number))))
+        sampled_servers = self.random.sample(self.servers, min(self.samples_per_s, len(self.servers)))
+        response_times = {
+            name: SampledResponseTime(float(self.wait(name, self.now)), self.now) for name in sampled_servers
+        }
+        member.load_view.record(Observations(response_times, Counter(self.slots(member.number))))
         self._send(member.number, member.exchange.report(self.now))
 
     def _apply(self, member: SimulatedMember) -> None:
@@ -167,11 +169,11 @@
         self.snapshots[member.number] = snapshot
         self.on_snapshot(member.number, snapshot)
 
-    def _send(self, number: int, out: Iterable[OutgoingDatagram]) -> None:
-        for one in out:
-            data = self.alter(number, one.to, one.data)
+    def _send(self, number: int, datagrams: Iterable[OutgoingDatagram]) -> None:
+        for outgoing in datagrams:
+            data = self.alter(number, outgoing.to, outgoing.data)
             if data is not None:
-                self.send(number, one.to, data)
+                self.send(number, outgoing.to, data)
 
     def send(self, number: int, to: int, data: bytes) -> None:
         """Send a datagram from one member's address to another's."""
@@ -213,20 +215,22 @@
 
     def in_fallback(self) -> int:
         """Return the number of routers in fallback."""
-        clients = [one.exchange.client for one in self.members.values()]
+        clients = [member.exchange.client for member in self.members.values()]
         return sum(client is not None and client.in_fallback for client in clients)
 
     def coverage(self) -> dict[int, int]:
         """Return, by router, the number of reporters in its views."""
         return {
-            number: one.exchange.client.views.max_reporters(self.now)
-            for number, one in self.members.items()
-            if one.exchange.client is not None
+            number: member.exchange.client.views.max_reporters(self.now)
+            for number, member in self.members.items()
+            if member.exchange.client is not None
         }
 
     def oldest_ages(self) -> dict[int, int]:
         """Return, by router, the greatest age of a response time in its last snapshot, in nanoseconds."""
         ages = defaultdict(int)
         for number, snapshot in self.snapshots.items():
-            ages[number] = max((wait.age for wait in snapshot.response_times.values()), default=0)
+            ages[number] = max(
+                (response_time.age for response_time in snapshot.response_times.values()), default=0
+            )
         return ages
--- a/holdgw/simulation/cores.py
+++ b/holdgw/simulation/cores.py
@@ -37,34 +37,34 @@
     """The kernel's table of connections by descriptor, for a router's processes."""
 
     def __init__(self) -> None:
-        self._ends: dict[int, TcpTransport] = {}
+        self._connections: dict[int, TcpTransport] = {}
         self._next = 1000
 
-    def open(self, end: TcpTransport) -> int:
+    def open(self, connection: TcpTransport) -> int:
         """Open one more descriptor of a connection."""
         self._next += 1
-        self._ends[self._next] = end
-        end.extra_descriptors += 1
+        self._connections[self._next] = connection
+        connection.extra_descriptors += 1
         return self._next
 
     def duplicate(self, descriptor: int) -> int:
         """Open another descriptor of the same connection."""
-        return self.open(self._ends[descriptor])
+        return self.open(self._connections[descriptor])
 
     def close_descriptor(self, descriptor: int) -> None:
         """Close a descriptor; closing the last one closes the connection."""
-        self._ends.pop(descriptor).drop_extra_descriptor()
+        self._connections.pop(descriptor).drop_extra_descriptor()
 
     def connection(self, descriptor: int) -> TcpTransport:
         """Return the connection of a descriptor."""
-        return self._ends[descriptor]
+        return self._connections[descriptor]
 
     def __len__(self) -> int:
-        return len(self._ends)
+        return len(self._connections)
 
 
-class _SupervisorConnections:
-    """The connections that a supervisor holds by descriptor; the kernel closes them with its process."""
+class _SupervisorClientConnections:
+    """The client connections that a supervisor holds by descriptor; the kernel closes them at its exit."""
 
     def __init__(self, supervisor: Supervisor) -> None:
         self._supervisor = supervisor
@@ -156,9 +156,9 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Open a descriptor for the connection and hand it over."""
-        end = cast(TcpTransport, transport)
-        descriptor = self._descriptors.open(end)
-        end.detach_process()
+        connection = cast(TcpTransport, transport)
+        descriptor = self._descriptors.open(connection)
+        connection.detach_process()
         self._on_connection(descriptor)
 
 
@@ -182,7 +182,7 @@
 
     def __init__(self, process: Process, parent: Process, on_exit: Callable[[Process], None]) -> None:
         self.process = process
-        self._ended: asyncio.Future[int] = parent.loop.create_future()
+        self._exit_code: asyncio.Future[int] = parent.loop.create_future()
         self._parent, self._on_exit = parent, on_exit
         process.on_exit = self._exited
 
@@ -192,8 +192,8 @@
             self._parent.world.soon(self._parent, self._set_exit_code)
 
     def _set_exit_code(self) -> None:
-        if not self._ended.done():
-            self._ended.set_result(self.process.exit_code or 0)
+        if not self._exit_code.done():
+            self._exit_code.set_result(self.process.exit_code or 0)
 
     @property
     def returncode(self) -> int | None:
@@ -202,7 +202,7 @@
 
     async def wait(self) -> int:
         """Wait until the process exits, and return its exit code."""
-        return await self._ended
+        return await self._exit_code
 
     def send_signal(self, number: int) -> None:
         """Send a signal; raises ProcessLookupError if the process has exited."""
@@ -234,9 +234,9 @@
         self, clients: ClientListener, handover: ClientHandover | None, descriptor: int, late_ns: int
     ) -> None:
         """Serve a client's connection that another process passed on."""
-        end = self._descriptors.connection(descriptor)
-        self._process.take_descriptor(end)
-        end.transfer_to(self._process, cast(Any, ClientConnection(clients, handover, late_ns)))
+        connection = self._descriptors.connection(descriptor)
+        self._process.take_descriptor(connection)
+        connection.transfer_to(self._process, cast(Any, ClientConnection(clients, handover, late_ns)))
         self._descriptors.close_descriptor(descriptor)
 
 
@@ -273,8 +273,11 @@
         name = f"{self.router.name}.{index}"
         child = Process(fleet.world, fleet.network, parent.host, name, 0, False, self.config.max_descriptors)
         child.share_clock(parent)
-        here, there = SimulatedLink(parent, self.descriptors), SimulatedLink(child, self.descriptors)
-        here.peer, there.peer = there, here
+        supervisor_end, worker_end = (
+            SimulatedLink(parent, self.descriptors),
+            SimulatedLink(child, self.descriptors),
+        )
+        supervisor_end.peer, worker_end.peer = worker_end, supervisor_end
 
         async def main() -> int:
             await asyncio.sleep(self._random.randint(*WORKER_START_NS) / NS_PER_S)
@@ -286,15 +289,15 @@
             platform = Platform(
                 child.monotonic_ns, child.unix_ns, environ, self.router.read, peer_closed=peer_closed
             )
-            host_system = _SimulatedWorkerHostSystem(child, self, there)
+            host_system = _SimulatedWorkerHostSystem(child, self, worker_end)
             await Worker(config, WorkerParameters(index, workers, -1, -1), host_system, platform).run()
             return 0
 
         child.on_signal(signal.SIGHUP, lambda: None)
-        running = _WorkerProcess(child, parent, self._exited)
+        worker_process = _WorkerProcess(child, parent, self._exited)
         self.workers.append(child)
         child.start(main())
-        return running, here.begin(handlers)
+        return worker_process, supervisor_end.begin(handlers)
 
     def _exited(self, process: Process) -> None:
         self.workers.remove(process)
@@ -336,24 +339,24 @@
         # The last serving worker is not killed: that would kill the router, which is a fault of its own kind.
         others = [
             member
-            for member, one in supervisor.workers.items()
+            for member, worker in supervisor.workers.items()
             if member.state is WorkerState.SERVING
-            and cast(_WorkerProcess, one.process).process is not chosen
-            and cast(_WorkerProcess, one.process).process.running
+            and cast(_WorkerProcess, worker.process).process is not chosen
+            and cast(_WorkerProcess, worker.process).process.running
         ]
         if kind == "kill" and chosen.running and others:
-            # The checker must not blame the router for the killed worker's requests: their clients retry.
-            for held in list(chosen.open_descriptors):
-                if isinstance(held, TcpTransport) and held is held.connection.server:
-                    fleet.mark_severed(held.connection)
+            # The checker must not count the killed worker's requests against the router: their clients retry.
+            for holder in list(chosen.open_descriptors):
+                if isinstance(holder, TcpTransport) and holder is holder.connection.server:
+                    fleet.mark_severed(holder.connection)
             chosen.send_signal(signal.SIGKILL)
         elif kind == "stop" and chosen.running:
             chosen.stop()
             world = self.process.world
-            until = self._random.randint(*WORKER_STOP_NS)
+            stop_ns = self._random.randint(*WORKER_STOP_NS)
             now = fleet.clock()
-            fleet.history.stops.append((self.router.name, now, now + until / NS_PER_S))
-            world.at(world.now + until, None, chosen.resume)
+            fleet.history.stops.append((self.router.name, now, now + stop_ns / NS_PER_S))
+            world.at(world.now + stop_ns, None, chosen.resume)
         elif kind == "replace":
             self.process.send_signal(signal.SIGUSR2)
 
@@ -375,8 +378,8 @@
         except (ConfigError, InsufficientResourcesError) as error:
             process.faults.append(str(error))
             return 2
-        held = _SupervisorConnections(supervisor)
-        process.open_descriptors[held] = None
+        client_connections = _SupervisorClientConnections(supervisor)
+        process.open_descriptors[client_connections] = None
         if inject_faults:
             host_system.schedule_worker_fault(supervisor)
         try:
@@ -384,7 +387,7 @@
         except OSError as error:
             process.faults.append(str(error))
             return 1
-        process.open_descriptors.pop(held, None)
+        process.open_descriptors.pop(client_connections, None)
         if len(host_system.descriptors):
             router.fleet.invariants.report_violation(
                 "left_over",
--- a/holdgw/simulation/disk.py
+++ b/holdgw/simulation/disk.py
@@ -49,7 +49,7 @@
         self._names_synced: dict[str, _File] = {}
         self._name_history: list[
             dict[str, _File]
-        ] = []  # the folder after each change of a name since its last sync
+        ] = []  # the names after each of their changes since the last sync of the directory
 
     def names(self) -> list[str]:
         """Return all paths, sorted."""
@@ -123,15 +123,15 @@
 
     def crash(self, rng: random.Random) -> None:
         """Apply a crash of the machine: keep, lose or tear each unsynced change."""
-        kept = rng.randint(0, len(self._name_history))
-        self._files = dict(self._name_history[kept - 1]) if kept else dict(self._names_synced)
-        for file in {id(one): one for one in self._files.values()}.values():
+        kept_changes = rng.randint(0, len(self._name_history))
+        self._files = dict(self._name_history[kept_changes - 1]) if kept_changes else dict(self._names_synced)
+        for file in {id(named): named for named in self._files.values()}.values():
             content = bytearray(file.synced)
             for write in file.writes:
-                fate = rng.random()
-                if fate < 1 / 3:
+                draw = rng.random()
+                if draw < 1 / 3:
                     _apply(content, write)
-                elif fate < 2 / 3 and write.offset >= 0 and len(write.data) > 1:
+                elif draw < 2 / 3 and write.offset >= 0 and len(write.data) > 1:
                     # A write is torn at the end of a sector or, if it is no longer than one, at any byte: a
                     # drive writes 512 bytes atomically only if they lie within one of its sectors.
                     end = rng.randrange(1, len(write.data))
--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -62,7 +62,7 @@
 
 @dataclass
 class SimulatedPolicy:
-    """A router: its routing policy and, where it has peers, its load view."""
+    """A router of the model: its routing policy and, where it has peers, its load view."""
 
     number: int
     policy: RoutingPolicy
@@ -119,7 +119,7 @@
         self.listed = list(self.servers)
         self.can_reach: Callable[[int, int], bool] = lambda _from, _to: True
         self.hot: dict[str, float] = {}  # keys with an extra share of all reads each
-        self.falsify: Callable[[SimulatedPolicy, LoadReport], LoadReport] = lambda _one, report: report
+        self.falsify: Callable[[SimulatedPolicy, LoadReport], LoadReport] = lambda _router, report: report
         """Returns the load report that a router sends, given its true report."""
         self._keys = [f"key{i}" for i in range(keys)]
         self.random.shuffle(self._keys)
@@ -131,9 +131,9 @@
         self._missed: dict[str, str] = {}  # request: the server of its cache miss
         self.request_counts: Counter[str] = Counter()
         self.late_by_second: dict[int, int] = defaultdict(int)  # late, rejected or failed requests
-        for one in self.routers:
-            self._send_list(one, UpdateKind.FULL)
-            self.at(int(self.random.random() * REPORT_NS), lambda one=one: self._report(one))  # type: ignore[misc]
+        for router in self.routers:
+            self._send_list(router, UpdateKind.FULL)
+            self.at(int(self.random.random() * REPORT_NS), lambda router=router: self._report(router))  # type: ignore[misc]
         self._schedule_request()
 
     def run(self, until_s: float) -> None:
@@ -142,13 +142,15 @@
 
     # Endpoint lists and freezes
 
-    def _send_list(self, one: SimulatedPolicy, kind: UpdateKind) -> None:
+    def _send_list(self, router: SimulatedPolicy, kind: UpdateKind) -> None:
         def apply() -> None:
             entries = tuple(self.servers[name].entry for name in self.listed)
-            one.load_view.set_servers(self.listed)
-            self._apply_actions(one, one.policy.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now))
+            router.load_view.set_servers(self.listed)
+            self._apply_actions(
+                router, router.policy.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now)
+            )
 
-        self._unless_frozen(one, apply)
+        self._unless_frozen(router, apply)
 
     def set_listed(self, names: Sequence[str], within: int = 100_000_000) -> None:
         """Change the listed servers; each router learns of it within `within` nanoseconds."""
@@ -157,10 +159,10 @@
                 entry = Endpoint(name, kind="c", state=EndpointState.READY, started_ns=self.now)
                 self.servers[name] = SimulatedServer(entry, self._service)
         self.listed = list(names)
-        for one in self.routers:
+        for router in self.routers:
             self.at(
                 self.now + int(self.random.random() * within),
-                lambda one=one: self._send_list(one, UpdateKind.FULL),  # type: ignore[misc]
+                lambda router=router: self._send_list(router, UpdateKind.FULL),  # type: ignore[misc]
             )
 
     def freeze(self, numbers: Sequence[int], seconds: float) -> None:
@@ -170,15 +172,15 @@
 
         def resume() -> None:
             for number in numbers:
-                held, self.routers[number].frozen = self.routers[number].frozen or [], None
-                for callback in held:
+                deferred, self.routers[number].frozen = self.routers[number].frozen or [], None
+                for callback in deferred:
                     callback()
 
         self.at(self.now + int(seconds * NS_PER_S), resume)
 
-    def _unless_frozen(self, one: SimulatedPolicy, callback: Callable[[], None]) -> None:
-        if one.frozen is not None:
-            one.frozen.append(callback)
+    def _unless_frozen(self, router: SimulatedPolicy, callback: Callable[[], None]) -> None:
+        if router.frozen is not None:
+            router.frozen.append(callback)
         else:
             callback()
 
@@ -189,42 +191,42 @@
 
     def _request(self) -> None:
         self._schedule_request()
-        one = self.random.choices(self.routers, [one.weight for one in self.routers])[0]
+        router = self.random.choices(self.routers, [router.weight for router in self.routers])[0]
         draw, key = self.random.random(), ""
-        for name, share in self.hot.items():
+        for hot_key, share in self.hot.items():
             draw -= share
             if draw < 0:
-                key = name
+                key = hot_key
                 break
         if not key:
             key = self._keys[bisect(self._popular, self.random.random() * self._popular[-1])]
         self.request_counts["asked"] += 1
-        begun = self.now
+        started_at = self.now
 
         def arrive() -> None:
-            name = f"r{next(self._ids)}"
-            self._open[name] = one, key, begun, 0
-            event = RequestArrived(name, "read", self.now + DEADLINE_NS, key=key)
-            self._apply_actions(one, one.policy.handle(event, self.now))
+            request_id = f"r{next(self._ids)}"
+            self._open[request_id] = router, key, started_at, 0
+            event = RequestArrived(request_id, "read", self.now + DEADLINE_NS, key=key)
+            self._apply_actions(router, router.policy.handle(event, self.now))
 
-        self._unless_frozen(one, arrive)
+        self._unless_frozen(router, arrive)
 
-    def _apply_actions(self, one: SimulatedPolicy, actions: Sequence[object]) -> None:
+    def _apply_actions(self, router: SimulatedPolicy, actions: Sequence[object]) -> None:
         for action in actions:
             if isinstance(action, SendAttempt):
-                self._send_attempt(one, action)
+                self._send_attempt(router, action)
             elif hasattr(action, "request"):
                 self.request_counts["refused" if isinstance(action, Reject) else "failed"] += 1
                 self.late_by_second[self.now // NS_PER_S] += 1
                 self._open.pop(action.request, None)
 
-    def _send_attempt(self, one: SimulatedPolicy, send: SendAttempt) -> None:
-        _, key, begun, attempt = self._open[send.request_id]
-        self._open[send.request_id] = one, key, begun, attempt + 1
+    def _send_attempt(self, router: SimulatedPolicy, send: SendAttempt) -> None:
+        _, key, started_at, attempt = self._open[send.request_id]
+        self._open[send.request_id] = router, key, started_at, attempt + 1
         server = self.servers.get(send.endpoint_id)
         if server is None:
             self.request_counts["fetches"] += 1
-            self._end_attempt(one, send, self.now + FETCH_NS, Outcome.OK, None)
+            self._end_attempt(router, send, self.now + FETCH_NS, Outcome.OK, None)
             return
         server.arrivals.append(self.now)
         start = max(self.now, server.free_at)
@@ -234,11 +236,11 @@
         if not hit:
             self.request_counts["misses"] += 1
             self._missed[send.request_id] = send.endpoint_id
-        self._end_attempt(one, send, end, Outcome.OK if hit else Outcome.MISS, server)
+        self._end_attempt(router, send, end, Outcome.OK if hit else Outcome.MISS, server)
 
     def _end_attempt(
         self,
-        one: SimulatedPolicy,
+        router: SimulatedPolicy,
         send: SendAttempt,
         end: int,
         outcome: Outcome,
@@ -247,10 +249,10 @@
         sent, attempt = self.now, self._open[send.request_id][3]
 
         def receive_reply() -> None:
-            self._unless_frozen(one, handle_reply)
+            self._unless_frozen(router, handle_reply)
 
         def handle_reply() -> None:
-            took = self.now - sent
+            duration = self.now - sent
             load = None
             if server is not None:
                 server.recent_ms += ((end - sent) / 1e6 - server.recent_ms) / 8
@@ -271,55 +273,62 @@
                 send.endpoint_id,
                 outcome,
                 outcome is Outcome.OK,
-                took,
+                duration,
                 load_report=load,
             )
-            self._apply_actions(one, one.policy.handle(event, self.now))
+            self._apply_actions(router, router.policy.handle(event, self.now))
 
         self.at(end, receive_reply)
 
     # Load reports
 
-    def _report(self, one: SimulatedPolicy) -> None:
-        self.at(self.now + REPORT_NS, lambda: self._report(one))
-        if not self.peers or one.frozen is not None:
+    def _report(self, router: SimulatedPolicy) -> None:
+        self.at(self.now + REPORT_NS, lambda: self._report(router))
+        if not self.peers or router.frozen is not None:
             return
-        waits, slot_requests = one.policy.take_observations()
-        sampled = {server: SampledResponseTime(wait, at) for server, (wait, at) in waits.items()}
-        one.load_view.record(Observations(sampled, slot_requests))
-        report = self.falsify(one, one.load_view.report(self.now))
+        response_times, slot_requests = router.policy.take_observations()
+        sampled = {
+            server: SampledResponseTime(response_time, at)
+            for server, (response_time, at) in response_times.items()
+        }
+        router.load_view.record(Observations(sampled, slot_requests))
+        report = self.falsify(router, router.load_view.report(self.now))
         others = self.random.sample(self.routers, min(FANOUT + 1, len(self.routers)))
-        for other in [other for other in others if other is not one][:FANOUT]:
-            if self.can_reach(one.number, other.number):
+        for other in [other for other in others if other is not router][:FANOUT]:
+            if self.can_reach(router.number, other.number):
                 self.at(self.now + self.delay, lambda other=other: self._receive(other, report))  # type: ignore[misc]
-        view = one.load_view.snapshot(self.now)
+        view = router.load_view.snapshot(self.now)
         event = LoadSnapshotChanged(
             view.response_times, dict(view.slot_shares), view.requests, view.own_requests
         )
-        self._apply_actions(one, one.policy.handle(event, self.now))
+        self._apply_actions(router, router.policy.handle(event, self.now))
 
-    def _receive(self, one: SimulatedPolicy, report: LoadReport) -> None:
-        self._unless_frozen(one, lambda: one.load_view.receive(report, self.now))
+    def _receive(self, router: SimulatedPolicy, report: LoadReport) -> None:
+        self._unless_frozen(router, lambda: router.load_view.receive(report, self.now))
 
     # Measurements
 
     def spread(self, since_s: float, until_s: float) -> tuple[float, float]:
         """Return the most and the fewest arrivals of a listed server, each divided by the mean."""
-        found = [
+        arrival_counts = [
             sum(since_s * NS_PER_S <= at < until_s * NS_PER_S for at in self.servers[name].arrivals)
             for name in self.listed
         ]
-        mean = sum(found) / len(found)
-        return max(found) / mean, min(found) / mean
+        mean = sum(arrival_counts) / len(arrival_counts)
+        return max(arrival_counts) / mean, min(arrival_counts) / mean
 
     def arrival_dispersion(self, since_s: float, until_s: float, window: int = 100_000_000) -> float:
         """Return the mean over servers of the index of dispersion of arrivals per window (Poisson: 1)."""
-        found = []
+        dispersions = []
         first, last = int(since_s * NS_PER_S) // window, int(until_s * NS_PER_S) // window
         for name in self.listed:
             counts = Counter(at // window for at in self.servers[name].arrivals)
-            row = [counts[i] for i in range(first, last)]
-            mean = sum(row) / len(row)
+            counts_by_window = [counts[i] for i in range(first, last)]
+            mean = sum(counts_by_window) / len(counts_by_window)
             if mean:
-                found.append(sum((one - mean) ** 2 for one in row) / len(row) / mean)
-        return sum(found) / len(found)
+                dispersions.append(
+                    sum((arrivals - mean) ** 2 for arrivals in counts_by_window)
+                    / len(counts_by_window)
+                    / mean
+                )
+        return sum(dispersions) / len(dispersions)
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -146,7 +146,7 @@
     def _do(self, verb: str, target: str, args: dict[str, Any], future: asyncio.Future[Any]) -> None:
         assert self.part is not None
 
-        def done(task: asyncio.Task[Any]) -> None:
+        def copy_result(task: asyncio.Task[Any]) -> None:
             if future.done():
                 return
             error = task.exception()
@@ -155,7 +155,7 @@
             else:
                 future.set_result(task.result())
 
-        self.process.loop.create_task(self.part.do(verb, target, args)).add_done_callback(done)
+        self.process.loop.create_task(self.part.do(verb, target, args)).add_done_callback(copy_result)
 
     def send(self, message: Message) -> None:
         """Send the part a message."""
@@ -213,7 +213,7 @@
 
 class _Clients(_RecordingPart, ClientsRole):
     async def start(self) -> None:
-        """Take the schedule that is drawn already."""
+        """Create the clients from the fleet's schedule instead of drawing it again."""
         self.set_schedule(self.fleet.schedule)
 
 
@@ -240,9 +240,9 @@
     def make_discovery(self, model: DiscoveryModel, routers: list[str], call_s: float) -> DiscoveryServer:
         """Create discovery on a host of its own."""
         ip = self.fleet.ips[DISCOVERY]
-        made = _Discovery(model, routers, self._where, self, self.clock, ip, call_s)
-        made.fleet = self.fleet
-        return made
+        discovery = _Discovery(model, routers, self._where, self, self.clock, ip, call_s)
+        discovery.fleet = self.fleet
+        return discovery
 
 
 class SimulatedRouter:
@@ -259,12 +259,12 @@
         self.program: Program | None = None
         self._files: dict[str, bytes] = {}
         self._main = main
-        self._ended: asyncio.Event | None = None
+        self._exit_event: asyncio.Event | None = None
         self._random = random.Random(f"{fleet.schedule.seed}/{name}")
 
-    def configure(self, told: dict[str, Any]) -> None:
+    def configure(self, settings: dict[str, Any]) -> None:
         """Write the router's configuration file."""
-        self._files[f"/{self.name}.json"] = orjson.dumps(told)
+        self._files[f"/{self.name}.json"] = orjson.dumps(settings)
 
     def read(self, path: str) -> bytes:
         """Return the content of one of the router's files; raises FileNotFoundError."""
@@ -288,9 +288,11 @@
         process = Process(
             fleet.world, fleet.network, self.host, self.name, drift, False, scenario.router.sockets
         )
-        process.on_signal(signal.SIGHUP, lambda: None)  # as the program does before its loop handles it
+        process.on_signal(
+            signal.SIGHUP, lambda: None
+        )  # like the program, which ignores SIGHUP until its event loop handles it
         process.on_exit = self._exited
-        self.process, self.program, self._ended = process, None, asyncio.Event()
+        self.process, self.program, self._exit_event = process, None, asyncio.Event()
         environ = {
             "LB_NAME": self.name,
             "LB_LISTEN": format_address(self.address),
@@ -302,14 +304,14 @@
         fleet.invariants.process_started(self.name, process)
 
     def _exited(self, process: Process) -> None:
-        life = self.lives[-1]
+        lifetime = self.lives[-1]
         now = self.fleet.clock()
-        if life.wanted == "KILL":
-            life = replace(life, told_to_end=now)  # when the process really exited
-        self.lives[-1] = replace(life, exited=now, code=process.exit_code)
-        self.fleet.invariants.process_ended(self.name, process, life.wanted)
-        if self._ended is not None:
-            self.fleet.world.soon(self.fleet.stage, self._ended.set)
+        if lifetime.wanted == "KILL":
+            lifetime = replace(lifetime, told_to_end=now)  # when the process really exited
+        self.lives[-1] = replace(lifetime, exited=now, code=process.exit_code)
+        self.fleet.invariants.process_ended(self.name, process, lifetime.wanted)
+        if self._exit_event is not None:
+            self.fleet.world.soon(self.fleet.stage, self._exit_event.set)
 
     async def ready(self) -> bool:
         """Wait until the router answers PING with PONG; False if it exits or does not answer in time."""
@@ -328,17 +330,19 @@
         if not self.running:
             return
         assert self.process is not None
-        life = self.lives[-1]
+        lifetime = self.lives[-1]
         if number is signal.SIGKILL:
-            self.lives[-1] = replace(life, told_to_end=self.fleet.clock(), wanted=life.wanted or "KILL")
+            self.lives[-1] = replace(
+                lifetime, told_to_end=self.fleet.clock(), wanted=lifetime.wanted or "KILL"
+            )
             self.process.kill(after=self._random.randint(1, MAX_CALLBACKS_TO_KILL))
             return
         if number is signal.SIGTERM:
-            self.lives[-1] = replace(life, told_to_end=self.fleet.clock(), wanted="TERM")
+            self.lives[-1] = replace(lifetime, told_to_end=self.fleet.clock(), wanted="TERM")
         self.process.send_signal(number)
 
     def lose_machine(self) -> None:
-        """Make the router's machine silent for good, and lose its disk."""
+        """Power off the router's machine and lose its disk; a later `start` boots the machine."""
         self.fleet.network.power_off(self.host)
         self.host.disk = Disk()
         self._files.clear()
@@ -348,10 +352,10 @@
 
     async def ended(self, within: float) -> bool:
         """Wait for the exit of the router's process for `within` seconds; returns whether it has exited."""
-        if self._ended is not None and self.running:
+        if self._exit_event is not None and self.running:
             try:
                 async with asyncio.timeout(within):
-                    await self._ended.wait()
+                    await self._exit_event.wait()
             except TimeoutError:
                 pass
         return not self.running
@@ -387,10 +391,10 @@
     hub: SimulatedPart
 
     def __init__(
-        self, day: Schedule, trace: Trace | None = None, main: RouterMain = single_process_router
+        self, schedule: Schedule, trace: Trace | None = None, main: RouterMain = single_process_router
     ) -> None:
-        self.world = World(day.seed, trace)
-        super().__init__(day, self._seconds)
+        self.world = World(schedule.seed, trace)
+        super().__init__(schedule, self._seconds)
         self.network = Network(self.world, self._link_delay)
         self.network.on_cut = self.mark_severed
         self.network.on_segment_delayed = self._record_delayed_segment
@@ -405,7 +409,7 @@
         self._cuts: dict[int, Cut] = {}
         self.list_arrivals: dict[str, tuple[float, float]] = {}
         """By router: when discovery last wrote a delayed segment, and when that segment arrives."""
-        scenario = day.scenario
+        scenario = schedule.scenario
         self._host("stage", "", "10.0.0.1").fault_free = True
         self._host(CLIENTS, "", "10.0.0.2").lossless = True
         self._host(DISCOVERY, scenario.fleet.zones[0], "10.0.0.3").fault_free = True
@@ -425,11 +429,14 @@
 
     def _join_peers(self, scenario: Scenario) -> None:
         """Give every router the addresses of the others and one multicast address of all."""
-        every = (self._host("tier", "", "10.0.0.5").ips[0], PEER_PORT)
-        each = tuple((router.address[0], PEER_PORT) for router in self.routers.values())
-        self.peers = {name: Peers(one, each, every) for name, one in zip(self.routers, each, strict=True)}
+        group_address = (self._host("tier", "", "10.0.0.5").ips[0], PEER_PORT)
+        addresses = tuple((router.address[0], PEER_PORT) for router in self.routers.values())
+        self.peers = {
+            name: Peers(address, addresses, group_address)
+            for name, address in zip(self.routers, addresses, strict=True)
+        }
         self.network.peers = relay_model(scenario, self.schedule.seed)
-        self.network.groups[every] = list(each)
+        self.network.groups[group_address] = list(addresses)
 
     def _host(self, name: str, zone: str, ip: str) -> Host:
         self.ips[name] = ip
@@ -442,12 +449,16 @@
         if "" in (a.zone, b.zone) or (
             DISCOVERY in (a.name, b.name) and self.schedule.scenario.discovery.mode == "push"
         ):
-            least = 0.1  # clients are outside the fleet, and a discovery agent runs on the router's machine
+            min_delay_ms = (
+                0.1  # clients are outside the fleet, and a discovery agent runs on the router's machine
+            )
         else:
-            span = fleet.same_ms if a.zone == b.zone else fleet.cross_ms
-            least = between(unit(self.schedule.seed, "line", *sorted((a.name, b.name))), span)
-        least_ns = int(least * NS_PER_MS)
-        return least_ns, int(least_ns * self.schedule.scenario.simulation.jitter)
+            delay_range_ms = fleet.same_ms if a.zone == b.zone else fleet.cross_ms
+            min_delay_ms = between(
+                unit(self.schedule.seed, "line", *sorted((a.name, b.name))), delay_range_ms
+            )
+        min_delay_ns = int(min_delay_ms * NS_PER_MS)
+        return min_delay_ns, int(min_delay_ns * self.schedule.scenario.simulation.jitter)
 
     # Records and events of the parts
 
@@ -475,10 +486,10 @@
         if isinstance(protocol, ClientConnection) and protocol.attempt is not None:
             self.history.severed.add(protocol.attempt.id)
 
-    def _report_write_after_eof(self, end: TcpTransport) -> None:
-        if end.host.name in self.routers:
+    def _report_write_after_eof(self, transport: TcpTransport) -> None:
+        if transport.host.name in self.routers:
             self.invariants.report_violation(
-                "half_closed", f"{end.host.name} wrote on a connection that its peer has ended"
+                "half_closed", f"{transport.host.name} wrote on a connection that its peer has ended"
             )
 
     def _record_delayed_segment(self, a: Host, b: Host, sent: int, arrival: int) -> None:
@@ -528,21 +539,21 @@
         for name, router in self.routers.items():
             history.lives += router.lives
             self.invariants.report_process_faults(name)
-        broken = [] if self.failure else rule_violations(self.schedule, history)
-        broken = sorted([*broken, *self.invariants.broken], key=lambda one: one.at)
-        played = RunResult(self.schedule, history, self.begun, scenario.length_s)
+        violations = [] if self.failure else rule_violations(self.schedule, history)
+        violations = sorted([*violations, *self.invariants.broken], key=lambda one: one.at)
+        run_result = RunResult(self.schedule, history, self.begun, scenario.length_s)
         return Outcome(
             self.schedule.seed,
             self.world.trace.digest(),
             self.world.trace.events,
             self.world.callbacks,
             seconds,
-            broken,
+            violations,
             self.failure,
             len(self.schedule.requests),
             sum(one.answer == "served" for one in history.tries),
             self.begun,
-            played,
+            run_result,
         )
 
     def _part(
@@ -687,12 +698,12 @@
         else:
             self._active_conditions.pop(args["name"], None)
         conditions = LinkConditions()
-        for one in self._active_conditions.values():
-            conditions.loss = max(conditions.loss, one["loss"])
-            conditions.chop = max(conditions.chop, one["chop"])
-            conditions.extra_delay_ns = max(conditions.extra_delay_ns, int(one["slow_ms"] * NS_PER_MS))
-            if one["window_kb"]:
-                conditions.window = min(conditions.window, one["window_kb"] << 10)
+        for active in self._active_conditions.values():
+            conditions.loss = max(conditions.loss, active["loss"])
+            conditions.chop = max(conditions.chop, active["chop"])
+            conditions.extra_delay_ns = max(conditions.extra_delay_ns, int(active["slow_ms"] * NS_PER_MS))
+            if active["window_kb"]:
+                conditions.window = min(conditions.window, active["window_kb"] << 10)
         self.network.conditions = conditions
 
     def _link_matcher(self, lines: str) -> Callable[[Host, Host], bool]:
--- a/holdgw/simulation/invariants.py
+++ b/holdgw/simulation/invariants.py
@@ -77,9 +77,9 @@
 
     def report_process_faults(self, name: str) -> None:
         """Report the unhandled errors of each process of a router as violations."""
-        for life, process in enumerate(self._lives.get(name, ()), 1):
+        for start_number, process in enumerate(self._lives.get(name, ()), 1):
             for text in process.faults:
-                self.report_violation("fault", f"{name} (life {life}): {text}")
+                self.report_violation("fault", f"{name} (life {start_number}): {text}")
 
     def record_baselines(self) -> None:
         """Record what routers hold before the load begins, and start the periodic checks."""
@@ -102,21 +102,23 @@
                 self.report_violation("overdue", f"{name}: a request is unanswered past its deadline")
             if tables["requests_out_late"] and not self._resumed_recently(name):
                 self.report_violation("overdue", f"{name}: an attempt is open past its request's deadline")
-            others = max(config.max_descriptors - OWN_DESCRIPTORS, 8)
-            for_clients = int(others * CLIENT_DESCRIPTOR_FRACTION)
+            connection_descriptors = max(config.max_descriptors - OWN_DESCRIPTORS, 8)
+            client_descriptors = int(connection_descriptors * CLIENT_DESCRIPTOR_FRACTION)
             bounds = {
                 "requests": config.max_open_requests,
                 "recent": MAX_RECENT_IDS,
-                "clients": for_clients + MAX_REJECTING_CONNECTIONS + 1,
-                "descriptors_counted": others - for_clients,
+                "clients": client_descriptors + MAX_REJECTING_CONNECTIONS + 1,
+                "descriptors_counted": connection_descriptors - client_descriptors,
                 "events": 10_000,
             }
             for table, bound in bounds.items():
                 if tables[table] > bound:
                     self.report_violation("unbounded", f"{name}: {table} holds {tables[table]}, over {bound}")
-            held = tables["connections"] + tables["dials"]
-            if tables["descriptors_counted"] != held:
-                text = f"{name}: {tables['descriptors_counted']} descriptors counted for servers, {held} held"
+            in_use = tables["connections"] + tables["dials"]
+            if tables["descriptors_counted"] != in_use:
+                text = (
+                    f"{name}: {tables['descriptors_counted']} descriptors counted for servers, {in_use} held"
+                )
                 self.report_violation("miscounted", text)
             if process.peak_descriptors > config.max_descriptors:
                 self.report_violation(
@@ -141,29 +143,30 @@
                     self.report_violation(
                         "left_over", f"{name}: {table} still holds {tables[table]} after the load has ended"
                     )
-            known = tables["clients"] + tables["descriptors_counted"] + OWN_SOCKETS
-            known += program.peers is not None  # the socket for other routers
-            if len(process.open_descriptors) > known:
+            accounted_for = tables["clients"] + tables["descriptors_counted"] + OWN_SOCKETS
+            accounted_for += program.peers is not None  # the socket for other routers
+            if len(process.open_descriptors) > accounted_for:
                 text = (
                     f"{name}: {len(process.open_descriptors)} descriptors are open, "
-                    f"and {known} are accounted for"
+                    f"and {accounted_for} are accounted for"
                 )
                 self.report_violation("left_over", text)
-            baseline, now = self._baselines.get(name), self._count_resources(process)
+            baseline, current = self._baselines.get(name), self._count_resources(process)
             if baseline is None:
                 continue
-            if now.timers > baseline.timers + TIMER_TOLERANCE:
+            if current.timers > baseline.timers + TIMER_TOLERANCE:
                 names = ", ".join(
                     sorted({callback_name(call._callback) for call in self._world.pending(process)})
                 )
                 self.report_violation(
                     "left_over",
-                    f"{name}: {now.timers} timers, {baseline.timers} before the load began: {names}",
+                    f"{name}: {current.timers} timers, {baseline.timers} before the load began: {names}",
                 )
-            if now.tasks > baseline.tasks:
+            if current.tasks > baseline.tasks:
                 names = _names(process.loop.tasks)
                 self.report_violation(
-                    "left_over", f"{name}: {now.tasks} tasks, {baseline.tasks} before the load began: {names}"
+                    "left_over",
+                    f"{name}: {current.tasks} tasks, {baseline.tasks} before the load began: {names}",
                 )
 
     def process_ended(self, name: str, process: Process, wanted: str) -> None:
@@ -176,7 +179,7 @@
             names = _names(tasks)
             self.report_violation("left_over", f"{name} ended with tasks left: {names}")
         if leftovers.descriptors:
-            kinds = ", ".join(sorted({type(one).__name__ for one in leftovers.descriptors}))
+            kinds = ", ".join(sorted({type(holder).__name__ for holder in leftovers.descriptors}))
             self.report_violation(
                 "left_over", f"{name} ended with {len(leftovers.descriptors)} descriptors open: {kinds}"
             )
--- a/holdgw/simulation/network.py
+++ b/holdgw/simulation/network.py
@@ -142,12 +142,12 @@
         link_delay = self._link_delays.get((a, b))
         if link_delay is None:
             link_delay = self._link_delays[a, b] = self._link_delay(a, b)
-        least, jitter = link_delay
-        taken = least + int(self._random.random() * jitter)
-        slow = self.conditions.extra_delay_ns
-        if slow and not (a.ignores_conditions or b.ignores_conditions):
-            taken += int(self._random.random() * slow)
-        return taken
+        min_delay, jitter = link_delay
+        delay = min_delay + int(self._random.random() * jitter)
+        max_extra_delay = self.conditions.extra_delay_ns
+        if max_extra_delay and not (a.ignores_conditions or b.ignores_conditions):
+            delay += int(self._random.random() * max_extra_delay)
+        return delay
 
     def arrival(self, a: Host, b: Host, retransmission_timeout_ns: int = RETRANSMISSION_TIMEOUT_NS) -> int:
         """Draw when a segment sent now arrives, with retransmissions until it gets through."""
@@ -173,14 +173,14 @@
     def block(self, a: Iterable[Host], b: Iterable[Host], seconds: float, both: bool = True) -> None:
         """Block all from `a` to `b`, and back if `both`, for some seconds; TCP's bytes arrive afterwards."""
         until = self.world.now + int(seconds * NS_PER_S)
-        others = list(b)
-        for one in a:
-            for other in others:
-                if one is other:
+        receivers = list(b)
+        for sender in a:
+            for receiver in receivers:
+                if sender is receiver:
                     continue
-                self._blocked[one, other] = max(self._blocked.get((one, other), 0), until)
+                self._blocked[sender, receiver] = max(self._blocked.get((sender, receiver), 0), until)
                 if both:
-                    self._blocked[other, one] = max(self._blocked.get((other, one), 0), until)
+                    self._blocked[receiver, sender] = max(self._blocked.get((receiver, sender), 0), until)
 
     def power_off(self, host: Host) -> None:
         """Make a machine silent: its peers get no FIN and no reset.
@@ -224,8 +224,8 @@
         """Return a segment whole or split at random offsets."""
         if not self.conditions.chop or len(data) < 2 or self._random.random() >= self.conditions.chop:
             return [data]
-        places = sorted({self._random.randrange(1, len(data)) for _ in range(self._random.randint(1, 4))})
-        return [data[i:j] for i, j in zip([0, *places], [*places, len(data)], strict=True)]
+        offsets = sorted({self._random.randrange(1, len(data)) for _ in range(self._random.randint(1, 4))})
+        return [data[i:j] for i, j in zip([0, *offsets], [*offsets, len(data)], strict=True)]
 
     # TCP
 
@@ -275,28 +275,34 @@
         local: Address | None,
     ) -> tuple[asyncio.Transport, asyncio.BaseProtocol]:
         """Connect; raises OSError as the kernel does, and waits without limit for a silent host."""
-        other = self._hosts.get(remote[0])
-        if other is None:
+        remote_host = self._hosts.get(remote[0])
+        if remote_host is None:
             raise OSError(113, f"no route to host {remote[0]}")
-        ip = local[0] if local is not None else remote[0] if other is process.host else process.host.ips[0]
+        ip = (
+            local[0]
+            if local is not None
+            else remote[0]
+            if remote_host is process.host
+            else process.host.ips[0]
+        )
         address = (ip, self.free_port(process.host, ip))
         protocol = factory()
-        up = process.loop.create_future()
-        end = TcpTransport(self, process, process.host, address, remote, protocol, up)
+        established = process.loop.create_future()
+        end = TcpTransport(self, process, process.host, address, remote, protocol, established)
         process.take_descriptor(end)
-        peer = TcpTransport(self, None, other, remote, address, None, None)
+        peer = TcpTransport(self, None, remote_host, remote, address, None, None)
         number = next(self._numbers)
         connection = Connection(number, end, peer, self.conditions.window, ends=[end, peer])
         connection.label = f"{process.name}:{number}"
-        end.attach(connection, peer, f"{connection.label}<")
-        peer.attach(connection, end, f"{connection.label}>")
+        end.attach_connection(connection, peer, f"{connection.label}<")
+        peer.attach_connection(connection, end, f"{connection.label}>")
         self.connections[connection] = None
         self.world.trace.add(
             self.world.now, process.name, "connect", f"{connection.label} {remote[0]}:{remote[1]}"
         )
         self._send_syn(connection)
         try:
-            await up
+            await established
         except BaseException:
             end.cancel_connect()
             raise
@@ -393,17 +399,17 @@
     def send_datagram(self, end: UdpTransport, data: bytes, remote: Address) -> None:
         """Send a datagram, which may be lost, duplicated or delayed; a group's members all get one."""
         if remote in self.groups:
-            for one in self.groups[remote]:
-                if one != end.address:
-                    self.send_datagram(end, data, one)
+            for member in self.groups[remote]:
+                if member != end.address:
+                    self.send_datagram(end, data, member)
             return
-        other = self._hosts.get(remote[0])
-        here, conditions, draw = end.process.host, self.conditions, self._random.random
-        if other is None or here.silent or self.is_blocked(here, other):
+        receiver = self._hosts.get(remote[0])
+        sender, conditions, draw = end.process.host, self.conditions, self._random.random
+        if receiver is None or sender.silent or self.is_blocked(sender, receiver):
             return
         if self.peers is not None:
             now = self.world.now
-            for delay in self.peers.delivery_delays(now / NS_PER_S, here.name, other.name, len(data)):
+            for delay in self.peers.delivery_delays(now / NS_PER_S, sender.name, receiver.name, len(data)):
                 self.world.at(now + int(delay * NS_PER_S), None, self._receive_datagram, (end, data, remote))
             return
         for _ in range(
@@ -411,7 +417,7 @@
         ):
             if conditions.datagram_loss and draw() < conditions.datagram_loss:
                 continue
-            at = self.world.now + self.delay(here, other)
+            at = self.world.now + self.delay(sender, receiver)
             if conditions.datagram_reordering and draw() < conditions.datagram_reordering:
                 at += int(draw() * conditions.reordering_ns)
             self.world.at(at, None, self._receive_datagram, (end, data, remote))
--- a/holdgw/simulation/process.py
+++ b/holdgw/simulation/process.py
@@ -179,8 +179,8 @@
             self.world.pending(self),
         )
         self.world.trace.add(self.world.now, self.name, "exit", str(code))
-        for held in list(self.open_descriptors):
-            held.process_died()
+        for holder in list(self.open_descriptors):
+            holder.process_died()
         self.open_descriptors.clear()
         self.on_exit(self)
 
@@ -210,7 +210,7 @@
         else:
             self._end(-number)
 
-    # DescriptorTable
+    # Descriptors
 
     def take_descriptor(self, holder: Any) -> None:
         """Open a descriptor for its holder; raises OSError (EMFILE) at the limit."""
--- a/holdgw/simulation/random_faults.py
+++ b/holdgw/simulation/random_faults.py
@@ -14,7 +14,7 @@
 from holdgw.harness.fault_types import KINDS, PHASES, Fault, kind_of
 from holdgw.harness.scenario import Scenario, Storm, node_names
 
-FIRST_START, LAST_START = 0.05, 0.8  # a storm's faults start between these shares of the schedule
+FIRST_START_SHARE, LAST_START_SHARE = 0.05, 0.8  # a storm's faults start between these shares of the schedule
 MAX_NODES_SHARE = 0.25  # of the cache servers, that one fault affects
 
 Draw = Callable[[random.Random, Scenario], dict[str, Any]]
@@ -22,8 +22,8 @@
 
 def _random_nodes(rng: random.Random, scenario: Scenario) -> tuple[str, ...]:
     names = node_names(scenario.fleet)
-    most = max(1, int(len(names) * MAX_NODES_SHARE))
-    return tuple(sorted(rng.sample(names, rng.randint(1, most))))
+    max_nodes = max(1, int(len(names) * MAX_NODES_SHARE))
+    return tuple(sorted(rng.sample(names, rng.randint(1, max_nodes))))
 
 
 def _router_count(rng: random.Random, scenario: Scenario) -> int:
@@ -147,18 +147,18 @@
     kinds = scenario.storm.kinds or tuple(
         kind for kind in KINDS if kind in DRAWS and kind not in OPT_IN_KINDS
     )
-    fixed = [
+    listed = [
         msgspec.structs.replace(fault, draw=i if fault.draw < 0 else fault.draw)
         for i, fault in enumerate(scenario.trouble)
     ]
     drawn = []
     for i in range(rng.randint(*scenario.storm.count)):
         kind = rng.choice(kinds)
-        at = round(scenario.length_s * rng.uniform(FIRST_START, LAST_START), 3)
-        table = {"kind": kind, "at": at, "draw": 1000 + i, **DRAWS[kind](rng, scenario)}
-        drawn.append(msgspec.convert(table, Fault, strict=False))
-    every = sorted([*fixed, *drawn], key=lambda fault: fault.at)
-    return msgspec.structs.replace(scenario, seed=seed, storm=Storm(), trouble=tuple(every))
+        at = round(scenario.length_s * rng.uniform(FIRST_START_SHARE, LAST_START_SHARE), 3)
+        fields = {"kind": kind, "at": at, "draw": 1000 + i, **DRAWS[kind](rng, scenario)}
+        drawn.append(msgspec.convert(fields, Fault, strict=False))
+    all_faults = sorted([*listed, *drawn], key=lambda fault: fault.at)
+    return msgspec.structs.replace(scenario, seed=seed, storm=Storm(), trouble=tuple(all_faults))
 
 
 def describe_faults(scenario: Scenario) -> str:
--- a/holdgw/simulation/search.py
+++ b/holdgw/simulation/search.py
@@ -85,16 +85,16 @@
 
 def last_events(scenario: Scenario, seed: int, request: str, max_events: int = LAST_EVENTS) -> list[str]:
     """Run a seed again, and return the last `max_events` events of one request as lines of text."""
-    found: list[dict[str, Any]] = []
+    matching_events: list[dict[str, Any]] = []
     name = request.encode()
 
     def record(event: dict[str, Any]) -> None:
         if name in event["data"] or request in event["about"]:
-            found.append(event)
+            matching_events.append(event)
 
     outcome = play_seed(scenario, seed, Trace(record))
     lines = []
-    for event in found[-max_events:]:
+    for event in matching_events[-max_events:]:
         at = event["at"] / 1e9 - outcome.begun
         text = readable(event["data"], 120) if event["data"] else ""
         lines.append(f"{at:10.6f} s  {event['who']:10} {event['what']:8} {event['about']}  {text}".rstrip())
--- a/holdgw/simulation/shrink.py
+++ b/holdgw/simulation/shrink.py
@@ -24,15 +24,15 @@
     size = count
     while size >= 1:
         for start in range(0, count, size):
-            kept = scenario.trouble[:start] + scenario.trouble[start + size :]
-            if len(kept) < count:
-                yield msgspec.structs.replace(scenario, trouble=kept)
+            remaining = scenario.trouble[:start] + scenario.trouble[start + size :]
+            if len(remaining) < count:
+                yield msgspec.structs.replace(scenario, trouble=remaining)
         size = size // 2
 
 
 def _shorter(scenario: Scenario, outcome: Outcome) -> Iterator[Scenario]:
     """End the schedule shortly after the first violation, then at half and at four fifths of its length."""
-    ends = [max(one.at - outcome.begun, 0.0) + MARGIN_S for one in outcome.broken[:1]]
+    ends = [max(violation.at - outcome.begun, 0.0) + MARGIN_S for violation in outcome.broken[:1]]
     ends += [scenario.length_s / 2, scenario.length_s * 0.8]
     for end in ends:
         length = ceil(end * 10) / 10
@@ -49,9 +49,9 @@
     fleet = scenario.fleet
     for nodes, routers in ((fleet.nodes // 2, fleet.routers), (fleet.nodes, fleet.routers - 1)):
         if nodes >= 1 and routers >= 1:
-            small = msgspec.structs.replace(fleet, nodes=nodes, routers=routers)
+            smaller_fleet = msgspec.structs.replace(fleet, nodes=nodes, routers=routers)
             with contextlib.suppress(ValueError):  # a fault names more than this fleet has
-                yield msgspec.structs.replace(scenario, fleet=small)
+                yield msgspec.structs.replace(scenario, fleet=smaller_fleet)
     if scenario.emulator.prelude_s:
         emulator = msgspec.structs.replace(scenario.emulator, prelude_s=0.0)
         yield msgspec.structs.replace(scenario, emulator=emulator)
@@ -78,7 +78,7 @@
     `on_progress` is called after each smaller scenario that still fails, with that scenario and the number of
     runs so far.
     """
-    runs, wanted = 0, outcome.first
+    runs, broken_rule = 0, outcome.first
     progress = True
     while progress and runs < max_runs:
         progress = False
@@ -93,9 +93,9 @@
                 if not _valid(smaller):
                     continue
                 runs += 1
-                found = replay(smaller)
-                if found.first == wanted:
-                    scenario, outcome, progress = smaller, found, True
+                smaller_outcome = replay(smaller)
+                if smaller_outcome.first == broken_rule:
+                    scenario, outcome, progress = smaller, smaller_outcome, True
                     on_progress(scenario, runs)
                     break
     return scenario, outcome
@@ -103,8 +103,12 @@
 
 def _differences(value: Any, defaults: Any) -> Any:
     if isinstance(value, dict) and isinstance(defaults, dict):
-        found = {name: _differences(one, defaults.get(name)) for name, one in value.items()}
-        return {name: one for name, one in found.items() if one is not None} or None
+        nested = {
+            name: _differences(nested_value, defaults.get(name)) for name, nested_value in value.items()
+        }
+        return {
+            name: nested_value for name, nested_value in nested.items() if nested_value is not None
+        } or None
     return None if value == defaults else value
 
 
--- a/holdgw/simulation/trace.py
+++ b/holdgw/simulation/trace.py
@@ -63,8 +63,8 @@
         self._file.write(orjson.dumps(line) + b"\n")
 
 
-def readable(data: bytes, most: int) -> str:
-    """Return the first `most` bytes as one line of text; longer data ends in an ellipsis."""
-    text = data[:most].decode("ascii", "backslashreplace").replace("\r\n", " ")
-    text = "".join(one if one.isprintable() else repr(one)[1:-1] for one in text)
-    return text + (" ..." if len(data) > most else "")
+def readable(data: bytes, max_bytes: int) -> str:
+    """Return the first `max_bytes` bytes as one line of text; longer data ends in an ellipsis."""
+    text = data[:max_bytes].decode("ascii", "backslashreplace").replace("\r\n", " ")
+    text = "".join(character if character.isprintable() else repr(character)[1:-1] for character in text)
+    return text + (" ..." if len(data) > max_bytes else "")
--- a/holdgw/simulation/transports.py
+++ b/holdgw/simulation/transports.py
@@ -105,7 +105,7 @@
         self._written_at = 0  # when the program last wrote
         self._segments_in_transit: deque[Handle] = deque(maxlen=MAX_TRACKED_SEGMENTS)  # the latest ones
 
-    def attach(self, connection: Connection, peer: TcpTransport, label: str) -> None:
+    def attach_connection(self, connection: Connection, peer: TcpTransport, label: str) -> None:
         """Attach this end to its connection and to the other end."""
         self.connection, self.peer, self.label = connection, peer, label
 
@@ -180,14 +180,14 @@
         if self._buffer:
             self._buffer += data
         else:
-            room = self.connection.window - self._unacked
-            if room >= len(data):
+            window_left = self.connection.window - self._unacked
+            if window_left >= len(data):
                 self._send(bytes(data))
                 return
             whole = bytes(data)
-            if room > 0:
-                self._send(whole[:room])
-                self._buffer += whole[room:]
+            if window_left > 0:
+                self._send(whole[:window_left])
+                self._buffer += whole[window_left:]
             else:
                 self._buffer += whole
         self._pause_or_resume()
@@ -353,10 +353,10 @@
 
     def _send_reset(self) -> None:
         # After a reset the kernel retransmits nothing: segments that still wait for it never arrive.
-        soonest = self._world.now + 2 * self.network.delay(self.host, self.peer.host)
-        for held in self._segments_in_transit:
-            if held.due > soonest:
-                held.cancel()
+        earliest_arrival = self._world.now + 2 * self.network.delay(self.host, self.peer.host)
+        for segment in self._segments_in_transit:
+            if segment.due > earliest_arrival:
+                segment.cancel()
                 self._last_arrival = self._world.now
         self._segments_in_transit.clear()
         if self.network.is_blocked(self.host, self.peer.host):
@@ -379,13 +379,13 @@
         self._world.soon(self.process, self._flush_buffer)
 
     def _flush_buffer(self) -> None:
-        room = self.connection.window - self._unacked
+        window_left = self.connection.window - self._unacked
         if self._connection_lost_called or not self._buffer:
             return
-        if room < min(len(self._buffer), SEGMENT_BYTES, self.connection.window // 2):
+        if window_left < min(len(self._buffer), SEGMENT_BYTES, self.connection.window // 2):
             return  # RFC 9293, 3.8.6.2: a kernel sends no tiny segments; the next read opens the window
-        data = bytes(self._buffer[:room])
-        del self._buffer[:room]
+        data = bytes(self._buffer[:window_left])
+        del self._buffer[:window_left]
         self._send(data)
         self._pause_or_resume()
         if not self._buffer:
@@ -456,13 +456,13 @@
         self._world.soon(self.process, self._call_connection_made)
 
     def _call_connection_made(self) -> None:
-        up, self._connect_waiter = self._connect_waiter, None
+        waiter, self._connect_waiter = self._connect_waiter, None
         if self.socket_closed:
             return
         assert self._protocol is not None
         self._protocol.connection_made(self)
-        if up is not None and not up.done():
-            up.set_result(None)
+        if waiter is not None and not waiter.done():
+            waiter.set_result(None)
         if self._protocol is None:
             return  # connection_made has passed the connection to another process
         if self._received or self._fin_received or self._reset_received:
@@ -498,9 +498,9 @@
         """Fail the connect call: no socket listens at the address."""
         if self.socket_closed or self._connect_waiter is None:
             return
-        up, self._connect_waiter = self._connect_waiter, None
+        waiter, self._connect_waiter = self._connect_waiter, None
         self._close_socket()
-        self._world.soon(self.process, _fail_connect, (up, self.remote))
+        self._world.soon(self.process, _fail_connect, (waiter, self.remote))
 
     def cancel_connect(self) -> None:
         """Close the socket of a connect call that was cancelled."""
@@ -546,9 +546,9 @@
     return ConnectionResetError(104, "Connection reset by peer")
 
 
-def _fail_connect(up: asyncio.Future[None], remote: Address) -> None:
-    if not up.done():
-        up.set_exception(ConnectionRefusedError(111, f"Connect call failed {remote}"))
+def _fail_connect(waiter: asyncio.Future[None], remote: Address) -> None:
+    if not waiter.done():
+        waiter.set_exception(ConnectionRefusedError(111, f"Connect call failed {remote}"))
 
 
 class Listener(asyncio.AbstractServer):
--- a/tests/simulation/test_simulation.py
+++ b/tests/simulation/test_simulation.py
@@ -66,10 +66,10 @@
         self.lost = type(exc).__name__
 
 
-def listening(made: list[RecordingProtocol]) -> Coroutine[Any, Any, int]:
+def listening(accepted: list[RecordingProtocol]) -> Coroutine[Any, Any, int]:
     def make() -> RecordingProtocol:
-        made.append(RecordingProtocol())
-        return made[-1]
+        accepted.append(RecordingProtocol())
+        return accepted[-1]
 
     async def main() -> int:
         await asyncio.get_running_loop().create_server(make, *SERVER)
@@ -88,35 +88,35 @@
 
 def test_time_passes_only_when_nothing_is_ready_and_an_hour_costs_nothing() -> None:
     fixture = Fixture()
-    seen: list[float] = []
+    elapsed_s: list[float] = []
 
     async def main() -> int:
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started_at = loop.time()
         for _ in range(1000):
             await asyncio.sleep(0)
-        seen.append(loop.time() - begun)
+        elapsed_s.append(loop.time() - started_at)
         await asyncio.sleep(3600)
-        seen.append(loop.time() - begun)
+        elapsed_s.append(loop.time() - started_at)
         return 7
 
     fixture.client.start(main())
     fixture.run(4000)
-    assert seen == [0.0, pytest.approx(3600)]
+    assert elapsed_s == [0.0, pytest.approx(3600)]
     assert fixture.client.exit_code == 7
 
 
 def test_clocks_of_processes_drift_and_wall_clocks_jump() -> None:
     fixture = Fixture()
     fast = Process(fixture.world, fixture.network, fixture.here, "fast", drift_ppm=1000)
-    begun = fast.monotonic_ns()
-    unix = fast.unix_ns()
-    due = fast.world_time(begun + 10 * NS_PER_S)
+    local_start_ns = fast.monotonic_ns()
+    unix_start_ns = fast.unix_ns()
+    due = fast.world_time(local_start_ns + 10 * NS_PER_S)
     assert 9.98 * NS_PER_S < due - START_NS < 10 * NS_PER_S
-    assert fast.local_time(due) >= begun + 10 * NS_PER_S > fast.local_time(due - 1)
+    assert fast.local_time(due) >= local_start_ns + 10 * NS_PER_S > fast.local_time(due - 1)
     fast.step_wall_clock(-3600 * NS_PER_S)
-    assert fast.unix_ns() == unix - 3600 * NS_PER_S
-    assert fast.monotonic_ns() == begun
+    assert fast.unix_ns() == unix_start_ns - 3600 * NS_PER_S
+    assert fast.monotonic_ns() == local_start_ns
 
 
 def test_spin_ends_the_run_and_names_the_callback() -> None:
@@ -209,8 +209,8 @@
 
 
 def test_process_can_die_at_any_await_and_runs_nothing_afterwards() -> None:
-    reached = set()
-    for after in range(1, 14):
+    step_counts = set()
+    for callbacks_before_kill in range(1, 14):
         fixture = Fixture()
         steps: list[int] = []
 
@@ -224,17 +224,17 @@
             return 0
 
         fixture.client.start(main())
-        fixture.client.kill(after=after)
+        fixture.client.kill(after=callbacks_before_kill)
         fixture.run()
         assert -1 not in steps  # a dead process runs no `finally` block
-        reached.add(len(steps))
+        step_counts.add(len(steps))
         fixture.world.end()
-    assert reached == {1, 2, 3, 4, 5, 6, 7}
+    assert step_counts == {1, 2, 3, 4, 5, 6, 7}
 
 
 def test_stopped_process_loses_no_data_and_its_kernel_accepts_connections() -> None:
     fixture = Fixture()
-    made: list[RecordingProtocol] = []
+    accepted: list[RecordingProtocol] = []
 
     async def main() -> int:
         client = await dial()
@@ -244,21 +244,21 @@
         client.transport.write(b" late")
         second = await asyncio.wait_for(dial(), 1)  # the kernel accepts the connection
         await asyncio.sleep(1)
-        assert len(made) == 1
-        assert made[0].data == b"early"
+        assert len(accepted) == 1
+        assert accepted[0].data == b"early"
         fixture.server.send_signal(signal.SIGCONT)
         await asyncio.sleep(0.1)
-        assert made[0].data == b"early late"
-        assert len(made) == 2
+        assert accepted[0].data == b"early late"
+        assert len(accepted) == 2
         second.transport.abort()
         return 0
 
-    fixture.play(main(), listening(made))
+    fixture.play(main(), listening(accepted))
 
 
 def test_death_of_a_process_closes_its_connections() -> None:
     fixture = Fixture()
-    made: list[RecordingProtocol] = []
+    accepted: list[RecordingProtocol] = []
     clients: list[RecordingProtocol] = []
 
     async def main() -> int:
@@ -270,9 +270,9 @@
             await dial()
         return 0
 
-    fixture.play(main(), listening(made))
+    fixture.play(main(), listening(accepted))
     assert clients[0].lost == "NoneType"
-    assert made[0].lost == ""  # a dead process gets no callback
+    assert accepted[0].lost == ""  # a dead process gets no callback
     assert not fixture.server.open_descriptors
 
 
@@ -281,10 +281,10 @@
     small = Process(fixture.world, fixture.network, fixture.here, "small", max_descriptors=5)
 
     async def main() -> int:
-        kept = [await dial(), await dial()]
+        connected = [await dial(), await dial()]
         with pytest.raises(OSError, match="Too many open files"):
             await dial()
-        kept[0].transport.abort()
+        connected[0].transport.abort()
         await asyncio.sleep(0.1)
         await dial()
         return 0
@@ -301,29 +301,29 @@
 
 def test_partition_delays_bytes_in_the_blocked_direction_only() -> None:
     fixture = Fixture()
-    made: list[RecordingProtocol] = []
+    accepted: list[RecordingProtocol] = []
 
     async def main() -> int:
         client = await dial()
         await asyncio.sleep(0.1)
         fixture.network.block([fixture.here], [fixture.there], 2.0, both=False)
         client.transport.write(b"held")
-        made[0].transport.write(b"free")
+        accepted[0].transport.write(b"free")
         await asyncio.sleep(0.5)
         assert client.data == b"free"
-        assert made[0].data == b""
+        assert accepted[0].data == b""
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(dial(), 1)
         await asyncio.sleep(5)
-        assert made[0].data == b"held"
+        assert accepted[0].data == b"held"
         return 0
 
-    fixture.play(main(), listening(made))
+    fixture.play(main(), listening(accepted))
 
 
 def test_silent_machine_resets_old_connections_only_after_its_boot() -> None:
     fixture = Fixture()
-    made: list[RecordingProtocol] = []
+    accepted: list[RecordingProtocol] = []
 
     async def main() -> int:
         client = await dial()
@@ -338,11 +338,11 @@
         assert client.lost == "ConnectionResetError"
         return 0
 
-    fixture.play(main(), listening(made))
+    fixture.play(main(), listening(accepted))
 
 
 @pytest.mark.parametrize(
-    ("phase", "lost", "reaches"),
+    ("phase", "lost_error", "request_arrives"),
     [
         ("accept", "ConnectionResetError", False),
         ("request", "ConnectionResetError", False),
@@ -350,9 +350,9 @@
         ("vanish", "", False),
     ],
 )
-def test_cut_breaks_a_connection_in_its_phase(phase: str, lost: str, reaches: bool) -> None:
+def test_cut_breaks_a_connection_in_its_phase(phase: str, lost_error: str, request_arrives: bool) -> None:
     fixture = Fixture()
-    made: list[RecordingProtocol] = []
+    accepted: list[RecordingProtocol] = []
     clients: list[RecordingProtocol] = []
 
     async def main() -> int:
@@ -362,40 +362,40 @@
         await asyncio.sleep(5)
         return 0
 
-    fixture.play(main(), listening(made))
-    assert clients[0].lost == lost
-    assert any(one.data == b"whole request" for one in made) == reaches
+    fixture.play(main(), listening(accepted))
+    assert clients[0].lost == lost_error
+    assert any(protocol.data == b"whole request" for protocol in accepted) == request_arrives
 
 
 def test_split_delayed_and_retransmitted_segments_arrive_complete_and_in_order() -> None:
     fixture = Fixture(seed=5)
     conditions = fixture.network.conditions
     conditions.chop, conditions.loss, conditions.extra_delay_ns, conditions.window = 1.0, 0.2, 40 * MS, 512
-    made: list[RecordingProtocol] = []
+    accepted: list[RecordingProtocol] = []
     sent = random.Random(1).randbytes(20_000)
 
     async def main() -> int:
         client = await dial()
-        for at in range(0, len(sent), 1000):
-            client.transport.write(sent[at : at + 1000])
+        for offset in range(0, len(sent), 1000):
+            client.transport.write(sent[offset : offset + 1000])
             await asyncio.sleep(0.01)
         await asyncio.sleep(90)
         return 0
 
-    fixture.play(main(), listening(made))
-    assert made[0].data == sent
-    assert made[0].pieces > 40
+    fixture.play(main(), listening(accepted))
+    assert accepted[0].data == sent
+    assert accepted[0].pieces > 40
 
 
 def test_datagrams_are_lost_duplicated_and_reordered() -> None:
     fixture = Fixture()
     conditions = fixture.network.conditions
     conditions.datagram_loss, conditions.datagram_duplication, conditions.datagram_reordering = 0.2, 0.2, 0.3
-    got: list[bytes] = []
+    received: list[bytes] = []
 
     class Datagrams(asyncio.DatagramProtocol):
         def datagram_received(self, data: bytes, addr: Any) -> None:
-            got.append(data)
+            received.append(data)
 
     async def server() -> int:
         await asyncio.get_running_loop().create_datagram_endpoint(Datagrams, local_addr=SERVER)
@@ -413,9 +413,9 @@
         return 0
 
     fixture.play(main(), server())
-    assert 100 < len(set(got)) < 200
-    assert len(got) > len(set(got))
-    assert got != sorted(got)
+    assert 100 < len(set(received)) < 200
+    assert len(received) > len(set(received))
+    assert received != sorted(received)
 
 
 def test_full_backlog_makes_the_client_retransmit_its_syn() -> None:
@@ -478,30 +478,30 @@
 def test_process_reads_what_it_wrote_and_a_crash_keeps_the_last_sync_of_untouched_bytes(
     steps: list[tuple[str, int]],
 ) -> None:
-    disk, shadow, synced = Disk(), bytearray(), b""
+    disk, expected, synced = Disk(), bytearray(), b""
     disk.create("f")
     disk.sync_folder()
-    touched = False
-    for i, (what, number) in enumerate(steps):
+    changed_since_sync = False
+    for i, (operation, number) in enumerate(steps):
         data = bytes([i % 251]) * (number % 7 + 1)
-        if what == "write":
+        if operation == "write":
             disk.write("f", number, data)
-            shadow.extend(bytes(max(0, number - len(shadow))))
-            shadow[number : number + len(data)] = data
-        elif what == "append":
+            expected.extend(bytes(max(0, number - len(expected))))
+            expected[number : number + len(data)] = data
+        elif operation == "append":
             disk.append("f", data)
-            shadow += data
-        elif what == "cut":
+            expected += data
+        elif operation == "cut":
             disk.truncate("f", number)
-            del shadow[number:]
-            shadow.extend(bytes(number - len(shadow)))
+            del expected[number:]
+            expected.extend(bytes(number - len(expected)))
         else:
             disk.sync("f")
-            synced = bytes(shadow)
-        touched = what != "sync" if what == "sync" else True
-        assert disk.read("f") == bytes(shadow)
+            synced = bytes(expected)
+        changed_since_sync = operation != "sync" if operation == "sync" else True
+        assert disk.read("f") == bytes(expected)
     disk.crash(random.Random(len(steps)))
-    if steps and steps[-1][0] == "sync" and not touched:
+    if steps and steps[-1][0] == "sync" and not changed_since_sync:
         assert disk.read("f") == synced
     with pytest.raises(FileNotFoundError):
         disk.read("g")
--- a/tests/simulation/test_simulation_conformance.py
+++ b/tests/simulation/test_simulation_conformance.py
@@ -77,25 +77,25 @@
     ) -> None:
         self.client, self.server, self.listener = client, server, listener
 
-    def seen(self) -> tuple[list[str], int, list[str], int]:
+    def calls_and_bytes(self) -> tuple[list[str], int, list[str], int]:
         return self.client.log, self.client.total, self.server.log, self.server.total
 
 
 IP = "127.0.0.1"  # of loopback and of the simulated host
 
 
-async def connected(client_keeps: bool = False, server_keeps: bool = False) -> Pair:
+async def connected(client_keeps_open: bool = False, server_keeps_open: bool = False) -> Pair:
     loop = asyncio.get_running_loop()
     accepted: asyncio.Future[RecordingProtocol] = loop.create_future()
 
     def accept() -> RecordingProtocol:
-        server = RecordingProtocol(server_keeps)
+        server = RecordingProtocol(server_keeps_open)
         accepted.set_result(server)
         return server
 
     listener = await loop.create_server(accept, IP, 0)
     port = listener.sockets[0].getsockname()[1]
-    _, client = await loop.create_connection(lambda: RecordingProtocol(client_keeps), IP, port)
+    _, client = await loop.create_connection(lambda: RecordingProtocol(client_keeps_open), IP, port)
     server = await accepted
     await server.until_logged("made")
     return Pair(client, server, listener)
@@ -112,7 +112,7 @@
     pair.client.transport.close()
     await pair.server.until_logged("lost")
     await pair.client.until_logged("lost")
-    return pair.seen()
+    return pair.calls_and_bytes()
 
 
 async def server_closes_after_its_reply() -> Any:
@@ -121,11 +121,11 @@
     pair.server.transport.close()
     await pair.client.until_logged("lost")
     await pair.server.until_logged("lost")
-    return pair.seen()
+    return pair.calls_and_bytes()
 
 
 async def half_closed_client_gets_its_reply() -> Any:
-    pair = await connected(server_keeps=True)
+    pair = await connected(server_keeps_open=True)
     pair.client.transport.write(b"request")
     pair.client.transport.write_eof()
     await pair.server.until_logged("eof")
@@ -133,11 +133,11 @@
     await pair.client.until(lambda: pair.client.total == 6)
     pair.server.transport.close()
     await pair.client.until_logged("lost")
-    return pair.seen()
+    return pair.calls_and_bytes()
 
 
 async def write_after_write_eof_raises() -> Any:
-    pair = await connected(server_keeps=True)
+    pair = await connected(server_keeps_open=True)
     pair.client.transport.write_eof()
     with pytest.raises(RuntimeError):
         pair.client.transport.write(b"more")
@@ -150,7 +150,7 @@
     pair = await connected()
     pair.server.transport.abort()
     await pair.client.until_logged("lost")
-    return pair.seen()
+    return pair.calls_and_bytes()
 
 
 async def zero_linger_sends_a_reset() -> Any:
@@ -158,7 +158,7 @@
     set_zero_linger(pair.server.transport)
     pair.server.transport.abort()
     await pair.client.until_logged("lost")
-    return pair.seen()
+    return pair.calls_and_bytes()
 
 
 async def closing_with_unread_data_sends_a_reset() -> Any:
@@ -195,7 +195,7 @@
 
 
 async def writing_to_a_closed_peer_is_reset() -> Any:
-    pair = await connected(client_keeps=True)
+    pair = await connected(client_keeps_open=True)
     pair.server.transport.abort()
     await pair.client.until_logged("eof")
     pair.client.transport.write(b"first: answered by a reset")
@@ -213,7 +213,7 @@
     await pair.server.until(lambda: pair.server.total > 0)
     with pytest.raises(ConnectionRefusedError):
         await asyncio.get_running_loop().create_connection(RecordingProtocol, IP, port)
-    return pair.seen()
+    return pair.calls_and_bytes()
 
 
 async def paused_reading_delays_data() -> Any:
@@ -224,7 +224,7 @@
     before = pair.server.total
     pair.server.transport.resume_reading()
     await pair.server.until(lambda: pair.server.total == 10_000)
-    return before, pair.seen()
+    return before, pair.calls_and_bytes()
 
 
 async def paused_reading_delays_the_end_of_stream() -> Any:
@@ -295,7 +295,7 @@
     pair.client.transport.close()
     pair.client.transport.write(b"too late")
     await pair.server.until_logged("lost")
-    return pair.seen()
+    return pair.calls_and_bytes()
 
 
 async def closing_twice_calls_connection_lost_once() -> Any:
@@ -337,12 +337,12 @@
 async def cancelled_call_is_never_made() -> Any:
     loop = asyncio.get_running_loop()
     order: list[str] = []
-    one = loop.call_later(0.01, order.append, "cancelled")
-    two = loop.call_soon(order.append, "cancelled at once")
-    one.cancel()
-    two.cancel()
+    delayed_call = loop.call_later(0.01, order.append, "cancelled")
+    ready_call = loop.call_soon(order.append, "cancelled at once")
+    delayed_call.cancel()
+    ready_call.cancel()
     await asyncio.sleep(0.03)
-    return order, one.cancelled(), two.cancelled()
+    return order, delayed_call.cancelled(), ready_call.cancelled()
 
 
 async def wait_times_out() -> Any:
@@ -359,33 +359,33 @@
 
 async def datagrams_arrive_whole_and_a_closed_port_is_reported() -> Any:
     loop = asyncio.get_running_loop()
-    got: list[str] = []
+    events: list[str] = []
 
     class Datagrams(asyncio.DatagramProtocol):
         def __init__(self) -> None:
-            self.some = loop.create_future()
+            self.first_event = loop.create_future()
 
         def datagram_received(self, data: bytes, addr: Any) -> None:
-            got.append(data.decode())
-            if not self.some.done():
-                self.some.set_result(None)
+            events.append(data.decode())
+            if not self.first_event.done():
+                self.first_event.set_result(None)
 
         def error_received(self, exc: Exception) -> None:
-            got.append(type(exc).__name__)
-            if not self.some.done():
-                self.some.set_result(None)
+            events.append(type(exc).__name__)
+            if not self.first_event.done():
+                self.first_event.set_result(None)
 
-    server, at_server = await loop.create_datagram_endpoint(Datagrams, local_addr=(IP, 0))
+    server, server_protocol = await loop.create_datagram_endpoint(Datagrams, local_addr=(IP, 0))
     address = server.get_extra_info("sockname")[:2]
-    client, at_client = await loop.create_datagram_endpoint(Datagrams, remote_addr=address)
+    client, client_protocol = await loop.create_datagram_endpoint(Datagrams, remote_addr=address)
     client.sendto(b"one")
-    await at_server.some
+    await server_protocol.first_event
     server.close()
     await asyncio.sleep(0.02)
     client.sendto(b"two")
-    await at_client.some
+    await client_protocol.first_event
     client.close()
-    return got
+    return events
 
 
 SCENES: list[Callable[[], Awaitable[Any]]] = [
@@ -420,17 +420,17 @@
     world = World(1)
     network = Network(world, lambda _a, _b: (100_000, 0))
     process = Process(world, network, network.host("here", "z", IP), "scene", fine_timers=False)
-    found: list[Any] = []
+    results: list[Any] = []
 
     async def main() -> int:
-        found.append(await scene())
+        results.append(await scene())
         return 0
 
     process.start(main())
     world.run(world.now + 60 * NS_PER_S)
     assert not process.faults or scene is exception_in_a_protocol_closes_its_connection, process.faults
     world.end()
-    return found[0]
+    return results[0]
 
 
 @pytest.mark.parametrize("scene", SCENES, ids=lambda scene: scene.__name__)
--- a/tests/simulation/test_simulation_cores.py
+++ b/tests/simulation/test_simulation_cores.py
@@ -34,9 +34,9 @@
     has_capacity = SlowStart.has_capacity
 
     def spy(rule: SlowStart, request: object, endpoint: object, ranking: object, now_ns: int) -> bool:
-        found = has_capacity(rule, request, endpoint, ranking, now_ns)  # type: ignore[arg-type]
-        calls.append((rule._settings.worker_index, endpoint.entry.id, found))  # type: ignore[attr-defined]
-        return found
+        result = has_capacity(rule, request, endpoint, ranking, now_ns)  # type: ignore[arg-type]
+        calls.append((rule._settings.worker_index, endpoint.entry.id, result))  # type: ignore[attr-defined]
+        return result
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(SlowStart, "has_capacity", spy)
--- a/tests/simulation/test_simulation_play.py
+++ b/tests/simulation/test_simulation_play.py
@@ -58,17 +58,17 @@
 def test_fault_may_choose_a_server_that_starts_later(kind: str) -> None:
     # Such a fault ended the run of by-hand, seed 38, with "replace" in its storm, by a KeyError.
     seconds = "" if kind == "restart" else "seconds = 0.5"
-    joins = '[[trouble]]\nkind = "replace"\nat = 0.5\nnodes = 2\ndown_s = 2.0\n'
-    scenario = tiny(f'{joins}[[trouble]]\nkind = "{kind}"\nat = 1.0\nnodes = 4\n{seconds}\n')
+    replacement = '[[trouble]]\nkind = "replace"\nat = 0.5\nnodes = 2\ndown_s = 2.0\n'
+    scenario = tiny(f'{replacement}[[trouble]]\nkind = "{kind}"\nat = 1.0\nnodes = 4\n{seconds}\n')
     assert play_seed(scenario, 1).fault == ""
 
 
 def in_a_process(code: str, hash_seed: str) -> str:
     environment = {**os.environ, "PYTHONHASHSEED": hash_seed}
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, env=environment, capture_output=True, text=True, check=True
     )
-    return done.stdout.strip()
+    return completed.stdout.strip()
 
 
 DIGEST = """
@@ -98,16 +98,18 @@
 
 
 def test_two_runs_of_a_seed_are_the_same_to_the_byte_in_two_processes() -> None:
-    one, other = (in_a_process(DIGEST.format(planted=""), hash_seed) for hash_seed in ("1", "4242"))
-    assert one == other
-    assert int(one.split()[1]) > 3000
+    first_run, second_run = (
+        in_a_process(DIGEST.format(planted=""), hash_seed) for hash_seed in ("1", "4242")
+    )
+    assert first_run == second_run
+    assert int(first_run.split()[1]) > 3000
 
 
 def test_planted_dependence_on_the_hash_order_changes_the_digest() -> None:
-    one, other = (
+    first_run, second_run = (
         in_a_process(DIGEST.format(planted=HASH_ORDER_DEPENDENCE), hash_seed) for hash_seed in ("1", "4242")
     )
-    assert one != other
+    assert first_run != second_run
 
 
 def test_another_seed_is_another_run() -> None:
@@ -118,7 +120,7 @@
 # Seeds that failed before. The draws of mixed-storm have changed since, so these are unusual runs and do not
 # reproduce the fault named any more. The router's own faults are planted below, with seeds that find them.
 
-FOUND = {
+FIXED_FAULTS = {
     43: "a client's own retry after a router's death was counted as the router's",
     44: "a keyed write was repeated after its dedup window, as it had waited for a connection",
     96: "a cache server came back at an address that another had taken",
@@ -127,23 +129,23 @@
 }
 
 
-@pytest.mark.parametrize("seed", sorted(FOUND))
+@pytest.mark.parametrize("seed", sorted(FIXED_FAULTS))
 def test_seeds_that_failed_once(seed: int) -> None:
     outcome = play_seed(load_scenario("mixed-storm"), seed)
-    assert not outcome.failed, (FOUND[seed], outcome.fault, outcome.broken[:3])
+    assert not outcome.failed, (FIXED_FAULTS[seed], outcome.fault, outcome.broken[:3])
     assert outcome.served > 100
 
 
 def test_a_corpus_of_seeds_on_every_core() -> None:
     outcomes = list(search(load_scenario("mixed-storm"), range(2000, 2064), min(os.cpu_count() or 1, 8)))
-    assert sorted(one.seed for one in outcomes) == list(range(2000, 2064))
-    assert [(one.seed, one.first, one.fault) for one in outcomes if one.failed] == []
+    assert sorted(outcome.seed for outcome in outcomes) == list(range(2000, 2064))
+    assert [(outcome.seed, outcome.first, outcome.fault) for outcome in outcomes if outcome.failed] == []
 
 
 def test_administrative_overrides_during_releases_keep_the_rules() -> None:
     scenario = load_scenario("bench/scenarios/by-hand.toml")
     outcomes = list(search(scenario, range(1, 17), min(os.cpu_count() or 1, 8)))
-    assert [(one.seed, one.first, one.fault) for one in outcomes if one.failed] == []
+    assert [(outcome.seed, outcome.first, outcome.fault) for outcome in outcomes if outcome.failed] == []
 
 
 # Planted faults, each with a seed that finds it (bench/mutants.py searches for such seeds)
@@ -202,7 +204,7 @@
     return await single_process_router(router, process, environ)
 
 
-MANY = """
+FOUR_FAULTS = """
 [[trouble]]
 kind = "flush"
 at = 0.5
@@ -224,22 +226,22 @@
 
 
 def test_shrinking_keeps_the_decisive_fault_and_writes_a_file_that_replays_it() -> None:
-    scenario = draw_storm(tiny(MANY, length=4.0), 3)
+    scenario = draw_storm(tiny(FOUR_FAULTS, length=4.0), 3)
 
-    def again(smaller: Scenario) -> Outcome:
+    def replay(smaller: Scenario) -> Outcome:
         return simulate(smaller, 3, main=ends_on_reload)
 
-    outcome = again(scenario)
+    outcome = replay(scenario)
     assert outcome.first == "lost"
     assert "ended by itself with code 9" in outcome.broken[0].text
-    least, found = shrink(scenario, outcome, again, max_runs=60)
-    assert [type(one).__name__ for one in least.trouble] == ["RouterReload"]
-    assert least.length_s < 2.0
-    assert least.load.rate < scenario.load.rate
-    assert found.first == "lost"
-    replayed = read_scenario(as_toml(least), "shrunk.toml")
-    assert replayed == least
-    assert again(replayed).digest == found.digest
+    smallest, smallest_outcome = shrink(scenario, outcome, replay, max_runs=60)
+    assert [type(fault).__name__ for fault in smallest.trouble] == ["RouterReload"]
+    assert smallest.length_s < 2.0
+    assert smallest.load.rate < scenario.load.rate
+    assert smallest_outcome.first == "lost"
+    replayed = read_scenario(as_toml(smallest), "shrunk.toml")
+    assert replayed == smallest
+    assert replay(replayed).digest == smallest_outcome.digest
     assert not simulate(replayed, 3).failed
 
 
@@ -253,14 +255,14 @@
     drawn = set()
     for seed in range(150):
         scenario = draw_storm(load_scenario("mixed-storm"), seed)
-        drawn |= {str(type(one).__struct_config__.tag) for one in scenario.trouble}
+        drawn |= {str(type(fault).__struct_config__.tag) for fault in scenario.trouble}
         assert read_scenario(as_toml(scenario), "x.toml") == scenario
     assert drawn == set(DRAWS) - set(OPT_IN_KINDS) == set(KINDS) - {"emulator_stall", *OPT_IN_KINDS}
-    named = msgspec.structs.replace(
+    opt_in_scenario = msgspec.structs.replace(
         load_scenario("mixed-storm"), storm=Storm(count=(9, 9), kinds=OPT_IN_KINDS)
     )
     for seed in range(20):
-        scenario = draw_storm(named, seed)
+        scenario = draw_storm(opt_in_scenario, seed)
         assert read_scenario(as_toml(scenario), "x.toml") == scenario
 
 
@@ -280,10 +282,12 @@
     fleet = SimulatedFleet(draw_schedule(tiny(text, length=6.0), 1))
     outcome = fleet.play()
     assert not outcome.failed
-    at = [one.at - outcome.begun for one in fleet.history.attempts if one.server == "node001"]
-    assert any(one < 0.5 for one in at)
-    assert not any(0.52 < one < 3.5 for one in at)
-    assert any(one > 3.6 for one in at)
+    attempt_seconds = [
+        attempt.at - outcome.begun for attempt in fleet.history.attempts if attempt.server == "node001"
+    ]
+    assert any(second < 0.5 for second in attempt_seconds)
+    assert not any(0.52 < second < 3.5 for second in attempt_seconds)
+    assert any(second > 3.6 for second in attempt_seconds)
     assert isinstance(fleet.hosts["node001"], Host)
     assert fleet.hosts["node001"].boot_count == 1
 
@@ -296,7 +300,7 @@
     outcome = simulate(tiny(text), 1)
     assert not outcome.failed
     assert outcome.played is not None
-    answers = Counter(one.answer for one in outcome.played.history.tries)
+    answers = Counter(attempt.answer for attempt in outcome.played.history.tries)
     assert answers["refused"] > 20
     assert answers["failed"] == 0
 
@@ -304,11 +308,11 @@
 # The command
 
 
-def run_cli(*words: str) -> tuple[int, str, str]:
-    done = subprocess.run(
-        [sys.executable, "-m", "holdgw", *words], cwd=ROOT, capture_output=True, text=True, check=False
+def run_cli(*arguments: str) -> tuple[int, str, str]:
+    completed = subprocess.run(
+        [sys.executable, "-m", "holdgw", *arguments], cwd=ROOT, capture_output=True, text=True, check=False
     )
-    return done.returncode, done.stdout, done.stderr
+    return completed.returncode, completed.stdout, completed.stderr
 
 
 def test_one_seed_with_its_trace_and_many_seeds(tmp_path: Path) -> None:
@@ -324,8 +328,8 @@
     code, out, _ = run_cli("simulate", str(file), "--seeds", "5..8", "--jobs", "2", "--json", str(report))
     assert code == 0
     rows = msgspec.json.decode(report.read_bytes())
-    assert sorted(one["seed"] for one in rows) == [5, 6, 7, 8]
-    assert next(one for one in rows if one["seed"] == 5)["events"] == len(lines)
+    assert sorted(row["seed"] for row in rows) == [5, 6, 7, 8]
+    assert next(row for row in rows if row["seed"] == 5)["events"] == len(lines)
 
 
 def test_a_failing_seed_names_the_rule_and_the_last_events_of_its_request(
@@ -338,7 +342,7 @@
     assert any("KV.GET" in line or "KV.SET" in line for line in lines)
     assert all(request in line for line in lines)
     module = sys.modules["holdgw.cli.simulate"]
-    monkeypatch.setattr(module, "play_seed", lambda *_: broken(outcome, request))
+    monkeypatch.setattr(module, "play_seed", lambda *_: with_planted_violation(outcome, request))
     monkeypatch.setattr(module, "load_scenario", lambda _: tiny())
     monkeypatch.setattr(sys, "argv", ["holdgw", "simulate", "tiny", "--seed", "2"])
     assert cli.main() == 1
@@ -348,7 +352,7 @@
     assert lines[-1] in out
 
 
-def broken(outcome: Outcome, request: str) -> Outcome:
+def with_planted_violation(outcome: Outcome, request: str) -> Outcome:
     from holdgw.harness.checker import Violation
 
     outcome.broken = [Violation("twice", outcome.begun + 1.0, (request,), "planted")]
@@ -356,7 +360,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "text"),
+    ("arguments", "message"),
     [
         (("--seeds", "5"), "expected two numbers as A..B"),
         (("--seeds", "9..5"), "is empty"),
@@ -368,15 +372,15 @@
         (("--json", "/no/such/folder/x.json"), "the folder is not there"),
     ],
 )
-def test_unusable_options_are_reported_on_one_line(words: tuple[str, ...], text: str) -> None:
-    code, _, err = run_cli("simulate", "quiet", *words)
+def test_unusable_options_are_reported_on_one_line(arguments: tuple[str, ...], message: str) -> None:
+    code, _, err = run_cli("simulate", "quiet", *arguments)
     assert code == 2
-    assert text in err
+    assert message in err
     assert len(err.strip().splitlines()) == 1
 
 
 @pytest.mark.parametrize(
-    ("text", "part"),
+    ("text", "message_part"),
     [
         ("[load]\nrate = 1e12\n", "load.rate"),
         ("[load]\nrate = inf\n", "load.rate"),
@@ -389,8 +393,8 @@
         ('[load]\nrate = 50.0\n[storm]\nkinds = ["emulator_stall"]\n', "storm.kinds"),
     ],
 )
-def test_unplayable_load_is_rejected_when_the_file_loads(text: str, part: str) -> None:
-    with pytest.raises(ScenarioError, match=part):
+def test_unplayable_load_is_rejected_when_the_file_loads(text: str, message_part: str) -> None:
+    with pytest.raises(ScenarioError, match=message_part):
         read_scenario('name = "x"\nlength_s = 600.0\n' + text, "x.toml")
 
 
