--- a/holdgw/peers/load_merge.py
+++ b/holdgw/peers/load_merge.py
@@ -95,11 +95,11 @@
     LARGEST_DIRECT is not representative of other reporters, and left out of the mean that bounds them.
     """
     source = counts[forwarder]
-    rest = [other for number, other in counts.items() if number not in (forwarder, LARGEST_DIRECT)]
-    reports = sum(other.reports for other in rest)
+    other_sources = [other for number, other in counts.items() if number not in (forwarder, LARGEST_DIRECT)]
+    reports = sum(other.reports for other in other_sources)
     if forwarder < 0 or not reports:
         return source.requests
-    expected = source.reports * sum(other.requests for other in rest) / reports
+    expected = source.reports * sum(other.requests for other in other_sources) / reports
     return min(max(source.requests, expected / MAX_MEAN_RATIO), expected * MAX_MEAN_RATIO)
 
 
@@ -129,8 +129,8 @@
         weight * received.report.requests for weight, received in zip(weights, reports, strict=True)
     ]
     largest = _index_of_max(counted_requests)
-    others = max(sum(counted_requests) - counted_requests[largest], MIN_OTHER_REQUESTS)
-    allowed = others * MAX_ROUTER_SHARE / (1.0 - MAX_ROUTER_SHARE)
+    other_requests = max(sum(counted_requests) - counted_requests[largest], MIN_OTHER_REQUESTS)
+    allowed = other_requests * MAX_ROUTER_SHARE / (1.0 - MAX_ROUTER_SHARE)
     if counted_requests[largest] > allowed:
         weights[largest] *= allowed / counted_requests[largest]
     return weights
@@ -249,14 +249,14 @@
     all_requests = sum(source.requests for source in counts.values())
     shares: dict[int, float] = defaultdict(float)
     for forwarder, source in counts.items():
-        rest = all_requests - source.requests
+        other_requests = all_requests - source.requests
         for slot, count in source.slots.items():
             if forwarder == LARGEST_DIRECT:
                 # Its weight was derived from all requests of the others, before forwarders' parts were
                 # reduced.
                 count = min(count, MAX_ROUTER_SHARE * requests)
-            elif forwarder != DIRECT and rest > 0:
-                share = MAX_SLOT_RATIO * (totals[slot] - count) / rest
+            elif forwarder != DIRECT and other_requests > 0:
+                share = MAX_SLOT_RATIO * (totals[slot] - count) / other_requests
                 count = min(count, source.requests * max(share, MIN_SLOT_SHARE))
             shares[slot] += weights[forwarder] * count / requests
     return dict(sorted(shares.items(), key=lambda item: (-item[1], item[0])))
--- a/holdgw/peers/load_view.py
+++ b/holdgw/peers/load_view.py
@@ -261,12 +261,16 @@
             router: math.pow(0.5, (now - reported.at) / NS_PER_S / COUNT_HALF_LIFE_S)
             for router, reported in self._counts.items()
         }
-        claimed = {router: weights[router] * reported.requests for router, reported in self._counts.items()}
-        largest = max(claimed, key=claimed.__getitem__, default=-1)
-        others = self.slot_counts.total + sum(claimed.values()) - claimed.get(largest, 0.0)
-        allowed = max(others, MIN_OTHER_REQUESTS) * MAX_ROUTER_SHARE / (1.0 - MAX_ROUTER_SHARE)
-        if allowed < claimed.get(largest, 0.0):
-            weights[largest] *= allowed / claimed[largest]
+        weighted_requests = {
+            router: weights[router] * reported.requests for router, reported in self._counts.items()
+        }
+        largest = max(weighted_requests, key=weighted_requests.__getitem__, default=-1)
+        other_requests = (
+            self.slot_counts.total + sum(weighted_requests.values()) - weighted_requests.get(largest, 0.0)
+        )
+        allowed = max(other_requests, MIN_OTHER_REQUESTS) * MAX_ROUTER_SHARE / (1.0 - MAX_ROUTER_SHARE)
+        if allowed < weighted_requests.get(largest, 0.0):
+            weights[largest] *= allowed / weighted_requests[largest]
         return weights
 
     @property
--- a/holdgw/peers/probing.py
+++ b/holdgw/peers/probing.py
@@ -1,4 +1,4 @@
-"""Probing: in each period one member is pinged, first directly and then through other members; pure.
+"""Probing: in each period one member is pinged, and without an ack also through other members; pure.
 
 SWIM's failure detector (Das, Gupta and Motivala, 2002, sections 3.1 and 4.3), with Lifeguard's local health
 (Dadgar, Phillips and Currey, 2018): a router that may be unable to receive suspects no other member.
--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -38,7 +38,7 @@
 REPORT_NS = round(REPORT_TICKS * TICK_S * NS_PER_S)
 ORIGIN = Endpoint("origin:1", kind="store")
 FETCH_NS = 150_000_000
-AIM_NS, DEADLINE_NS = 300_000_000, NS_PER_S
+LATENCY_OBJECTIVE_NS, DEADLINE_NS = 300_000_000, NS_PER_S
 
 
 @dataclass
@@ -97,7 +97,9 @@
         self.random = random.Random(f"{seed}/fleet")
         self.rate, self.peers, self.delay = rate, peers, delay
         self.settings = Settings(
-            classes=(RequestClass("read", latency_objective_ns=AIM_NS, deadline_ns=DEADLINE_NS),),
+            classes=(
+                RequestClass("read", latency_objective_ns=LATENCY_OBJECTIVE_NS, deadline_ns=DEADLINE_NS),
+            ),
             origin_kind="store",
             routers=routers,
             load_report_fields=("recent_ms", "backlog"),
@@ -123,7 +125,7 @@
         """Returns the load report that a router sends, given its true report."""
         self._keys = [f"key{i}" for i in range(keys)]
         self.random.shuffle(self._keys)
-        self._popular = list(accumulate((i + 1) ** -skew for i in range(keys)))
+        self._cumulative_popularity = list(accumulate((i + 1) ** -skew for i in range(keys)))
         self._ids = count()
         self._open: dict[
             str, tuple[SimulatedPolicy, str, int, int]
@@ -199,7 +201,9 @@
                 key = hot_key
                 break
         if not key:
-            key = self._keys[bisect(self._popular, self.random.random() * self._popular[-1])]
+            key = self._keys[
+                bisect(self._cumulative_popularity, self.random.random() * self._cumulative_popularity[-1])
+            ]
         self.request_counts["asked"] += 1
         started_at = self.now
 
@@ -261,7 +265,7 @@
             if request is not None and request[3] == attempt and outcome is Outcome.OK:
                 self._open.pop(send.request_id)
                 self.request_counts["served"] += 1
-                late = self.now - request[2] > AIM_NS
+                late = self.now - request[2] > LATENCY_OBJECTIVE_NS
                 self.request_counts["late"] += late
                 self.late_by_second[self.now // NS_PER_S] += late
                 missed = self._missed.pop(send.request_id, "")
--- a/holdgw/simulation/fleet_run.py
+++ b/holdgw/simulation/fleet_run.py
@@ -53,7 +53,7 @@
 LISTEN_PORT = 6380
 OPS_PORT = 6381
 PEER_PORT = 7946
-STORE_NEWS_DELAY_NS = 300_000  # until cache servers learn of a change in the origin
+ORIGIN_CHANGE_DELAY_NS = 300_000  # until cache servers learn of a change in the origin
 CRASH_NOTICE_S = 0.1  # until discovery removes a crashed cache server
 MAX_CALLBACKS_TO_KILL = 400  # a killed router exits within this many callbacks, at any await
 NS_PER_MS = 1_000_000
@@ -428,7 +428,7 @@
         return self.world.now / NS_PER_S
 
     def _join_peers(self, scenario: Scenario) -> None:
-        """Give every router the addresses of the others and one multicast address of all."""
+        """Give every router its peer address, those of all routers, and a multicast address of all."""
         group_address = (self._host("tier", "", "10.0.0.5").ips[0], PEER_PORT)
         addresses = tuple((router.address[0], PEER_PORT) for router in self.routers.values())
         self.peers = {
@@ -474,7 +474,7 @@
 
     def tell_nodes(self, message: Stored | Voided) -> None:
         """Pass a change of the origin on to all cache servers."""
-        self.world.at(self.world.now + STORE_NEWS_DELAY_NS, None, self._deliver_to_nodes, (message,))
+        self.world.at(self.world.now + ORIGIN_CHANGE_DELAY_NS, None, self._deliver_to_nodes, (message,))
 
     def _deliver_to_nodes(self, message: Stored | Voided) -> None:
         for part in self._all_nodes:
@@ -540,7 +540,7 @@
             history.lives += router.lives
             self.invariants.report_process_faults(name)
         violations = [] if self.failure else rule_violations(self.schedule, history)
-        violations = sorted([*violations, *self.invariants.broken], key=lambda one: one.at)
+        violations = sorted([*violations, *self.invariants.broken], key=lambda violation: violation.at)
         run_result = RunResult(self.schedule, history, self.begun, scenario.length_s)
         return Outcome(
             self.schedule.seed,
@@ -551,7 +551,7 @@
             violations,
             self.failure,
             len(self.schedule.requests),
-            sum(one.answer == "served" for one in history.tries),
+            sum(request.answer == "served" for request in history.tries),
             self.begun,
             run_result,
         )
--- a/holdgw/simulation/process.py
+++ b/holdgw/simulation/process.py
@@ -75,15 +75,15 @@
 
     def local_time(self, at: int) -> int:
         """Return the process's monotonic clock at a simulated time, both in nanoseconds."""
-        passed = at - self._started_at
-        return self._initial_local_time + passed + passed * self._drift // PPM
+        elapsed = at - self._started_at
+        return self._initial_local_time + elapsed + elapsed * self._drift // PPM
 
     def world_time(self, local: int) -> int:
         """Return the first simulated time at which the process's monotonic clock shows `local`."""
-        passed = local - self._initial_local_time
+        elapsed = local - self._initial_local_time
         if not self._drift:
-            return self._started_at + passed
-        at = self._started_at + passed * PPM // (PPM + self._drift)
+            return self._started_at + elapsed
+        at = self._started_at + elapsed * PPM // (PPM + self._drift)
         while self.local_time(at) < local:
             at += 1
         return at
--- a/holdgw/simulation/random_faults.py
+++ b/holdgw/simulation/random_faults.py
@@ -58,7 +58,7 @@
     "burst": lambda r, s: {
         "seconds": _seconds(r, 0.5, 4),
         "factor": round(r.uniform(1.5, 4), 2),
-        "tenant": r.choice(("", *(one.name for one in s.tenants))),
+        "tenant": r.choice(("", *(tenant.name for tenant in s.tenants))),
     },
     "origin_slow": lambda r, s: {"seconds": _seconds(r, 0.5, 6), "factor": round(r.uniform(1.5, 6), 2)},
     "origin_down": lambda r, s: {"seconds": _seconds(r, 0.2, 3)},
--- a/holdgw/simulation/world.py
+++ b/holdgw/simulation/world.py
@@ -156,7 +156,7 @@
 
     def call(self, process: Process, callback: Callable[..., object], *args: Any) -> None:
         """Call into a process at once; an exception goes to that process's exception handler."""
-        before = self.current
+        previous = self.current
         self.enter(process)
         try:
             callback(*args)
@@ -167,7 +167,7 @@
                 {"message": f"fault in {callback_name(callback)}", "exception": error}
             )
         finally:
-            self.enter(before)
+            self.enter(previous)
 
     def end(self) -> None:
         """Take down the run, and drop all tasks and calls that are left without a warning."""
@@ -201,16 +201,16 @@
             raise RuntimeError("a world can't run inside a running loop")
         self._running = True
         ready, scheduled = self._ready, self._scheduled
-        in_this_instant = 0
+        callbacks_in_instant = 0
         recent: deque[str] = deque(maxlen=SPIN_SAMPLE_SIZE)
         try:
             while self._running:
                 if ready:
                     handle = ready.popleft()
-                    in_this_instant += 1
-                    if in_this_instant > MAX_CALLBACKS_PER_INSTANT - SPIN_SAMPLE_SIZE:
+                    callbacks_in_instant += 1
+                    if callbacks_in_instant > MAX_CALLBACKS_PER_INSTANT - SPIN_SAMPLE_SIZE:
                         recent.append(callback_name(handle._callback))
-                        if in_this_instant > MAX_CALLBACKS_PER_INSTANT:
+                        if callbacks_in_instant > MAX_CALLBACKS_PER_INSTANT:
                             raise self._spin_error(recent)
                 elif scheduled:
                     due, _, handle = scheduled[0]
@@ -222,7 +222,7 @@
                         continue
                     if due > self.now:
                         self.now = due
-                        in_this_instant = 0
+                        callbacks_in_instant = 0
                 else:
                     break
                 if not handle._cancelled:
--- a/tests/simulation/test_simulation_play.py
+++ b/tests/simulation/test_simulation_play.py
@@ -300,7 +300,7 @@
     outcome = simulate(tiny(text), 1)
     assert not outcome.failed
     assert outcome.played is not None
-    answers = Counter(attempt.answer for attempt in outcome.played.history.tries)
+    answers = Counter(request.answer for request in outcome.played.history.tries)
     assert answers["refused"] > 20
     assert answers["failed"] == 0
 
