--- a/holdgw/simulation/fleet.py
+++ b/holdgw/simulation/fleet.py
@@ -38,7 +38,7 @@
 REPORT_NS = round(REPORT_TICKS * TICK_S * NS_PER_S)
 ORIGIN = Endpoint("origin:1", kind="store")
 FETCH_NS = 150_000_000
-AIM_NS, DEADLINE_NS = 300_000_000, NS_PER_S
+LATENCY_OBJECTIVE_NS, DEADLINE_NS = 300_000_000, NS_PER_S
 
 
 @dataclass
@@ -62,10 +62,10 @@
 
 @dataclass
 class SimulatedPolicy:
-    """A router: its routing policy and, where it has peers, its load view."""
+    """A router of the model: its routing policy and, where it has peers, its load view."""
 
     number: int
-    router: RoutingPolicy
+    policy: RoutingPolicy
     load_view: LoadView
     frozen: list[Callable[[], None]] | None = None
     weight: float = 1.0
@@ -97,7 +97,9 @@
         self.random = random.Random(f"{seed}/fleet")
         self.rate, self.peers, self.delay = rate, peers, delay
         self.settings = Settings(
-            classes=(RequestClass("read", latency_objective_ns=AIM_NS, deadline_ns=DEADLINE_NS),),
+            classes=(
+                RequestClass("read", latency_objective_ns=LATENCY_OBJECTIVE_NS, deadline_ns=DEADLINE_NS),
+            ),
             origin_kind="store",
             routers=routers,
             load_report_fields=("recent_ms", "backlog"),
@@ -119,21 +121,21 @@
         self.listed = list(self.servers)
         self.can_reach: Callable[[int, int], bool] = lambda _from, _to: True
         self.hot: dict[str, float] = {}  # keys with an extra share of all reads each
-        self.falsify: Callable[[SimulatedPolicy, LoadReport], LoadReport] = lambda _one, report: report
+        self.falsify: Callable[[SimulatedPolicy, LoadReport], LoadReport] = lambda _router, report: report
         """Returns the load report that a router sends, given its true report."""
         self._keys = [f"key{i}" for i in range(keys)]
         self.random.shuffle(self._keys)
-        self._popular = list(accumulate((i + 1) ** -skew for i in range(keys)))
+        self._cumulative_popularity = list(accumulate((i + 1) ** -skew for i in range(keys)))
         self._ids = count()
         self._open: dict[
             str, tuple[SimulatedPolicy, str, int, int]
         ] = {}  # request: router, key, start time, attempt
         self._missed: dict[str, str] = {}  # request: the server of its cache miss
-        self.count: Counter[str] = Counter()
+        self.request_counts: Counter[str] = Counter()
         self.late_by_second: dict[int, int] = defaultdict(int)  # late, rejected or failed requests
-        for one in self.routers:
-            self._send_list(one, UpdateKind.FULL)
-            self.at(int(self.random.random() * REPORT_NS), lambda one=one: self._report(one))  # type: ignore[misc]
+        for router in self.routers:
+            self._send_list(router, UpdateKind.FULL)
+            self.at(int(self.random.random() * REPORT_NS), lambda router=router: self._report(router))  # type: ignore[misc]
         self._schedule_request()
 
     def run(self, until_s: float) -> None:
@@ -142,13 +144,15 @@
 
     # Endpoint lists and freezes
 
-    def _send_list(self, one: SimulatedPolicy, kind: UpdateKind) -> None:
+    def _send_list(self, router: SimulatedPolicy, kind: UpdateKind) -> None:
         def apply() -> None:
             entries = tuple(self.servers[name].entry for name in self.listed)
-            one.load_view.set_servers(self.listed)
-            self._apply_actions(one, one.router.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now))
+            router.load_view.set_servers(self.listed)
+            self._apply_actions(
+                router, router.policy.handle(EndpointsChanged(kind, (*entries, ORIGIN)), self.now)
+            )
 
-        self._unless_frozen(one, apply)
+        self._unless_frozen(router, apply)
 
     def set_listed(self, names: Sequence[str], within: int = 100_000_000) -> None:
         """Change the listed servers; each router learns of it within `within` nanoseconds."""
@@ -157,10 +161,10 @@
                 entry = Endpoint(name, kind="c", state=EndpointState.READY, started_ns=self.now)
                 self.servers[name] = SimulatedServer(entry, self._service)
         self.listed = list(names)
-        for one in self.routers:
+        for router in self.routers:
             self.at(
                 self.now + int(self.random.random() * within),
-                lambda one=one: self._send_list(one, UpdateKind.FULL),  # type: ignore[misc]
+                lambda router=router: self._send_list(router, UpdateKind.FULL),  # type: ignore[misc]
             )
 
     def freeze(self, numbers: Sequence[int], seconds: float) -> None:
@@ -170,15 +174,15 @@
 
         def resume() -> None:
             for number in numbers:
-                held, self.routers[number].frozen = self.routers[number].frozen or [], None
-                for callback in held:
+                deferred, self.routers[number].frozen = self.routers[number].frozen or [], None
+                for callback in deferred:
                     callback()
 
         self.at(self.now + int(seconds * NS_PER_S), resume)
 
-    def _unless_frozen(self, one: SimulatedPolicy, callback: Callable[[], None]) -> None:
-        if one.frozen is not None:
-            one.frozen.append(callback)
+    def _unless_frozen(self, router: SimulatedPolicy, callback: Callable[[], None]) -> None:
+        if router.frozen is not None:
+            router.frozen.append(callback)
         else:
             callback()
 
@@ -189,42 +193,44 @@
 
     def _request(self) -> None:
         self._schedule_request()
-        one = self.random.choices(self.routers, [one.weight for one in self.routers])[0]
+        router = self.random.choices(self.routers, [router.weight for router in self.routers])[0]
         draw, key = self.random.random(), ""
-        for name, share in self.hot.items():
+        for hot_key, share in self.hot.items():
             draw -= share
             if draw < 0:
-                key = name
+                key = hot_key
                 break
         if not key:
-            key = self._keys[bisect(self._popular, self.random.random() * self._popular[-1])]
-        self.count["asked"] += 1
-        begun = self.now
+            key = self._keys[
+                bisect(self._cumulative_popularity, self.random.random() * self._cumulative_popularity[-1])
+            ]
+        self.request_counts["asked"] += 1
+        started_at = self.now
 
         def arrive() -> None:
-            name = f"r{next(self._ids)}"
-            self._open[name] = one, key, begun, 0
-            event = RequestArrived(name, "read", self.now + DEADLINE_NS, key=key)
-            self._apply_actions(one, one.router.handle(event, self.now))
+            request_id = f"r{next(self._ids)}"
+            self._open[request_id] = router, key, started_at, 0
+            event = RequestArrived(request_id, "read", self.now + DEADLINE_NS, key=key)
+            self._apply_actions(router, router.policy.handle(event, self.now))
 
-        self._unless_frozen(one, arrive)
+        self._unless_frozen(router, arrive)
 
-    def _apply_actions(self, one: SimulatedPolicy, actions: Sequence[object]) -> None:
+    def _apply_actions(self, router: SimulatedPolicy, actions: Sequence[object]) -> None:
         for action in actions:
             if isinstance(action, SendAttempt):
-                self._send_attempt(one, action)
+                self._send_attempt(router, action)
             elif hasattr(action, "request"):
-                self.count["refused" if isinstance(action, Reject) else "failed"] += 1
+                self.request_counts["refused" if isinstance(action, Reject) else "failed"] += 1
                 self.late_by_second[self.now // NS_PER_S] += 1
                 self._open.pop(action.request, None)
 
-    def _send_attempt(self, one: SimulatedPolicy, send: SendAttempt) -> None:
-        _, key, begun, attempt = self._open[send.request_id]
-        self._open[send.request_id] = one, key, begun, attempt + 1
+    def _send_attempt(self, router: SimulatedPolicy, send: SendAttempt) -> None:
+        _, key, started_at, attempt = self._open[send.request_id]
+        self._open[send.request_id] = router, key, started_at, attempt + 1
         server = self.servers.get(send.endpoint_id)
         if server is None:
-            self.count["fetches"] += 1
-            self._end_attempt(one, send, self.now + FETCH_NS, Outcome.OK, None)
+            self.request_counts["fetches"] += 1
+            self._end_attempt(router, send, self.now + FETCH_NS, Outcome.OK, None)
             return
         server.arrivals.append(self.now)
         start = max(self.now, server.free_at)
@@ -232,13 +238,13 @@
         server.ends.append(end)
         hit = key in server.keys
         if not hit:
-            self.count["misses"] += 1
+            self.request_counts["misses"] += 1
             self._missed[send.request_id] = send.endpoint_id
-        self._end_attempt(one, send, end, Outcome.OK if hit else Outcome.MISS, server)
+        self._end_attempt(router, send, end, Outcome.OK if hit else Outcome.MISS, server)
 
     def _end_attempt(
         self,
-        one: SimulatedPolicy,
+        router: SimulatedPolicy,
         send: SendAttempt,
         end: int,
         outcome: Outcome,
@@ -247,10 +253,10 @@
         sent, attempt = self.now, self._open[send.request_id][3]
 
         def receive_reply() -> None:
-            self._unless_frozen(one, handle_reply)
+            self._unless_frozen(router, handle_reply)
 
         def handle_reply() -> None:
-            took = self.now - sent
+            duration = self.now - sent
             load = None
             if server is not None:
                 server.recent_ms += ((end - sent) / 1e6 - server.recent_ms) / 8
@@ -258,9 +264,9 @@
             request = self._open.get(send.request_id)
             if request is not None and request[3] == attempt and outcome is Outcome.OK:
                 self._open.pop(send.request_id)
-                self.count["served"] += 1
-                late = self.now - request[2] > AIM_NS
-                self.count["late"] += late
+                self.request_counts["served"] += 1
+                late = self.now - request[2] > LATENCY_OBJECTIVE_NS
+                self.request_counts["late"] += late
                 self.late_by_second[self.now // NS_PER_S] += late
                 missed = self._missed.pop(send.request_id, "")
                 if server is None and missed in self.servers:
@@ -271,55 +277,62 @@
                 send.endpoint_id,
                 outcome,
                 outcome is Outcome.OK,
-                took,
+                duration,
                 load_report=load,
             )
-            self._apply_actions(one, one.router.handle(event, self.now))
+            self._apply_actions(router, router.policy.handle(event, self.now))
 
         self.at(end, receive_reply)
 
     # Load reports
 
-    def _report(self, one: SimulatedPolicy) -> None:
-        self.at(self.now + REPORT_NS, lambda: self._report(one))
-        if not self.peers or one.frozen is not None:
+    def _report(self, router: SimulatedPolicy) -> None:
+        self.at(self.now + REPORT_NS, lambda: self._report(router))
+        if not self.peers or router.frozen is not None:
             return
-        waits, slot_requests = one.router.take_observations()
-        sampled = {server: SampledResponseTime(wait, at) for server, (wait, at) in waits.items()}
-        one.load_view.record(Observations(sampled, slot_requests))
-        report = self.falsify(one, one.load_view.report(self.now))
+        response_times, slot_requests = router.policy.take_observations()
+        sampled = {
+            server: SampledResponseTime(response_time, at)
+            for server, (response_time, at) in response_times.items()
+        }
+        router.load_view.record(Observations(sampled, slot_requests))
+        report = self.falsify(router, router.load_view.report(self.now))
         others = self.random.sample(self.routers, min(FANOUT + 1, len(self.routers)))
-        for other in [other for other in others if other is not one][:FANOUT]:
-            if self.can_reach(one.number, other.number):
+        for other in [other for other in others if other is not router][:FANOUT]:
+            if self.can_reach(router.number, other.number):
                 self.at(self.now + self.delay, lambda other=other: self._receive(other, report))  # type: ignore[misc]
-        view = one.load_view.snapshot(self.now)
+        view = router.load_view.snapshot(self.now)
         event = LoadSnapshotChanged(
             view.response_times, dict(view.slot_shares), view.requests, view.own_requests
         )
-        self._apply_actions(one, one.router.handle(event, self.now))
+        self._apply_actions(router, router.policy.handle(event, self.now))
 
-    def _receive(self, one: SimulatedPolicy, report: LoadReport) -> None:
-        self._unless_frozen(one, lambda: one.load_view.receive(report, self.now))
+    def _receive(self, router: SimulatedPolicy, report: LoadReport) -> None:
+        self._unless_frozen(router, lambda: router.load_view.receive(report, self.now))
 
     # Measurements
 
     def spread(self, since_s: float, until_s: float) -> tuple[float, float]:
         """Return the most and the fewest arrivals of a listed server, each divided by the mean."""
-        found = [
+        arrival_counts = [
             sum(since_s * NS_PER_S <= at < until_s * NS_PER_S for at in self.servers[name].arrivals)
             for name in self.listed
         ]
-        mean = sum(found) / len(found)
-        return max(found) / mean, min(found) / mean
+        mean = sum(arrival_counts) / len(arrival_counts)
+        return max(arrival_counts) / mean, min(arrival_counts) / mean
 
-    def herd(self, since_s: float, until_s: float, window: int = 100_000_000) -> float:
+    def arrival_dispersion(self, since_s: float, until_s: float, window: int = 100_000_000) -> float:
         """Return the mean over servers of the index of dispersion of arrivals per window (Poisson: 1)."""
-        found = []
+        dispersions = []
         first, last = int(since_s * NS_PER_S) // window, int(until_s * NS_PER_S) // window
         for name in self.listed:
             counts = Counter(at // window for at in self.servers[name].arrivals)
-            row = [counts[i] for i in range(first, last)]
-            mean = sum(row) / len(row)
+            counts_by_window = [counts[i] for i in range(first, last)]
+            mean = sum(counts_by_window) / len(counts_by_window)
             if mean:
-                found.append(sum((one - mean) ** 2 for one in row) / len(row) / mean)
-        return sum(found) / len(found)
+                dispersions.append(
+                    sum((arrivals - mean) ** 2 for arrivals in counts_by_window)
+                    / len(counts_by_window)
+                    / mean
+                )
+        return sum(dispersions) / len(dispersions)
