--- a/bench/each_trouble.py
+++ b/bench/each_trouble.py
@@ -1,7 +1,8 @@
 """Simulates each kind of inter-process fault alone, on many seeds: `python -m bench.each_trouble [KINDS]`.
 
-The scenario is laboratory-storm with one to three faults of one kind, in simulated time; a seed fails if one
-of the four rules or of the simulation's invariants is violated. Returns 1 if any seed fails.
+The scenario is laboratory-storm with one to three faults of one kind, in simulated time. A seed fails if one
+of the checker's rules (one final answer in time, no effect twice, drains kept, no cold endpoint overloaded)
+or of the simulation's invariants is violated. Returns 1 if any seed fails.
 """
 
 from __future__ import annotations
--- a/tests/test_standing.py
+++ b/tests/test_standing.py
@@ -1,4 +1,4 @@
-"""The router as the deploy file starts it, under the process restrictions of the whole fleet's clock."""
+"""The router as the deploy file starts it: one process, which the standing test allows few system calls."""
 
 from __future__ import annotations
 
